--- a/benchmarks/src/main/java/milletyoke/benchmarks/BesideBefore.java
+++ b/benchmarks/src/main/java/milletyoke/benchmarks/BesideBefore.java
@@ -9,13 +9,17 @@
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 @Warmup(iterations = 2, time = 500, timeUnit = TimeUnit.MILLISECONDS)
 @Measurement(iterations = 3, time = 500, timeUnit = TimeUnit.MILLISECONDS)
-@Fork(value = 1, jvmArgsAppend = {"-Xms2g", "-Xmx2g", "-XX:+UseSerialGC"})
+@Fork(
+        value = 1,
+        jvmArgsAppend = {"-Xms2g", "-Xmx2g", "-XX:+UseSerialGC"})
 @State(Scope.Thread)
 public class BesideBefore {
     @Param({"100x100", "1000x2000", "5000x2000"})
     public String size;
+
     @Param({"now", "before"})
     public String module;
+
     private Steady steady;
 
     @Setup(Level.Trial)
@@ -23,8 +27,10 @@
         String[] of = size.split("x");
         int held = Integer.parseInt(of[0]);
         int volumes = Integer.parseInt(of[1]);
-        steady = module.equals("now") ? new Steady(new Decide()::decide, held, volumes, 30)
-                : new Steady(new milletyoke.reference.Decide()::decide, held, volumes, 30);
+        steady =
+                module.equals("now")
+                        ? new Steady(new Decide()::decide, held, volumes, 30)
+                        : new Steady(new milletyoke.reference.Decide()::decide, held, volumes, 30);
     }
 
     @Benchmark
--- a/benchmarks/src/main/java/milletyoke/benchmarks/Steady.java
+++ b/benchmarks/src/main/java/milletyoke/benchmarks/Steady.java
@@ -10,10 +10,15 @@
 import milletyoke.port.Provisioning;
 import milletyoke.port.Provisioning.*;
 
-/** A steady stream round one module: so many accesses held, so many volumes known, so many targets; time is made up. */
+/**
+ * A steady stream round one module: so many accesses held, so many volumes known, so many targets;
+ * time is made up.
+ */
 final class Steady {
-    private static final Category SLOW = new Category("slow", Repeats.HARMLESS, Group.ALL, 0, false, 600_000_000L, 1);
-    private static final Category READ = new Category("read", Repeats.HARMLESS, Group.ALL, 0, false, 400_000, 2);
+    private static final Category SLOW =
+            new Category("slow", Repeats.HARMLESS, Group.ALL, 0, false, 600_000_000L, 1);
+    private static final Category READ =
+            new Category("read", Repeats.HARMLESS, Group.ALL, 0, false, 400_000, 2);
 
     private final BiFunction<Long, List<Event>, List<Action>> module;
     private final int volumes;
@@ -21,6 +26,7 @@
     private final ArrayDeque<String> out = new ArrayDeque<>();
     private long now = 1_000_000_000L;
     private long next;
+
     /** Every so many-th access is a new object; 0 for none. */
     int newEvery;
 
@@ -28,8 +34,14 @@
         this.module = module;
         this.volumes = volumes;
         this.targets = targets;
-        Provisioning given = new Provisioning(3, List.of(SLOW, READ), List.of(new Plan("free", 2, 1, 0, 0, 0)),
-                new Allowances(3, true, true, true, 500_000), new Bounds(0, 0, 1, 0, 0, 1, 0, 0, 0, 10_000_000), false);
+        Provisioning given =
+                new Provisioning(
+                        3,
+                        List.of(SLOW, READ),
+                        List.of(new Plan("free", 2, 1, 0, 0, 0)),
+                        new Allowances(3, true, true, true, 500_000),
+                        new Bounds(0, 0, 1, 0, 0, 1, 0, 0, 0, 10_000_000),
+                        false);
         List<Event.Target> listed = new ArrayList<>();
         for (int t = 0; t < targets; t++) {
             listed.add(new Event.Target(t, "t" + t, "z", Event.Health.ON, 0));
@@ -62,7 +74,16 @@
         next++;
         // volumes and targets are drawn over all of them, out of step with each other
         int volume = (int) (number * 2_654_435_761L >>> 7 & Integer.MAX_VALUE) % volumes;
-        return new Event.Access("s" + number, newEvery > 0 && number % newEvery == 0 ? -1 : (int) (number % targets), null, "v" + volume, 700_000_000L, "free", category, 1, 1);
+        return new Event.Access(
+                "s" + number,
+                newEvery > 0 && number % newEvery == 0 ? -1 : (int) (number % targets),
+                null,
+                "v" + volume,
+                700_000_000L,
+                "free",
+                category,
+                1,
+                1);
     }
 
     private Event ended() {
--- a/cli/src/main/java/milletyoke/cli/Ask.java
+++ b/cli/src/main/java/milletyoke/cli/Ask.java
@@ -23,12 +23,19 @@
 abstract class Ask implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    @Option(names = "--console", defaultValue = "${env:MILLETYOKE_CONSOLE:-http://127.0.0.1:7480}", paramLabel = "URL",
+    @Option(
+            names = "--console",
+            defaultValue = "${env:MILLETYOKE_CONSOLE:-http://127.0.0.1:7480}",
+            paramLabel = "URL",
             description = "The console to ask (${DEFAULT-VALUE}); or MILLETYOKE_CONSOLE.")
     private String console;
 
-    @Option(names = "--token-file", defaultValue = "${env:MILLETYOKE_TOKEN_FILE}", paramLabel = "FILE",
-            description = "A file that holds the token; or MILLETYOKE_TOKEN_FILE, or MILLETYOKE_TOKEN itself.")
+    @Option(
+            names = "--token-file",
+            defaultValue = "${env:MILLETYOKE_TOKEN_FILE}",
+            paramLabel = "FILE",
+            description =
+                    "A file that holds the token; or MILLETYOKE_TOKEN_FILE, or MILLETYOKE_TOKEN itself.")
     private Path tokenFile;
 
     @Option(names = "--json", description = "Print the answer as it came.")
@@ -40,7 +47,8 @@
         }
         String token = System.getenv("MILLETYOKE_TOKEN");
         if (token == null) {
-            throw new IllegalArgumentException("no token: give --token-file, MILLETYOKE_TOKEN_FILE or MILLETYOKE_TOKEN");
+            throw new IllegalArgumentException(
+                    "no token: give --token-file, MILLETYOKE_TOKEN_FILE or MILLETYOKE_TOKEN");
         }
         return token;
     }
@@ -51,18 +59,24 @@
 
     final int ask(String method, String path) throws Exception {
         HttpClient client = HttpClient.newBuilder().connectTimeout(Duration.ofSeconds(5)).build();
-        HttpRequest request = HttpRequest.newBuilder(URI.create(console.replaceAll("/+$", "") + "/api/v1/" + path))
-                .timeout(Duration.ofSeconds(10)).header("Authorization", "Bearer " + token())
-                .method(method, HttpRequest.BodyPublishers.noBody()).build();
+        HttpRequest request =
+                HttpRequest.newBuilder(
+                                URI.create(console.replaceAll("/+$", "") + "/api/v1/" + path))
+                        .timeout(Duration.ofSeconds(10))
+                        .header("Authorization", "Bearer " + token())
+                        .method(method, HttpRequest.BodyPublishers.noBody())
+                        .build();
         HttpResponse<String> answer;
         try {
             answer = client.send(request, HttpResponse.BodyHandlers.ofString());
         } catch (IOException unreachable) {
-            throw new IOException("the console at " + console + " cannot be asked: " + unreachable, unreachable);
+            throw new IOException(
+                    "the console at " + console + " cannot be asked: " + unreachable, unreachable);
         }
         JsonNode body = JSON.readTree(answer.body().isEmpty() ? "{}" : answer.body());
         if (answer.statusCode() >= 300) {
-            System.err.println("milletyoke: " + answer.statusCode() + " " + body.path("detail").asText());
+            System.err.println(
+                    "milletyoke: " + answer.statusCode() + " " + body.path("detail").asText());
             return 1;
         }
         if (json) {
@@ -74,19 +88,23 @@
     }
 
     private static void print(JsonNode view) {
-        view.path("figures").fields().forEachRemaining(f -> System.out.printf("%-28s %s%n", f.getKey(), f.getValue()
-                .asText()));
+        view.path("figures")
+                .fields()
+                .forEachRemaining(
+                        f -> System.out.printf("%-28s %s%n", f.getKey(), f.getValue().asText()));
         for (JsonNode table : view.path("tables")) {
-            System.out.printf("%n%s (%d)%n", table.path("name").asText(), table.path("total").asInt());
+            System.out.printf(
+                    "%n%s (%d)%n", table.path("name").asText(), table.path("total").asInt());
             List<List<String>> rows = new ArrayList<>();
             rows.add(cells(table.path("columns")));
             table.path("rows").forEach(r -> rows.add(cells(r)));
             int[] wide = new int[rows.get(0).size()];
-            rows.forEach(r -> {
-                for (int i = 0; i < wide.length; i++) {
-                    wide[i] = Math.max(wide[i], r.get(i).length());
-                }
-            });
+            rows.forEach(
+                    r -> {
+                        for (int i = 0; i < wide.length; i++) {
+                            wide[i] = Math.max(wide[i], r.get(i).length());
+                        }
+                    });
             for (List<String> row : rows) {
                 StringBuilder line = new StringBuilder();
                 for (int i = 0; i < wide.length; i++) {
@@ -108,7 +126,11 @@
 
     /** Pages that list. */
     abstract static class Listing extends Ask {
-        @Option(names = "--find", defaultValue = "", paramLabel = "TEXT", description = "Only what has this in its name.")
+        @Option(
+                names = "--find",
+                defaultValue = "",
+                paramLabel = "TEXT",
+                description = "Only what has this in its name.")
         private String find;
 
         @Option(names = "--page", defaultValue = "0", description = "Which fifty, from 0.")
@@ -119,7 +141,10 @@
         }
     }
 
-    @Command(name = "status", mixinStandardHelpOptions = true, description = "What an initiator is and does.")
+    @Command(
+            name = "status",
+            mixinStandardHelpOptions = true,
+            description = "What an initiator is and does.")
     static final class Status extends Ask {
         @Override
         public Integer call() throws Exception {
@@ -127,7 +152,10 @@
         }
     }
 
-    @Command(name = "targets", mixinStandardHelpOptions = true, description = "The targets as an initiator sees them.")
+    @Command(
+            name = "targets",
+            mixinStandardHelpOptions = true,
+            description = "The targets as an initiator sees them.")
     static final class Targets extends Listing {
         @Override
         public Integer call() throws Exception {
@@ -135,7 +163,10 @@
         }
     }
 
-    @Command(name = "volumes", mixinStandardHelpOptions = true, description = "The volumes and what is left of their limits.")
+    @Command(
+            name = "volumes",
+            mixinStandardHelpOptions = true,
+            description = "The volumes and what is left of their limits.")
     static final class Volumes extends Listing {
         @Override
         public Integer call() throws Exception {
@@ -143,7 +174,10 @@
         }
     }
 
-    @Command(name = "events", mixinStandardHelpOptions = true, description = "What happened, the latest first.")
+    @Command(
+            name = "events",
+            mixinStandardHelpOptions = true,
+            description = "What happened, the latest first.")
     static final class Events extends Listing {
         @Override
         public Integer call() throws Exception {
@@ -153,8 +187,11 @@
 
     /** Taking out of service and putting back. */
     abstract static class Draining extends Ask {
-        @Parameters(arity = "0..1", paramLabel = "TARGET",
-                description = "A target, for this initiator alone; without it the initiator itself.")
+        @Parameters(
+                arity = "0..1",
+                paramLabel = "TARGET",
+                description =
+                        "A target, for this initiator alone; without it the initiator itself.")
         private String target;
 
         final int act(String what) throws Exception {
@@ -162,8 +199,11 @@
         }
     }
 
-    @Command(name = "drain", mixinStandardHelpOptions = true,
-            description = "Takes an initiator, or a target at it, out of service; what is held is finished.")
+    @Command(
+            name = "drain",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Takes an initiator, or a target at it, out of service; what is held is finished.")
     static final class Drain extends Draining {
         @Override
         public Integer call() throws Exception {
--- a/cli/src/main/java/milletyoke/cli/Config.java
+++ b/cli/src/main/java/milletyoke/cli/Config.java
@@ -22,9 +22,17 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-@Command(name = "config", mixinStandardHelpOptions = true, description = "The configuration language: docs/configuration.md.",
-        subcommands = {Config.CheckFleet.class, Config.Format.class, Config.Diff.class, Config.Show.class,
-            Config.Convert.class})
+@Command(
+        name = "config",
+        mixinStandardHelpOptions = true,
+        description = "The configuration language: docs/configuration.md.",
+        subcommands = {
+            Config.CheckFleet.class,
+            Config.Format.class,
+            Config.Diff.class,
+            Config.Show.class,
+            Config.Convert.class
+        })
 final class Config implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -47,7 +55,9 @@
         return findings.stream().noneMatch(Finding::error);
     }
 
-    @Command(name = "check", mixinStandardHelpOptions = true,
+    @Command(
+            name = "check",
+            mixinStandardHelpOptions = true,
             description = "Finds everything wrong in one pass; 0 without errors, 1 with.")
     static final class CheckFleet implements Callable<Integer> {
         @Parameters(paramLabel = "FILE")
@@ -62,27 +72,50 @@
             if (json) {
                 List<Map<String, Object>> all = new ArrayList<>();
                 for (Finding f : result.findings()) {
-                    all.add(Map.of("severity", f.error() ? "error" : "warning", "code", f.code(), "file", f.file(), "line",
-                            f.line(), "column", f.column(), "message", f.message(), "hint", f.hint(), "chain", f.chain()));
+                    all.add(
+                            Map.of(
+                                    "severity",
+                                    f.error() ? "error" : "warning",
+                                    "code",
+                                    f.code(),
+                                    "file",
+                                    f.file(),
+                                    "line",
+                                    f.line(),
+                                    "column",
+                                    f.column(),
+                                    "message",
+                                    f.message(),
+                                    "hint",
+                                    f.hint(),
+                                    "chain",
+                                    f.chain()));
                 }
-                System.out.println(JSON.writeValueAsString(Map.of("clean", result.clean(), "findings", all)));
+                System.out.println(
+                        JSON.writeValueAsString(Map.of("clean", result.clean(), "findings", all)));
             } else {
                 tell(result.findings());
                 long errors = result.findings().stream().filter(Finding::error).count();
-                System.out.printf("%d files, %d errors, %d warnings%n", result.files().size(), errors,
-                        result.findings().size() - errors);
+                System.out.printf(
+                        "%d files, %d errors, %d warnings%n",
+                        result.files().size(), errors, result.findings().size() - errors);
             }
             return result.clean() ? 0 : 1;
         }
     }
 
-    @Command(name = "format", mixinStandardHelpOptions = true,
-            description = "Writes files in the one style; files with errors of syntax are left alone.")
+    @Command(
+            name = "format",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Writes files in the one style; files with errors of syntax are left alone.")
     static final class Format implements Callable<Integer> {
         @Parameters(arity = "1..*", paramLabel = "FILE")
         private List<Path> files;
 
-        @Option(names = "--check", description = "Change nothing; 1 where a file is not in the style.")
+        @Option(
+                names = "--check",
+                description = "Change nothing; 1 where a file is not in the style.")
         private boolean only;
 
         @Override
@@ -104,9 +137,15 @@
                     System.out.println(file + (only ? " is not in the style" : " is formatted"));
                     good &= !only;
                     if (!only) {
-                        Path aside = Files.createTempFile(file.toAbsolutePath().getParent(), ".format", null);
+                        Path aside =
+                                Files.createTempFile(
+                                        file.toAbsolutePath().getParent(), ".format", null);
                         Files.write(aside, formatted.getBytes(StandardCharsets.UTF_8));
-                        Files.move(aside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                        Files.move(
+                                aside,
+                                file,
+                                StandardCopyOption.ATOMIC_MOVE,
+                                StandardCopyOption.REPLACE_EXISTING);
                     }
                 }
             }
@@ -114,8 +153,11 @@
         }
     }
 
-    @Command(name = "diff", mixinStandardHelpOptions = true,
-            description = "What changes by meaning from OLD to NEW, for whom, and how it is taken; 1 where something does.")
+    @Command(
+            name = "diff",
+            mixinStandardHelpOptions = true,
+            description =
+                    "What changes by meaning from OLD to NEW, for whom, and how it is taken; 1 where something does.")
     static final class Diff implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "OLD")
         private Path before;
@@ -143,7 +185,9 @@
         }
     }
 
-    @Command(name = "show", mixinStandardHelpOptions = true,
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
             description = "What a configuration means, with everything resolved.")
     static final class Show implements Callable<Integer> {
         @Parameters(paramLabel = "FILE")
@@ -160,7 +204,9 @@
         }
     }
 
-    @Command(name = "convert", mixinStandardHelpOptions = true,
+    @Command(
+            name = "convert",
+            mixinStandardHelpOptions = true,
             description = "Prints the deployment of an initiator's JSON5 setup in the language.")
     static final class Convert implements Callable<Integer> {
         @Parameters(paramLabel = "SETUP")
--- a/cli/src/main/java/milletyoke/cli/Demo.java
+++ b/cli/src/main/java/milletyoke/cli/Demo.java
@@ -12,10 +12,15 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-@Command(name = "demo", mixinStandardHelpOptions = true,
-        description = "Three initiators, eight targets and a small load on loopback, in this process, for 12 s.")
+@Command(
+        name = "demo",
+        mixinStandardHelpOptions = true,
+        description =
+                "Three initiators, eight targets and a small load on loopback, in this process, for 12 s.")
 final class Demo implements Callable<Integer> {
-    @Option(names = "--show-script", description = "Print the script that is played, and play nothing.")
+    @Option(
+            names = "--show-script",
+            description = "Print the script that is played, and play nothing.")
     private boolean show;
 
     @Override
@@ -33,8 +38,12 @@
         try {
             Stage.Played played;
             try (Stage stage = new Stage(day, recording, false)) {
-                System.out.printf("%d initiators, %d targets, %.0f accesses a second for %d s; a target hangs at 4 s%n",
-                        day.initiators(), day.fleet().targets(), day.load().rate(), day.lasts() / 1_000_000);
+                System.out.printf(
+                        "%d initiators, %d targets, %.0f accesses a second for %d s; a target hangs at 4 s%n",
+                        day.initiators(),
+                        day.fleet().targets(),
+                        day.load().rate(),
+                        day.lasts() / 1_000_000);
                 played = stage.play(System.out::println);
             }
             System.out.print(played.service().text());
--- a/cli/src/main/java/milletyoke/cli/Lab.java
+++ b/cli/src/main/java/milletyoke/cli/Lab.java
@@ -23,10 +23,18 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-@Command(name = "lab", mixinStandardHelpOptions = true, subcommands = {Lab.PlayDays.class, Lab.RunExperiment.class,
-        Lab.ShowReport.class, Lab.HuntStorms.class,
-        Lab.BesideSockets.class},
-        description = "Fleets in virtual time: the same daemons, stand-ins and scripts, without sockets.")
+@Command(
+        name = "lab",
+        mixinStandardHelpOptions = true,
+        subcommands = {
+            Lab.PlayDays.class,
+            Lab.RunExperiment.class,
+            Lab.ShowReport.class,
+            Lab.HuntStorms.class,
+            Lab.BesideSockets.class
+        },
+        description =
+                "Fleets in virtual time: the same daemons, stand-ins and scripts, without sockets.")
 final class Lab implements Callable<Integer> {
     @Override
     public Integer call() {
@@ -34,16 +42,24 @@
         return 2;
     }
 
-    @Command(name = "play", mixinStandardHelpOptions = true,
-            description = "Plays bad days in virtual time, then audits the rules; 0 only if every rule was kept.")
+    @Command(
+            name = "play",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Plays bad days in virtual time, then audits the rules; 0 only if every rule was kept.")
     static final class PlayDays implements Callable<Integer> {
         @Parameters(arity = "1..*", paramLabel = "SCRIPT", description = "Scripts of bad days.")
         private List<Path> scripts;
 
-        @Option(names = "--record", paramLabel = "FILE", description = "Keep the recording here (one script only).")
+        @Option(
+                names = "--record",
+                paramLabel = "FILE",
+                description = "Keep the recording here (one script only).")
         private Path keep;
 
-        @Option(names = "--bare", description = "Record nothing and audit nothing: for fleets of great size.")
+        @Option(
+                names = "--bare",
+                description = "Record nothing and audit nothing: for fleets of great size.")
         private boolean bare;
 
         @Option(names = "--brief", description = "One line a script.")
@@ -62,14 +78,25 @@
         }
 
         private boolean play(BadDay day) throws IOException {
-            Path recording = bare ? null : keep != null ? keep : Files.createTempFile("milletyoke-", ".recording");
+            Path recording =
+                    bare
+                            ? null
+                            : keep != null
+                                    ? keep
+                                    : Files.createTempFile("milletyoke-", ".recording");
             try {
                 Play.Came came = Play.of(day, recording);
                 Audit.Report report = bare ? null : Audit.of(recording);
                 boolean kept = came.clean() && came.unfinished() == 0 && (bare || report.clean());
-                System.out.printf("%-32s service %.4f  digest %016x  %,d events in %.2f s, %,.0f a second  %s%n", day.name(),
-                        came.service().whole(), came.digest(), came.events(), came.wall() / 1e6,
-                        came.events() * 1e6 / came.wall(), bare ? "not audited" : kept ? "kept" : "NOT KEPT");
+                System.out.printf(
+                        "%-32s service %.4f  digest %016x  %,d events in %.2f s, %,.0f a second  %s%n",
+                        day.name(),
+                        came.service().whole(),
+                        came.digest(),
+                        came.events(),
+                        came.wall() / 1e6,
+                        came.events() * 1e6 / came.wall(),
+                        bare ? "not audited" : kept ? "kept" : "NOT KEPT");
                 if (!brief) {
                     System.out.print(came.service().text());
                 }
@@ -85,16 +112,28 @@
         }
     }
 
-    @Command(name = "run", mixinStandardHelpOptions = true,
-            description = "Plays an experiment on all cores; what its results hold already is not played again.")
+    @Command(
+            name = "run",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Plays an experiment on all cores; what its results hold already is not played again.")
     static final class RunExperiment implements Callable<Integer> {
-        @Parameters(paramLabel = "EXPERIMENT", description = "A file in JSON5: the day, the arms, the values, the seeds.")
+        @Parameters(
+                paramLabel = "EXPERIMENT",
+                description = "A file in JSON5: the day, the arms, the values, the seeds.")
         private Path file;
 
-        @Option(names = "--to", paramLabel = "FOLDER", required = true, description = "Results and report go here.")
+        @Option(
+                names = "--to",
+                paramLabel = "FOLDER",
+                required = true,
+                description = "Results and report go here.")
         private Path folder;
 
-        @Option(names = "--threads", paramLabel = "N", description = "Plays at once; usually one for each core.")
+        @Option(
+                names = "--threads",
+                paramLabel = "N",
+                description = "Plays at once; usually one for each core.")
         private int threads = Runtime.getRuntime().availableProcessors();
 
         @Option(names = "--quiet", description = "No line after each play.")
@@ -105,10 +144,15 @@
             Experiment experiment = Experiment.read(file);
             Files.createDirectories(folder);
             try (Results results = new Results(folder.resolve("results.jsonl"))) {
-                new Runner(experiment, results, Math.max(1, threads)).run(quiet ? line -> { } : System.err::println);
+                new Runner(experiment, results, Math.max(1, threads))
+                        .run(quiet ? line -> {} : System.err::println);
                 Path csv = results.writeCsv();
-                Report report = new Report(experiment.name(), experiment.axis(), results.rows(),
-                        experiment.arms().stream().map(Experiment.Arm::name).toList());
+                Report report =
+                        new Report(
+                                experiment.name(),
+                                experiment.axis(),
+                                results.rows(),
+                                experiment.arms().stream().map(Experiment.Arm::name).toList());
                 System.out.print(report.text());
                 System.out.println("report " + report.write(folder) + ", table " + csv);
             }
@@ -116,13 +160,20 @@
         }
     }
 
-    @Command(name = "report", mixinStandardHelpOptions = true,
-            description = "Makes the report of results again; several files are compared as if they were one experiment.")
+    @Command(
+            name = "report",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Makes the report of results again; several files are compared as if they were one experiment.")
     static final class ShowReport implements Callable<Integer> {
         @Parameters(arity = "1..*", paramLabel = "RESULTS", description = "Files of JSON lines.")
         private List<Path> files;
 
-        @Option(names = "--to", paramLabel = "FOLDER", required = true, description = "The report goes here.")
+        @Option(
+                names = "--to",
+                paramLabel = "FOLDER",
+                required = true,
+                description = "The report goes here.")
         private Path folder;
 
         @Option(names = "--axis", paramLabel = "TEXT", description = "What the values are.")
@@ -132,57 +183,118 @@
         public Integer call() throws Exception {
             List<Row> rows = new ArrayList<>();
             for (Path file : files) {
-                String mark = files.size() == 1 ? "" : file.toAbsolutePath().getParent().getFileName() + ": ";
-                Results.read(file).forEach(r -> rows.add(new Row(mark + r.arm(), r.value(), r.seed(), r.service(),
-                        r.categories(), r.plans(), r.seconds(), r.p50(), r.p99(), r.evenness(), r.coldUsed(), r.asked(), r.unfinished(), r.digest(),
-                        r.events(), r.wall())));
+                String mark =
+                        files.size() == 1
+                                ? ""
+                                : file.toAbsolutePath().getParent().getFileName() + ": ";
+                Results.read(file)
+                        .forEach(
+                                r ->
+                                        rows.add(
+                                                new Row(
+                                                        mark + r.arm(),
+                                                        r.value(),
+                                                        r.seed(),
+                                                        r.service(),
+                                                        r.categories(),
+                                                        r.plans(),
+                                                        r.seconds(),
+                                                        r.p50(),
+                                                        r.p99(),
+                                                        r.evenness(),
+                                                        r.coldUsed(),
+                                                        r.asked(),
+                                                        r.unfinished(),
+                                                        r.digest(),
+                                                        r.events(),
+                                                        r.wall())));
             }
             if (rows.isEmpty()) {
                 throw new IllegalArgumentException("there are no results in " + files);
             }
-            Report report = new Report(String.join(", ", files.stream().map(f -> "" + f.getFileName()).toList()), axis, rows,
-                    List.of());
+            Report report =
+                    new Report(
+                            String.join(
+                                    ", ", files.stream().map(f -> "" + f.getFileName()).toList()),
+                            axis,
+                            rows,
+                            List.of());
             System.out.print(report.text());
             System.out.println("report " + report.write(folder));
             return 0;
         }
     }
 
-    @Command(name = "hunt", mixinStandardHelpOptions = true,
-            description = "Draws storms over a day and looks for the worst, then shrinks it; 1 where a rule was broken.")
+    @Command(
+            name = "hunt",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Draws storms over a day and looks for the worst, then shrinks it; 1 where a rule was broken.")
     static final class HuntStorms implements Callable<Integer> {
         @Parameters(paramLabel = "SCRIPT", description = "The day whose troubles are replaced.")
         private Path script;
 
-        @Option(names = "--storms", paramLabel = "N", description = "How many are played (${DEFAULT-VALUE}).")
+        @Option(
+                names = "--storms",
+                paramLabel = "N",
+                description = "How many are played (${DEFAULT-VALUE}).")
         private int storms = 100;
 
-        @Option(names = "--seed", paramLabel = "S", description = "Of the first storm (${DEFAULT-VALUE}).")
+        @Option(
+                names = "--seed",
+                paramLabel = "S",
+                description = "Of the first storm (${DEFAULT-VALUE}).")
         private long seed = 1;
 
-        @Option(names = "--troubles", paramLabel = "N", description = "At most in one storm (${DEFAULT-VALUE}).")
+        @Option(
+                names = "--troubles",
+                paramLabel = "N",
+                description = "At most in one storm (${DEFAULT-VALUE}).")
         private int troubles = 5;
 
-        @Option(names = "--only", paramLabel = "SORTS", split = ",", description = "Troubles that are drawn, as HANG,SLOW;"
-                + " usually all: ${COMPLETION-CANDIDATES}.")
+        @Option(
+                names = "--only",
+                paramLabel = "SORTS",
+                split = ",",
+                description =
+                        "Troubles that are drawn, as HANG,SLOW;"
+                                + " usually all: ${COMPLETION-CANDIDATES}.")
         private List<BadDay.Sort> only = List.of();
 
-        @Option(names = "--least", paramLabel = "PERCENT", description = "Of targets that one strikes (${DEFAULT-VALUE}).")
+        @Option(
+                names = "--least",
+                paramLabel = "PERCENT",
+                description = "Of targets that one strikes (${DEFAULT-VALUE}).")
         private double least = 10;
 
-        @Option(names = "--most", paramLabel = "PERCENT", description = "Of targets that one strikes (${DEFAULT-VALUE}).")
+        @Option(
+                names = "--most",
+                paramLabel = "PERCENT",
+                description = "Of targets that one strikes (${DEFAULT-VALUE}).")
         private double most = 80;
 
-        @Option(names = "--longest", paramLabel = "PERCENT", description = "Of the day that one lasts (${DEFAULT-VALUE}).")
+        @Option(
+                names = "--longest",
+                paramLabel = "PERCENT",
+                description = "Of the day that one lasts (${DEFAULT-VALUE}).")
         private double longest = 50;
 
-        @Option(names = "--for", paramLabel = "WHAT", description = "${COMPLETION-CANDIDATES}: a broken rule, or the least service.")
+        @Option(
+                names = "--for",
+                paramLabel = "WHAT",
+                description = "${COMPLETION-CANDIDATES}: a broken rule, or the least service.")
         private Hunt.Quarry quarry = Hunt.Quarry.RULES;
 
-        @Option(names = "--keep", paramLabel = "FILE", description = "The worst, shrunk, is kept here as a script.")
+        @Option(
+                names = "--keep",
+                paramLabel = "FILE",
+                description = "The worst, shrunk, is kept here as a script.")
         private Path keep;
 
-        @Option(names = "--threads", paramLabel = "N", description = "Plays at once; usually one for each core.")
+        @Option(
+                names = "--threads",
+                paramLabel = "N",
+                description = "Plays at once; usually one for each core.")
         private int threads = Runtime.getRuntime().availableProcessors();
 
         @Override
@@ -191,21 +303,39 @@
                 throw new IllegalArgumentException("at least one storm of one trouble is played");
             }
             Storm.Ranges usual = Storm.Ranges.usual(troubles);
-            Storm.Ranges ranges = new Storm.Ranges(only.isEmpty() ? usual.sorts() : only, troubles, least / 100, most / 100,
-                    longest / 100);
+            Storm.Ranges ranges =
+                    new Storm.Ranges(
+                            only.isEmpty() ? usual.sorts() : only,
+                            troubles,
+                            least / 100,
+                            most / 100,
+                            longest / 100);
             Hunt hunt = new Hunt(Script.read(script), ranges, Math.max(1, threads));
             List<Hunt.Catch> all = hunt.run(seed, storms, quarry);
-            all.stream().limit(5).forEach(c -> System.out.printf("%-40s service %.4f  %s%n", c.day().name(), c.service(),
-                    c.why()));
+            all.stream()
+                    .limit(5)
+                    .forEach(
+                            c ->
+                                    System.out.printf(
+                                            "%-40s service %.4f  %s%n",
+                                            c.day().name(), c.service(), c.why()));
             long broken = all.stream().filter(Hunt.Catch::broken).count();
-            System.out.printf("%d storms, %d of them broken, mean service %.4f%n", all.size(), broken,
+            System.out.printf(
+                    "%d storms, %d of them broken, mean service %.4f%n",
+                    all.size(),
+                    broken,
                     all.stream().mapToDouble(Hunt.Catch::service).average().orElse(0));
             Hunt.Catch worst = all.get(0);
             if (worst.broken() || quarry == Hunt.Quarry.SERVICE) {
                 Hunt.Catch small = hunt.shrink(worst, quarry);
                 String text = Hunt.script(Files.readString(script), small);
-                System.out.printf("shrunk to %d of %d troubles, service %.4f  %s%n%s", small.day().troubles().size(),
-                        worst.day().troubles().size(), small.service(), small.why(), keep == null ? text : "");
+                System.out.printf(
+                        "shrunk to %d of %d troubles, service %.4f  %s%n%s",
+                        small.day().troubles().size(),
+                        worst.day().troubles().size(),
+                        small.service(),
+                        small.why(),
+                        keep == null ? text : "");
                 if (keep != null) {
                     Files.writeString(keep, text);
                 }
@@ -214,28 +344,43 @@
         }
     }
 
-    @Command(name = "beside", mixinStandardHelpOptions = true,
-            description = "Plays days on sockets and in the lab and shows service by category beside each other;"
-            + " 1 where a category is further off than allowed.")
+    @Command(
+            name = "beside",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Plays days on sockets and in the lab and shows service by category beside each other;"
+                            + " 1 where a category is further off than allowed.")
     static final class BesideSockets implements Callable<Integer> {
-        @Parameters(arity = "1..*", paramLabel = "SCRIPT", description = "Scripts of bad days that sockets can play.")
+        @Parameters(
+                arity = "1..*",
+                paramLabel = "SCRIPT",
+                description = "Scripts of bad days that sockets can play.")
         private List<Path> scripts;
 
-        @Option(names = "--turns", paramLabel = "N", description = "Plays of the same day in the lab, in which frames travel"
-                + " otherwise (${DEFAULT-VALUE}).")
+        @Option(
+                names = "--turns",
+                paramLabel = "N",
+                description =
+                        "Plays of the same day in the lab, in which frames travel"
+                                + " otherwise (${DEFAULT-VALUE}).")
         private int turns = 5;
 
-        @Option(names = "--allowed", paramLabel = "POINTS", description = "Of a hundred, per category (${DEFAULT-VALUE}).")
+        @Option(
+                names = "--allowed",
+                paramLabel = "POINTS",
+                description = "Of a hundred, per category (${DEFAULT-VALUE}).")
         private double allowed = 5;
 
         @Override
         public Integer call() throws Exception {
             int far = 0;
-            System.out.printf("%-32s %-16s %8s %22s %8s%n", "day", "category", "sockets", "lab, mean and range", "apart");
+            System.out.printf(
+                    "%-32s %-16s %8s %22s %8s%n",
+                    "day", "category", "sockets", "lab, mean and range", "apart");
             for (BadDay day : Script.readAll(scripts)) {
                 Service sockets;
                 try (Stage stage = new Stage(day, null, false)) {
-                    sockets = stage.play(line -> { }).service();
+                    sockets = stage.play(line -> {}).service();
                 }
                 List<Service> plays = new ArrayList<>();
                 for (int n = 0; n < Math.max(1, turns); n++) {
@@ -243,10 +388,20 @@
                 }
                 for (String category : sockets.lines().keySet()) {
                     double here = 100 * sockets.line(category).service();
-                    var lab = plays.stream().mapToDouble(s -> 100 * s.line(category).service()).summaryStatistics();
+                    var lab =
+                            plays.stream()
+                                    .mapToDouble(s -> 100 * s.line(category).service())
+                                    .summaryStatistics();
                     far += Math.abs(lab.getAverage() - here) > allowed ? 1 : 0;
-                    System.out.printf("%-32s %-16s %8.1f %8.1f (%5.1f..%5.1f) %8.1f%n", day.name(), category, here,
-                            lab.getAverage(), lab.getMin(), lab.getMax(), lab.getAverage() - here);
+                    System.out.printf(
+                            "%-32s %-16s %8.1f %8.1f (%5.1f..%5.1f) %8.1f%n",
+                            day.name(),
+                            category,
+                            here,
+                            lab.getAverage(),
+                            lab.getMin(),
+                            lab.getMax(),
+                            lab.getAverage() - here);
                 }
             }
             System.out.printf("%d categories are further apart than %.1f points%n", far, allowed);
--- a/cli/src/main/java/milletyoke/cli/Logs.java
+++ b/cli/src/main/java/milletyoke/cli/Logs.java
@@ -12,16 +12,24 @@
 
 /** How the program tells of itself on standard error: lines of text, or of JSON. */
 final class Logs {
-    enum Form { text, json }
-
-    enum Depth { error, warn, info, debug }
+    enum Form {
+        text,
+        json
+    }
 
-    private Logs() {
+    enum Depth {
+        error,
+        warn,
+        info,
+        debug
     }
 
+    private Logs() {}
+
     /**
-     * Lines of text by the plainest library there is, each behind its milliseconds since the start. Guards the seconds after a
-     * restart on part of a core: the other library takes a third of the time to start.
+     * Lines of text by the plainest library there is, each behind its milliseconds since the start.
+     * Guards the seconds after a restart on part of a core: the other library takes a third of the
+     * time to start.
      */
     static void beginPlain() {
         System.setProperty("slf4j.provider", "org.slf4j.simple.SimpleServiceProvider");
@@ -31,7 +39,8 @@
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "warn");
         String least = System.getenv().getOrDefault("MILLETYOKE_LOG", "info");
         System.setProperty("org.slf4j.simpleLogger.log.milletyoke", least);
-        java.util.logging.Logger.getLogger("org.glassfish.grizzly").setLevel(java.util.logging.Level.SEVERE);
+        java.util.logging.Logger.getLogger("org.glassfish.grizzly")
+                .setLevel(java.util.logging.Level.SEVERE);
     }
 
     static void begin(Form form, Depth depth) {
@@ -56,6 +65,7 @@
         root.addAppender(out);
         root.setLevel(Level.WARN);
         context.getLogger("milletyoke").setLevel(Level.toLevel(depth.name()));
-        java.util.logging.Logger.getLogger("org.glassfish.grizzly").setLevel(java.util.logging.Level.SEVERE);
+        java.util.logging.Logger.getLogger("org.glassfish.grizzly")
+                .setLevel(java.util.logging.Level.SEVERE);
     }
 }
--- a/cli/src/main/java/milletyoke/cli/Main.java
+++ b/cli/src/main/java/milletyoke/cli/Main.java
@@ -9,20 +9,53 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ScopeType;
 
-/** The command line. Ends with 0, with 1 where what was asked for failed, with 2 where it was asked wrongly. */
-@Command(name = "milletyoke", mixinStandardHelpOptions = true, version = "milletyoke 0.2.0",
-        description = "A storage gateway that schedules a host's reads and writes over storage nodes.",
-        subcommands = {Demo.class, Serve.class, Practise.class, RunInitiator.class, RunTarget.class, RunDiscovery.class, RunLoad.class,
-            Rehearse.class, Rates.class, RunAudit.class, Check.class, Ask.Status.class, Ask.Targets.class, Ask.Volumes.class,
-            Ask.Events.class, Ask.Drain.class, Ask.Undrain.class, MakeToken.class, Config.class, Lab.class},
+/**
+ * The command line. Ends with 0, with 1 where what was asked for failed, with 2 where it was asked
+ * wrongly.
+ */
+@Command(
+        name = "milletyoke",
+        mixinStandardHelpOptions = true,
+        version = "milletyoke 0.2.0",
+        description =
+                "A storage gateway that schedules a host's reads and writes over storage nodes.",
+        subcommands = {
+            Demo.class,
+            Serve.class,
+            Practise.class,
+            RunInitiator.class,
+            RunTarget.class,
+            RunDiscovery.class,
+            RunLoad.class,
+            Rehearse.class,
+            Rates.class,
+            RunAudit.class,
+            Check.class,
+            Ask.Status.class,
+            Ask.Targets.class,
+            Ask.Volumes.class,
+            Ask.Events.class,
+            Ask.Drain.class,
+            Ask.Undrain.class,
+            MakeToken.class,
+            Config.class,
+            Lab.class
+        },
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {"0:done", "1:failed", "2:wrong use, or a file that cannot be used"})
 public final class Main implements Callable<Integer> {
-    @Option(names = "--log", scope = ScopeType.INHERIT, defaultValue = "text",
-            description = "Form of the log on standard error: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
+    @Option(
+            names = "--log",
+            scope = ScopeType.INHERIT,
+            defaultValue = "text",
+            description =
+                    "Form of the log on standard error: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
     private Logs.Form log;
 
-    @Option(names = "--log-level", scope = ScopeType.INHERIT, defaultValue = "info",
+    @Option(
+            names = "--log-level",
+            scope = ScopeType.INHERIT,
+            defaultValue = "info",
             description = "Least serious lines shown: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
     private Logs.Depth level;
 
@@ -34,27 +67,36 @@
         }
         Main main = new Main();
         CommandLine line = new CommandLine(main);
-        line.setExecutionStrategy(parsed -> {
-            Logs.begin(main.log, main.level);
-            return new CommandLine.RunLast().execute(parsed);
-        });
-        line.setExecutionExceptionHandler((failure, command, parsed) -> {
-            boolean wrongUse = failure instanceof SetupError || failure instanceof ScriptError
-                    || failure instanceof IllegalArgumentException;
-            boolean told = wrongUse || failure instanceof IOException;
-            System.err.println("milletyoke: " + (told ? failure.getMessage() : failure.toString()));
-            if (!told) {
-                failure.printStackTrace();
-            }
-            return wrongUse || failure instanceof java.net.BindException
-                    || failure.getCause() instanceof java.net.BindException ? 2 : 1;
-        });
+        line.setExecutionStrategy(
+                parsed -> {
+                    Logs.begin(main.log, main.level);
+                    return new CommandLine.RunLast().execute(parsed);
+                });
+        line.setExecutionExceptionHandler(
+                (failure, command, parsed) -> {
+                    boolean wrongUse =
+                            failure instanceof SetupError
+                                    || failure instanceof ScriptError
+                                    || failure instanceof IllegalArgumentException;
+                    boolean told = wrongUse || failure instanceof IOException;
+                    System.err.println(
+                            "milletyoke: " + (told ? failure.getMessage() : failure.toString()));
+                    if (!told) {
+                        failure.printStackTrace();
+                    }
+                    return wrongUse
+                                    || failure instanceof java.net.BindException
+                                    || failure.getCause() instanceof java.net.BindException
+                            ? 2
+                            : 1;
+                });
         System.exit(line.execute(args));
     }
 
     /**
-     * Without the command line's parser, which alone takes half of the time to start and whose classes no archive holds. Guards
-     * the seconds after a restart on part of a core, in which clients have nobody.
+     * Without the command line's parser, which alone takes half of the time to start and whose
+     * classes no archive holds. Guards the seconds after a restart on part of a core, in which
+     * clients have nobody.
      */
     private static int atOnce(String command) {
         Logs.beginPlain();
--- a/cli/src/main/java/milletyoke/cli/Rates.java
+++ b/cli/src/main/java/milletyoke/cli/Rates.java
@@ -12,36 +12,61 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-@Command(name = "rates", mixinStandardHelpOptions = true,
-        description = "Plays one day at several rates, through the initiators and straight to the targets, in this one process,"
-                + " and shows what the way through adds. Nothing is recorded or audited: see rehearse.")
+@Command(
+        name = "rates",
+        mixinStandardHelpOptions = true,
+        description =
+                "Plays one day at several rates, through the initiators and straight to the targets, in this one process,"
+                        + " and shows what the way through adds. Nothing is recorded or audited: see rehearse.")
 final class Rates implements Callable<Integer> {
     @Parameters(paramLabel = "SCRIPT", description = "Script of the day; its own rate is not used.")
     private Path script;
 
-    @Option(names = "--at", split = ",", required = true, paramLabel = "RATE", description = "Accesses a second.")
+    @Option(
+            names = "--at",
+            split = ",",
+            required = true,
+            paramLabel = "RATE",
+            description = "Accesses a second.")
     private List<Integer> rates;
 
     @Override
     public Integer call() throws Exception {
         BadDay day = Script.read(script);
         if (rates.stream().anyMatch(r -> r < 1)) {
-            throw new IllegalArgumentException("--at takes rates of 1 a second and more, not " + rates);
+            throw new IllegalArgumentException(
+                    "--at takes rates of 1 a second and more, not " + rates);
         }
-        play(day.at(rates.get(0)), false); // the machine's compiler has its say before anything is measured
+        play(
+                day.at(rates.get(0)),
+                false); // the machine's compiler has its say before anything is measured
         play(day.at(rates.get(0)), true);
-        System.out.println("   rate  asked through: in time   p50     p99 ms   straight: in time   p50     p99 ms"
-                + "   added: p50    p99 ms   turn p99 us (slowest initiator)  CPU us/access");
+        System.out.println(
+                "   rate  asked through: in time   p50     p99 ms   straight: in time   p50     p99 ms"
+                        + "   added: p50    p99 ms   turn p99 us (slowest initiator)  CPU us/access");
         for (int rate : rates) {
             Stage.Played through = play(day.at(rate), false);
             Stage.Played straight = play(day.at(rate), true);
             Histogram a = through.service().times();
             Histogram b = straight.service().times();
-            System.out.printf("%7d %7d %15.3f %7.2f %9.2f %18.3f %7.2f %9.2f %12.2f %8.2f %12s %26.0f%n", rate,
-                    through.service().askedInAll(), through.service().whole(), millis(a, 50), millis(a, 99),
-                    straight.service().whole(), millis(b, 50), millis(b, 99), millis(a, 50) - millis(b, 50),
-                    millis(a, 99) - millis(b, 99), through.counts().stream().map(c -> c.replaceAll(".*turns p50 \\d+ us, p99 (\\d+) us.*",
-                            "$1")).mapToInt(Integer::parseInt).max().orElse(0), through.cpuMicros());
+            System.out.printf(
+                    "%7d %7d %15.3f %7.2f %9.2f %18.3f %7.2f %9.2f %12.2f %8.2f %12s %26.0f%n",
+                    rate,
+                    through.service().askedInAll(),
+                    through.service().whole(),
+                    millis(a, 50),
+                    millis(a, 99),
+                    straight.service().whole(),
+                    millis(b, 50),
+                    millis(b, 99),
+                    millis(a, 50) - millis(b, 50),
+                    millis(a, 99) - millis(b, 99),
+                    through.counts().stream()
+                            .map(c -> c.replaceAll(".*turns p50 \\d+ us, p99 (\\d+) us.*", "$1"))
+                            .mapToInt(Integer::parseInt)
+                            .max()
+                            .orElse(0),
+                    through.cpuMicros());
         }
         return 0;
     }
@@ -50,9 +75,10 @@
         return times.getValueAtPercentile(percentile) / 1e3;
     }
 
-    private static Stage.Played play(BadDay day, boolean straight) throws IOException, InterruptedException {
+    private static Stage.Played play(BadDay day, boolean straight)
+            throws IOException, InterruptedException {
         try (Stage stage = new Stage(day, null, straight)) {
-            return stage.play(line -> { });
+            return stage.play(line -> {});
         }
     }
 }
--- a/cli/src/main/java/milletyoke/cli/Rehearse.java
+++ b/cli/src/main/java/milletyoke/cli/Rehearse.java
@@ -16,25 +16,40 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-@Command(name = "rehearse", mixinStandardHelpOptions = true,
-        description = "Plays bad days on loopback sockets, then audits the rules; 0 only if every rule was kept.")
+@Command(
+        name = "rehearse",
+        mixinStandardHelpOptions = true,
+        description =
+                "Plays bad days on loopback sockets, then audits the rules; 0 only if every rule was kept.")
 final class Rehearse implements Callable<Integer> {
     @Parameters(arity = "1..*", paramLabel = "SCRIPT", description = "Scripts of bad days.")
     private List<Path> scripts;
 
-    @Option(names = "--record", paramLabel = "FILE", description = "Keep the recording here (one script only).")
+    @Option(
+            names = "--record",
+            paramLabel = "FILE",
+            description = "Keep the recording here (one script only).")
     private Path keep;
 
-    @Option(names = "--straight", description = "Afterwards play the same load straight to the targets, with nothing"
-            + " between, and compare.")
+    @Option(
+            names = "--straight",
+            description =
+                    "Afterwards play the same load straight to the targets, with nothing"
+                            + " between, and compare.")
     private boolean straight;
 
-    @Option(names = "--viewers", paramLabel = "N", description = "So many poll the first initiator's console, as many keep a"
-            + " stream; the same day is played without them for comparison.")
+    @Option(
+            names = "--viewers",
+            paramLabel = "N",
+            description =
+                    "So many poll the first initiator's console, as many keep a"
+                            + " stream; the same day is played without them for comparison.")
     private int viewers;
 
-    @Option(names = "--capture", paramLabel = "FOLDER", description = "Keep each initiator's traffic there, for replay (one"
-            + " script only).")
+    @Option(
+            names = "--capture",
+            paramLabel = "FOLDER",
+            description = "Keep each initiator's traffic there, for replay (one" + " script only).")
     private Path capture;
 
     @Option(names = "--quiet", description = "No line every second.")
@@ -64,7 +79,8 @@
             played.counts().forEach(c -> System.out.println("  " + c));
             Audit.Report report = Audit.of(recording);
             System.out.print(report.text(true));
-            System.out.printf("%d records, %.0f us of CPU for each access, all parts in one process%n",
+            System.out.printf(
+                    "%d records, %.0f us of CPU for each access, all parts in one process%n",
                     report.records(), played.cpuMicros());
             if (straight) {
                 compare(day, played);
@@ -84,43 +100,60 @@
             if (capture != null) {
                 stage.capture(capture);
             }
-            return stage.play(quiet ? line -> { } : System.out::println);
+            return stage.play(quiet ? line -> {} : System.out::println);
         }
     }
 
-    private Stage.Played watched(BadDay day, Path recording) throws IOException, InterruptedException {
+    private Stage.Played watched(BadDay day, Path recording)
+            throws IOException, InterruptedException {
         Stage.Played alone = bare(day, recording);
         String token = Tokens.make();
         Path tokens = Files.createTempFile("milletyoke-", ".json5");
-        Files.writeString(tokens, "{tokens: [{name: \"viewer\", role: \"viewer\", sha256: \""
-                + HexFormat.of().formatHex(Tokens.hash(token)) + "\"}]}");
+        Files.writeString(
+                tokens,
+                "{tokens: [{name: \"viewer\", role: \"viewer\", sha256: \""
+                        + HexFormat.of().formatHex(Tokens.hash(token))
+                        + "\"}]}");
         try (Stage stage = new Stage(day, recording, false, tokens);
-                Onlookers onlookers = new Onlookers(stage.initiator(0).consolePort(), token, viewers, 200)) {
-            Stage.Played played = stage.play(service -> { }, () -> {
-                System.out.println("console: " + onlookers.text());
-                onlookers.close();
-            });
-            System.out.printf("service with %d viewers and %d streams %.3f, without %.3f, ratio %.3f%n", viewers, viewers,
-                    played.service().whole(), alone.service().whole(), played.service().whole() / alone.service().whole());
+                Onlookers onlookers =
+                        new Onlookers(stage.initiator(0).consolePort(), token, viewers, 200)) {
+            Stage.Played played =
+                    stage.play(
+                            service -> {},
+                            () -> {
+                                System.out.println("console: " + onlookers.text());
+                                onlookers.close();
+                            });
+            System.out.printf(
+                    "service with %d viewers and %d streams %.3f, without %.3f, ratio %.3f%n",
+                    viewers,
+                    viewers,
+                    played.service().whole(),
+                    alone.service().whole(),
+                    played.service().whole() / alone.service().whole());
             return played;
         } finally {
             Files.delete(tokens);
         }
     }
 
-    private void compare(BadDay day, Stage.Played through) throws IOException, InterruptedException {
+    private void compare(BadDay day, Stage.Played through)
+            throws IOException, InterruptedException {
         Stage.Played bare;
         Path recording = Files.createTempFile("milletyoke-", ".recording");
         try (Stage stage = new Stage(day, recording, true)) {
-            bare = stage.play(line -> { });
+            bare = stage.play(line -> {});
         } finally {
             Files.deleteIfExists(recording);
         }
         System.out.println("-- the same load straight to the targets, no scheduling");
         System.out.print(bare.service().text());
-        System.out.printf("through the initiators: p50 %+.2f ms, CPU %+.0f us for each access, service %+.3f%n",
-                (through.service().times().getValueAtPercentile(50) - bare.service().times().getValueAtPercentile(50))
-                        / 1e3, through.cpuMicros() - bare.cpuMicros(),
+        System.out.printf(
+                "through the initiators: p50 %+.2f ms, CPU %+.0f us for each access, service %+.3f%n",
+                (through.service().times().getValueAtPercentile(50)
+                                - bare.service().times().getValueAtPercentile(50))
+                        / 1e3,
+                through.cpuMicros() - bare.cpuMicros(),
                 through.service().whole() - bare.service().whole());
     }
 }
--- a/cli/src/main/java/milletyoke/cli/RunAudit.java
+++ b/cli/src/main/java/milletyoke/cli/RunAudit.java
@@ -6,7 +6,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-@Command(name = "audit", mixinStandardHelpOptions = true,
+@Command(
+        name = "audit",
+        mixinStandardHelpOptions = true,
         description = "Judges a recording by the seven rules; 0 only if none was broken.")
 final class RunAudit implements Callable<Integer> {
     @Parameters(paramLabel = "RECORDING")
--- a/cli/src/main/java/milletyoke/cli/RunLoad.java
+++ b/cli/src/main/java/milletyoke/cli/RunLoad.java
@@ -14,51 +14,108 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-@Command(name = "load", mixinStandardHelpOptions = true,
-        description = "Asks running initiators for accesses at a rate, whether or not earlier ones were answered.")
+@Command(
+        name = "load",
+        mixinStandardHelpOptions = true,
+        description =
+                "Asks running initiators for accesses at a rate, whether or not earlier ones were answered.")
 final class RunLoad implements Callable<Integer> {
-    @Option(names = "--config", required = true, paramLabel = "FILE",
+    @Option(
+            names = "--config",
+            required = true,
+            paramLabel = "FILE",
             description = "An initiator's setup: its categories and plans are asked for.")
     private Path config;
 
-    @Option(names = "--initiator", required = true, paramLabel = "HOST:PORT", description = "May come again.")
+    @Option(
+            names = "--initiator",
+            required = true,
+            paramLabel = "HOST:PORT",
+            description = "May come again.")
     private List<String> initiators;
 
-    @Option(names = "--shards", required = true, description = "Shards 0 to this less one are asked for.")
+    @Option(
+            names = "--shards",
+            required = true,
+            description = "Shards 0 to this less one are asked for.")
     private int shards;
 
-    @Option(names = "--rate", defaultValue = "200", description = "Accesses a second (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--rate",
+            defaultValue = "200",
+            description = "Accesses a second (${DEFAULT-VALUE}).")
     private double rate;
 
     @Option(names = "--seconds", defaultValue = "10", description = "How long (${DEFAULT-VALUE}).")
     private int seconds;
 
-    @Option(names = "--abandon-millis", defaultValue = "4000",
+    @Option(
+            names = "--abandon-millis",
+            defaultValue = "4000",
             description = "How long each client waits (${DEFAULT-VALUE}).")
     private long abandon;
 
     @Override
     public Integer call() throws Exception {
         if (rate <= 0 || seconds < 1 || seconds > 3600 || shards < 1) {
-            throw new IllegalArgumentException("--rate over 0, --seconds of 1 to 3600 and --shards of 1 or more are"
-                    + " expected");
+            throw new IllegalArgumentException(
+                    "--rate over 0, --seconds of 1 to 3600 and --shards of 1 or more are"
+                            + " expected");
         }
         Setup setup = Setup.read(config);
         Provisioning given = setup.deployment().provisioning();
         List<Demand.Kind> kinds = new ArrayList<>();
         for (Provisioning.Category c : given.categories()) {
-            kinds.add(new Demand.Kind(c.name(), 1.0 / given.categories().size(), 1, 4,
-                    c.repeats() != Provisioning.Repeats.HARMLESS, c.keyOrdered(),
-                    Demand.Repeats.valueOf(c.repeats().name()), c.group() == Provisioning.Group.ALL, c.agreedTime(),
-                    abandon * 1000, c.importance(), false));
+            kinds.add(
+                    new Demand.Kind(
+                            c.name(),
+                            1.0 / given.categories().size(),
+                            1,
+                            4,
+                            c.repeats() != Provisioning.Repeats.HARMLESS,
+                            c.keyOrdered(),
+                            Demand.Repeats.valueOf(c.repeats().name()),
+                            c.group() == Provisioning.Group.ALL,
+                            c.agreedTime(),
+                            abandon * 1000,
+                            c.importance(),
+                            false));
         }
         int[] all = java.util.stream.IntStream.range(0, shards).toArray();
         int[] doors = java.util.stream.IntStream.range(0, initiators.size()).toArray();
-        List<Demand.Volume> volumes = given.plans().stream().map(p -> new Demand.Volume("load-" + p.name(), p.name(),
-                1.0 / given.plans().size(), all, doors)).toList();
-        Demand demand = new Demand(rate, kinds, volumes, 1, 100_000, 0, 1, 1, 0, setup.deployment().answerSlack(),
-                0, 0, List.of());
-        Clients clients = new Clients(demand, false, System.nanoTime(), Executors.newScheduledThreadPool(2), Tap.NONE);
+        List<Demand.Volume> volumes =
+                given.plans().stream()
+                        .map(
+                                p ->
+                                        new Demand.Volume(
+                                                "load-" + p.name(),
+                                                p.name(),
+                                                1.0 / given.plans().size(),
+                                                all,
+                                                doors))
+                        .toList();
+        Demand demand =
+                new Demand(
+                        rate,
+                        kinds,
+                        volumes,
+                        1,
+                        100_000,
+                        0,
+                        1,
+                        1,
+                        0,
+                        setup.deployment().answerSlack(),
+                        0,
+                        0,
+                        List.of());
+        Clients clients =
+                new Clients(
+                        demand,
+                        false,
+                        System.nanoTime(),
+                        Executors.newScheduledThreadPool(2),
+                        Tap.NONE);
         for (String text : initiators) {
             Address at = Address.of(text);
             clients.addDoor(text, at.host(), at.port());
--- a/cli/src/main/java/milletyoke/cli/Serve.java
+++ b/cli/src/main/java/milletyoke/cli/Serve.java
@@ -13,10 +13,17 @@
 import picocli.CommandLine.Option;
 import sun.misc.Signal;
 
-@Command(name = "serve", mixinStandardHelpOptions = true, description = "Runs one initiator in the platform's service:"
-        + " HTTP entry and exit, set up by the file that LB_CONFIG names. SIGHUP reads it again, SIGTERM ends.")
+@Command(
+        name = "serve",
+        mixinStandardHelpOptions = true,
+        description =
+                "Runs one initiator in the platform's service:"
+                        + " HTTP entry and exit, set up by the file that LB_CONFIG names. SIGHUP reads it again, SIGTERM ends.")
 final class Serve implements Callable<Integer> {
-    @Option(names = "--config", paramLabel = "FILE", defaultValue = "${env:LB_CONFIG}",
+    @Option(
+            names = "--config",
+            paramLabel = "FILE",
+            defaultValue = "${env:LB_CONFIG}",
             description = "Its configuration, JSON (LB_CONFIG).")
     private Path config;
 
@@ -42,16 +49,21 @@
         }
     }
 
-    /** @return 0 where all that was held was answered, 1 where not */
+    /**
+     * @return 0 where all that was held was answered, 1 where not
+     */
     static int run(Path config) throws IOException, SetupError, InterruptedException {
         CountDownLatch asked = new CountDownLatch(1);
         AtomicReference<Service> started = new AtomicReference<>();
         AtomicBoolean reload = new AtomicBoolean();
-        // Before it listens, so before anybody is told that it is ready: SIGHUP would end the process, SIGTERM lose what is held.
-        Signal.handle(new Signal("HUP"), s -> {
-            reload.set(true);
-            reload(started.get(), reload);
-        });
+        // Before it listens, so before anybody is told that it is ready: SIGHUP would end the
+        // process, SIGTERM lose what is held.
+        Signal.handle(
+                new Signal("HUP"),
+                s -> {
+                    reload.set(true);
+                    reload(started.get(), reload);
+                });
         Signal.handle(new Signal("TERM"), s -> asked.countDown());
         Signal.handle(new Signal("INT"), s -> asked.countDown());
         Service service = Service.start(config);
@@ -59,7 +71,8 @@
         reload(service, reload);
         while (!asked.await(500, TimeUnit.MILLISECONDS)) {
             if (service.loop().fault() != null) {
-                System.err.println("milletyoke: the loop failed; all that was held has been broken off");
+                System.err.println(
+                        "milletyoke: the loop failed; all that was held has been broken off");
                 return 1;
             }
         }
--- a/cli/src/test/java/milletyoke/cli/ServeProcessTest.java
+++ b/cli/src/test/java/milletyoke/cli/ServeProcessTest.java
@@ -22,7 +22,8 @@
 /** {@code serve} as a process of the platform: its file, its signals, what it ends with. */
 @Timeout(120)
 class ServeProcessTest {
-    private static final String CONFIG = """
+    private static final String CONFIG =
+            """
             {"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
              "limits":{"cores":1.0,"memory_mb":192,"sockets":256},
              "known":{"rev":1,"all":true,"targets":[{"uid":"t","endpoint":"127.0.0.1:1","az":"a","model":"m","pod_group":0,
@@ -31,17 +32,25 @@
                "policies":[{"name":"p","weight":1}],"limits":{"maxAttempts":3}}}
             """;
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private final List<Process> started = new ArrayList<>();
 
     private Process start(String config) throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), config);
-        ProcessBuilder command = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"), "milletyoke.cli.Main", "serve");
+        ProcessBuilder command =
+                new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-XX:+UseSerialGC",
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "milletyoke.cli.Main",
+                        "serve");
         command.environment().put("LB_CONFIG", file.toString());
-        Process process = command.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
+        Process process =
+                command.redirectErrorStream(true)
+                        .redirectOutput(folder.resolve("log").toFile())
+                        .start();
         started.add(process);
         return process;
     }
@@ -62,7 +71,10 @@
 
     private static String ready(int port) throws IOException {
         try (Socket socket = new Socket("127.0.0.1", port)) {
-            socket.getOutputStream().write("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            socket.getOutputStream()
+                    .write(
+                            "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
+                                    .getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readNBytes(12), StandardCharsets.US_ASCII);
         }
     }
@@ -84,11 +96,14 @@
     @Test
     void hupReadsTheFileAgainAndTermEndsIt() throws Exception {
         Process process = start(CONFIG);
-        int port = Integer.parseInt(waitFor(process, "takes accesses at 127.0.0.1:(\\d+)").group(1));
+        int port =
+                Integer.parseInt(waitFor(process, "takes accesses at 127.0.0.1:(\\d+)").group(1));
         while (!ready(port).endsWith("200")) {
             Thread.sleep(10);
         }
-        Files.writeString(folder.resolve("config.json"), CONFIG.replace("127.0.0.1:1\",\"seed", "127.0.0.1:2\",\"seed"));
+        Files.writeString(
+                folder.resolve("config.json"),
+                CONFIG.replace("127.0.0.1:1\",\"seed", "127.0.0.1:2\",\"seed"));
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
         waitFor(process, "read again; discovery is at 127.0.0.1:2");
         Files.writeString(folder.resolve("config.json"), "{");
@@ -101,28 +116,54 @@
     }
 
     /**
-     * The system itself allows no more descriptors than the file says, and idle clients take all that they are given: discovery
-     * is reached again, a target is dialled, and an access is served.
+     * The system itself allows no more descriptors than the file says, and idle clients take all
+     * that they are given: discovery is reached again, a target is dialled, and an access is
+     * served.
      */
     @Test
     void idleClientsKeepNobodyFromDiscoveryOrTargets() throws Exception {
         List<Socket> idle = new ArrayList<>();
-        try (HttpStandIn target = new HttpStandIn("target", (c, m) -> HttpStandIn.answer(c, 200, "served".getBytes()));
-                HttpStandIn discovery = new HttpStandIn("discovery", (c, m) -> {
-                    if (!m.target().contains("from")) {
-                        HttpStandIn.answer(c, 200, ("{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"t\",\"endpoint\":\"127.0.0.1:"
-                                + target.port() + "\",\"pod_group\":0,\"state\":\"up\"}]}").getBytes());
-                    }
-                })) {
-            Path file = Files.writeString(folder.resolve("config.json"), CONFIG.replace("127.0.0.1:1\",\"seed",
-                    "127.0.0.1:" + discovery.port() + "\",\"seed"));
-            ProcessBuilder command = new ProcessBuilder("/bin/sh", "-c", "ulimit -n 256; exec \"$0\" -XX:+UseSerialGC -cp \"$1\""
-                    + " milletyoke.cli.Main serve", Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                    System.getProperty("java.class.path"));
+        try (HttpStandIn target =
+                        new HttpStandIn(
+                                "target",
+                                (c, m) -> HttpStandIn.answer(c, 200, "served".getBytes()));
+                HttpStandIn discovery =
+                        new HttpStandIn(
+                                "discovery",
+                                (c, m) -> {
+                                    if (!m.target().contains("from")) {
+                                        HttpStandIn.answer(
+                                                c,
+                                                200,
+                                                ("{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"t\",\"endpoint\":\"127.0.0.1:"
+                                                                + target.port()
+                                                                + "\",\"pod_group\":0,\"state\":\"up\"}]}")
+                                                        .getBytes());
+                                    }
+                                })) {
+            Path file =
+                    Files.writeString(
+                            folder.resolve("config.json"),
+                            CONFIG.replace(
+                                    "127.0.0.1:1\",\"seed",
+                                    "127.0.0.1:" + discovery.port() + "\",\"seed"));
+            ProcessBuilder command =
+                    new ProcessBuilder(
+                            "/bin/sh",
+                            "-c",
+                            "ulimit -n 256; exec \"$0\" -XX:+UseSerialGC -cp \"$1\""
+                                    + " milletyoke.cli.Main serve",
+                            Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                            System.getProperty("java.class.path"));
             command.environment().put("LB_CONFIG", file.toString());
-            Process process = command.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()).start();
+            Process process =
+                    command.redirectErrorStream(true)
+                            .redirectOutput(folder.resolve("log").toFile())
+                            .start();
             started.add(process);
-            int port = Integer.parseInt(waitFor(process, "takes accesses at 127.0.0.1:(\\d+)").group(1));
+            int port =
+                    Integer.parseInt(
+                            waitFor(process, "takes accesses at 127.0.0.1:(\\d+)").group(1));
             while (!ready(port).endsWith("200")) {
                 Thread.sleep(10);
             }
@@ -137,10 +178,16 @@
             }
             try (Socket client = new Socket("127.0.0.1", port)) {
                 client.setSoTimeout(30_000);
-                client.getOutputStream().write(("GET /api HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\nX-Lane: c\r\nX-Plan: p\r\nCookie:"
-                        + " key=7f3a9c21e0b4d655\r\nX-Remaining: 20.0\r\nX-IO: volume=00000003b4d60021,units=1,shard=0,hosts=1"
-                        + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-                assertEquals("HTTP/1.1 200", new String(client.getInputStream().readNBytes(12), StandardCharsets.US_ASCII));
+                client.getOutputStream()
+                        .write(
+                                ("GET /api HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\nX-Lane: c\r\nX-Plan: p\r\nCookie:"
+                                                + " key=7f3a9c21e0b4d655\r\nX-Remaining: 20.0\r\nX-IO: volume=00000003b4d60021,units=1,shard=0,hosts=1"
+                                                + "\r\n\r\n")
+                                        .getBytes(StandardCharsets.US_ASCII));
+                assertEquals(
+                        "HTTP/1.1 200",
+                        new String(
+                                client.getInputStream().readNBytes(12), StandardCharsets.US_ASCII));
             }
         } finally {
             for (Socket s : idle) {
--- a/config/src/main/java/milletyoke/config/Checker.java
+++ b/config/src/main/java/milletyoke/config/Checker.java
@@ -18,12 +18,13 @@
 import milletyoke.config.Syntax.Setting;
 
 /**
- * Finds everything wrong with a configuration in one pass, and what it means. What is wrong in one place is left out of
- * what the rest is checked against, so one slip gives one finding.
+ * Finds everything wrong with a configuration in one pass, and what it means. What is wrong in one
+ * place is left out of what the rest is checked against, so one slip gives one finding.
  *
- * <p>Precedence: a file's own block hides, whole, one of the same kind and name in a file that it includes; two such blocks
- * in one file, or in two files neither of which includes the other, are an error. Within a block, its own settings hide
- * those of the block or template that it is like. A volume's own block hides patterns; of patterns the longest counts.
+ * <p>Precedence: a file's own block hides, whole, one of the same kind and name in a file that it
+ * includes; two such blocks in one file, or in two files neither of which includes the other, are
+ * an error. Within a block, its own settings hide those of the block or template that it is like. A
+ * volume's own block hides patterns; of patterns the longest counts.
  */
 public final class Checker {
     private static final int MOST_FILES = 1_000, MOST_FINDINGS = 1_000;
@@ -58,15 +59,22 @@
         this.library = library;
     }
 
-    /** @param file as the library names it */
+    /**
+     * @param file as the library names it
+     */
     public static Result check(Library library, String file) {
         Checker checker = new Checker(library);
         checker.load(file, null);
         Fleet fleet = checker.mean();
-        checker.findings.sort(Comparator.comparing(Finding::file).thenComparingInt(Finding::line)
-                .thenComparingInt(Finding::column));
+        checker.findings.sort(
+                Comparator.comparing(Finding::file)
+                        .thenComparingInt(Finding::line)
+                        .thenComparingInt(Finding::column));
         boolean clean = checker.findings.stream().noneMatch(Finding::error);
-        return new Result(clean ? fleet : null, List.copyOf(checker.findings), List.copyOf(checker.files.keySet()));
+        return new Result(
+                clean ? fleet : null,
+                List.copyOf(checker.findings),
+                List.copyOf(checker.files.keySet()));
     }
 
     // ---- Findings ----
@@ -79,11 +87,24 @@
         found(false, at, code, message, hint, List.of());
     }
 
-    private void found(boolean error, At at, String code, String message, String hint, List<String> chain) {
+    private void found(
+            boolean error, At at, String code, String message, String hint, List<String> chain) {
         if (findings.size() < MOST_FINDINGS) {
-            List<String> of = lines.computeIfAbsent(at.file(), f -> texts.getOrDefault(f, "").lines().toList());
+            List<String> of =
+                    lines.computeIfAbsent(
+                            at.file(), f -> texts.getOrDefault(f, "").lines().toList());
             String shown = at.line() >= 1 && at.line() <= of.size() ? of.get(at.line() - 1) : "";
-            findings.add(new Finding(error, code, at.file(), at.line(), at.column(), message, hint, shown, chain));
+            findings.add(
+                    new Finding(
+                            error,
+                            code,
+                            at.file(),
+                            at.line(),
+                            at.column(),
+                            message,
+                            hint,
+                            shown,
+                            chain));
         }
     }
 
@@ -94,14 +115,24 @@
             List<String> chain = new ArrayList<>();
             open.descendingIterator().forEachRemaining(f -> chain.add(f + " includes"));
             chain.add(file + ", which is open already");
-            found(true, from, "cycle", "this include comes back to a file that is being read", "take one include out", chain);
+            found(
+                    true,
+                    from,
+                    "cycle",
+                    "this include comes back to a file that is being read",
+                    "take one include out",
+                    chain);
             return;
         }
         if (files.containsKey(file)) {
             return; // included twice, by whatever names: once is enough
         }
         if (files.size() >= MOST_FILES || open.size() >= Reader.DEEPEST) {
-            error(from, "size", "over " + MOST_FILES + " files, or includes deeper than " + Reader.DEEPEST, "");
+            error(
+                    from,
+                    "size",
+                    "over " + MOST_FILES + " files, or includes deeper than " + Reader.DEEPEST,
+                    "");
             return;
         }
         String text;
@@ -114,7 +145,11 @@
         }
         read += text.length();
         if (read > MOST_TEXT) {
-            error(from == null ? new At(file, 1, 1) : from, "size", "over " + MOST_TEXT + " characters in all files", "");
+            error(
+                    from == null ? new At(file, 1, 1) : from,
+                    "size",
+                    "over " + MOST_TEXT + " characters in all files",
+                    "");
             return;
         }
         texts.put(file, text);
@@ -144,7 +179,11 @@
             return;
         }
         if (found.isEmpty()) {
-            error(i.at(), "file", "no file fits \"" + i.pattern() + "\"", "an include is relative to the file it stands in");
+            error(
+                    i.at(),
+                    "file",
+                    "no file fits \"" + i.pattern() + "\"",
+                    "an include is relative to the file it stands in");
         }
         for (String f : found) {
             includes.computeIfAbsent(file, x -> new LinkedHashSet<>()).add(f);
@@ -171,7 +210,11 @@
     private void define(Syntax.Let l) {
         Syntax.Let before = lets.putIfAbsent(l.name(), l);
         if (before != null) {
-            error(l.at(), "twice", "constant " + l.name() + " is defined already at " + place(before.at()), "");
+            error(
+                    l.at(),
+                    "twice",
+                    "constant " + l.name() + " is defined already at " + place(before.at()),
+                    "");
         }
     }
 
@@ -190,7 +233,10 @@
         if (!a.equals(c) && reaches(c, a)) {
             blocks.put(key, b);
         } else if (a.equals(c) || !reaches(a, c)) {
-            error(b.at(), "twice", key.trim() + " stands already at " + place(before.at()),
+            error(
+                    b.at(),
+                    "twice",
+                    key.trim() + " stands already at " + place(before.at()),
                     "only a file that includes the other may hide its block");
         }
     }
@@ -223,12 +269,23 @@
         }
         Syntax.Let let = lets.get(w.name());
         if (let == null) {
-            throw new Quantity.Wrong("name", "no constant is called " + w.name(), lets.isEmpty() ? ""
-                    : "did you mean " + Names.nearest(w.name(), lets.keySet()) + "?");
+            throw new Quantity.Wrong(
+                    "name",
+                    "no constant is called " + w.name(),
+                    lets.isEmpty()
+                            ? ""
+                            : "did you mean " + Names.nearest(w.name(), lets.keySet()) + "?");
         }
         if (!evaluating.add(w.name()) || evaluating.size() > Reader.DEEPEST) {
-            throw new Quantity.Wrong("cycle", "constant " + w.name() + " rests on itself, or on over " + Reader.DEEPEST
-                    + " others: " + String.join(", ", evaluating), "");
+            throw new Quantity.Wrong(
+                    "cycle",
+                    "constant "
+                            + w.name()
+                            + " rests on itself, or on over "
+                            + Reader.DEEPEST
+                            + " others: "
+                            + String.join(", ", evaluating),
+                    "");
         }
         try {
             Quantity value = evaluate(let.value());
@@ -242,26 +299,38 @@
     // ---- Blocks ----
 
     private Fleet mean() {
-        lets.values().forEach(l -> {
-            try {
-                constant(new Syntax.Word(l.at(), l.name()));
-            } catch (Quantity.Wrong wrong) {
-                error(l.value().at(), wrong.code, wrong.getMessage(), wrong.hint);
-            }
-        });
+        lets.values()
+                .forEach(
+                        l -> {
+                            try {
+                                constant(new Syntax.Word(l.at(), l.name()));
+                            } catch (Quantity.Wrong wrong) {
+                                error(l.value().at(), wrong.code, wrong.getMessage(), wrong.hint);
+                            }
+                        });
         SortedMap<String, Fleet.Block> meant = new TreeMap<>();
-        blocks.forEach((key, b) -> {
-            if (!b.kind().equals("template")) {
-                meant.put(key, new Fleet.Block(b.kind(), b.name(), withDefaults(b)));
-            }
-        });
+        blocks.forEach(
+                (key, b) -> {
+                    if (!b.kind().equals("template")) {
+                        meant.put(key, new Fleet.Block(b.kind(), b.name(), withDefaults(b)));
+                    }
+                });
         for (String single : List.of("bounds", "allowances")) {
             meant.computeIfAbsent(single + " ", k -> new Fleet.Block(single, "", defaults(single)));
         }
         Set<String> cut = Set.of("size", "depth", "syntax", "file", "cycle");
-        boolean whole = findings.stream().noneMatch(f -> cut.contains(f.code())); // else more may stand where it was cut
+        boolean whole =
+                findings.stream()
+                        .noneMatch(
+                                f ->
+                                        cut.contains(
+                                                f.code())); // else more may stand where it was cut
         if (whole && !meant.containsKey("fleet ")) {
-            error(first(), "missing", "no fleet block says how many initiators there are", "fleet { initiators 3; }");
+            error(
+                    first(),
+                    "missing",
+                    "no fleet block says how many initiators there are",
+                    "fleet { initiators 3; }");
         }
         if (whole && meant.values().stream().noneMatch(b -> b.kind().equals("category"))) {
             error(first(), "missing", "no category is given", "");
@@ -287,11 +356,14 @@
 
     private SortedMap<String, List<Object>> defaults(String kind) {
         SortedMap<String, List<Object>> all = new TreeMap<>();
-        Schema.KINDS.get(kind).forEach((name, field) -> {
-            if (field.usual() != null && !field.usual().isEmpty()) {
-                all.put(name, List.of(usual(field)));
-            }
-        });
+        Schema.KINDS
+                .get(kind)
+                .forEach(
+                        (name, field) -> {
+                            if (field.usual() != null && !field.usual().isEmpty()) {
+                                all.put(name, List.of(usual(field)));
+                            }
+                        });
         return all;
     }
 
@@ -306,18 +378,31 @@
     private SortedMap<String, List<Object>> withDefaults(Block b) {
         SortedMap<String, List<Object>> all = defaults(b.kind());
         all.putAll(settle(b, b.kind(), new LinkedHashSet<>()));
-        Schema.KINDS.get(b.kind()).forEach((name, field) -> {
-            if (field.usual() == null && !all.containsKey(name)) {
-                error(b.at(), "missing", b.kind() + " " + b.name() + " has no " + name, "as " + example(name, field.type()));
-            }
-        });
+        Schema.KINDS
+                .get(b.kind())
+                .forEach(
+                        (name, field) -> {
+                            if (field.usual() == null && !all.containsKey(name)) {
+                                error(
+                                        b.at(),
+                                        "missing",
+                                        b.kind() + " " + b.name() + " has no " + name,
+                                        "as " + example(name, field.type()));
+                            }
+                        });
         all.values().removeIf(v -> v == WRONG);
         return all;
     }
 
     private static String example(String name, Schema.Type type) {
-        return name + " " + (type.dimension() != null ? type.dimension().example() : type.words() != null
-                ? type.words().get(0) : type.names() != null ? "NAME" : "a, b") + ";";
+        return name
+                + " "
+                + (type.dimension() != null
+                        ? type.dimension().example()
+                        : type.words() != null
+                                ? type.words().get(0)
+                                : type.names() != null ? "NAME" : "a, b")
+                + ";";
     }
 
     /** Its own settings over those of what it is like. */
@@ -329,12 +414,22 @@
         }
         SortedMap<String, List<Object>> all = new TreeMap<>();
         if (!path.add(key) || path.size() > Reader.DEEPEST) {
-            error(b.parentAt(), "cycle", b.kind() + " " + b.name() + " is like itself, or like over " + Reader.DEEPEST
-                    + " others in a row", "");
+            error(
+                    b.parentAt(),
+                    "cycle",
+                    b.kind()
+                            + " "
+                            + b.name()
+                            + " is like itself, or like over "
+                            + Reader.DEEPEST
+                            + " others in a row",
+                    "");
             return all;
         }
         if (b.parent() != null) {
-            Block parent = blocks.getOrDefault("template " + b.parent(), blocks.get(b.kind() + " " + b.parent()));
+            Block parent =
+                    blocks.getOrDefault(
+                            "template " + b.parent(), blocks.get(b.kind() + " " + b.parent()));
             if (parent == null) {
                 Set<String> near = names(b.kind());
                 near.addAll(names("template"));
@@ -348,8 +443,14 @@
         for (Setting s : b.settings()) {
             Schema.Field field = fields.get(s.name());
             if (field == null) {
-                error(s.at(), "name", kind + " has no setting " + s.name(), "did you mean "
-                        + Names.nearest(s.name(), fields.keySet()) + "? Known are " + String.join(", ", fields.keySet()));
+                error(
+                        s.at(),
+                        "name",
+                        kind + " has no setting " + s.name(),
+                        "did you mean "
+                                + Names.nearest(s.name(), fields.keySet())
+                                + "? Known are "
+                                + String.join(", ", fields.keySet()));
             } else if (seen.put(s.name(), s.at()) != null) {
                 error(s.at(), "twice", s.name() + " stands there twice in this block", "");
             } else {
@@ -383,22 +484,47 @@
     private Quantity figure(Setting s, Syntax.Value v, Schema.Type type) {
         Dimension wanted = type.dimension();
         if (v.expression() == null) {
-            error(v.at(), "type", s.name() + " takes " + wanted.words() + ", not text", "as " + example(s.name(), type));
+            error(
+                    v.at(),
+                    "type",
+                    s.name() + " takes " + wanted.words() + ", not text",
+                    "as " + example(s.name(), type));
             return null;
         }
         try {
             Quantity q = evaluate(v.expression());
             if (q.dimension() != wanted) {
-                error(v.at(), "unit", s.name() + " takes " + wanted.words() + ", and " + q + " is " + q.dimension().words(),
+                error(
+                        v.at(),
+                        "unit",
+                        s.name()
+                                + " takes "
+                                + wanted.words()
+                                + ", and "
+                                + q
+                                + " is "
+                                + q.dimension().words(),
                         "did you mean " + Quantity.plain(shownFigure(v, q)) + unit(wanted) + "?");
                 return null;
             }
             if (!(q.figure() >= type.least() && q.figure() <= type.most())) {
-                error(v.at(), "range", s.name() + ": " + q + " is out of range, " + new Quantity(type.least(), wanted)
-                        + " to " + new Quantity(type.most(), wanted) + " is", "");
+                error(
+                        v.at(),
+                        "range",
+                        s.name()
+                                + ": "
+                                + q
+                                + " is out of range, "
+                                + new Quantity(type.least(), wanted)
+                                + " to "
+                                + new Quantity(type.most(), wanted)
+                                + " is",
+                        "");
                 return null;
             }
-            if (wanted == Dimension.NONE && type.most() == 100_000 && q.figure() != Math.rint(q.figure())) {
+            if (wanted == Dimension.NONE
+                    && type.most() == 100_000
+                    && q.figure() != Math.rint(q.figure())) {
                 error(v.at(), "range", s.name() + " takes a whole number", "");
                 return null;
             }
@@ -423,14 +549,28 @@
     }
 
     private String word(Setting s, Syntax.Value v, Schema.Type type) {
-        String text = v.text() != null ? v.text() : v.expression() instanceof Syntax.Word w ? w.name() : null;
+        String text =
+                v.text() != null
+                        ? v.text()
+                        : v.expression() instanceof Syntax.Word w ? w.name() : null;
         if (text == null) {
-            error(v.at(), "type", s.name() + " takes " + (type.words() != null ? "one of " + String.join(", ", type.words())
-                    : "a name") + ", not a figure", "");
+            error(
+                    v.at(),
+                    "type",
+                    s.name()
+                            + " takes "
+                            + (type.words() != null
+                                    ? "one of " + String.join(", ", type.words())
+                                    : "a name")
+                            + ", not a figure",
+                    "");
             return null;
         }
         if (type.words() != null && !type.words().contains(text)) {
-            error(v.at(), "type", s.name() + " takes one of " + String.join(", ", type.words()) + ", not " + text,
+            error(
+                    v.at(),
+                    "type",
+                    s.name() + " takes one of " + String.join(", ", type.words()) + ", not " + text,
                     "did you mean " + Names.nearest(text, type.words()) + "?");
             return null;
         }
@@ -446,69 +586,106 @@
     }
 
     private void unknown(At at, String kind, String name, Set<String> known) {
-        error(at, "name", "no " + kind + " is called " + name, known.isEmpty() ? "none is defined"
-                : "did you mean " + Names.nearest(name, known) + "?");
+        error(
+                at,
+                "name",
+                "no " + kind + " is called " + name,
+                known.isEmpty()
+                        ? "none is defined"
+                        : "did you mean " + Names.nearest(name, known) + "?");
     }
 
     private void references(Fleet fleet) {
         Map<String, Set<String>> known = new HashMap<>();
-        blocks.forEach((key, b) -> {
-            Map<String, Schema.Field> fields = Schema.KINDS.get(b.kind());
-            Fleet.Block meant = fleet.blocks().get(key);
-            if (fields == null || meant == null) {
-                return;
-            }
-            fields.forEach((name, field) -> {
-                String kind = field.type().names();
-                String value = kind == null ? "" : meant.text(name);
-                if (!value.isEmpty() && !known.computeIfAbsent(kind, this::names).contains(value)) {
-                    unknown(where(b, name), kind, value, known.get(kind));
-                }
-            });
-        });
+        blocks.forEach(
+                (key, b) -> {
+                    Map<String, Schema.Field> fields = Schema.KINDS.get(b.kind());
+                    Fleet.Block meant = fleet.blocks().get(key);
+                    if (fields == null || meant == null) {
+                        return;
+                    }
+                    fields.forEach(
+                            (name, field) -> {
+                                String kind = field.type().names();
+                                String value = kind == null ? "" : meant.text(name);
+                                if (!value.isEmpty()
+                                        && !known.computeIfAbsent(kind, this::names)
+                                                .contains(value)) {
+                                    unknown(where(b, name), kind, value, known.get(kind));
+                                }
+                            });
+                });
         Set<String> pools = names("pool");
-        routes.stream().filter(r -> !pools.contains(r.pool())).forEach(r -> unknown(r.poolAt(), "pool", r.pool(), pools));
+        routes.stream()
+                .filter(r -> !pools.contains(r.pool()))
+                .forEach(r -> unknown(r.poolAt(), "pool", r.pool(), pools));
     }
 
     private static At where(Block b, String setting) {
-        return b.settings().stream().filter(s -> s.name().equals(setting) && !s.values().isEmpty())
-                .map(s -> s.values().get(0).at()).findFirst().orElse(b.at());
+        return b.settings().stream()
+                .filter(s -> s.name().equals(setting) && !s.values().isEmpty())
+                .map(s -> s.values().get(0).at())
+                .findFirst()
+                .orElse(b.at());
     }
 
     /** A route behind one that takes all it could take is never reached. */
     private void routesReach() {
         Map<String, Syntax.Route> taken = new HashMap<>();
         for (Syntax.Route r : routes) {
-            String bare = r.pattern().endsWith("*") ? r.pattern().substring(0, r.pattern().length() - 1) : r.pattern();
+            String bare =
+                    r.pattern().endsWith("*")
+                            ? r.pattern().substring(0, r.pattern().length() - 1)
+                            : r.pattern();
             boolean whole = r.pattern().endsWith("*") || r.what().equals("prefix");
             Syntax.Route before = whole ? null : taken.get(r.what() + "=" + bare);
             for (int n = 0; n <= bare.length() && before == null; n++) {
                 before = taken.get(r.what() + "^" + bare.substring(0, n));
             }
             if (before != null) {
-                warn(r.at(), "unreachable", "this route is never reached: " + before.pattern() + " at " + place(before.at())
-                        + " takes all of it", "routes are tried in order; the narrow one goes first");
+                warn(
+                        r.at(),
+                        "unreachable",
+                        "this route is never reached: "
+                                + before.pattern()
+                                + " at "
+                                + place(before.at())
+                                + " takes all of it",
+                        "routes are tried in order; the narrow one goes first");
             } else {
                 taken.put(r.what() + (whole ? "^" : "=") + bare, r);
             }
         }
     }
 
-    /** Patterns one within another are allowed, the longest counts; that it is meant is worth a look. */
+    /**
+     * Patterns one within another are allowed, the longest counts; that it is meant is worth a
+     * look.
+     */
     private void patterns() {
         Map<String, Block> prefixes = new HashMap<>();
-        blocks.values().stream().filter(b -> b.kind().equals("volume") && b.name().endsWith("*"))
+        blocks.values().stream()
+                .filter(b -> b.kind().equals("volume") && b.name().endsWith("*"))
                 .forEach(b -> prefixes.put(b.name().substring(0, b.name().length() - 1), b));
-        prefixes.forEach((prefix, b) -> {
-            for (int n = 0; n < prefix.length(); n++) {
-                Block wider = prefixes.get(prefix.substring(0, n));
-                if (wider != null) {
-                    warn(b.at(), "overlap", "volume " + b.name() + " lies within " + wider.name() + " at "
-                            + place(wider.at()), "the longer pattern counts");
-                    return;
-                }
-            }
-        });
+        prefixes.forEach(
+                (prefix, b) -> {
+                    for (int n = 0; n < prefix.length(); n++) {
+                        Block wider = prefixes.get(prefix.substring(0, n));
+                        if (wider != null) {
+                            warn(
+                                    b.at(),
+                                    "overlap",
+                                    "volume "
+                                            + b.name()
+                                            + " lies within "
+                                            + wider.name()
+                                            + " at "
+                                            + place(wider.at()),
+                                    "the longer pattern counts");
+                            return;
+                        }
+                    }
+                });
     }
 
     /** What is well formed and cannot be meant. */
@@ -516,15 +693,24 @@
         Fleet.Block bounds = fleet.single("bounds");
         At at = blocks.containsKey("bounds ") ? blocks.get("bounds ").at() : first();
         if (bounds.figure("fall") > 0 && bounds.figure("cold") == 0) {
-            error(at, "bounds", "fall is stated and cold is not: no target would ever count as cold", "cold 17s;");
+            error(
+                    at,
+                    "bounds",
+                    "fall is stated and cold is not: no target would ever count as cold",
+                    "cold 17s;");
         }
         if (bounds.figure("cold") > 0 && bounds.figure("fall") > bounds.figure("cold")) {
             error(at, "bounds", "a target is warm before it could fall", "fall must be under cold");
         }
         if (bounds.figure("fall") > 0 && bounds.figure("cold-bears") < bounds.figure("largest")) {
-            warn(at, "bounds", "cold-bears is under one largest access: a cold target may get nothing for long", "");
-        }
-        if (bounds.figure("relay-budget-span") > 0 && bounds.figure("relay-budget-free") < 1
+            warn(
+                    at,
+                    "bounds",
+                    "cold-bears is under one largest access: a cold target may get nothing for long",
+                    "");
+        }
+        if (bounds.figure("relay-budget-span") > 0
+                && bounds.figure("relay-budget-free") < 1
                 && bounds.figure("relay-budget-share") == 0) {
             warn(at, "bounds", "the relay budget allows no further relay at all", "");
         }
@@ -540,14 +726,27 @@
     private void category(Fleet fleet, Fleet.Block c) {
         At at = blocks.get("category " + c.name()).at();
         if (c.text("repeats").equals("stamped") && c.figure("repeat-window") == 0) {
-            error(at, "category", "category " + c.name() + " is stamped and states no repeat-window", "repeat-window 2500ms;");
+            error(
+                    at,
+                    "category",
+                    "category " + c.name() + " is stamped and states no repeat-window",
+                    "repeat-window 2500ms;");
         }
         if (c.text("repeats").equals("one-shot") && c.figure("repeat-window") > 0) {
-            warn(at, "category", "category " + c.name() + " is one-shot: no relay may follow one that may have run, so its"
-                    + " repeat-window is never used", "stamped is what knows repeats");
+            warn(
+                    at,
+                    "category",
+                    "category "
+                            + c.name()
+                            + " is one-shot: no relay may follow one that may have run, so its"
+                            + " repeat-window is never used",
+                    "stamped is what knows repeats");
         }
         if (c.flag("key-ordered") && fleet.single("bounds").figure("key-quiet") == 0) {
-            warn(at, "category", "category " + c.name() + " is key-ordered and bounds state no key-quiet",
+            warn(
+                    at,
+                    "category",
+                    "category " + c.name() + " is key-ordered and bounds state no key-quiet",
                     "after a time-out the next of its key goes at once");
         }
     }
@@ -558,24 +757,48 @@
             return;
         }
         if (p.figure("limit-depth") == 0) {
-            error(at, "limit", "plan " + p.name() + " has a limit-rate and no limit-depth: nothing could be sent",
+            error(
+                    at,
+                    "limit",
+                    "plan "
+                            + p.name()
+                            + " has a limit-rate and no limit-depth: nothing could be sent",
                     "limit-depth 36u;");
             return;
         }
         if (p.figure("reserve") > p.figure("limit-rate")) {
-            error(at, "limit", "plan " + p.name() + " reserves more than its limit lets through", "");
-        }
-        double hosts = fleet.of("volume").stream().filter(v -> v.text("plan").equals(p.name()))
-                .mapToDouble(v -> v.figure("hosts")).max().orElse(1);
+            error(
+                    at,
+                    "limit",
+                    "plan " + p.name() + " reserves more than its limit lets through",
+                    "");
+        }
+        double hosts =
+                fleet.of("volume").stream()
+                        .filter(v -> v.text("plan").equals(p.name()))
+                        .mapToDouble(v -> v.figure("hosts"))
+                        .max()
+                        .orElse(1);
         double part = (p.figure("limit-depth") + 0.9 * p.figure("limit-slack")) / hosts;
         if (part < bounds.figure("largest")) {
-            warn(at, "limit", String.format(java.util.Locale.ROOT, "plan %s: one host's part of the limit holds %s, under"
-                    + " one largest access of %s", p.name(), new Quantity(Math.floor(part * 100) / 100, Dimension.UNITS),
-                    new Quantity(bounds.figure("largest"), Dimension.UNITS)), "such an access could never be sent");
-        }
-    }
-
-    /** Each volume that is named is counted where its route leads; a pattern counts once, as nobody knows how many fall to it. */
+            warn(
+                    at,
+                    "limit",
+                    String.format(
+                            java.util.Locale.ROOT,
+                            "plan %s: one host's part of the limit holds %s, under"
+                                    + " one largest access of %s",
+                            p.name(),
+                            new Quantity(Math.floor(part * 100) / 100, Dimension.UNITS),
+                            new Quantity(bounds.figure("largest"), Dimension.UNITS)),
+                    "such an access could never be sent");
+        }
+    }
+
+    /**
+     * Each volume that is named is counted where its route leads; a pattern counts once, as nobody
+     * knows how many fall to it.
+     */
     private void reserves(Fleet fleet) {
         Map<String, Double> sums = new TreeMap<>();
         for (Fleet.Block v : fleet.of("volume")) {
@@ -585,12 +808,22 @@
                 sums.merge(pool, plan.figure("reserve"), Double::sum);
             }
         }
-        sums.forEach((pool, sum) -> {
-            double bears = fleet.block("pool", pool).figure("capacity");
-            if (bears > 0 && sum > bears) {
-                error(blocks.get("pool " + pool).at(), "reserve", "pool " + pool + " bears " + new Quantity(bears,
-                        Dimension.RATE) + " and " + new Quantity(sum, Dimension.RATE) + " are reserved on it", "");
-            }
-        });
+        sums.forEach(
+                (pool, sum) -> {
+                    double bears = fleet.block("pool", pool).figure("capacity");
+                    if (bears > 0 && sum > bears) {
+                        error(
+                                blocks.get("pool " + pool).at(),
+                                "reserve",
+                                "pool "
+                                        + pool
+                                        + " bears "
+                                        + new Quantity(bears, Dimension.RATE)
+                                        + " and "
+                                        + new Quantity(sum, Dimension.RATE)
+                                        + " are reserved on it",
+                                "");
+                    }
+                });
     }
 }
--- a/config/src/main/java/milletyoke/config/Finding.java
+++ b/config/src/main/java/milletyoke/config/Finding.java
@@ -10,19 +10,42 @@
  * @param shown the line itself, without its end
  * @param chain further places that belong to it, as the files of an include cycle
  */
-public record Finding(boolean error, String code, String file, int line, int column, String message, String hint,
-        String shown, List<String> chain) {
+public record Finding(
+        boolean error,
+        String code,
+        String file,
+        int line,
+        int column,
+        String message,
+        String hint,
+        String shown,
+        List<String> chain) {
 
     /** Several lines: the place and what is wrong, the line, a caret, the hint. */
     public String text() {
         StringBuilder out = new StringBuilder();
-        out.append(file).append(':').append(line).append(':').append(column).append(": ")
-                .append(error ? "error" : "warning").append(" [").append(code).append("]: ").append(message).append('\n');
+        out.append(file)
+                .append(':')
+                .append(line)
+                .append(':')
+                .append(column)
+                .append(": ")
+                .append(error ? "error" : "warning")
+                .append(" [")
+                .append(code)
+                .append("]: ")
+                .append(message)
+                .append('\n');
         if (!shown.isEmpty()) {
             int from = Math.max(0, Math.min(column - 1 - 60, shown.length()));
-            String part = shown.substring(from, Math.min(shown.length(), from + 120)).replace('\t', ' ');
-            out.append("    ").append(part).append('\n').append("    ")
-                    .append(" ".repeat(Math.max(0, Math.min(part.length(), column - 1 - from)))).append("^\n");
+            String part =
+                    shown.substring(from, Math.min(shown.length(), from + 120)).replace('\t', ' ');
+            out.append("    ")
+                    .append(part)
+                    .append('\n')
+                    .append("    ")
+                    .append(" ".repeat(Math.max(0, Math.min(part.length(), column - 1 - from))))
+                    .append("^\n");
         }
         chain.forEach(c -> out.append("    ").append(c).append('\n'));
         if (!hint.isEmpty()) {
--- a/config/src/main/java/milletyoke/config/Fleet.java
+++ b/config/src/main/java/milletyoke/config/Fleet.java
@@ -7,8 +7,8 @@
 import java.util.TreeMap;
 
 /**
- * What a configuration means: order, includes, constants and templates are resolved, and defaults stand where nothing was
- * said. Two configurations mean the same if and only if these are equal.
+ * What a configuration means: order, includes, constants and templates are resolved, and defaults
+ * stand where nothing was said. Two configurations mean the same if and only if these are equal.
  */
 public record Fleet(SortedMap<String, Block> blocks, List<Route> routes) {
     /** One block; a value is a {@link Quantity} or text. */
@@ -28,7 +28,9 @@
         }
     }
 
-    /** @param what volume or prefix */
+    /**
+     * @param what volume or prefix
+     */
     public record Route(String what, String pattern, String pool) {}
 
     public List<Block> of(String kind) {
@@ -44,7 +46,9 @@
         return blocks.get(kind + " " + name);
     }
 
-    /** The block that a volume's name falls to: its own, else the longest pattern's; null for none. */
+    /**
+     * The block that a volume's name falls to: its own, else the longest pattern's; null for none.
+     */
     public Block volume(String name) {
         Block own = block("volume", name);
         if (own != null) {
@@ -59,11 +63,18 @@
         return null;
     }
 
-    /** The pool that a volume, or an object's path, is routed to: the first route that fits; null for none. */
+    /**
+     * The pool that a volume, or an object's path, is routed to: the first route that fits; null
+     * for none.
+     */
     public String route(String what, String name) {
         for (Route r : routes) {
-            boolean fits = r.pattern().endsWith("*") ? name.startsWith(r.pattern().substring(0, r.pattern().length() - 1))
-                    : what.equals("prefix") ? name.startsWith(r.pattern()) : name.equals(r.pattern());
+            boolean fits =
+                    r.pattern().endsWith("*")
+                            ? name.startsWith(r.pattern().substring(0, r.pattern().length() - 1))
+                            : what.equals("prefix")
+                                    ? name.startsWith(r.pattern())
+                                    : name.equals(r.pattern());
             if (r.what().equals(what) && fits) {
                 return r.pool();
             }
@@ -76,22 +87,44 @@
         StringBuilder out = new StringBuilder();
         Map<String, StringBuilder> byKind = new LinkedHashMap<>();
         Schema.KINDS.keySet().forEach(k -> byKind.put(k, new StringBuilder()));
-        blocks.values().forEach(b -> {
-            StringBuilder text = byKind.get(b.kind());
-            text.append(b.kind()).append(b.name().isEmpty() ? "" : " " + Formatter.label(b.name())).append(" {\n");
-            b.settings().forEach((name, values) -> text.append("    ").append(name).append(' ').append(written(values))
-                    .append(";\n"));
-            text.append("}\n");
-        });
+        blocks.values()
+                .forEach(
+                        b -> {
+                            StringBuilder text = byKind.get(b.kind());
+                            text.append(b.kind())
+                                    .append(
+                                            b.name().isEmpty()
+                                                    ? ""
+                                                    : " " + Formatter.label(b.name()))
+                                    .append(" {\n");
+                            b.settings()
+                                    .forEach(
+                                            (name, values) ->
+                                                    text.append("    ")
+                                                            .append(name)
+                                                            .append(' ')
+                                                            .append(written(values))
+                                                            .append(";\n"));
+                            text.append("}\n");
+                        });
         byKind.values().forEach(out::append);
-        routes.forEach(r -> out.append("route ").append(r.what()).append(' ').append(Formatter.label(r.pattern()))
-                .append(" to ").append(Formatter.label(r.pool())).append(";\n"));
+        routes.forEach(
+                r ->
+                        out.append("route ")
+                                .append(r.what())
+                                .append(' ')
+                                .append(Formatter.label(r.pattern()))
+                                .append(" to ")
+                                .append(Formatter.label(r.pool()))
+                                .append(";\n"));
         return out.toString();
     }
 
     static String written(List<Object> values) {
-        return values.stream().map(v -> v instanceof String s ? Formatter.label(s) : v.toString())
-                .reduce((a, b) -> a + ", " + b).orElse("");
+        return values.stream()
+                .map(v -> v instanceof String s ? Formatter.label(s) : v.toString())
+                .reduce((a, b) -> a + ", " + b)
+                .orElse("");
     }
 
     static SortedMap<String, Block> empty() {
--- a/config/src/main/java/milletyoke/config/Formatter.java
+++ b/config/src/main/java/milletyoke/config/Formatter.java
@@ -7,19 +7,20 @@
 import org.antlr.v4.runtime.Token;
 
 /**
- * One style for all: four blanks in a block, one statement a line, one empty line at most. Works on tokens, so that every
- * remark stays behind or above what it stood with and no figure is written another way. A file with an error of syntax is
- * left alone.
+ * One style for all: four blanks in a block, one statement a line, one empty line at most. Works on
+ * tokens, so that every remark stays behind or above what it stood with and no figure is written
+ * another way. A file with an error of syntax is left alone.
  */
 public final class Formatter {
     private final StringBuilder out = new StringBuilder();
     private int depth;
     private boolean lineStart = true;
 
-    private Formatter() {
-    }
+    private Formatter() {}
 
-    /** @return null where the text has errors of syntax, which are in the findings */
+    /**
+     * @return null where the text has errors of syntax, which are in the findings
+     */
     public static String format(String file, String text, List<Finding> findings) {
         List<Finding> own = new ArrayList<>();
         Reader.read(file, text, own);
@@ -33,7 +34,13 @@
         int breaks = 0;
         for (Token t : tokens) {
             if (t.getType() == FleetLexer.BLANK) {
-                breaks += (int) t.getText().replace("\r\n", "\n").chars().filter(c -> c == '\n' || c == '\r').count();
+                breaks +=
+                        (int)
+                                t.getText()
+                                        .replace("\r\n", "\n")
+                                        .chars()
+                                        .filter(c -> c == '\n' || c == '\r')
+                                        .count();
                 continue;
             }
             if (t.getType() == Token.EOF) {
@@ -89,7 +96,10 @@
     }
 
     private static boolean blank(Token before, String text) {
-        return !text.equals(";") && !text.equals(",") && !text.equals(")") && !before.getText().equals("(");
+        return !text.equals(";")
+                && !text.equals(",")
+                && !text.equals(")")
+                && !before.getText().equals("(");
     }
 
     private void indent() {
@@ -105,7 +115,8 @@
 
     /** A name as the language writes it: bare where it can be. */
     static String label(String name) {
-        return name.matches("[a-zA-Z]([a-zA-Z0-9_]|-[a-zA-Z0-9])*(-?\\*)?") ? name
+        return name.matches("[a-zA-Z]([a-zA-Z0-9_]|-[a-zA-Z0-9])*(-?\\*)?")
+                ? name
                 : "\"" + name.replace("\\", "\\\\").replace("\"", "\\\"") + "\"";
     }
 }
--- a/config/src/main/java/milletyoke/config/Library.java
+++ b/config/src/main/java/milletyoke/config/Library.java
@@ -14,8 +14,8 @@
     }
 
     /**
-     * The files that an include names, in the order of their names: each by the one name that stands for it, whatever
-     * other names lead to it.
+     * The files that an include names, in the order of their names: each by the one name that
+     * stands for it, whatever other names lead to it.
      *
      * @param from the including file, by that name
      */
--- a/config/src/main/java/milletyoke/config/Names.java
+++ b/config/src/main/java/milletyoke/config/Names.java
@@ -6,10 +6,12 @@
 final class Names {
     private static final int LONGEST = 64;
 
-    private Names() {
-    }
+    private Names() {}
 
-    /** The known name with the fewest changes; the first of equals, so the same hint comes each time. */
+    /**
+     * The known name with the fewest changes; the first of equals, so the same hint comes each
+     * time.
+     */
     static String nearest(String name, Collection<String> known) {
         String best = "";
         int least = Integer.MAX_VALUE;
@@ -34,8 +36,12 @@
             row[0] = i;
             for (int j = 1; j <= b.length(); j++) {
                 int above = row[j];
-                int change = diagonal + (Character.toLowerCase(a.charAt(i - 1)) == Character.toLowerCase(b.charAt(j - 1))
-                        ? 0 : 1);
+                int change =
+                        diagonal
+                                + (Character.toLowerCase(a.charAt(i - 1))
+                                                == Character.toLowerCase(b.charAt(j - 1))
+                                        ? 0
+                                        : 1);
                 row[j] = Math.min(change, Math.min(above, row[j - 1]) + 1);
                 diagonal = above;
             }
--- a/config/src/main/java/milletyoke/config/Quantity.java
+++ b/config/src/main/java/milletyoke/config/Quantity.java
@@ -4,12 +4,19 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** A figure with its dimension, in base units: microseconds, units, units a second, bytes, parts of one, or none. */
+/**
+ * A figure with its dimension, in base units: microseconds, units, units a second, bytes, parts of
+ * one, or none.
+ */
 public record Quantity(double figure, Dimension dimension) {
     /** What a figure measures. */
     public enum Dimension {
-        TIME("a time", "250ms"), UNITS("units", "36u"), RATE("units a second", "40u/s"), BYTES("bytes", "4MiB"),
-        SHARE("a share", "29%"), NONE("a bare number", "3");
+        TIME("a time", "250ms"),
+        UNITS("units", "36u"),
+        RATE("units a second", "40u/s"),
+        BYTES("bytes", "4MiB"),
+        SHARE("a share", "29%"),
+        NONE("a bare number", "3");
 
         private final String words;
         private final String example;
@@ -71,44 +78,60 @@
 
     static Quantity of(String text) throws Wrong {
         int end = 0;
-        while (end < text.length() && (Character.isDigit(text.charAt(end)) || text.charAt(end) == '.')) {
+        while (end < text.length()
+                && (Character.isDigit(text.charAt(end)) || text.charAt(end) == '.')) {
             end++;
         }
         String name = text.substring(end);
         Unit unit = UNITS.get(name);
         if (unit == null) {
-            throw new Wrong("unit", "\"" + name + "\" is no unit", "did you mean " + Names.nearest(name, UNITS.keySet())
-                    + "? Known are us, ms, s, min, h; u, ku; u/s, ku/s, u/min; B, KiB, MiB, GiB; %");
+            throw new Wrong(
+                    "unit",
+                    "\"" + name + "\" is no unit",
+                    "did you mean "
+                            + Names.nearest(name, UNITS.keySet())
+                            + "? Known are us, ms, s, min, h; u, ku; u/s, ku/s, u/min; B, KiB, MiB, GiB; %");
         }
         return checked(Double.parseDouble(text.substring(0, end)) * unit.base(), unit.dimension());
     }
 
     private static Quantity checked(double figure, Dimension dimension) throws Wrong {
         if (!(Math.abs(figure) <= MOST)) {
-            throw new Wrong("range", "a figure over " + plain(MOST) + " in base units", "no such figure has a meaning here");
+            throw new Wrong(
+                    "range",
+                    "a figure over " + plain(MOST) + " in base units",
+                    "no such figure has a meaning here");
         }
         return new Quantity(figure, dimension);
     }
 
     Quantity plus(Quantity o, int sign) throws Wrong {
         if (dimension != o.dimension) {
-            throw new Wrong("unit", dimension.words() + " and " + o.dimension.words() + " cannot be added", "");
+            throw new Wrong(
+                    "unit",
+                    dimension.words() + " and " + o.dimension.words() + " cannot be added",
+                    "");
         }
         return checked(figure + sign * o.figure, dimension);
     }
 
     Quantity times(Quantity o) throws Wrong {
         if (dimension == Dimension.NONE || o.dimension == Dimension.NONE) {
-            return checked(figure * o.figure, dimension == Dimension.NONE ? o.dimension : dimension);
+            return checked(
+                    figure * o.figure, dimension == Dimension.NONE ? o.dimension : dimension);
         }
         if (dimension == Dimension.SHARE || o.dimension == Dimension.SHARE) {
-            return checked(figure * o.figure, dimension == Dimension.SHARE ? o.dimension : dimension);
+            return checked(
+                    figure * o.figure, dimension == Dimension.SHARE ? o.dimension : dimension);
         }
         if (dimension == Dimension.RATE && o.dimension == Dimension.TIME
                 || dimension == Dimension.TIME && o.dimension == Dimension.RATE) {
             return checked(figure * o.figure / 1e6, Dimension.UNITS);
         }
-        throw new Wrong("unit", dimension.words() + " times " + o.dimension.words() + " is nothing known here", "");
+        throw new Wrong(
+                "unit",
+                dimension.words() + " times " + o.dimension.words() + " is nothing known here",
+                "");
     }
 
     Quantity over(Quantity o) throws Wrong {
@@ -127,7 +150,10 @@
         if (dimension == Dimension.UNITS && o.dimension == Dimension.RATE) {
             return checked(figure / o.figure * 1e6, Dimension.TIME);
         }
-        throw new Wrong("unit", dimension.words() + " over " + o.dimension.words() + " is nothing known here", "");
+        throw new Wrong(
+                "unit",
+                dimension.words() + " over " + o.dimension.words() + " is nothing known here",
+                "");
     }
 
     /** As an operator would write it: the largest unit that gives a short figure. */
@@ -140,7 +166,10 @@
         for (Map.Entry<String, Unit> u : UNITS.entrySet()) {
             if (u.getValue().dimension() == dimension && !u.getKey().equals("u/min")) {
                 String text = plain(figure / u.getValue().base()) + u.getKey();
-                boolean exact = Double.parseDouble(plain(figure / u.getValue().base())) * u.getValue().base() == figure;
+                boolean exact =
+                        Double.parseDouble(plain(figure / u.getValue().base()))
+                                        * u.getValue().base()
+                                == figure;
                 if (best == null || exact && text.length() <= best.length()) {
                     best = text;
                 }
@@ -150,7 +179,10 @@
     }
 
     private String smallest() {
-        return UNITS.entrySet().stream().filter(u -> u.getValue().dimension() == dimension).findFirst().orElseThrow()
+        return UNITS.entrySet().stream()
+                .filter(u -> u.getValue().dimension() == dimension)
+                .findFirst()
+                .orElseThrow()
                 .getKey();
     }
 
@@ -158,7 +190,10 @@
         if (figure == Math.rint(figure) && Math.abs(figure) <= MOST) {
             return Long.toString((long) figure);
         }
-        String text = new java.math.BigDecimal(Double.toString(figure)).stripTrailingZeros().toPlainString();
+        String text =
+                new java.math.BigDecimal(Double.toString(figure))
+                        .stripTrailingZeros()
+                        .toPlainString();
         return text.toLowerCase(Locale.ROOT);
     }
 }
--- a/config/src/main/java/milletyoke/config/Reader.java
+++ b/config/src/main/java/milletyoke/config/Reader.java
@@ -15,8 +15,9 @@
 import org.antlr.v4.runtime.atn.PredictionMode;
 
 /**
- * Text to syntax, with every finding of one pass. Bounded before the parser sees anything: size, nesting and the length
- * of an expression, since the parser and all that walks its tree go as deep as the text does.
+ * Text to syntax, with every finding of one pass. Bounded before the parser sees anything: size,
+ * nesting and the length of an expression, since the parser and all that walks its tree go as deep
+ * as the text does.
  */
 final class Reader {
     static final int LARGEST = 16 << 20, DEEPEST = 64, LONGEST_SUM = 256, MOST_FINDINGS = 200;
@@ -52,7 +53,12 @@
 
     private boolean bounded() {
         if (text.length() > LARGEST) {
-            found("size", 1, 1, "over " + LARGEST + " characters in one file", "split it and include the parts");
+            found(
+                    "size",
+                    1,
+                    1,
+                    "over " + LARGEST + " characters in one file",
+                    "split it and include the parts");
         }
         return text.length() <= LARGEST;
     }
@@ -67,11 +73,27 @@
             String s = t.getText();
             depth += s.equals("(") || s.equals("{") ? 1 : s.equals(")") || s.equals("}") ? -1 : 0;
             signs = s.equals("-") ? signs + 1 : 0;
-            operators = s.equals(";") || s.equals(",") || s.equals("}") || s.equals("{") ? 0
-                    : operators + (s.equals("+") || s.equals("-") || s.equals("*") || s.equals("/") ? 1 : 0);
+            operators =
+                    s.equals(";") || s.equals(",") || s.equals("}") || s.equals("{")
+                            ? 0
+                            : operators
+                                    + (s.equals("+")
+                                                    || s.equals("-")
+                                                    || s.equals("*")
+                                                    || s.equals("/")
+                                            ? 1
+                                            : 0);
             if (depth > DEEPEST || signs > DEEPEST || operators > LONGEST_SUM) {
-                found("depth", t.getLine(), t.getCharPositionInLine() + 1, "nested deeper than " + DEEPEST
-                        + ", or over " + LONGEST_SUM + " operators in one figure", "name parts of it with let");
+                found(
+                        "depth",
+                        t.getLine(),
+                        t.getCharPositionInLine() + 1,
+                        "nested deeper than "
+                                + DEEPEST
+                                + ", or over "
+                                + LONGEST_SUM
+                                + " operators in one figure",
+                        "name parts of it with let");
                 return false;
             }
         }
@@ -86,13 +108,19 @@
         FleetParser parser = new FleetParser(tokens);
         parser.getInterpreter().setPredictionMode(PredictionMode.SLL);
         parser.removeErrorListeners();
-        parser.addErrorListener(new BaseErrorListener() {
-            @Override
-            public void syntaxError(Recognizer<?, ?> r, Object symbol, int line, int column, String message,
-                    RecognitionException e) {
-                found("syntax", line, column + 1, words(message, symbol), "");
-            }
-        });
+        parser.addErrorListener(
+                new BaseErrorListener() {
+                    @Override
+                    public void syntaxError(
+                            Recognizer<?, ?> r,
+                            Object symbol,
+                            int line,
+                            int column,
+                            String message,
+                            RecognitionException e) {
+                        found("syntax", line, column + 1, words(message, symbol), "");
+                    }
+                });
         List<Syntax.Statement> statements = new ArrayList<>();
         for (FleetParser.StatementContext s : parser.file().statement()) {
             Syntax.Statement made = statement(s);
@@ -105,7 +133,10 @@
 
     private static String words(String message, Object symbol) {
         if (symbol instanceof Token t && t.getType() == FleetLexer.OTHER) {
-            return "\"" + t.getText() + "\" (U+" + String.format("%04X", t.getText().codePointAt(0))
+            return "\""
+                    + t.getText()
+                    + "\" (U+"
+                    + String.format("%04X", t.getText().codePointAt(0))
                     + ") has no place here; names take letters a to z, digits, - and _";
         }
         return message.replaceAll("\\s+", " ").replace("<EOF>", "the end of the file");
@@ -113,7 +144,9 @@
 
     private void found(String code, int line, int column, String message, String hint) {
         if (findings.size() < MOST_FINDINGS) {
-            findings.add(new Finding(true, code, file, line, column, message, hint, line(line), List.of()));
+            findings.add(
+                    new Finding(
+                            true, code, file, line, column, message, hint, line(line), List.of()));
         }
     }
 
@@ -144,10 +177,16 @@
         } else if (s instanceof FleetParser.SingleContext c && c.body() != null) {
             return new Syntax.Block(at(c), c.kind.getText(), "", null, null, settings(c.body()));
         } else if (s instanceof FleetParser.BlockContext c && c.name != null && c.body() != null) {
-            return new Syntax.Block(at(c), c.kind.getText(), label(c.name), c.parent == null ? null : label(c.parent),
-                    c.parent == null ? null : at(c.parent), settings(c.body()));
+            return new Syntax.Block(
+                    at(c),
+                    c.kind.getText(),
+                    label(c.name),
+                    c.parent == null ? null : label(c.parent),
+                    c.parent == null ? null : at(c.parent),
+                    settings(c.body()));
         } else if (s instanceof FleetParser.RouteContext c && c.pattern != null && c.pool != null) {
-            return new Syntax.Route(at(c), c.what.getText(), label(c.pattern), label(c.pool), at(c.pool));
+            return new Syntax.Route(
+                    at(c), c.what.getText(), label(c.pattern), label(c.pool), at(c.pool));
         }
         return null;
     }
@@ -157,7 +196,9 @@
     }
 
     static String unquoted(String text) {
-        return text.length() < 2 ? "" : text.substring(1, text.length() - 1).replaceAll("\\\\([\"\\\\])", "$1");
+        return text.length() < 2
+                ? ""
+                : text.substring(1, text.length() - 1).replaceAll("\\\\([\"\\\\])", "$1");
     }
 
     private List<Syntax.Setting> settings(FleetParser.BodyContext body) {
@@ -170,7 +211,11 @@
             for (FleetParser.ValueContext v : s.value()) {
                 Syntax.Expression e = v.expression() == null ? null : expression(v.expression());
                 if (v.STRING() != null || e != null) {
-                    values.add(new Syntax.Value(at(v), e, v.STRING() == null ? null : unquoted(v.STRING().getText())));
+                    values.add(
+                            new Syntax.Value(
+                                    at(v),
+                                    e,
+                                    v.STRING() == null ? null : unquoted(v.STRING().getText())));
                 }
             }
             all.add(new Syntax.Setting(at(s), s.key().getText(), values));
@@ -196,10 +241,12 @@
         return null;
     }
 
-    private Syntax.Expression binary(At at, Token op, FleetParser.ExpressionContext a, FleetParser.ExpressionContext b) {
+    private Syntax.Expression binary(
+            At at, Token op, FleetParser.ExpressionContext a, FleetParser.ExpressionContext b) {
         Syntax.Expression left = expression(a);
         Syntax.Expression right = expression(b);
-        return left == null || right == null || op == null ? null
+        return left == null || right == null || op == null
+                ? null
                 : new Syntax.Binary(at, op.getText().charAt(0), left, right);
     }
 }
--- a/config/src/main/java/milletyoke/config/Syntax.java
+++ b/config/src/main/java/milletyoke/config/Syntax.java
@@ -4,8 +4,7 @@
 
 /** One file as it stands, after parsing and before any meaning. */
 final class Syntax {
-    private Syntax() {
-    }
+    private Syntax() {}
 
     /** Where something stands. */
     record At(String file, int line, int column) {}
@@ -21,7 +20,9 @@
     record Let(At at, String name, Expression value) implements Statement {}
 
     /** A block; {@code parent} null where it is like none. */
-    record Block(At at, String kind, String name, String parent, At parentAt, List<Setting> settings) implements Statement {}
+    record Block(
+            At at, String kind, String name, String parent, At parentAt, List<Setting> settings)
+            implements Statement {}
 
     record Route(At at, String what, String pattern, String pool, At poolAt) implements Statement {}
 
--- a/config/src/main/java/milletyoke/config/disk/DiskLibrary.java
+++ b/config/src/main/java/milletyoke/config/disk/DiskLibrary.java
@@ -19,6 +19,7 @@
 /** Files of a folder. The one name of a file is its real path, so two links to it are one file. */
 public final class DiskLibrary implements Library {
     private static final int LARGEST = 64 << 20, MOST = 10_000, TRIES = 8;
+
     /** A file that was written to so short a time ago may be half written (milliseconds). */
     private static final long SETTLED = 30;
 
@@ -28,7 +29,9 @@
         this(System::currentTimeMillis);
     }
 
-    /** @param clock milliseconds, as files are stamped with */
+    /**
+     * @param clock milliseconds, as files are stamped with
+     */
     DiskLibrary(LongSupplier clock) {
         this.clock = clock;
     }
@@ -54,10 +57,13 @@
             }
             int slash = pattern.lastIndexOf('/');
             Path in = slash < 0 ? folder : folder.resolve(pattern.substring(0, slash));
-            PathMatcher fits = FileSystems.getDefault().getPathMatcher("glob:" + pattern.substring(slash + 1));
+            PathMatcher fits =
+                    FileSystems.getDefault().getPathMatcher("glob:" + pattern.substring(slash + 1));
             List<Path> found = new ArrayList<>();
             try (Stream<Path> all = Files.list(in)) {
-                all.filter(f -> fits.matches(f.getFileName()) && Files.isRegularFile(f)).limit(MOST).forEach(found::add);
+                all.filter(f -> fits.matches(f.getFileName()) && Files.isRegularFile(f))
+                        .limit(MOST)
+                        .forEach(found::add);
             }
             found.sort(null);
             List<String> names = new ArrayList<>();
@@ -73,8 +79,9 @@
     }
 
     /**
-     * Guards against half an edit: a file that changed while it was read, or just before, is read again a moment later,
-     * and refused if it does not settle. Could harm nothing but a reading at the moment of a change, which waits.
+     * Guards against half an edit: a file that changed while it was read, or just before, is read
+     * again a moment later, and refused if it does not settle. Could harm nothing but a reading at
+     * the moment of a change, which waits.
      */
     @Override
     public String text(String file) throws Unreadable {
@@ -83,15 +90,20 @@
             for (int i = 0; i < TRIES; i++) {
                 BasicFileAttributes before = Files.readAttributes(path, BasicFileAttributes.class);
                 if (!before.isRegularFile() || before.size() > LARGEST) {
-                    throw new Unreadable(before.isRegularFile() ? "over " + LARGEST + " bytes" : "not a file");
+                    throw new Unreadable(
+                            before.isRegularFile() ? "over " + LARGEST + " bytes" : "not a file");
                 }
                 byte[] bytes = Files.readAllBytes(path);
                 BasicFileAttributes after = Files.readAttributes(path, BasicFileAttributes.class);
                 long since = clock.getAsLong() - after.lastModifiedTime().toMillis();
                 boolean settled = since < 0 || since > SETTLED;
-                if (settled && after.size() == bytes.length
+                if (settled
+                        && after.size() == bytes.length
                         && after.lastModifiedTime().equals(before.lastModifiedTime())) {
-                    return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
+                    return StandardCharsets.UTF_8
+                            .newDecoder()
+                            .decode(ByteBuffer.wrap(bytes))
+                            .toString();
                 }
                 java.util.concurrent.locks.LockSupport.parkNanos(SETTLED * 1_000_000);
             }
--- a/config/src/test/java/milletyoke/config/CheckerTest.java
+++ b/config/src/test/java/milletyoke/config/CheckerTest.java
@@ -19,66 +19,79 @@
 /** What the checker finds, and where it says it is. */
 @Timeout(60)
 class CheckerTest {
-    private static final String BASE = "fleet { initiators 3; }\ncategory read { repeats harmless; agreed 400ms; }\n"
-            + "plan basic { limit-rate 31u/s; limit-depth 36u; limit-slack 6u; }\n";
+    private static final String BASE =
+            "fleet { initiators 3; }\ncategory read { repeats harmless; agreed 400ms; }\n"
+                    + "plan basic { limit-rate 31u/s; limit-depth 36u; limit-slack 6u; }\n";
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     @Test
     void whatIsRightIsTaken() {
-        Checker.Result r = Memory.check(BASE + "let one = 10u/s;\ntemplate t { weight 2; reserve one * 2; }\n"
-                + "plan club like t { weight 3; }\npool main { targets a, b; }\nvolume club-* { plan club; hosts 2; }\n"
-                + "volume club-1 { plan basic; }\nroute volume club-* to main;\nroute prefix \"/scores/\" to main;");
+        Checker.Result r =
+                Memory.check(
+                        BASE
+                                + "let one = 10u/s;\ntemplate t { weight 2; reserve one * 2; }\n"
+                                + "plan club like t { weight 3; }\npool main { targets a, b; }\nvolume club-* { plan club; hosts 2; }\n"
+                                + "volume club-1 { plan basic; }\nroute volume club-* to main;\nroute prefix \"/scores/\" to main;");
         assertTrue(r.clean(), () -> r.findings().toString());
         assertEquals(20, r.fleet().block("plan", "club").figure("reserve"));
-        assertEquals(3, r.fleet().block("plan", "club").figure("weight"), "its own hides what it is like");
+        assertEquals(
+                3,
+                r.fleet().block("plan", "club").figure("weight"),
+                "its own hides what it is like");
         assertEquals("club", r.fleet().volume("club-12").text("plan"));
-        assertEquals("basic", r.fleet().volume("club-1").text("plan"), "its own block hides the pattern");
+        assertEquals(
+                "basic",
+                r.fleet().volume("club-1").text("plan"),
+                "its own block hides the pattern");
         assertEquals("main", r.fleet().route("prefix", "/scores/today"));
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
-        "plan p { limit-rate 400 ms; }               | syntax      | ",
-        "plan p { limit-rate 400ms; }                | unit        | 400u/s?",
-        "plan p { limit-rate 400; }                  | unit        | 400u/s?",
-        "plan p { limit-rate 400q; }                 | unit        | Known are us, ms",
-        "plan p { reserve -5u/s; }                   | range       | ",
-        "plan p { reserve 99999999999999999999u/s; } | range       | ",
-        "plan p { weight 0; }                        | range       | ",
-        "plan p { weight \"heavy\"; }                | type        | as weight 3;",
-        "plan p { wieght 2; }                        | name        | did you mean weight?",
-        "plan p { weight 2; weight 3; }              | twice       | ",
-        "plan basic { }                              | twice       | only a file that includes",
-        "plan p { reserve 1u/s / 0; }                | range       | ",
-        "plan p { reserve nowhere; }                 | name        | ",
-        "plan p like nobody { }                      | name        | did you mean basic?",
-        "plan p like p { }                           | cycle       | ",
-        "plan p { limit-rate 5u/s; }                 | limit       | limit-depth 36u;",
-        "plan p { reserve 9u/s; limit-rate 5u/s; limit-depth 9u; } | limit | ",
-        "plan p { limit-rate 5u/s; limit-depth 2u; } | limit       | could never be sent",
-        "volume v { plan bsaic; }                    | name        | did you mean basic?",
-        "volume v { hosts 2; }                       | missing     | plan NAME;",
-        "volume v { plan basic; tenant nobody; }     | name        | none is defined",
-        "volume v { plan basic; hosts 2.5; }         | range       | ",
-        "category c { repeats sometimes; agreed 1s; } | type       | did you mean",
-        "category c { repeats stamped; agreed 1s; }  | category    | repeat-window 2500ms;",
-        "category c { repeats one-shot; agreed 1s; repeat-window 1s; } | category | stamped",
-        "category c { repeats harmless; agreed 0s; } | range       | ",
-        "bounds { fall 1s; }                         | bounds      | cold 17s;",
-        "bounds { fall 20s; cold 2s; }               | bounds      | fall must be under cold",
-        "route volume x to nowhere;                  | name        | none is defined",
-        "include \"nothing\";                        | file        | ",
-        "let a = b; let b = a;                       | cycle       | ",
-        "let a = 1s + 1u;                            | unit        | ",
-        "plаn p { }                                  | syntax      | ",
-        "pool p { targets a, b }                     | syntax      | ",
-        "volume v { plan \"basic                     | syntax      | ",
-    })
+    @CsvSource(
+            delimiter = '|',
+            quoteCharacter = '`',
+            value = {
+                "plan p { limit-rate 400 ms; }               | syntax      | ",
+                "plan p { limit-rate 400ms; }                | unit        | 400u/s?",
+                "plan p { limit-rate 400; }                  | unit        | 400u/s?",
+                "plan p { limit-rate 400q; }                 | unit        | Known are us, ms",
+                "plan p { reserve -5u/s; }                   | range       | ",
+                "plan p { reserve 99999999999999999999u/s; } | range       | ",
+                "plan p { weight 0; }                        | range       | ",
+                "plan p { weight \"heavy\"; }                | type        | as weight 3;",
+                "plan p { wieght 2; }                        | name        | did you mean weight?",
+                "plan p { weight 2; weight 3; }              | twice       | ",
+                "plan basic { }                              | twice       | only a file that includes",
+                "plan p { reserve 1u/s / 0; }                | range       | ",
+                "plan p { reserve nowhere; }                 | name        | ",
+                "plan p like nobody { }                      | name        | did you mean basic?",
+                "plan p like p { }                           | cycle       | ",
+                "plan p { limit-rate 5u/s; }                 | limit       | limit-depth 36u;",
+                "plan p { reserve 9u/s; limit-rate 5u/s; limit-depth 9u; } | limit | ",
+                "plan p { limit-rate 5u/s; limit-depth 2u; } | limit       | could never be sent",
+                "volume v { plan bsaic; }                    | name        | did you mean basic?",
+                "volume v { hosts 2; }                       | missing     | plan NAME;",
+                "volume v { plan basic; tenant nobody; }     | name        | none is defined",
+                "volume v { plan basic; hosts 2.5; }         | range       | ",
+                "category c { repeats sometimes; agreed 1s; } | type       | did you mean",
+                "category c { repeats stamped; agreed 1s; }  | category    | repeat-window 2500ms;",
+                "category c { repeats one-shot; agreed 1s; repeat-window 1s; } | category | stamped",
+                "category c { repeats harmless; agreed 0s; } | range       | ",
+                "bounds { fall 1s; }                         | bounds      | cold 17s;",
+                "bounds { fall 20s; cold 2s; }               | bounds      | fall must be under cold",
+                "route volume x to nowhere;                  | name        | none is defined",
+                "include \"nothing\";                        | file        | ",
+                "let a = b; let b = a;                       | cycle       | ",
+                "let a = 1s + 1u;                            | unit        | ",
+                "plаn p { }                                  | syntax      | ",
+                "pool p { targets a, b }                     | syntax      | ",
+                "volume v { plan \"basic                     | syntax      | ",
+            })
     void saysWhatIsWrongAndWhere(String line, String code, String hint) {
         Checker.Result r = Memory.check(BASE + line);
-        Finding f = r.findings().stream().filter(x -> x.code().equals(code)).findFirst().orElse(null);
+        Finding f =
+                r.findings().stream().filter(x -> x.code().equals(code)).findFirst().orElse(null);
         assertTrue(f != null, () -> "not found among " + r.findings());
         assertEquals(4, f.line(), f.text());
         assertTrue((f.hint() + f.message()).contains(hint == null ? "" : hint), f.text());
@@ -87,24 +100,41 @@
 
     @Test
     void everythingWrongIsFoundInOnePass() {
-        Checker.Result r = Memory.check("fleet { initiators 0; }\nplan a { weight 0; }\nplan b { wight 1; }\n"
-                + "category c { repeats no; agreed 5; }\nvolume v { plan z; }\n");
-        assertEquals(List.of(1, 2, 3, 4, 4, 5), r.findings().stream().map(Finding::line).toList(), r.findings().toString());
+        Checker.Result r =
+                Memory.check(
+                        "fleet { initiators 0; }\nplan a { weight 0; }\nplan b { wight 1; }\n"
+                                + "category c { repeats no; agreed 5; }\nvolume v { plan z; }\n");
+        assertEquals(
+                List.of(1, 2, 3, 4, 4, 5),
+                r.findings().stream().map(Finding::line).toList(),
+                r.findings().toString());
     }
 
     @Test
     void warningsDoNotRefuse() {
-        Checker.Result r = Memory.check(BASE + "pool main { targets a; }\nroute volume a* to main;\n"
-                + "route volume ab* to main;\nvolume a* { plan basic; }\nvolume ab* { plan basic; }\n");
+        Checker.Result r =
+                Memory.check(
+                        BASE
+                                + "pool main { targets a; }\nroute volume a* to main;\n"
+                                + "route volume ab* to main;\nvolume a* { plan basic; }\nvolume ab* { plan basic; }\n");
         assertTrue(r.clean());
-        assertEquals(List.of("unreachable", "overlap"), r.findings().stream().map(Finding::code).toList());
+        assertEquals(
+                List.of("unreachable", "overlap"),
+                r.findings().stream().map(Finding::code).toList());
     }
 
     @Test
     void reservesBeyondWhatAPoolBears() {
-        Checker.Result r = Memory.check(BASE + "plan big { reserve 60u/s; }\npool main { targets a; capacity 100u/s; }\n"
-                + "volume v { plan big; }\nvolume w { plan big; }\nroute volume * to main;\n".replace("volume *", "volume \"*\""));
-        assertEquals(List.of("reserve"), r.findings().stream().map(Finding::code).toList(), r.findings().toString());
+        Checker.Result r =
+                Memory.check(
+                        BASE
+                                + "plan big { reserve 60u/s; }\npool main { targets a; capacity 100u/s; }\n"
+                                + "volume v { plan big; }\nvolume w { plan big; }\nroute volume * to main;\n"
+                                        .replace("volume *", "volume \"*\""));
+        assertEquals(
+                List.of("reserve"),
+                r.findings().stream().map(Finding::code).toList(),
+                r.findings().toString());
     }
 
     // ---- Includes ----
@@ -114,33 +144,64 @@
         Checker.Result one = Checker.check(new Memory().with("f", BASE + "include \"f\";"), "f");
         assertEquals("cycle", one.findings().get(0).code());
         assertEquals(4, one.findings().get(0).line());
-        Checker.Result three = Checker.check(new Memory().with("f", BASE + "include \"g\";").with("g", "\ninclude \"h\";")
-                .with("h", "include \"f\";"), "f");
+        Checker.Result three =
+                Checker.check(
+                        new Memory()
+                                .with("f", BASE + "include \"g\";")
+                                .with("g", "\ninclude \"h\";")
+                                .with("h", "include \"f\";"),
+                        "f");
         Finding f = three.findings().get(0);
         assertEquals("h:1", f.file() + ":" + f.line());
-        assertEquals(List.of("f includes", "g includes", "h includes", "f, which is open already"), f.chain());
+        assertEquals(
+                List.of("f includes", "g includes", "h includes", "f, which is open already"),
+                f.chain());
     }
 
     @Test
     void theIncludingFileHidesAndSiblingsMayNot() {
-        Checker.Result hides = Checker.check(new Memory().with("f", "include \"g\";\nplan basic { weight 7; }\n"
-                + BASE.replaceAll("plan.*\n", "")).with("g", "plan basic { weight 2; }"), "f");
+        Checker.Result hides =
+                Checker.check(
+                        new Memory()
+                                .with(
+                                        "f",
+                                        "include \"g\";\nplan basic { weight 7; }\n"
+                                                + BASE.replaceAll("plan.*\n", ""))
+                                .with("g", "plan basic { weight 2; }"),
+                        "f");
         assertTrue(hides.clean(), () -> hides.findings().toString());
         assertEquals(7, hides.fleet().block("plan", "basic").figure("weight"));
-        Checker.Result siblings = Checker.check(new Memory().with("f", BASE + "include \"part-*\";")
-                .with("part-1", "plan x { weight 1; }").with("part-2", "\nplan x { weight 2; }"), "f");
-        assertEquals("part-2:2:twice", siblings.findings().get(0).file() + ":" + siblings.findings().get(0).line() + ":"
-                + siblings.findings().get(0).code());
+        Checker.Result siblings =
+                Checker.check(
+                        new Memory()
+                                .with("f", BASE + "include \"part-*\";")
+                                .with("part-1", "plan x { weight 1; }")
+                                .with("part-2", "\nplan x { weight 2; }"),
+                        "f");
+        assertEquals(
+                "part-2:2:twice",
+                siblings.findings().get(0).file()
+                        + ":"
+                        + siblings.findings().get(0).line()
+                        + ":"
+                        + siblings.findings().get(0).code());
     }
 
     @Test
     void oneFileThroughTwoNamesIsReadOnce() throws Exception {
         Path part = Files.writeString(folder.resolve("part.fleet"), "plan x { weight 1; }\n");
         Files.createSymbolicLink(folder.resolve("other.fleet"), part);
-        Path main = Files.writeString(folder.resolve("main.fleet"), BASE + "include \"part.fleet\";\n"
-                + "include \"other.fleet\";\ninclude \"*.fleet\";\n");
+        Path main =
+                Files.writeString(
+                        folder.resolve("main.fleet"),
+                        BASE
+                                + "include \"part.fleet\";\n"
+                                + "include \"other.fleet\";\ninclude \"*.fleet\";\n");
         Checker.Result r = Checker.check(new DiskLibrary(), DiskLibrary.name(main));
-        assertEquals(List.of("cycle"), r.findings().stream().map(Finding::code).toList(), "the glob takes main itself");
+        assertEquals(
+                List.of("cycle"),
+                r.findings().stream().map(Finding::code).toList(),
+                "the glob takes main itself");
         assertEquals(2, r.files().size());
     }
 
@@ -148,9 +209,12 @@
 
     @Test
     void whatNestsWithoutEndIsRefusedAtItsLine() {
-        for (String deep : List.of("let a = " + "(".repeat(10_000) + "1" + ")".repeat(10_000) + ";",
-                "let a = " + "-".repeat(10_000) + "1;", "let a = 1" + " + 1".repeat(10_000) + ";",
-                "plan p " + "{".repeat(10_000))) {
+        for (String deep :
+                List.of(
+                        "let a = " + "(".repeat(10_000) + "1" + ")".repeat(10_000) + ";",
+                        "let a = " + "-".repeat(10_000) + "1;",
+                        "let a = 1" + " + 1".repeat(10_000) + ";",
+                        "plan p " + "{".repeat(10_000))) {
             Checker.Result r = Memory.check(BASE + deep);
             assertEquals("depth:4", r.findings().get(0).code() + ":" + r.findings().get(0).line());
         }
@@ -158,7 +222,9 @@
         for (int i = 1; i < 10_000; i++) {
             likes.append("plan p").append(i).append(" like p").append(i - 1).append(" { }\n");
         }
-        assertTrue(Memory.check(likes.toString()).findings().stream().allMatch(f -> f.code().equals("cycle")));
+        assertTrue(
+                Memory.check(likes.toString()).findings().stream()
+                        .allMatch(f -> f.code().equals("cycle")));
     }
 
     @Test
@@ -174,24 +240,44 @@
         assertEquals(plain, Memory.check(BASE.strip()).fleet());
         assertEquals(plain, Memory.check(BASE.replace("\n", "\r\n")).fleet());
         assertEquals(plain, Memory.check("\uFEFF" + BASE).fleet());
-        assertFalse(Memory.check(BASE + "plan bаsic { }").clean(), "a Cyrillic letter is not a Latin one");
+        assertFalse(
+                Memory.check(BASE + "plan bаsic { }").clean(),
+                "a Cyrillic letter is not a Latin one");
     }
 
     // ---- The page ----
 
     @Test
     void everyExampleOfThePageIsTaken() throws Exception {
-        Matcher m = Pattern.compile("(?s)```fleet\n(.*?)```").matcher(Files.readString(Path.of("../docs/configuration.md")));
+        Matcher m =
+                Pattern.compile("(?s)```fleet\n(.*?)```")
+                        .matcher(Files.readString(Path.of("../docs/configuration.md")));
         int n = 0;
         while (m.find()) {
             String example = m.group(1);
             n++;
-            Checker.Result r = Checker.check(new Memory().with("f", example.contains("fleet {") ? example : BASE.replaceAll(example.contains("plan basic {") ? "plan.*\n" : "^$", "") + example).with("plans.fleet",
-                    "plan included { weight 1; }").with("tenants/a.fleet", "tenant included { }"), "f");
+            Checker.Result r =
+                    Checker.check(
+                            new Memory()
+                                    .with(
+                                            "f",
+                                            example.contains("fleet {")
+                                                    ? example
+                                                    : BASE.replaceAll(
+                                                                    example.contains("plan basic {")
+                                                                            ? "plan.*\n"
+                                                                            : "^$",
+                                                                    "")
+                                                            + example)
+                                    .with("plans.fleet", "plan included { weight 1; }")
+                                    .with("tenants/a.fleet", "tenant included { }"),
+                            "f");
             assertTrue(r.clean(), () -> example + r.findings());
-            assertEquals(example, Formatter.format("f", example, new java.util.ArrayList<>()), "in the one style");
+            assertEquals(
+                    example,
+                    Formatter.format("f", example, new java.util.ArrayList<>()),
+                    "in the one style");
         }
         assertTrue(n >= 10, n + " examples");
     }
-
 }
--- a/config/src/test/java/milletyoke/config/GeneratedTest.java
+++ b/config/src/test/java/milletyoke/config/GeneratedTest.java
@@ -11,7 +11,10 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Configurations made from the grammar's own structure: formatting changes nothing, each change of meaning is found. */
+/**
+ * Configurations made from the grammar's own structure: formatting changes nothing, each change of
+ * meaning is found.
+ */
 class GeneratedTest {
     /** Pieces of one text, so that white space and remarks can be put between any two. */
     private static final class Text {
@@ -49,7 +52,16 @@
         String shaken() {
             StringBuilder out = new StringBuilder();
             for (String token : tokens) {
-                out.append(pick(" ", "  ", "\n", "\t", "\r\n", "\n\n\n", " # why not\n", "\n    # on its own\n\n"))
+                out.append(
+                                pick(
+                                        " ",
+                                        "  ",
+                                        "\n",
+                                        "\t",
+                                        "\r\n",
+                                        "\n\n\n",
+                                        " # why not\n",
+                                        "\n    # on its own\n\n"))
                         .append(token);
             }
             return out + pick("", "\n", " # the last word");
@@ -58,18 +70,37 @@
 
     private static Text generate(long seed) {
         Text t = new Text(seed);
-        int plans = 1 + t.chance.nextInt(5), categories = 1 + t.chance.nextInt(4), volumes = t.chance.nextInt(12);
+        int plans = 1 + t.chance.nextInt(5),
+                categories = 1 + t.chance.nextInt(4),
+                volumes = t.chance.nextInt(12);
         t.add("let", "base", "=");
         t.figure(1, 9, "u/s");
-        t.add(";", "fleet", "{", "initiators", String.valueOf(1 + t.chance.nextInt(9)), ";", "list",
-                t.pick("pushed", "asked"), ";", "}");
+        t.add(
+                ";",
+                "fleet",
+                "{",
+                "initiators",
+                String.valueOf(1 + t.chance.nextInt(9)),
+                ";",
+                "list",
+                t.pick("pushed", "asked"),
+                ";",
+                "}");
         t.add("bounds", "{", "answer-slack");
         t.figure(10, 90, "ms");
         t.add(";", "cold");
         t.figure(5, 20, "s");
         t.add(";", "fall");
         t.figure(1, 4, "s");
-        t.add(";", "cold-share", 1 + t.chance.nextInt(99) + "%", ";", "cold-bears", "11u", ";", "}");
+        t.add(
+                ";",
+                "cold-share",
+                1 + t.chance.nextInt(99) + "%",
+                ";",
+                "cold-bears",
+                "11u",
+                ";",
+                "}");
         t.add("template", "common", "{", "weight");
         t.figure(1, 5, "");
         t.add(";", "}");
@@ -78,22 +109,49 @@
             if (t.chance.nextBoolean()) {
                 t.add("like", "common");
             }
-            t.add("{", "reserve", "base", "*", String.valueOf(1 + t.chance.nextInt(3)), ";", "limit-rate");
+            t.add(
+                    "{",
+                    "reserve",
+                    "base",
+                    "*",
+                    String.valueOf(1 + t.chance.nextInt(3)),
+                    ";",
+                    "limit-rate");
             t.figure(100, 200, "u/s");
             t.add(";", "limit-depth");
             t.figure(100, 200, "u");
             t.add(";", "}");
         }
         for (int i = 0; i < categories; i++) {
-            t.add("category", "\"category " + i + "\"", "{", "repeats", t.pick("harmless", "stamped", "one-shot"), ";",
-                    "repeat-window", "2500ms", ";", "agreed");
+            t.add(
+                    "category",
+                    "\"category " + i + "\"",
+                    "{",
+                    "repeats",
+                    t.pick("harmless", "stamped", "one-shot"),
+                    ";",
+                    "repeat-window",
+                    "2500ms",
+                    ";",
+                    "agreed");
             t.figure(100, 900, "ms");
             t.add(";", "}");
         }
-        t.add("pool", "main", "{", "targets", "a", ",", "b", ";", "}", "pool", "spare", "{", "targets", "\"c d\"", ";", "}");
+        t.add(
+                "pool", "main", "{", "targets", "a", ",", "b", ";", "}", "pool", "spare", "{",
+                "targets", "\"c d\"", ";", "}");
         for (int i = 0; i < volumes; i++) {
-            t.add("volume", "v" + i + t.pick("", "-*"), "{", "plan", "plan-" + t.chance.nextInt(plans), ";", "hosts",
-                    String.valueOf(1 + t.chance.nextInt(4)), ";", "}");
+            t.add(
+                    "volume",
+                    "v" + i + t.pick("", "-*"),
+                    "{",
+                    "plan",
+                    "plan-" + t.chance.nextInt(plans),
+                    ";",
+                    "hosts",
+                    String.valueOf(1 + t.chance.nextInt(4)),
+                    ";",
+                    "}");
             t.add("route", "volume", "v" + i + "-*", "to", t.pick("main", "spare"), ";");
         }
         t.add("route", "prefix", "\"/scores/\"", "to", "main", ";");
@@ -145,7 +203,9 @@
         List<Integer> places = new ArrayList<>();
         for (int i = 0; i < t.tokens.size(); i++) {
             String token = t.tokens.get(i);
-            boolean zero = token.matches("0(u/s|u|ms|s|)") || token.equals("1") && t.tokens.get(i - 1).equals("*");
+            boolean zero =
+                    token.matches("0(u/s|u|ms|s|)")
+                            || token.equals("1") && t.tokens.get(i - 1).equals("*");
             if (token.matches("[0-9]+(u/s|u|ms|s|)") && !zero) {
                 places.add(i);
             }
@@ -163,12 +223,18 @@
             if (constant || common) {
                 assertTrue(common || !changes.isEmpty(), "a constant changes all that rest on it");
             } else {
-                assertEquals(1, changes.size(), () -> old + " at " + at + " of " + t.plain() + ": " + changes);
+                assertEquals(
+                        1,
+                        changes.size(),
+                        () -> old + " at " + at + " of " + t.plain() + ": " + changes);
             }
         }
     }
 
-    /** Mutated text: findings or a meaning, never an exception, and every finding names a line that there is. */
+    /**
+     * Mutated text: findings or a meaning, never an exception, and every finding names a line that
+     * there is.
+     */
     @Property(tries = 1000, seed = "20261201")
     void noTextBreaksTheParser(@ForAll long seed) {
         Text t = generate(seed);
@@ -180,10 +246,28 @@
             int at = t.chance.nextInt(text.length());
             switch (t.chance.nextInt(5)) {
                 case 0 -> text.deleteCharAt(at);
-                case 1 -> text.insert(at, t.pick("{", "}", "(", ";", "\"", "#", "-", "\u0000", "é", "\uD800", "99999999999"));
+                case 1 ->
+                        text.insert(
+                                at,
+                                t.pick(
+                                        "{",
+                                        "}",
+                                        "(",
+                                        ";",
+                                        "\"",
+                                        "#",
+                                        "-",
+                                        "\u0000",
+                                        "é",
+                                        "\uD800",
+                                        "99999999999"));
                 case 2 -> text.setCharAt(at, (char) t.chance.nextInt(1, 300));
                 case 3 -> text.setLength(Math.max(1, at));
-                default -> text.insert(at, text.substring(at, Math.min(text.length(), at + t.chance.nextInt(200))));
+                default ->
+                        text.insert(
+                                at,
+                                text.substring(
+                                        at, Math.min(text.length(), at + t.chance.nextInt(200))));
             }
         }
         Checker.Result r = Memory.check(text.toString());
--- a/config/src/test/java/milletyoke/config/Memory.java
+++ b/config/src/test/java/milletyoke/config/Memory.java
@@ -15,8 +15,16 @@
 
     @Override
     public List<String> find(String from, String pattern) throws Unreadable {
-        List<String> found = files.keySet().stream().filter(f -> pattern.endsWith("*")
-                ? f.startsWith(pattern.substring(0, pattern.length() - 1)) : f.equals(pattern)).sorted().toList();
+        List<String> found =
+                files.keySet().stream()
+                        .filter(
+                                f ->
+                                        pattern.endsWith("*")
+                                                ? f.startsWith(
+                                                        pattern.substring(0, pattern.length() - 1))
+                                                : f.equals(pattern))
+                        .sorted()
+                        .toList();
         if (found.isEmpty()) {
             throw new Unreadable("there is no such file");
         }
--- a/core/src/main/java/milletyoke/Agenda.java
+++ b/core/src/main/java/milletyoke/Agenda.java
@@ -21,25 +21,35 @@
 import milletyoke.port.Event;
 
 /**
- * The nodes, and which of them are to be served in this turn: those where something happened, and those whose time has
- * come. What need not be served costs nothing. Decides nothing: a node that is served for no reason does nothing.
+ * The nodes, and which of them are to be served in this turn: those where something happened, and
+ * those whose time has come. What need not be served costs nothing. Decides nothing: a node that is
+ * served for no reason does nothing.
  */
 final class Agenda {
     private final Map<Integer, Node> nodes = new LinkedHashMap<>();
     private final Map<String, Volume> volumes = new LinkedHashMap<>();
-    /** A limit's store of each plan, as it is for a volume that was not seen or was forgotten, were there one host. */
+
+    /**
+     * A limit's store of each plan, as it is for a volume that was not seen or was forgotten, were
+     * there one host.
+     */
     private final Map<String, Store> unseen = new LinkedHashMap<>();
+
     /** Nodes by slot, null where one was forgotten; and the slots that are free. */
     private final List<Node> slots = new ArrayList<>();
+
     private final ArrayDeque<Integer> free = new ArrayDeque<>();
+
     /** Volumes and reservations, those that were longest not looked at first. */
     final ArrayDeque<Kept> kept = new ArrayDeque<>();
+
     private int made;
     private final TreeSet<Node> touched = new TreeSet<>(Comparator.comparingInt(n -> n.made));
     private final Timetable due = new Timetable();
     private final Set<Node> forBudget = new LinkedHashSet<>();
     private long reservationsMade;
     private long queued;
+
     /** Accesses that wait, at all nodes. */
     int waiting;
 
@@ -53,7 +63,9 @@
         return slots.size();
     }
 
-    /** One node, all with equal odds; null where the lot fell on a slot whose node was forgotten. */
+    /**
+     * One node, all with equal odds; null where the lot fell on a slot whose node was forgotten.
+     */
     Node lot(SplittableRandom chance) {
         return slots.get(chance.nextInt(slots.size()));
     }
@@ -144,7 +156,9 @@
         touched.add(node);
     }
 
-    /** The same, for more than room: what was found of any access that waits here may be otherwise. */
+    /**
+     * The same, for more than room: what was found of any access that waits here may be otherwise.
+     */
     void upset(Node node) {
         node.changed = true;
         touched.add(node);
@@ -187,13 +201,16 @@
     }
 
     /**
-     * Takes out the next node to serve, in the order of making, null for none. One that is touched while a later one is
-     * served has its turn at the next call.
+     * Takes out the next node to serve, in the order of making, null for none. One that is touched
+     * while a later one is served has its turn at the next call.
      *
      * @param after the one before, null for the first
      */
     Node next(Node after) {
-        Node next = after == null ? (touched.isEmpty() ? null : touched.first()) : touched.higher(after);
+        Node next =
+                after == null
+                        ? (touched.isEmpty() ? null : touched.first())
+                        : touched.higher(after);
         while (next != null && touched.remove(next) && next.waiting == 0) {
             next = touched.higher(next);
         }
