--- a/core/src/main/java/milletyoke/Decide.java
+++ b/core/src/main/java/milletyoke/Decide.java
@@ -1,45 +1,72 @@
 package milletyoke;
 
 import java.util.*;
+import milletyoke.State.*;
 import milletyoke.port.Action;
 import milletyoke.port.Event;
 import milletyoke.port.Outcome;
 import milletyoke.port.Provisioning;
 import milletyoke.port.Provisioning.*;
-import milletyoke.State.*;
 
 /**
- * All decisions of one initiator. Its host makes one object for each start, calls {@link #decide} with the
- * time and what happened since, the start first, and carries out what it returns, in that order. The
- * interface is the package milletyoke.port; the design, and each departure, is in docs/design.md.
+ * All decisions of one initiator. Its host makes one object for each start, calls {@link #decide}
+ * with the time and what happened since, the start first, and carries out what it returns, in that
+ * order. The interface is the package milletyoke.port; the design, and each departure, is in
+ * docs/design.md.
  */
 public final class Decide {
     // The design's figures.
     private static final int BASE_BATCH = 4, LOTS = 64;
     private static final double FIRST_WINDOW = 4, WINDOW_CEILING = 16;
     private static final double MARGIN_STEPS = 1.5;
-    /** An answer is late past this part of the shortest agreed time: at a target no tag order holds. */
+
+    /**
+     * An answer is late past this part of the shortest agreed time: at a target no tag order holds.
+     */
     private static final double LATE_PART = 1.0 / 6;
+
     // Smoothing, as TCP does it for its round trips: a figure settles in about eight answers.
     private static final double SMOOTHING = 1.0 / 8;
+
     /** A target that owes answers is silent once it has given none for this many of its lags. */
     private static final double PATIENCE = 4;
-    /** From this part of answers on that took over half of the shortest agreed time, probes go first. */
+
+    /**
+     * From this part of answers on that took over half of the shortest agreed time, probes go
+     * first.
+     */
     private static final double SUSPECT = 0.05;
-    /** What is said to wait at a target may take this part of that time, for accesses owed and for others. */
+
+    /**
+     * What is said to wait at a target may take this part of that time, for accesses owed and for
+     * others.
+     */
     private static final double JOIN_OWED = 0.75, JOIN_OTHERS = 0.25;
+
     private static final double LEAST_FURTHER = 0.1;
-    /** Trials and rests grow up to this many of the shortest agreed time; no lag outlives it unheard. */
+
+    /**
+     * Trials and rests grow up to this many of the shortest agreed time; no lag outlives it
+     * unheard.
+     */
     private static final long LONGEST_TRIAL = 4;
+
     /** Times between looks at what waits, and at what is only out (microseconds). */
     private static final long LOOK_WAITING = 4_000, LOOK_IDLE = 40_000;
+
     /** A final answer leaves this long before the client's time is up. */
     private static final long ANSWER_AHEAD = 5_000;
+
     private static final long FIRST_ASK = 500_000;
+
     /** The rest of a limit's slack is for sums that another counts in another order. */
     private static final double SLACK_USED = 0.9;
-    /** What waits at a cold target may take this part of what the bound leaves beyond its capacity. */
+
+    /**
+     * What waits at a cold target may take this part of what the bound leaves beyond its capacity.
+     */
     private static final double COLD_QUEUE = 1.0 / 8;
+
     private static final TreeSet<Held> NONE = new TreeSet<>(Held.AT_NODE);
     private static final Set<Outcome> MAY_STILL_RUN =
             EnumSet.of(Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED);
@@ -49,17 +76,23 @@
     private SplittableRandom chance;
     private long startedAt;
     private long shortestAgreed;
-    /** So many initiators that windows of one each make a queue of twice the shortest agreed time. */
+
+    /**
+     * So many initiators that windows of one each make a queue of twice the shortest agreed time.
+     */
     private boolean crowd;
+
     private final Map<String, Category> categories = new HashMap<>();
     private final Map<String, Plan> plans = new HashMap<>();
 
     private long now;
     private List<Action> todo;
     private long wakeAt = Long.MAX_VALUE;
+
     /**
-     * When a turn last came far later than was asked for. Guards against standing still for any cause: what
-     * came meanwhile tells no target's lag or silence. Could harm where all turns are late: nothing adapts.
+     * When a turn last came far later than was asked for. Guards against standing still for any
+     * cause: what came meanwhile tells no target's lag or silence. Could harm where all turns are
+     * late: nothing adapts.
      */
     private long resumedAt;
 
@@ -69,22 +102,37 @@
     private long askAt = Long.MAX_VALUE, askWait = FIRST_ASK;
 
     final Agenda agenda = new Agenda();
-    /** The earliest time at which what was just found to be so, or not, may be otherwise by time alone. */
+
+    /**
+     * The earliest time at which what was just found to be so, or not, may be otherwise by time
+     * alone.
+     */
     private long again;
+
     private final Ceiling aloneMost = new Ceiling(), unitsMost = new Ceiling();
     private boolean suspected, hadBudget;
     private final Map<String, Held> held = new LinkedHashMap<>();
     private long takenInAll;
     private final Map<String, Turns> turns = new HashMap<>();
     private final Forgetting forgetting =
-            new Forgetting(agenda, targets, indexOf, turns, held.values(), this::settled, this::reserveHolds);
+            new Forgetting(
+                    agenda,
+                    targets,
+                    indexOf,
+                    turns,
+                    held.values(),
+                    this::settled,
+                    this::reserveHolds);
     private final Map<String, Long> longestTtl = new HashMap<>();
     private final Span taken = new Span(), further = new Span();
     double furtherSuccess = 1, lateShare;
+
     /** What an access takes at a target where no other waits. */
     private double aloneLag;
+
     /** Probes have told of waiting, so they do not merely show that the target runs. */
     private boolean probesTell;
+
     private double meanUnits;
 
     /** The one entry point: takes what happened, returns what is to be done. */
@@ -133,16 +181,17 @@
     private void provision(Provisioning next) {
         given = next;
         given.categories().forEach(c -> categories.put(c.name(), c));
-        shortestAgreed = given.categories().stream().mapToLong(Category::agreedTime).min().orElse(0);
+        shortestAgreed =
+                given.categories().stream().mapToLong(Category::agreedTime).min().orElse(0);
         given.plans().forEach(p -> plans.put(p.name(), p));
         given.plans().forEach(p -> agenda.unseen(p.name(), now));
     }
 
     /**
-     * New plans hold from now on, for what waits too. A limit's store is filled by the plan it had, and then
-     * holds no more than the new one allows. Guards rule 7 against a limit lowered and raised again, which
-     * would fill it at once, and against past time paid at a higher rate. Harms none but a volume whose limit
-     * rises: its store fills as time goes on.
+     * New plans hold from now on, for what waits too. A limit's store is filled by the plan it had,
+     * and then holds no more than the new one allows. Guards rule 7 against a limit lowered and
+     * raised again, which would fill it at once, and against past time paid at a higher rate. Harms
+     * none but a volume whose limit rises: its store fills as time goes on.
      */
     private void reprovision(Provisioning next) {
         agenda.limits().forEach(this::settle);
@@ -165,7 +214,10 @@
     }
 
     private void arrangeWake() {
-        long look = held.isEmpty() ? Long.MAX_VALUE : now + (agenda.waiting > 0 ? LOOK_WAITING : LOOK_IDLE);
+        long look =
+                held.isEmpty()
+                        ? Long.MAX_VALUE
+                        : now + (agenda.waiting > 0 ? LOOK_WAITING : LOOK_IDLE);
         if (Math.min(askAt, look) < wakeAt) {
             wakeAt = Math.min(askAt, look);
             todo.add(new Action.Wake(Math.max(1, wakeAt - now)));
@@ -200,7 +252,10 @@
         return agenda.node(targets.shardOf[t]);
     }
 
-    /** Times are set with more than the means of now; once one outgrows that, all is looked at again. */
+    /**
+     * Times are set with more than the means of now; once one outgrows that, all is looked at
+     * again.
+     */
     private void noticeDrift() {
         boolean grown = aloneMost.outgrownBy(aloneLag, now) | unitsMost.outgrownBy(meanUnits, now);
         if (grown || suspected != lateShare >= SUSPECT) {
@@ -210,13 +265,17 @@
         }
     }
 
-    /** When this target is next to be asked after: no later than it can be silent, or a relay to it lost. */
+    /**
+     * When this target is next to be asked after: no later than it can be silent, or a relay to it
+     * lost.
+     */
     private void watch(int t) {
         long silent = Math.max(resumedAt, targets.heardAt[t]) + (long) patience(t) + 1;
         long due = targets.out[t] > 0 ? silent : Timetable.NEVER;
         due = targets.nextTrial[t] > 0 ? targets.nextTrial[t] : due;
         for (Held h : targets.outs.get(t)) {
-            double most = PATIENCE * targets.lag[t] * Math.max(1, h.access.units() / unitsMost.most);
+            double most =
+                    PATIENCE * targets.lag[t] * Math.max(1, h.access.units() / unitsMost.most);
             boolean overtaken = targets.answeredSent[t] > h.sentAt;
             due = overtaken ? Math.min(due, Math.max(resumedAt, h.sentAt) + (long) most) : due;
         }
@@ -245,7 +304,10 @@
         }
     }
 
-    /** A failure does not tell if the subscription stands: it is asked again, out of step, ever later. */
+    /**
+     * A failure does not tell if the subscription stands: it is asked again, out of step, ever
+     * later.
+     */
     private void askAgain() {
         if (given.listMustBeAsked() && askAt == Long.MAX_VALUE) {
             askAt = now + (long) (askWait * (0.5 + chance.nextDouble()));
@@ -291,7 +353,8 @@
         Held h = new Held(e, takenInAll++, category, agenda.volume(e, now), plans.get(e.plan()));
         h.abandonAt = now + e.ttl();
         long longest = longestTtl.merge(category.name(), e.ttl(), Math::max);
-        boolean impatient = e.ttl() < category.agreedTime(); // a repeat that late would hardly be in time
+        boolean impatient =
+                e.ttl() < category.agreedTime(); // a repeat that late would hardly be in time
         h.firstTaken = impatient ? now : now - (longest - e.ttl());
         h.agreedAt = Math.min(h.firstTaken + category.agreedTime(), h.abandonAt - ANSWER_AHEAD);
         held.put(e.id(), h);
@@ -307,7 +370,10 @@
         enqueue(h);
     }
 
-    /** A new object goes to a target drawn at random, odds in step with the room each is thought to have. */
+    /**
+     * A new object goes to a target drawn at random, odds in step with the room each is thought to
+     * have.
+     */
     private Node draw() {
         for (int lot = 0; agenda.places() > LOTS && lot < LOTS; lot++) { // same odds, not over all
             Node n = agenda.lot(chance);
@@ -336,7 +402,10 @@
         Reservation r = agenda.reservation(node, h.volume, now);
         if (r.queue.isEmpty()) {
             r.start = Math.max(node.virtualTime, r.finish);
-            r.extra = node.byExtra.isEmpty() ? r.extra : Math.max(r.extra, node.byExtra.first().extra);
+            r.extra =
+                    node.byExtra.isEmpty()
+                            ? r.extra
+                            : Math.max(r.extra, node.byExtra.first().extra);
         }
         agenda.queue(h, r);
     }
@@ -344,9 +413,10 @@
     // ---- Serving a node ----
 
     /**
-     * What can no longer be answered in its agreed time takes the room that is left, unless others need it
-     * (a crowd, a limit), or gets its answer at once. Guards against a backlog of any cause that would make
-     * all that comes after it late too. Could harm where the lag is thought longer than it is.
+     * What can no longer be answered in its agreed time takes the room that is left, unless others
+     * need it (a crowd, a limit), or gets its answer at once. Guards against a backlog of any cause
+     * that would make all that comes after it late too. Could harm where the lag is thought longer
+     * than it is.
      */
     private void serve(Node node) {
         boolean asking = mustAsk(node.target);
@@ -365,7 +435,10 @@
         arrangeServing(node, asking);
     }
 
-    /** When time alone may change what was just done here: lateness, a cold time's end, what is parked. */
+    /**
+     * When time alone may change what was just done here: lateness, a cold time's end, what is
+     * parked.
+     */
     private void arrangeServing(Node node, boolean asking) {
         again = Timetable.NEVER;
         double expected = expected(node.target) + aloneMost.most - aloneLag;
@@ -375,14 +448,18 @@
         if (!asking && !node.parked.isEmpty() && roomAt(node) > 0) {
             againAt(node.parked.first().lookAt);
         }
-        long late = node.byAgreed.isEmpty() ? again : (long) (node.byAgreed.first().agreedAt - expected);
+        long late =
+                node.byAgreed.isEmpty()
+                        ? again
+                        : (long) (node.byAgreed.first().agreedAt - expected);
         agenda.due(node, Math.min(again, late));
     }
 
     /**
-     * Whether to wait for a probe, sent now if the last one is old. Where answers come late among a crowd,
-     * one goes first: each hears too seldom of the queue that windows of one fill. Guards against any load
-     * that others bring; could harm where probes are dear, or answered later than work.
+     * Whether to wait for a probe, sent now if the last one is old. Where answers come late among a
+     * crowd, one goes first: each hears too seldom of the queue that windows of one fill. Guards
+     * against any load that others bring; could harm where probes are dear, or answered later than
+     * work.
      */
     private boolean mustAsk(int t) {
         boolean answers = given.allowances().probes() && t >= 0 && targets.nextTrial[t] == 0;
@@ -408,13 +485,19 @@
         return isTold(t) ? targets.crowd[t] + aloneLag : usual;
     }
 
-    /** Whether an access may join what is said to wait at the target; the draw keeps hosts out of step. */
+    /**
+     * Whether an access may join what is said to wait at the target; the draw keeps hosts out of
+     * step.
+     */
     private boolean fits(Held h, int t) {
         double part = isOwed(h) ? JOIN_OWED : JOIN_OTHERS * targets.bar[t];
         return !isTold(t) || targets.crowd[t] <= part * shortestAgreed;
     }
 
-    /** One base batch by least finish tag, beside each of it the inserts that may join; false if empty. */
+    /**
+     * One base batch by least finish tag, beside each of it the inserts that may join; false if
+     * empty.
+     */
     private boolean batch(Node node) {
         int room = roomAt(node);
         int most = Math.min(BASE_BATCH, (room + 1) / 2);
@@ -422,7 +505,9 @@
         if (most <= 0) {
             return false; // no room, or nobody holds the shard
         }
-        for (Reservation r = leastFinish(node); base.size() < most && r != null; r = leastFinish(node)) {
+        for (Reservation r = leastFinish(node);
+                base.size() < most && r != null;
+                r = leastFinish(node)) {
             Held h = sendable(node, r);
             node.virtualTime = r.start;
             r.start = r.finish;
@@ -434,7 +519,9 @@
             if (!relay(h, node.target)) {
                 enqueue(h); // one before it took the last of a limit or of a cold target's part
             }
-            for (Held beside = insert(node, h, room); beside != null; beside = insert(node, h, room)) {
+            for (Held beside = insert(node, h, room);
+                    beside != null;
+                    beside = insert(node, h, room)) {
                 relay(beside, node.target);
                 room--;
             }
@@ -443,8 +530,9 @@
     }
 
     /**
-     * The least finish tag among volumes owed part of their reserve; if none is, among all. Guards reserves
-     * where many ask for more; could harm the shares by weight if reserves took the whole node for long.
+     * The least finish tag among volumes owed part of their reserve; if none is, among all. Guards
+     * reserves where many ask for more; could harm the shares by weight if reserves took the whole
+     * node for long.
      */
     private Reservation leastFinish(Node node) {
         node.refresh(now);
@@ -473,12 +561,18 @@
         return r.first(h -> mayRelay(h, t) && fits(h, t));
     }
 
-    /** What this host owes a volume of its reserve: at most a second, and an access of twice the mean. */
+    /**
+     * What this host owes a volume of its reserve: at most a second, and an access of twice the
+     * mean.
+     */
     private boolean isOwed(Held h) {
         double rate = h.reserve(), units = h.access.units();
         double missing = units - level(h.volume.reserve, rate, reserveDepth(h));
-        boolean bySize = units > reserveDepth(h) && units <= rate + 2 * unitsMost.most
-                && (rate > 0 || h.volume.reserve != null && h.volume.reserve.units >= units);
+        boolean bySize =
+                units > reserveDepth(h)
+                        && units <= rate + 2 * unitsMost.most
+                        && (rate > 0
+                                || h.volume.reserve != null && h.volume.reserve.units >= units);
         againAt(missing <= 0 ? again : bySize ? now : filledAt(missing, rate));
         return missing <= 0;
     }
@@ -498,7 +592,9 @@
         }
         for (Held h : node.byExtent.getOrDefault(extent, NONE)) {
             Reservation r = h.reservation;
-            if (mayRelay(h, node.target) && fits(h, node.target) && withinMargin(node, r, r.step(h))) {
+            if (mayRelay(h, node.target)
+                    && fits(h, node.target)
+                    && withinMargin(node, r, r.step(h))) {
                 node.unfile(r);
                 r.extra += r.step(h);
                 agenda.unqueue(h);
@@ -508,7 +604,9 @@
         return null;
     }
 
-    /** Whether the widest gap of waiting volumes' extra tags stays within the margin after one step. */
+    /**
+     * Whether the widest gap of waiting volumes' extra tags stays within the margin after one step.
+     */
     private boolean withinMargin(Node node, Reservation one, double step) {
         return node.gap(one, step) <= MARGIN_STEPS * meanUnits / node.lightest();
     }
@@ -537,7 +635,8 @@
             targets.toldUntil[t] = 0;
             agenda.upset(nodeOf(t));
         }
-        targets.heardAt[t] = targets.out[t] == 0 && targets.nextTrial[t] == 0 ? now : targets.heardAt[t];
+        targets.heardAt[t] =
+                targets.out[t] == 0 && targets.nextTrial[t] == 0 ? now : targets.heardAt[t];
         targets.mayTry[t] = false;
         h.relays++;
         h.lost = false;
@@ -554,19 +653,27 @@
     private boolean mayRelay(Held h, int t) {
         boolean inTime = !h.answered && now < h.abandonAt - ANSWER_AHEAD;
         againAt(inTime ? h.abandonAt - ANSWER_AHEAD : again);
-        return t >= 0 && targets.usable[t] && inTime && noSecondEffect(h, t) && coldBears(h, t) && itsTurn(h)
-                && withinBudget(h) && withinLimit(h);
+        return t >= 0
+                && targets.usable[t]
+                && inTime
+                && noSecondEffect(h, t)
+                && coldBears(h, t)
+                && itsTurn(h)
+                && withinBudget(h)
+                && withinLimit(h);
     }
 
     private boolean noSecondEffect(Held h, int t) {
         if (h.outAt >= 0 || h.relays >= given.allowances().maxRelays()) {
             return false;
         }
-        boolean sameGroup = h.ranAt < 0 || switch (h.category.group()) {
-            case ALL -> true;
-            case ZONE -> targets.zone[t].equals(targets.zone[h.ranAt]);
-            case CELL -> targets.shardOf[t] == targets.shardOf[h.ranAt];
-        };
+        boolean sameGroup =
+                h.ranAt < 0
+                        || switch (h.category.group()) {
+                            case ALL -> true;
+                            case ZONE -> targets.zone[t].equals(targets.zone[h.ranAt]);
+                            case CELL -> targets.shardOf[t] == targets.shardOf[h.ranAt];
+                        };
         return mayRunAgain(h) && (sameGroup || h.category.repeats() == Repeats.HARMLESS);
     }
 
@@ -578,12 +685,15 @@
     }
 
     boolean isCold(int t) {
-        return bounds.fall() > 0 && targets.launched[t] > 0 && now < targets.launched[t] + bounds.cold();
+        return bounds.fall() > 0
+                && targets.launched[t] > 0
+                && now < targets.launched[t] + bounds.cold();
     }
 
     /**
-     * This initiator's even part of what a cold target bears; a former life may have sent all of it. It may
-     * have more if a probe just told how little waits: what all sent was then served, within its capacity.
+     * This initiator's even part of what a cold target bears; a former life may have sent all of
+     * it. It may have more if a probe just told how little waits: what all sent was then served,
+     * within its capacity.
      */
     private boolean coldBears(Held h, int t) {
         if (!isCold(t)) {
@@ -598,7 +708,8 @@
             againAt(startedAt + bounds.fall());
             return false;
         }
-        double missing = targets.spentAfter(t, now - bounds.fall()) + h.access.units() - coldPart(t);
+        double missing =
+                targets.spentAfter(t, now - bounds.fall()) + h.access.units() - coldPart(t);
         againAt(targets.firstSpent(t) + bounds.fall());
         againAt(missing > 0 ? filledAt(missing, coldGrowth()) : again);
         return missing <= 0;
@@ -611,10 +722,14 @@
         return 1e6 * bounds.coldBears() * grown / Math.max(1, given.initiators());
     }
 
-    /** The bound grows as the target warms, which is never slower than evenly; the window's start counts. */
+    /**
+     * The bound grows as the target warms, which is never slower than evenly; the window's start
+     * counts.
+     */
     private double coldPart(int t) {
         double share = bounds.coldShare();
-        double warmed = Math.max(0, now - bounds.fall() - targets.launched[t]) / (double) bounds.cold();
+        double warmed =
+                Math.max(0, now - bounds.fall() - targets.launched[t]) / (double) bounds.cold();
         double grown = share > 0 ? (share + (1 - share) * warmed) / share : 1;
         return bounds.coldBears() * grown / Math.max(1, given.initiators());
     }
@@ -627,7 +742,9 @@
     }
 
     private Turns turnsOf(Held h) {
-        return h.category.keyOrdered() && h.access.extent() != null ? turns.get(h.access.extent()) : null;
+        return h.category.keyOrdered() && h.access.extent() != null
+                ? turns.get(h.access.extent())
+                : null;
     }
 
     private boolean withinBudget(Held h) {
@@ -646,8 +763,10 @@
 
     private boolean budgetLeft() {
         long since = now - bounds.relayBudgetSpan();
-        return bounds.relayBudgetSpan() == 0 || further.after(since) + 1
-                <= bounds.relayBudgetFree() + bounds.relayBudgetShare() * taken.after(since);
+        return bounds.relayBudgetSpan() == 0
+                || further.after(since) + 1
+                        <= bounds.relayBudgetFree()
+                                + bounds.relayBudgetShare() * taken.after(since);
     }
 
     private boolean withinLimit(Held h) {
@@ -658,7 +777,10 @@
         return missing <= 0;
     }
 
-    /** A store follows the plan and hosts that are asked with: the time before is paid as those were. */
+    /**
+     * A store follows the plan and hosts that are asked with: the time before is paid as those
+     * were.
+     */
     private void openLimit(Held h) {
         settle(agenda.limit(h));
         follow(agenda.limit(h), h);
@@ -700,7 +822,8 @@
     /** What a store holds now. It is filled by time alone: to look at it changes nothing. */
     private double level(Store s, double rate, double depth) {
         double units = s == null ? 0 : s.units;
-        return Math.min(depth, units + rate * (now - Math.max(s == null ? 0 : s.at, startedAt)) / 1e6);
+        return Math.min(
+                depth, units + rate * (now - Math.max(s == null ? 0 : s.at, startedAt)) / 1e6);
     }
 
     private void drawOnReserve(Held h) {
@@ -768,7 +891,8 @@
             return;
         }
         if (aloneLag == 0 || isTold(t) && targets.crowd[t] < aloneLag) {
-            double part = took < aloneLag ? SMOOTHING : SMOOTHING / 8; // slow ones had others before them
+            double part =
+                    took < aloneLag ? SMOOTHING : SMOOTHING / 8; // slow ones had others before them
             aloneLag += (took - aloneLag) * (aloneLag == 0 ? 1 : part);
         }
         targets.took[t] = took;
@@ -783,10 +907,10 @@
     }
 
     /**
-     * Halves once a round trip: what was sent before the last halving tells of the time before it. Among a
-     * crowd, a refusal, a time-out or far too late an answer while hardly anything of its own is out tells of
-     * a queue that others fill: the target then rests, ever longer, for what does not fit. Could harm where
-     * answers are late by chance.
+     * Halves once a round trip: what was sent before the last halving tells of the time before it.
+     * Among a crowd, a refusal, a time-out or far too late an answer while hardly anything of its
+     * own is out tells of a queue that others fill: the target then rests, ever longer, for what
+     * does not fit. Could harm where answers are late by chance.
      */
     private void late(int t, Held h, long took) {
         if (h.sentAt < targets.halvedAt[t]) {
@@ -814,7 +938,9 @@
         targets.nextTrial[t] = 0;
     }
 
-    /** A target that owes answers and gave none for far longer than of late gets trials, ever later. */
+    /**
+     * A target that owes answers and gave none for far longer than of late gets trials, ever later.
+     */
     private void watchForSilence(int t) {
         long quiet = Math.max(now - Math.max(resumedAt, targets.heardAt[t]), shortestAgreed / 2);
         if (targets.nextTrial[t] == 0 && targets.out[t] > 0 && quiet > patience(t)) {
@@ -834,8 +960,9 @@
     }
 
     /**
-     * A relay that later ones overtook long ago is presumed lost. Guards the window against whatever vanishes
-     * one by one. Could harm where a target serves in no order; so one-shot accesses are let wait.
+     * A relay that later ones overtook long ago is presumed lost. Guards the window against
+     * whatever vanishes one by one. Could harm where a target serves in no order; so one-shot
+     * accesses are let wait.
      */
     private void watchForLoss(Held h) {
         int t = h.outAt;
@@ -852,8 +979,8 @@
     }
 
     /**
-     * Guards against a target that hangs, pauses long, is down or cannot be reached, whatever the list says;
-     * any answer ends it. Could harm where single connections fail by chance.
+     * Guards against a target that hangs, pauses long, is down or cannot be reached, whatever the
+     * list says; any answer ends it. Could harm where single connections fail by chance.
      */
     private void fallSilent(int t) {
         if (targets.nextTrial[t] == 0) {
@@ -875,13 +1002,18 @@
             agenda.upsetAll(); // cold targets may now bear more
         }
         double unanswered = isCold(t) ? shortestAgreed : 0;
-        told(t, answered ? Math.max(e.lag(), e.waiting() * aloneLag) : unanswered, shortestAgreed / 2);
+        told(
+                t,
+                answered ? Math.max(e.lag(), e.waiting() * aloneLag) : unanswered,
+                shortestAgreed / 2);
     }
 
     /** Further relays are made as often as recent ones succeeded. */
     private boolean worthAnother(Held h, int t) {
         boolean inTime = now + targets.lag[t] < h.agreedAt;
-        return mayRunAgain(h) && h.relays < given.allowances().maxRelays() && inTime
+        return mayRunAgain(h)
+                && h.relays < given.allowances().maxRelays()
+                && inTime
                 && chance.nextDouble() < Math.max(LEAST_FURTHER, furtherSuccess);
     }
 
--- a/core/src/main/java/milletyoke/Forgetting.java
+++ b/core/src/main/java/milletyoke/Forgetting.java
@@ -18,27 +18,34 @@
 import milletyoke.State.Volume;
 
 /**
- * Lets go of what volumes, keys, targets and shards leave behind, so that years of service need no more memory than what is
- * in use does. Without a clock: it is told the time. Each kind goes only once its absence says the same, or less in favour
- * of whoever returns:
+ * Lets go of what volumes, keys, targets and shards leave behind, so that years of service need no
+ * more memory than what is in use does. Without a clock: it is told the time. Each kind goes only
+ * once its absence says the same, or less in favour of whoever returns:
+ *
  * <ul>
- * <li>a volume: no access of it is held, no node has a reservation of it, and a store opened anew would hold no more than those it has;
- * <li>a reservation: its queue is empty, and the virtual time is at its finish tag, or is brought there while nobody waits
- * at the node (start-time fair queueing does so at the end of each busy time); one made later starts with the highest extra
- * tag of those let go here, so nobody comes back with a lower one;
- * <li>a key: nobody waits for it and its rest is over;
- * <li>a target: not usable for long, and no access held has a relay out there or one that may have run there;
- * <li>a shard: nobody holds it, waits for it, or has a reservation there.
+ *   <li>a volume: no access of it is held, no node has a reservation of it, and a store opened anew
+ *       would hold no more than those it has;
+ *   <li>a reservation: its queue is empty, and the virtual time is at its finish tag, or is brought
+ *       there while nobody waits at the node (start-time fair queueing does so at the end of each
+ *       busy time); one made later starts with the highest extra tag of those let go here, so
+ *       nobody comes back with a lower one;
+ *   <li>a key: nobody waits for it and its rest is over;
+ *   <li>a target: not usable for long, and no access held has a relay out there or one that may
+ *       have run there;
+ *   <li>a shard: nobody holds it, waits for it, or has a reservation there.
  * </ul>
  */
 final class Forgetting {
     /** Volumes and targets are kept at least this long after their last use (microseconds). */
     static final long AFTER = 600_000_000;
+
     /** Between looks at targets and shards. */
     static final long SWEEP = AFTER / 10;
+
     /**
-     * So many volumes and reservations are looked at in a turn, and for each event of it: no turn pays for what a quiet hour
-     * left, and what large turns bring goes as fast as it comes (an event makes two at most, and each may need two looks).
+     * So many volumes and reservations are looked at in a turn, and for each event of it: no turn
+     * pays for what a quiet hour left, and what large turns bring goes as fast as it comes (an
+     * event makes two at most, and each may need two looks).
      */
     private static final int A_TURN = 8, AN_EVENT = 4;
 
@@ -47,14 +54,23 @@
     private final Map<String, Integer> indexOf;
     private final Map<String, Turns> turns;
     private final Collection<Held> held;
+
     /** What stores hold now, by the plans that fill them. */
     private final ToDoubleFunction<Store> limits;
+
     private final ToDoubleFunction<Store> reserves;
-    private final PriorityQueue<Turns> resting = new PriorityQueue<>((a, b) -> Long.compare(a.lookAt, b.lookAt));
+    private final PriorityQueue<Turns> resting =
+            new PriorityQueue<>((a, b) -> Long.compare(a.lookAt, b.lookAt));
     private long sweepAt;
 
-    Forgetting(Agenda agenda, Targets targets, Map<String, Integer> indexOf, Map<String, Turns> turns, Collection<Held> held,
-            ToDoubleFunction<Store> limits, ToDoubleFunction<Store> reserves) {
+    Forgetting(
+            Agenda agenda,
+            Targets targets,
+            Map<String, Integer> indexOf,
+            Map<String, Turns> turns,
+            Collection<Held> held,
+            ToDoubleFunction<Store> limits,
+            ToDoubleFunction<Store> reserves) {
         this.agenda = agenda;
         this.targets = targets;
         this.indexOf = indexOf;
@@ -73,8 +89,9 @@
     }
 
     /**
-     * Guards the order of looks against a rest that is made longer meanwhile: its key would stand before others for as long
-     * as it keeps timing out, and none of them would go. So the time of a look stays as it was set, and is set anew then.
+     * Guards the order of looks against a rest that is made longer meanwhile: its key would stand
+     * before others for as long as it keeps timing out, and none of them would go. So the time of a
+     * look stays as it was set, and is set anew then.
      */
     private void lookAtKeys(long now) {
         while (!resting.isEmpty() && resting.peek().lookAt <= now) {
@@ -88,14 +105,21 @@
         }
     }
 
-    /** @param events of this turn */
+    /**
+     * @param events of this turn
+     */
     void turn(long now, int events) {
         lookAtKeys(now);
         int looks = A_TURN + AN_EVENT * events;
-        for (int i = 0; i < looks && !agenda.kept.isEmpty() && agenda.kept.peekFirst().lookAt(AFTER) <= now; i++) {
+        for (int i = 0;
+                i < looks && !agenda.kept.isEmpty() && agenda.kept.peekFirst().lookAt(AFTER) <= now;
+                i++) {
             Kept oldest = agenda.kept.pollFirst();
-            boolean gone = oldest.usedAt + AFTER <= now
-                    && (oldest instanceof Volume v ? forgets(v) : forgets((Reservation) oldest));
+            boolean gone =
+                    oldest.usedAt + AFTER <= now
+                            && (oldest instanceof Volume v
+                                    ? forgets(v)
+                                    : forgets((Reservation) oldest));
             if (!gone) {
                 oldest.lookedAt = now;
                 agenda.kept.addLast(oldest);
@@ -108,8 +132,10 @@
     }
 
     private boolean forgets(Volume v) {
-        boolean gains = v.limit != null && holdsLess(limits, v.limit, agenda.opened(v.limit))
-                || v.reserve != null && holdsLess(reserves, v.reserve, new Store(v.reserve));
+        boolean gains =
+                v.limit != null && holdsLess(limits, v.limit, agenda.opened(v.limit))
+                        || v.reserve != null
+                                && holdsLess(reserves, v.reserve, new Store(v.reserve));
         boolean gone = v.held == 0 && v.reservations == 0 && !gains;
         if (gone) {
             agenda.forget(v);
@@ -124,7 +150,8 @@
     private boolean forgets(Reservation r) {
         Node node = r.node;
         boolean quiet = node.waiting == 0;
-        boolean behind = r.finish <= node.virtualTime && !quiet && r.extra <= node.byExtra.first().extra;
+        boolean behind =
+                r.finish <= node.virtualTime && !quiet && r.extra <= node.byExtra.first().extra;
         if (!r.queue.isEmpty() || !quiet && !behind) {
             return false;
         }
@@ -148,7 +175,11 @@
             nodesNeeded.add(h.node);
         }
         for (int t = 0; t < targets.count; t++) {
-            boolean kept = targets.id[t] == null || targets.usable[t] || needed.get(t) || targets.usableAt[t] == 0;
+            boolean kept =
+                    targets.id[t] == null
+                            || targets.usable[t]
+                            || needed.get(t)
+                            || targets.usableAt[t] == 0;
             targets.usableAt[t] = kept ? now : targets.usableAt[t];
             if (now - targets.usableAt[t] >= AFTER) {
                 indexOf.remove(targets.id[t]);
@@ -157,7 +188,10 @@
             }
         }
         for (Node n : List.copyOf(agenda.nodes())) {
-            if (n.waiting == 0 && n.listed.isEmpty() && n.reservations.isEmpty() && !nodesNeeded.contains(n)) {
+            if (n.waiting == 0
+                    && n.listed.isEmpty()
+                    && n.reservations.isEmpty()
+                    && !nodesNeeded.contains(n)) {
                 agenda.forget(n);
             }
         }
--- a/core/src/main/java/milletyoke/State.java
+++ b/core/src/main/java/milletyoke/State.java
@@ -16,10 +16,12 @@
 
 /** What the module keeps, as plain data. */
 final class State {
-    private State() {
-    }
+    private State() {}
 
-    /** Figures about targets, in parallel arrays under a dense index that lasts one life of the initiator. */
+    /**
+     * Figures about targets, in parallel arrays under a dense index that lasts one life of the
+     * initiator.
+     */
     static final class Targets {
         int count;
         String[] id = {};
@@ -27,36 +29,60 @@
         int[] shardOf = {};
         boolean[] usable = {};
         long[] launched = {};
+
         /** Relays out; those of an earlier life, or presumed lost, are not counted. */
         int[] out = {};
+
         int[] life = {};
         double[] window = {};
+
         /** The usual lag of an answer. */
         double[] lag = {};
+
         /** What the latest answer took. */
         long[] took = {};
+
         long[] heardAt = {};
+
         /** When the latest answered relay was sent, and when the window was last halved. */
         long[] answeredSent = {};
+
         long[] halvedAt = {};
-        /** When a silent target is tried again, 0 for one that is not silent; and whether one access may try now. */
+
+        /**
+         * When a silent target is tried again, 0 for one that is not silent; and whether one access
+         * may try now.
+         */
         long[] nextTrial = {};
+
         boolean[] mayTry = {};
+
         /** When a probe left that has no answer yet, 0 for none. */
         long[] askedAt = {};
-        /** The waiting that was told of, until when that holds, the draw made with it, and how long a rest is now. */
+
+        /**
+         * The waiting that was told of, until when that holds, the draw made with it, and how long
+         * a rest is now.
+         */
         double[] crowd = {};
+
         long[] toldUntil = {};
         double[] bar = {};
         long[] rest = {};
         final List<ArrayDeque<Spent>> coldSpent = new ArrayList<>();
+
         /** When it was last found usable, or needed; 0 where nobody has looked yet. */
         long[] usableAt = {};
+
         /** Indexes whose target was forgotten. */
         private final ArrayDeque<Integer> free = new ArrayDeque<>();
+
         /** Accesses whose relay is out there and not presumed lost, in the order of sending. */
         final List<ArrayList<Held>> outs = new ArrayList<>();
-        /** When what is owed there is to be looked at again: no later than it can be silent or lost. */
+
+        /**
+         * When what is owed there is to be looked at again: no later than it can be silent or lost.
+         */
         final Timetable due = new Timetable();
 
         int add(String name) {
@@ -155,15 +181,17 @@
 
         /** When the first of those was sent; far off where there is none. */
         long firstSpent(int t) {
-            return coldSpent.get(t).isEmpty() ? Timetable.NEVER / 2 : coldSpent.get(t).peekFirst().at();
+            return coldSpent.get(t).isEmpty()
+                    ? Timetable.NEVER / 2
+                    : coldSpent.get(t).peekFirst().at();
         }
     }
 
     /**
-     * A bound kept somewhat above a figure that moves, so that times reckoned with the bound come no later than those
-     * reckoned with the figure. It goes down at once a second at most and never up unnoticed. Guards against times that
-     * rest on a bound since passed: one that went up quietly left accesses waiting past their agreed time for
-     * milliseconds.
+     * A bound kept somewhat above a figure that moves, so that times reckoned with the bound come
+     * no later than those reckoned with the figure. It goes down at once a second at most and never
+     * up unnoticed. Guards against times that rest on a bound since passed: one that went up
+     * quietly left accesses waiting past their agreed time for milliseconds.
      */
     static final class Ceiling {
         private static final double ABOVE = 1.25;
@@ -171,7 +199,10 @@
         double most;
         private long lowerAt;
 
-        /** Whether the figure is above; the bound is then raised, and what rests on it is to be looked at again. */
+        /**
+         * Whether the figure is above; the bound is then raised, and what rests on it is to be
+         * looked at again.
+         */
         boolean outgrownBy(double figure, long now) {
             boolean outgrown = figure > most;
             if (outgrown || now >= lowerAt) {
@@ -203,44 +234,75 @@
     /** One access from taking to its final answer, and on until its last relay has an outcome. */
     static final class Held {
         static final Comparator<Held> BY_TAKING = (a, b) -> Long.compare(a.taken, b.taken);
-        /** Inside one volume importance goes first, then the newest; then who came to the queue first. */
-        static final Comparator<Held> INSIDE = (a, b) -> {
-            int byImportance = Double.compare(b.category.importance(), a.category.importance());
-            int byAge = byImportance != 0 ? byImportance : Long.compare(b.firstTaken, a.firstTaken);
-            return byAge != 0 ? byAge : Long.compare(a.queued, b.queued);
-        };
+
+        /**
+         * Inside one volume importance goes first, then the newest; then who came to the queue
+         * first.
+         */
+        static final Comparator<Held> INSIDE =
+                (a, b) -> {
+                    int byImportance =
+                            Double.compare(b.category.importance(), a.category.importance());
+                    int byAge =
+                            byImportance != 0
+                                    ? byImportance
+                                    : Long.compare(b.firstTaken, a.firstTaken);
+                    return byAge != 0 ? byAge : Long.compare(a.queued, b.queued);
+                };
+
         /** At one node: by the order in which reservations were made, then as inside a volume. */
-        static final Comparator<Held> AT_NODE = (a, b) -> {
-            int byVolume = Long.compare(a.reservation.made, b.reservation.made);
-            return byVolume != 0 ? byVolume : INSIDE.compare(a, b);
-        };
-        static final Comparator<Held> BY_AGREED = (a, b) -> {
-            int byTime = Long.compare(a.agreedAt, b.agreedAt);
-            return byTime != 0 ? byTime : Long.compare(a.queued, b.queued);
-        };
+        static final Comparator<Held> AT_NODE =
+                (a, b) -> {
+                    int byVolume = Long.compare(a.reservation.made, b.reservation.made);
+                    return byVolume != 0 ? byVolume : INSIDE.compare(a, b);
+                };
+
+        static final Comparator<Held> BY_AGREED =
+                (a, b) -> {
+                    int byTime = Long.compare(a.agreedAt, b.agreedAt);
+                    return byTime != 0 ? byTime : Long.compare(a.queued, b.queued);
+                };
 
         final Event.Access access;
-        /** Its place in the order of taking, and among all that came to a queue, the latest time it did. */
+
+        /**
+         * Its place in the order of taking, and among all that came to a queue, the latest time it
+         * did.
+         */
         final long taken;
+
         long queued;
         final Category category;
         final Volume volume;
         Plan plan;
         Node node;
+
         /** Where it waits or last waited; null before. */
         Reservation reservation;
+
         long firstTaken;
         long agreedAt;
         long abandonAt;
-        /** When, to which target and in which life of it the latest relay left; -1 once that has its outcome. */
+
+        /**
+         * When, to which target and in which life of it the latest relay left; -1 once that has its
+         * outcome.
+         */
         long sentAt;
+
         int outAt = -1;
         int outLife;
         int relays;
-        /** The target of the first relay that may have run, -1 while there is none, and when that relay left. */
+
+        /**
+         * The target of the first relay that may have run, -1 while there is none, and when that
+         * relay left.
+         */
         int ranAt = -1;
+
         long ranSince;
         boolean answered;
+
         /** Its relay is out, and presumed lost. */
         boolean lost;
 
@@ -283,6 +345,7 @@
     abstract static class Kept {
         /** When it was last used, and last looked at by who forgets. */
         long usedAt;
+
         long lookedAt;
 
         long lookAt(long after) {
@@ -292,17 +355,28 @@
 
     /** What is kept of one volume, whichever nodes it goes to. */
     static final class Volume extends Kept {
-        /** Accesses held, and reservations at nodes: these are found by it, so it goes after them. */
+        /**
+         * Accesses held, and reservations at nodes: these are found by it, so it goes after them.
+         */
         int held;
+
         int reservations;
         final String name;
+
         /** Its stores, null before they are first used. */
         Store limit;
+
         Store reserve;
-        /** With which plan, and through how many hosts, it was last asked for; and whether that ever changed. */
+
+        /**
+         * With which plan, and through how many hosts, it was last asked for; and whether that ever
+         * changed.
+         */
         private String plan;
+
         private int hosts;
         boolean mixed;
+
         /** Its reservations that wait, the earlier made first. */
         final TreeSet<Reservation> waiting = new TreeSet<>(Reservation.BY_MAKING);
 
@@ -328,30 +402,49 @@
     static final class Node {
         /** Its place in the order of making. */
         final int made;
+
         final int slot;
         final int shard;
+
         /** The extra tag that a reservation starts with: the highest of those forgotten here. */
         double firstExtra;
+
         int target = -1;
         int waiting;
         double virtualTime;
         final Map<Volume, Reservation> reservations = new HashMap<>();
-        /** Targets that the list last named for this shard, usable or not, in the order of their index. */
+
+        /**
+         * Targets that the list last named for this shard, usable or not, in the order of their
+         * index.
+         */
         final TreeSet<Integer> listed = new TreeSet<>();
 
         /** Reservations that wait, by extra tag; and how many of each weight. */
         final TreeSet<Reservation> byExtra = new TreeSet<>(Reservation.BY_EXTRA);
+
         private final TreeMap<Double, Integer> weights = new TreeMap<>();
-        /** Those that may have an access to send, by finish tag; and those that may be owed, too. */
+
+        /**
+         * Those that may have an access to send, by finish tag; and those that may be owed, too.
+         */
         final TreeSet<Reservation> ready = new TreeSet<>(Reservation.BY_FINISH);
+
         final TreeSet<Reservation> owed = new TreeSet<>(Reservation.BY_FINISH);
-        /** Those not in both of these that time alone may bring back, by when to look at them again. */
+
+        /**
+         * Those not in both of these that time alone may bring back, by when to look at them again.
+         */
         final TreeSet<Reservation> parked = new TreeSet<>(Reservation.BY_LOOK);
-        /** More than one volume's own affairs may have changed here since what is parked was parked. */
+
+        /**
+         * More than one volume's own affairs may have changed here since what is parked was parked.
+         */
         boolean changed;
 
         /** Accesses that wait here, by agreed time, and by extent where they may join others. */
         final TreeSet<Held> byAgreed = new TreeSet<>(Held.BY_AGREED);
+
         final Map<String, TreeSet<Held>> byExtent = new HashMap<>();
 
         Node(int made, int slot, int shard) {
@@ -385,8 +478,9 @@
         }
 
         /**
-         * After its queue or its start tag changed: files it under the finish tag it then has, or out of every order where
-         * nobody waits. What did not change keeps its place; it is to be looked at in any case.
+         * After its queue or its start tag changed: files it under the finish tag it then has, or
+         * out of every order where nobody waits. What did not change keeps its place; it is to be
+         * looked at in any case.
          */
         void refile(Reservation r) {
             if (!r.filed || r.queue.isEmpty()) {
@@ -410,7 +504,8 @@
             return weights.firstKey();
         }
 
-        // A reservation knows in which of these it is, so that it need not be looked for in the others.
+        // A reservation knows in which of these it is, so that it need not be looked for in the
+        // others.
 
         private void look(Reservation r) {
             if (!r.isReady) {
@@ -462,7 +557,10 @@
             }
         }
 
-        /** Those whose agreed time is before {@code time}, in the order of reservations and inside them. */
+        /**
+         * Those whose agreed time is before {@code time}, in the order of reservations and inside
+         * them.
+         */
         List<Held> lateBy(double time) {
             List<Held> late = new ArrayList<>();
             for (Held h : byAgreed) {
@@ -505,19 +603,23 @@
             }
         }
 
-        /** The widest gap between extra tags of those that wait, with one of them a step further. */
+        /**
+         * The widest gap between extra tags of those that wait, with one of them a step further.
+         */
         double gap(Reservation one, double step) {
             double own = one.extra + step;
             Reservation low = byExtra.first() == one ? byExtra.higher(one) : byExtra.first();
             Reservation high = byExtra.last() == one ? byExtra.lower(one) : byExtra.last();
-            return Math.max(own, high == null ? own : high.extra) - Math.min(own, low == null ? own : low.extra);
+            return Math.max(own, high == null ? own : high.extra)
+                    - Math.min(own, low == null ? own : low.extra);
         }
 
         void queue(Held h, Reservation r) {
             r.queue.add(h);
             byAgreed.add(h);
             if (h.access.extent() != null && !h.category.keyOrdered()) {
-                byExtent.computeIfAbsent(h.access.extent(), x -> new TreeSet<>(Held.AT_NODE)).add(h);
+                byExtent.computeIfAbsent(h.access.extent(), x -> new TreeSet<>(Held.AT_NODE))
+                        .add(h);
             }
             waiting++;
         }
@@ -536,13 +638,19 @@
     /** A volume's reservation queue at one node, with its three tags. */
     static final class Reservation extends Kept {
         static final Comparator<Reservation> BY_MAKING = (a, b) -> Long.compare(a.made, b.made);
+
         /** The one tie-break of tags: who was made first. */
-        static final Comparator<Reservation> BY_FINISH = (a, b) -> order(Double.compare(a.finish, b.finish), a, b);
-        static final Comparator<Reservation> BY_EXTRA = (a, b) -> order(Double.compare(a.extra, b.extra), a, b);
-        static final Comparator<Reservation> BY_LOOK = (a, b) -> order(Long.compare(a.lookAt, b.lookAt), a, b);
+        static final Comparator<Reservation> BY_FINISH =
+                (a, b) -> order(Double.compare(a.finish, b.finish), a, b);
+
+        static final Comparator<Reservation> BY_EXTRA =
+                (a, b) -> order(Double.compare(a.extra, b.extra), a, b);
+        static final Comparator<Reservation> BY_LOOK =
+                (a, b) -> order(Long.compare(a.lookAt, b.lookAt), a, b);
 
         /** Its place in the order of making, over all nodes. */
         final long made;
+
         final Node node;
         final Volume volume;
         final TreeSet<Held> queue = new TreeSet<>(Held.INSIDE);
@@ -550,8 +658,10 @@
         double start;
         double finish;
         double extra;
+
         /** While it is parked: when to look at it again. */
         long lookAt;
+
         /** In which orders of its node it is now. */
         private boolean filed, isReady, isOwed, isParked;
 
@@ -589,8 +699,10 @@
     static final class Store {
         double units;
         long at;
+
         /** Whose plan fills it, and among how many hosts; null until it is first used. */
         String plan;
+
         double hosts;
 
         /** One that starts empty. */
@@ -636,6 +748,7 @@
         final TreeSet<Held> order = new TreeSet<>(Held.BY_TAKING);
         final String extent;
         long restUntil;
+
         /** When who forgets looks at it next; 0 where it does not. */
         long lookAt;
 
--- a/core/src/main/java/milletyoke/Timetable.java
+++ b/core/src/main/java/milletyoke/Timetable.java
@@ -3,12 +3,14 @@
 import java.util.Arrays;
 
 /**
- * When each of what has a dense index is due next: a binary heap that knows the place of each index, so that to set a
- * time, or to take it back, costs the logarithm of how many are set. Decides nothing. One thread.
+ * When each of what has a dense index is due next: a binary heap that knows the place of each
+ * index, so that to set a time, or to take it back, costs the logarithm of how many are set.
+ * Decides nothing. One thread.
  */
 final class Timetable {
     /** Set for what is not due at all. */
     static final long NEVER = Long.MAX_VALUE;
+
     private long[] at = {};
     private int[] place = {};
     private int[] heap = new int[16];
--- a/core/src/test/java/milletyoke/ColdFleetTest.java
+++ b/core/src/test/java/milletyoke/ColdFleetTest.java
@@ -17,16 +17,23 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * One target comes back cold under the demand of a whole fleet, each initiator deciding alone, some of them restarted meanwhile:
- * in no window of the stated length does it get more than its budget of N and 2 x root of N + 2 beside. No sockets, virtual time.
+ * One target comes back cold under the demand of a whole fleet, each initiator deciding alone, some
+ * of them restarted meanwhile: in no window of the stated length does it get more than its budget
+ * of N and 2 x root of N + 2 beside. No sockets, virtual time.
  */
 class ColdFleetTest {
-    private static final long STEP = 2_000, FALL = 1_000_000, COLD = 10_000_000, AIM = 400_000, TTL = 2_500_000;
+    private static final long STEP = 2_000,
+            FALL = 1_000_000,
+            COLD = 10_000_000,
+            AIM = 400_000,
+            TTL = 2_500_000;
     private static final double TIP = 2, SHARE = 0.35;
 
     private record Due(long at, long number, Runnable task) {}
 
-    /** A target that serves in turn of arrival, with a capacity that grows evenly (units a second). */
+    /**
+     * A target that serves in turn of arrival, with a capacity that grows evenly (units a second).
+     */
     private final class Target {
         final double full;
         final long born;
@@ -43,7 +50,8 @@
         }
 
         double capacity() {
-            return full * Math.min(1, SHARE + (1 - SHARE) * Math.max(0, now - born) / (double) COLD);
+            return full
+                    * Math.min(1, SHARE + (1 - SHARE) * Math.max(0, now - born) / (double) COLD);
         }
 
         /** Microseconds until what is put in now is served. */
@@ -58,14 +66,18 @@
                 }
                 double window = sent.stream().mapToDouble(s -> s[1]).sum();
                 double n = TIP * capacity() * FALL / 1e6;
-                worst = now < born + COLD ? Math.max(worst, window - (n + 2 * Math.sqrt(n) + 2)) : worst;
+                worst =
+                        now < born + COLD
+                                ? Math.max(worst, window - (n + 2 * Math.sqrt(n) + 2))
+                                : worst;
             }
             return (long) (backlog / capacity() * 1e6);
         }
     }
 
-    private final PriorityQueue<Due> queue = new PriorityQueue<>(
-            java.util.Comparator.comparingLong(Due::at).thenComparingLong(Due::number));
+    private final PriorityQueue<Due> queue =
+            new PriorityQueue<>(
+                    java.util.Comparator.comparingLong(Due::at).thenComparingLong(Due::number));
     private final Map<String, double[]> open = new HashMap<>();
     private long now = 1_000_000, numbers;
 
@@ -90,7 +102,9 @@
             decide = new Decide();
             life++;
             relays.clear();
-            events = new ArrayList<>(List.of(new Event.Start(name.hashCode() * 31L + life, given), list));
+            events =
+                    new ArrayList<>(
+                            List.of(new Event.Start(name.hashCode() * 31L + life, given), list));
             turn();
         }
 
@@ -104,12 +118,14 @@
 
         void later(long in, Event event) {
             int of = life;
-            at(now + in, () -> {
-                if (of == life) {
-                    events.add(event);
-                    turn();
-                }
-            });
+            at(
+                    now + in,
+                    () -> {
+                        if (of == life) {
+                            events.add(event);
+                            turn();
+                        }
+                    });
         }
 
         void carryOut(Action action) {
@@ -119,12 +135,26 @@
                 double units = open.get(a.id())[0];
                 long took = 400 + t.put(units, true);
                 boolean inTime = now + took < a.giveUpAt();
-                later(inTime ? took : a.giveUpAt() - now,
-                        new Event.Ended(a.id(), n, inTime, inTime ? Outcome.SUCCEEDED : Outcome.TIMED_OUT, took));
+                later(
+                        inTime ? took : a.giveUpAt() - now,
+                        new Event.Ended(
+                                a.id(),
+                                n,
+                                inTime,
+                                inTime ? Outcome.SUCCEEDED : Outcome.TIMED_OUT,
+                                took));
             } else if (action instanceof Action.Probe a) {
-                long took = 400 + targets.get(a.target()).put(0.01, false); // it waits in turn, and costs little
-                later(Math.min(took, 250_000), new Event.Probed(a.target(), took < 250_000 ? Outcome.SUCCEEDED
-                        : Outcome.TIMED_OUT, took, -1));
+                long took =
+                        400
+                                + targets.get(a.target())
+                                        .put(0.01, false); // it waits in turn, and costs little
+                later(
+                        Math.min(took, 250_000),
+                        new Event.Probed(
+                                a.target(),
+                                took < 250_000 ? Outcome.SUCCEEDED : Outcome.TIMED_OUT,
+                                took,
+                                -1));
             } else if (action instanceof Action.Wake a) {
                 later(a.in(), new Event.Alarm());
             }
@@ -142,14 +172,34 @@
     }
 
     private static Provisioning provisioning(int initiators, double bears, boolean probes) {
-        return new Provisioning(initiators, List.of(new Provisioning.Category("c", Provisioning.Repeats.HARMLESS,
-                Provisioning.Group.CELL, 0, false, AIM, 1)), List.of(new Provisioning.Plan("p", 0, 1, 0, 0, 0)),
+        return new Provisioning(
+                initiators,
+                List.of(
+                        new Provisioning.Category(
+                                "c",
+                                Provisioning.Repeats.HARMLESS,
+                                Provisioning.Group.CELL,
+                                0,
+                                false,
+                                AIM,
+                                1)),
+                List.of(new Provisioning.Plan("p", 0, 1, 0, 0, 0)),
                 new Provisioning.Allowances(3, probes, true, true, 500_000),
-                new Provisioning.Bounds(0, COLD, SHARE, bears, FALL, TIP, 0, 0, 0, 0), false);
+                new Provisioning.Bounds(0, COLD, SHARE, bears, FALL, TIP, 0, 0, 0, 0),
+                false);
     }
 
-    /** @return the largest excess over the bound in any window, and how many accesses were served */
-    private double[] play(int initiators, double full, double demand, int restarts, boolean probes, boolean uneven, long seed) {
+    /**
+     * @return the largest excess over the bound in any window, and how many accesses were served
+     */
+    private double[] play(
+            int initiators,
+            double full,
+            double demand,
+            int restarts,
+            boolean probes,
+            boolean uneven,
+            long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
         double bears = TIP * SHARE * full * FALL / 1e6;
         long born = now + 3_000_000;
@@ -161,26 +211,35 @@
         targets.put("new", cold);
         List<Initiator> fleet = new ArrayList<>();
         Event.Target warm = new Event.Target(1, "warm", "z", Event.Health.ON, 0);
-        Event.TargetList before = new Event.TargetList(Event.Scope.REPLACE,
-                List.of(new Event.Target(0, "old", "z", Event.Health.ON, 0), warm));
-        Event.TargetList after = new Event.TargetList(Event.Scope.REPLACE,
-                List.of(new Event.Target(0, "new", "z", Event.Health.ON, born), warm));
+        Event.TargetList before =
+                new Event.TargetList(
+                        Event.Scope.REPLACE,
+                        List.of(new Event.Target(0, "old", "z", Event.Health.ON, 0), warm));
+        Event.TargetList after =
+                new Event.TargetList(
+                        Event.Scope.REPLACE,
+                        List.of(new Event.Target(0, "new", "z", Event.Health.ON, born), warm));
         for (int i = 0; i < initiators; i++) {
             Initiator one = new Initiator("i" + i, provisioning(initiators, bears, probes));
             fleet.add(one);
             one.start(before);
-            at(born + 10_000 + chance.nextLong(400_000), () -> {
-                one.events.add(after);
-                one.turn();
-            });
+            at(
+                    born + 10_000 + chance.nextLong(400_000),
+                    () -> {
+                        one.events.add(after);
+                        one.turn();
+                    });
         }
         for (int r = 0; r < restarts; r++) {
             Initiator one = fleet.get(r);
             at(born + 1_000_000 + chance.nextLong(6_000_000), () -> one.start(after));
         }
         for (long t = now; t < born + COLD; t += (long) (1e6 / demand)) {
-            Initiator one = fleet.get(uneven && chance.nextInt(3) > 0 ? chance.nextInt(Math.max(1, initiators / 5))
-                    : chance.nextInt(initiators));
+            Initiator one =
+                    fleet.get(
+                            uneven && chance.nextInt(3) > 0
+                                    ? chance.nextInt(Math.max(1, initiators / 5))
+                                    : chance.nextInt(initiators));
             double units = uneven ? 0.4 + 1.2 * chance.nextDouble() : 1;
             int shard = chance.nextInt(2);
             at(t + chance.nextLong(20_000), () -> ask(one, shard, units));
@@ -193,12 +252,31 @@
         return new double[] {cold.worst, cold.inAll};
     }
 
-    /** Three seeds each: a fleet of 3 has even parts of whole accesses, one of 100 a fifth of one, and only lots. */
+    /**
+     * Three seeds each: a fleet of 3 has even parts of whole accesses, one of 100 a fifth of one,
+     * and only lots.
+     */
     @ParameterizedTest
-    @CsvSource({"3,30,60,0,true,false", "20,30,80,0,true,false", "30,30,80,8,true,false", "30,30,200,8,true,true",
-        "100,40,200,30,true,true", "20,30,80,6,false,false", "30,60,200,8,false,true", "25,12,60,6,true,true",
-        "100,30,80,0,false,false", "100,12,200,30,false,false", "30,12,200,8,false,false", "40,8,100,12,true,false"})
-    void theFleetTogetherKeepsUnderTheBound(int initiators, double full, double demand, int restarts, boolean probes,
+    @CsvSource({
+        "3,30,60,0,true,false",
+        "20,30,80,0,true,false",
+        "30,30,80,8,true,false",
+        "30,30,200,8,true,true",
+        "100,40,200,30,true,true",
+        "20,30,80,6,false,false",
+        "30,60,200,8,false,true",
+        "25,12,60,6,true,true",
+        "100,30,80,0,false,false",
+        "100,12,200,30,false,false",
+        "30,12,200,8,false,false",
+        "40,8,100,12,true,false"
+    })
+    void theFleetTogetherKeepsUnderTheBound(
+            int initiators,
+            double full,
+            double demand,
+            int restarts,
+            boolean probes,
             boolean uneven) {
         for (long seed = 11; seed < 14; seed++) {
             double excess = play(initiators, full, demand, restarts, probes, uneven, seed)[0];
@@ -207,12 +285,13 @@
     }
 
     /**
-     * The even part of 100 initiators is 21 / 100 of a mean access at first and 60 / 100 in the end: none can ever be sent by it.
-     * By lots some are.
+     * The even part of 100 initiators is 21 / 100 of a mean access at first and 60 / 100 in the
+     * end: none can ever be sent by it. By lots some are.
      */
     @ParameterizedTest
     @CsvSource({"30,80,true,90", "100,80,true,40", "100,80,false,30", "100,30,false,8"})
-    void aColdTargetIsNotStarvedByHowManyThereAre(int initiators, double demand, boolean probes, double least) {
+    void aColdTargetIsNotStarvedByHowManyThereAre(
+            int initiators, double demand, boolean probes, double least) {
         double sent = 0;
         for (long seed = 11; seed < 14; seed++) {
             sent += play(initiators, 30, demand, 0, probes, false, seed)[1] / 3;
--- a/core/src/test/java/milletyoke/DifferentialTest.java
+++ b/core/src/test/java/milletyoke/DifferentialTest.java
@@ -7,8 +7,8 @@
 import java.nio.file.Path;
 import java.security.MessageDigest;
 import java.util.ArrayList;
-import java.util.List;
 import java.util.HexFormat;
+import java.util.List;
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 import milletyoke.port.Action;
@@ -27,17 +27,24 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The module beside the one from before its work was put in step with what happens (package reference): the same long
- * random streams of events, and equal actions call by call.
+ * The module beside the one from before its work was put in step with what happens (package
+ * reference): the same long random streams of events, and equal actions call by call.
  */
 class DifferentialTest {
-    /** A random world that answers what the module does; it knows nothing of which module that is. */
+    /**
+     * A random world that answers what the module does; it knows nothing of which module that is.
+     */
     private static final class World {
         private SplittableRandom chance;
         final Provisioning given;
         final int shards, volumes;
-        /** Whether a volume keeps its plan and hosts, as in service; and whether some accesses are far larger than others. */
+
+        /**
+         * Whether a volume keeps its plan and hosts, as in service; and whether some accesses are
+         * far larger than others.
+         */
         final boolean steady, uneven;
+
         final List<Action.Relay> out = new ArrayList<>();
         final List<String> probes = new ArrayList<>();
         final java.util.Map<String, Integer> relays = new java.util.HashMap<>();
@@ -51,17 +58,49 @@
             boolean cold = chance.nextBoolean();
             steady = chance.nextBoolean();
             uneven = chance.nextInt(3) == 0;
-            List<Category> categories = List.of(
-                    new Category("read", Repeats.HARMLESS, Group.ALL, 0, false, 300_000, 2),
-                    new Category("write", Repeats.ONE_SHOT, Group.ALL, 0, false, 500_000, 2),
-                    new Category("save", Repeats.STAMPED, Group.ZONE, 2_500_000, chance.nextBoolean(), 500_000, 1),
-                    new Category("bulk", Repeats.HARMLESS, Group.ALL, 0, false, 1_500_000, 1));
-            List<Plan> plans = List.of(new Plan("free", 0, 1, 0, 0, 0), new Plan("paid", 6, 2, 0, 0, 0),
-                    new Plan("capped", 1, 1, 20, 25, 4));
-            given = new Provisioning(chance.nextBoolean() ? 3 : 40, categories, plans, new Allowances(1 + chance.nextInt(3),
-                    chance.nextBoolean(), chance.nextBoolean(), chance.nextBoolean(), 500_000),
-                    new Bounds(chance.nextBoolean() ? 200_000 : 0, cold ? 5_000_000 : 0, 0.3, cold ? 10 : 0,
-                    cold ? 1_000_000 : 0, 2, 10, 0.1, chance.nextBoolean() ? 2_000_000 : 0, 10_000_000), chance.nextBoolean());
+            List<Category> categories =
+                    List.of(
+                            new Category("read", Repeats.HARMLESS, Group.ALL, 0, false, 300_000, 2),
+                            new Category(
+                                    "write", Repeats.ONE_SHOT, Group.ALL, 0, false, 500_000, 2),
+                            new Category(
+                                    "save",
+                                    Repeats.STAMPED,
+                                    Group.ZONE,
+                                    2_500_000,
+                                    chance.nextBoolean(),
+                                    500_000,
+                                    1),
+                            new Category(
+                                    "bulk", Repeats.HARMLESS, Group.ALL, 0, false, 1_500_000, 1));
+            List<Plan> plans =
+                    List.of(
+                            new Plan("free", 0, 1, 0, 0, 0),
+                            new Plan("paid", 6, 2, 0, 0, 0),
+                            new Plan("capped", 1, 1, 20, 25, 4));
+            given =
+                    new Provisioning(
+                            chance.nextBoolean() ? 3 : 40,
+                            categories,
+                            plans,
+                            new Allowances(
+                                    1 + chance.nextInt(3),
+                                    chance.nextBoolean(),
+                                    chance.nextBoolean(),
+                                    chance.nextBoolean(),
+                                    500_000),
+                            new Bounds(
+                                    chance.nextBoolean() ? 200_000 : 0,
+                                    cold ? 5_000_000 : 0,
+                                    0.3,
+                                    cold ? 10 : 0,
+                                    cold ? 1_000_000 : 0,
+                                    2,
+                                    10,
+                                    0.1,
+                                    chance.nextBoolean() ? 2_000_000 : 0,
+                                    10_000_000),
+                            chance.nextBoolean());
         }
 
         List<Event> start() {
@@ -76,15 +115,24 @@
             for (int s = 0; s < shards; s++) {
                 if (scope != Event.Scope.UPDATE || chance.nextInt(shards) == 0) {
                     boolean fresh = chance.nextInt(6) == 0;
-                    Event.Health health = chance.nextInt(8) == 0 ? Event.Health.DRAINING : Event.Health.ON;
-                    targets.add(new Event.Target(s, "t" + s + (chance.nextInt(5) == 0 ? "n" : ""), "z" + s % 2, health,
-                            fresh ? now - chance.nextInt(2_000_000) : 0));
+                    Event.Health health =
+                            chance.nextInt(8) == 0 ? Event.Health.DRAINING : Event.Health.ON;
+                    targets.add(
+                            new Event.Target(
+                                    s,
+                                    "t" + s + (chance.nextInt(5) == 0 ? "n" : ""),
+                                    "z" + s % 2,
+                                    health,
+                                    fresh ? now - chance.nextInt(2_000_000) : 0));
                 }
             }
             return new Event.TargetList(scope, targets);
         }
 
-        /** A step whose draws rest on this one choice, so that steps may be left out without changing others' draws. */
+        /**
+         * A step whose draws rest on this one choice, so that steps may be left out without
+         * changing others' draws.
+         */
         List<Event> step(int choice) {
             chance = new SplittableRandom(choice);
             return step();
@@ -110,8 +158,11 @@
                 return ended();
             } else if (kind < 90 && !probes.isEmpty()) {
                 boolean ok = chance.nextInt(5) > 0;
-                return new Event.Probed(probes.remove(chance.nextInt(probes.size())), ok ? Outcome.SUCCEEDED
-                        : Outcome.TIMED_OUT, 1000 + chance.nextInt(90_000), chance.nextInt(3) == 0 ? -1 : chance.nextInt(30));
+                return new Event.Probed(
+                        probes.remove(chance.nextInt(probes.size())),
+                        ok ? Outcome.SUCCEEDED : Outcome.TIMED_OUT,
+                        1000 + chance.nextInt(90_000),
+                        chance.nextInt(3) == 0 ? -1 : chance.nextInt(30));
             } else if (kind == 90) {
                 return list(chance.nextBoolean() ? Event.Scope.UPDATE : Event.Scope.REPLACE);
             } else if (kind == 91) {
@@ -120,9 +171,23 @@
                 return new Event.Over("r" + (next - 1 - chance.nextInt((int) Math.min(next, 30))));
             } else if (kind == 93) {
                 List<Plan> plans = new ArrayList<>(given.plans());
-                plans.set(2, new Plan("capped", 1, 1 + chance.nextInt(3), 5 + chance.nextInt(40), 5 + chance.nextInt(30), 2));
-                return new Event.Reprovisioned(new Provisioning(given.initiators(), given.categories(), plans,
-                        given.allowances(), given.bounds(), given.listMustBeAsked()));
+                plans.set(
+                        2,
+                        new Plan(
+                                "capped",
+                                1,
+                                1 + chance.nextInt(3),
+                                5 + chance.nextInt(40),
+                                5 + chance.nextInt(30),
+                                2));
+                return new Event.Reprovisioned(
+                        new Provisioning(
+                                given.initiators(),
+                                given.categories(),
+                                plans,
+                                given.allowances(),
+                                given.bounds(),
+                                given.listMustBeAsked()));
             }
             return new Event.Alarm();
         }
@@ -133,19 +198,34 @@
             String extent = chance.nextInt(3) == 0 ? null : "x" + chance.nextInt(12);
             long ttl = chance.nextInt(6) == 0 ? 20_000 + chance.nextInt(300_000) : 2_500_000;
             int volume = chance.nextInt(volumes);
-            double units = uneven && chance.nextInt(20) == 0 ? 1 + chance.nextInt(40) : 1 + chance.nextInt(4);
-            return new Event.Access("r" + next++, shard, extent, "v" + volume, ttl,
-                    given.plans().get(steady ? volume % 3 : chance.nextInt(3)).name(), category,
-                    steady ? 1 + volume % 2 : 1 + chance.nextInt(3), units);
+            double units =
+                    uneven && chance.nextInt(20) == 0
+                            ? 1 + chance.nextInt(40)
+                            : 1 + chance.nextInt(4);
+            return new Event.Access(
+                    "r" + next++,
+                    shard,
+                    extent,
+                    "v" + volume,
+                    ttl,
+                    given.plans().get(steady ? volume % 3 : chance.nextInt(3)).name(),
+                    category,
+                    steady ? 1 + volume % 2 : 1 + chance.nextInt(3),
+                    units);
         }
 
         private Event ended() {
             Action.Relay r = out.remove(chance.nextInt(Math.min(out.size(), 6)));
             Outcome[] all = Outcome.values();
-            Outcome how = chance.nextInt(4) > 0 ? Outcome.SUCCEEDED : all[chance.nextInt(all.length)];
+            Outcome how =
+                    chance.nextInt(4) > 0 ? Outcome.SUCCEEDED : all[chance.nextInt(all.length)];
             int relay = relays.get(r.id()) - 1;
-            return new Event.Ended(r.id(), relay, how == Outcome.SUCCEEDED, how, 2_000 + chance.nextInt(chance.nextInt(8) == 0
-                    ? 400_000 : 30_000));
+            return new Event.Ended(
+                    r.id(),
+                    relay,
+                    how == Outcome.SUCCEEDED,
+                    how,
+                    2_000 + chance.nextInt(chance.nextInt(8) == 0 ? 400_000 : 30_000));
         }
 
         void did(List<Action> actions) {
@@ -176,8 +256,18 @@
             List<Action> expected = before.decide(world.now, events);
             List<Action> told = now.decide(world.now, events);
             int at = step;
-            assertEquals(expected, told, () -> "seed " + seed + ", step " + at + (world.steady ? " steady" : "")
-                    + (world.uneven ? " uneven" : "") + " given " + world.given);
+            assertEquals(
+                    expected,
+                    told,
+                    () ->
+                            "seed "
+                                    + seed
+                                    + ", step "
+                                    + at
+                                    + (world.steady ? " steady" : "")
+                                    + (world.uneven ? " uneven" : "")
+                                    + " given "
+                                    + world.given);
             world.did(told);
             relays += told.stream().filter(a -> a instanceof Action.Relay).count();
             events = world.step();
@@ -186,8 +276,9 @@
     }
 
     /**
-     * The same streams against digests recorded while both modules agreed, so that the reference may go. A change of the
-     * decisions that is meant changes them: then {@code -Dmilletyoke.record=FILE} writes them anew, and the commit says why.
+     * The same streams against digests recorded while both modules agreed, so that the reference
+     * may go. A change of the decisions that is meant changes them: then {@code
+     * -Dmilletyoke.record=FILE} writes them anew, and the commit says why.
      */
     @Test
     void streamsGiveTheRecordedActions() throws Exception {
@@ -213,10 +304,18 @@
         assertEquals(Files.readAllLines(kept), digests);
     }
 
-    /** The same with streams that shrink: what is left of one that fails is a short list of steps. */
-    @Property(tries = 150, seed = "20261201", edgeCases = EdgeCasesMode.NONE, generation = GenerationMode.RANDOMIZED)
-    void equalActionsOfStreamsThatShrink(@ForAll @IntRange(min = 1, max = 1 << 20) int seed,
-            @ForAll @Size(min = 1, max = 800) List<@IntRange(max = Integer.MAX_VALUE) Integer> steps) {
+    /**
+     * The same with streams that shrink: what is left of one that fails is a short list of steps.
+     */
+    @Property(
+            tries = 150,
+            seed = "20261201",
+            edgeCases = EdgeCasesMode.NONE,
+            generation = GenerationMode.RANDOMIZED)
+    void equalActionsOfStreamsThatShrink(
+            @ForAll @IntRange(min = 1, max = 1 << 20) int seed,
+            @ForAll @Size(min = 1, max = 800)
+                    List<@IntRange(max = Integer.MAX_VALUE) Integer> steps) {
         World world = new World(seed);
         Decide now = new Decide();
         milletyoke.reference.Decide before = new milletyoke.reference.Decide();
--- a/core/src/test/java/milletyoke/DrawTest.java
+++ b/core/src/test/java/milletyoke/DrawTest.java
@@ -20,32 +20,46 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Where a new object goes: odds in step with room, by the walk over few nodes and by lots over many alike. */
+/**
+ * Where a new object goes: odds in step with room, by the walk over few nodes and by lots over many
+ * alike.
+ */
 class DrawTest {
     private final Decide module = new Decide();
 
     private List<Action> tell(Event... events) {
-        return module.decide(1_000_000, // no time passes: nothing becomes late or silent
-                 List.of(events));
+        return module.decide(
+                1_000_000, // no time passes: nothing becomes late or silent
+                List.of(events));
     }
 
     private Map<String, Integer> drawn(int targets, int draws) {
-        Provisioning given = new Provisioning(1,
-                List.of(new Category("w", Repeats.HARMLESS, Group.ALL, 0, false, 400_000, 1)),
-                List.of(new Plan("p", 0, 1, 0, 0, 0)), new Allowances(3, false, false, true, 500_000),
-                new Bounds(0, 0, 1, 0, 0, 1, 0, 0, 0, 10_000_000), false);
+        Provisioning given =
+                new Provisioning(
+                        1,
+                        List.of(
+                                new Category(
+                                        "w", Repeats.HARMLESS, Group.ALL, 0, false, 400_000, 1)),
+                        List.of(new Plan("p", 0, 1, 0, 0, 0)),
+                        new Allowances(3, false, false, true, 500_000),
+                        new Bounds(0, 0, 1, 0, 0, 1, 0, 0, 0, 10_000_000),
+                        false);
         List<Event.Target> list = new ArrayList<>();
         for (int t = 0; t < targets; t++) {
             list.add(new Event.Target(t, "t" + t, "z", Event.Health.ON, 0));
         }
         tell(new Event.Start(7, given), new Event.TargetList(Event.Scope.REPLACE, list));
-        // the first half holds three accesses each, so a window of four has a quarter of the room that it has elsewhere
+        // the first half holds three accesses each, so a window of four has a quarter of the room
+        // that it has elsewhere
         for (int n = 0; n < targets / 2 * 3; n++) {
-            tell(new Event.Access("held" + n, n % (targets / 2), null, "v", 60_000_000, "p", "w", 1, 1));
+            tell(
+                    new Event.Access(
+                            "held" + n, n % (targets / 2), null, "v", 60_000_000, "p", "w", 1, 1));
         }
         Map<String, Integer> to = new HashMap<>();
         for (int n = 0; n < draws; n++) {
-            for (Action a : tell(new Event.Access("new" + n, -1, null, "v", 60_000_000, "p", "w", 1, 1))) {
+            for (Action a :
+                    tell(new Event.Access("new" + n, -1, null, "v", 60_000_000, "p", "w", 1, 1))) {
                 if (a instanceof Action.Relay r && r.id().equals("new" + n)) {
                     to.merge(r.target(), 1, Integer::sum);
                     // not taken by it, so that windows and lags stay as they were
--- a/core/src/test/java/milletyoke/ForgettingTest.java
+++ b/core/src/test/java/milletyoke/ForgettingTest.java
@@ -16,15 +16,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What is forgotten, that nobody gains by it, and that years of service need no more memory than what is in use. */
+/**
+ * What is forgotten, that nobody gains by it, and that years of service need no more memory than
+ * what is in use.
+ */
 @Timeout(300)
 class ForgettingTest {
     private static final long MINUTE = 60_000_000L;
 
-    /** One token store a volume that forgets nothing, kept by the plans as they are told: a second opinion on rule 7. */
+    /**
+     * One token store a volume that forgets nothing, kept by the plans as they are told: a second
+     * opinion on rule 7.
+     */
     private static final class Auditor {
-        /** By the number in a volume's name; arrays, so that the audit's own memory does not grow. */
+        /**
+         * By the number in a volume's name; arrays, so that the audit's own memory does not grow.
+         */
         private final double[] levels;
+
         private final long[] at;
         private final List<double[]> plans = new ArrayList<>();
         private final List<Long> since = new ArrayList<>();
@@ -57,7 +66,9 @@
         void sent(String name, long now, double units) {
             int volume = Integer.parseInt(name.substring(1));
             double left = now(volume, now) - units;
-            assertTrue(left >= -1e-6, () -> name + " sent " + units + " with " + (left + units) + " left at " + now);
+            assertTrue(
+                    left >= -1e-6,
+                    () -> name + " sent " + units + " with " + (left + units) + " left at " + now);
             levels[volume] = left;
             at[volume] = now;
         }
@@ -78,20 +89,42 @@
         }
 
         Service(Plan capped, int shards, int volumes) {
-            plans = List.of(new Plan("free", 0, 1, 0, 0, 0), new Plan("paid", 6, 2, 0, 0, 0), capped);
+            plans =
+                    List.of(
+                            new Plan("free", 0, 1, 0, 0, 0),
+                            new Plan("paid", 6, 2, 0, 0, 0),
+                            capped);
             auditor = new Auditor(now, capped, volumes);
             List<Event.Target> targets = new ArrayList<>();
             for (int t = 0; t < shards; t++) {
                 targets.add(new Event.Target(t, "t" + t, "z", Event.Health.ON, 0));
             }
-            tell(new Event.Start(1, provisioning()), new Event.TargetList(Event.Scope.REPLACE, targets));
+            tell(
+                    new Event.Start(1, provisioning()),
+                    new Event.TargetList(Event.Scope.REPLACE, targets));
         }
 
         Provisioning provisioning() {
-            return new Provisioning(3, List.of(new Category("read", Repeats.HARMLESS, Group.ALL, 0, false, 300_000, 2),
-                    new Category("write", Repeats.ONE_SHOT, Group.ALL, 0, true, 500_000, 2)), plans,
+            return new Provisioning(
+                    3,
+                    List.of(
+                            new Category("read", Repeats.HARMLESS, Group.ALL, 0, false, 300_000, 2),
+                            new Category(
+                                    "write", Repeats.ONE_SHOT, Group.ALL, 0, true, 500_000, 2)),
+                    plans,
                     new Allowances(3, true, true, true, 500_000),
-                    new Bounds(200_000, 5_000_000, 0.3, 10, 1_000_000, 2, 10, 0.1, 2_000_000, 10_000_000), false);
+                    new Bounds(
+                            200_000,
+                            5_000_000,
+                            0.3,
+                            10,
+                            1_000_000,
+                            2,
+                            10,
+                            0.1,
+                            2_000_000,
+                            10_000_000),
+                    false);
         }
 
         void plan(Plan capped) {
@@ -101,8 +134,17 @@
         }
 
         void access(String volume, int shard, String plan, String key, double units) {
-            Event.Access a = new Event.Access("a" + next++, shard, key, volume, 2_000_000, plan, key == null || key.startsWith("x") ? "read" : "write",
-                    1, units);
+            Event.Access a =
+                    new Event.Access(
+                            "a" + next++,
+                            shard,
+                            key,
+                            volume,
+                            2_000_000,
+                            plan,
+                            key == null || key.startsWith("x") ? "read" : "write",
+                            1,
+                            units);
             sent.put(a.id(), a);
             tell(a);
         }
@@ -138,7 +180,9 @@
         }
 
         void pass(long time) {
-            for (long until = now + time; now < until; now += Math.max(4_000, Math.min(MINUTE, until - now) / 4)) {
+            for (long until = now + time;
+                    now < until;
+                    now += Math.max(4_000, Math.min(MINUTE, until - now) / 4)) {
                 tell(new Event.Alarm());
                 answer();
             }
@@ -159,7 +203,9 @@
         }
         assertEquals(30, service.relays, "the store was full");
         service.pass(12 * MINUTE);
-        assertTrue(service.decide.agenda.volume("v0") != null, "its store is far from full: 72 units of 300");
+        assertTrue(
+                service.decide.agenda.volume("v0") != null,
+                "its store is far from full: 72 units of 300");
         service.access("v0", 1, "capped", null, 72);
         service.access("v0", 1, "capped", null, 10);
         service.answer();
@@ -169,7 +215,10 @@
         assertEquals(0, service.kept());
     }
 
-    /** Guards rule 7: a limit raised while a volume is forgotten must not be found full on its return. */
+    /**
+     * Guards rule 7: a limit raised while a volume is forgotten must not be found full on its
+     * return.
+     */
     @Test
     void aLimitRaisedWhileForgottenFillsAsIfKept() {
         Service service = new Service(new Plan("capped", 0, 1, 10, 20, 0), 4);
@@ -198,8 +247,12 @@
             Service service = new Service(new Plan("capped", 0, 1, 50, 50, 5), 1);
             Map<String, double[]> before = new HashMap<>();
             for (int i = 0; i < 60; i++) {
-                service.access("v" + chance.nextInt(12), 0, chance.nextBoolean() ? "free" : "paid",
-                        "x" + chance.nextInt(3), 1 + chance.nextInt(9));
+                service.access(
+                        "v" + chance.nextInt(12),
+                        0,
+                        chance.nextBoolean() ? "free" : "paid",
+                        "x" + chance.nextInt(3),
+                        1 + chance.nextInt(9));
                 if (chance.nextInt(3) == 0) {
                     service.answer();
                 }
@@ -207,7 +260,11 @@
             service.answer();
             service.answer();
             State.Node node = service.decide.agenda.node(0);
-            node.reservations.forEach((v, r) -> before.put(v.name, new double[] {Math.max(node.virtualTime, r.finish), r.extra}));
+            node.reservations.forEach(
+                    (v, r) ->
+                            before.put(
+                                    v.name,
+                                    new double[] {Math.max(node.virtualTime, r.finish), r.extra}));
             joined |= before.values().stream().anyMatch(tags -> tags[1] > 0);
             service.pass(25 * MINUTE);
             forgotten += node.reservations.isEmpty() ? before.size() : 0;
@@ -220,12 +277,22 @@
         assertTrue(joined && forgotten > 1_000, forgotten + " forgotten");
     }
 
-    /** Guards tags: a volume found by no reservation of its own any more would return with fresh ones at a busy node. */
+    /**
+     * Guards tags: a volume found by no reservation of its own any more would return with fresh
+     * ones at a busy node.
+     */
     @Test
     void atANodeThatIsNeverQuietTagsAheadStay() {
         Agenda agenda = new Agenda();
-        Forgetting forgetting = new Forgetting(agenda, new State.Targets(), new HashMap<>(), new HashMap<>(), List.of(),
-                s -> 0, s -> 0);
+        Forgetting forgetting =
+                new Forgetting(
+                        agenda,
+                        new State.Targets(),
+                        new HashMap<>(),
+                        new HashMap<>(),
+                        List.of(),
+                        s -> 0,
+                        s -> 0);
         State.Node node = agenda.node(0);
         Event.Access access = new Event.Access("a", 0, null, "ahead", 1_000, "free", "read", 1, 1);
         State.Volume ahead = agenda.volume(access, 0);
@@ -250,12 +317,22 @@
         assertTrue(node.virtualTime >= 100);
     }
 
-    /** Guards memory: a key whose rest is made longer again and again must not keep others' from going. */
+    /**
+     * Guards memory: a key whose rest is made longer again and again must not keep others' from
+     * going.
+     */
     @Test
     void aKeyThatKeepsTimingOutHoldsNoOthersBack() {
         Map<String, State.Turns> turns = new HashMap<>();
-        Forgetting forgetting = new Forgetting(new Agenda(), new State.Targets(), new HashMap<>(), turns, List.of(),
-                s -> 0, s -> 0);
+        Forgetting forgetting =
+                new Forgetting(
+                        new Agenda(),
+                        new State.Targets(),
+                        new HashMap<>(),
+                        turns,
+                        List.of(),
+                        s -> 0,
+                        s -> 0);
         State.Turns stuck = new State.Turns("stuck");
         turns.put("stuck", stuck);
         stuck.restUntil = 10;
@@ -281,14 +358,26 @@
         for (int turn = 0; turn < 400; turn++) {
             List<Event> batch = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
-                batch.add(new Event.Access("b" + turn + "-" + i, 0, null, "n" + turn + "-" + i, 1_000_000, "free", "read", 1, 1));
+                batch.add(
+                        new Event.Access(
+                                "b" + turn + "-" + i,
+                                0,
+                                null,
+                                "n" + turn + "-" + i,
+                                1_000_000,
+                                "free",
+                                "read",
+                                1,
+                                1));
                 service.sent.put("b" + turn + "-" + i, (Event.Access) batch.get(i));
             }
             service.tell(batch.toArray(new Event[0]));
             for (int round = 0; round < 20; round++) { // what was relayed ends in large turns too
                 service.now += 5_000;
-                Event[] ends = service.out.stream().map(id -> new Event.Ended(id, 0, true, Outcome.SUCCEEDED, 5_000))
-                        .toArray(Event[]::new);
+                Event[] ends =
+                        service.out.stream()
+                                .map(id -> new Event.Ended(id, 0, true, Outcome.SUCCEEDED, 5_000))
+                                .toArray(Event[]::new);
                 service.out.clear();
                 service.tell(ends);
             }
@@ -302,14 +391,24 @@
     void aTargetThatLeftGoesAndItsPlaceIsUsedAgain() {
         Service service = new Service(new Plan("capped", 0, 1, 50, 50, 5), 3);
         for (int generation = 0; generation < 40; generation++) {
-            service.tell(new Event.TargetList(Event.Scope.REPLACE, List.of(new Event.Target(100 + generation, "g" + generation, "z",
-                    Event.Health.ON, 0))));
+            service.tell(
+                    new Event.TargetList(
+                            Event.Scope.REPLACE,
+                            List.of(
+                                    new Event.Target(
+                                            100 + generation,
+                                            "g" + generation,
+                                            "z",
+                                            Event.Health.ON,
+                                            0))));
             service.access("v" + generation, 100 + generation, "free", "k" + generation, 1);
             service.answer();
             service.pass(15 * MINUTE);
         }
         assertTrue(service.decide.targets.count < 8, service.decide.targets.count + " places");
-        assertTrue(service.decide.agenda.nodes().size() < 8, service.decide.agenda.nodes().size() + " nodes");
+        assertTrue(
+                service.decide.agenda.nodes().size() < 8,
+                service.decide.agenda.nodes().size() + " nodes");
         assertEquals(40, service.relays);
     }
 
@@ -326,38 +425,76 @@
         for (int v = 0; v < volumes; v++) {
             String plan = service.plans.get(v % 3).name();
             for (int i = chance.nextInt(6); i >= 0; i--) {
-                service.access("v" + v, 1000 + v % 30 + generation / 30 * 30, plan, i % 3 == 0 ? "k" + v : null, 1 + chance.nextInt(9));
+                service.access(
+                        "v" + v,
+                        1000 + v % 30 + generation / 30 * 30,
+                        plan,
+                        i % 3 == 0 ? "k" + v : null,
+                        1 + chance.nextInt(9));
             }
-            if (chance.nextInt(4) == 0 && v > 0) { // one of before returns, from minutes to all the time ago
+            if (chance.nextInt(4) == 0
+                    && v > 0) { // one of before returns, from minutes to all the time ago
                 int old = v - 1 - chance.nextInt(Math.min(v, 1 << chance.nextInt(20)));
-                service.access("v" + old, 1000 + chance.nextInt(30), service.plans.get(old % 3).name(), null, 1 + chance.nextInt(30));
+                service.access(
+                        "v" + old,
+                        1000 + chance.nextInt(30),
+                        service.plans.get(old % 3).name(),
+                        null,
+                        1 + chance.nextInt(30));
             }
             service.answer();
             service.now += chance.nextLong(2 * each);
             service.tell(new Event.Alarm());
             if (v % replaceEvery == 0) {
-                service.tell(new Event.TargetList(Event.Scope.UPDATE, List.of(
-                        new Event.Target(1000 + generation, "t" + generation, "z", Event.Health.ON, service.now),
-                        new Event.Target(1000 + Math.max(0, generation - 60), "t" + Math.max(0, generation - 60), "z",
-                                Event.Health.GONE, 0))));
+                service.tell(
+                        new Event.TargetList(
+                                Event.Scope.UPDATE,
+                                List.of(
+                                        new Event.Target(
+                                                1000 + generation,
+                                                "t" + generation,
+                                                "z",
+                                                Event.Health.ON,
+                                                service.now),
+                                        new Event.Target(
+                                                1000 + Math.max(0, generation - 60),
+                                                "t" + Math.max(0, generation - 60),
+                                                "z",
+                                                Event.Health.GONE,
+                                                0))));
                 generation++;
             }
             if (v % 50_000 == 0) {
-                service.plan(new Plan("capped", 0, 1, 1 + chance.nextInt(5), 10 + chance.nextInt(60), 1));
+                service.plan(
+                        new Plan(
+                                "capped", 0, 1, 1 + chance.nextInt(5), 10 + chance.nextInt(60), 1));
             }
             most = Math.max(most, service.kept());
             mostTargets = Math.max(mostTargets, service.decide.targets.count);
             mostNodes = Math.max(mostNodes, service.decide.agenda.nodes().size());
             if (v % Math.max(1, volumes / 10) == volumes / 20) {
                 System.gc();
-                heaps.add((Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) / 1024);
+                heaps.add(
+                        (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory())
+                                / 1024);
             }
         }
-        System.out.printf("%d volumes and %d targets over %.1f days, %d relays, %d rejected: at most %d volumes and reservations, "
-                + "%d places of targets, %d shards kept; live heap KiB after collections on the way %s%n", volumes, generation,
-                (service.now - began) / 86_400e6, service.relays, service.rejects, most, mostTargets, mostNodes, heaps);
+        System.out.printf(
+                "%d volumes and %d targets over %.1f days, %d relays, %d rejected: at most %d volumes and reservations, "
+                        + "%d places of targets, %d shards kept; live heap KiB after collections on the way %s%n",
+                volumes,
+                generation,
+                (service.now - began) / 86_400e6,
+                service.relays,
+                service.rejects,
+                most,
+                mostTargets,
+                mostNodes,
+                heaps);
         assertTrue(service.relays > volumes, service.relays + " relays");
         assertTrue(most < 6_000, most + " kept of " + volumes);
-        assertTrue(mostTargets < 200 && mostNodes < 250, mostTargets + " targets, " + mostNodes + " shards");
+        assertTrue(
+                mostTargets < 200 && mostNodes < 250,
+                mostTargets + " targets, " + mostNodes + " shards");
     }
 }
--- a/core/src/test/java/milletyoke/ScenarioTest.java
+++ b/core/src/test/java/milletyoke/ScenarioTest.java
@@ -14,9 +14,24 @@
 
 /** Plays every scenario of src/test/resources/scenarios; the notation is told in its README. */
 class ScenarioTest {
-    private static final Map<String, Outcome> ENDS = Map.of("ok", Outcome.SUCCEEDED, "error", Outcome.ERROR,
-            "full", Outcome.FULL, "timeout", Outcome.TIMED_OUT, "noconn", Outcome.NO_CONNECTION,
-            "reset", Outcome.RESET, "cancelled", Outcome.CANCELLED, "moot", Outcome.MOOT);
+    private static final Map<String, Outcome> ENDS =
+            Map.of(
+                    "ok",
+                    Outcome.SUCCEEDED,
+                    "error",
+                    Outcome.ERROR,
+                    "full",
+                    Outcome.FULL,
+                    "timeout",
+                    Outcome.TIMED_OUT,
+                    "noconn",
+                    Outcome.NO_CONNECTION,
+                    "reset",
+                    Outcome.RESET,
+                    "cancelled",
+                    Outcome.CANCELLED,
+                    "moot",
+                    Outcome.MOOT);
 
     private final Map<String, String> given = new HashMap<>();
     private final List<Provisioning.Category> categories = new ArrayList<>();
@@ -32,7 +47,9 @@
                 for (String part : Files.readString(file).split("(?m)^== ")) {
                     String[] split = part.split("\n", 2);
                     if (split.length == 2 && split[1].contains("->")) {
-                        all.add(Arguments.of(file.getFileName() + ": " + split[0], common + split[1]));
+                        all.add(
+                                Arguments.of(
+                                        file.getFileName() + ": " + split[0], common + split[1]));
                     }
                 }
             }
@@ -52,7 +69,9 @@
                 String expected = line.substring(2).trim();
                 String told = play(at, batch);
                 boolean counted = expected.matches("\\d+ relays");
-                assertEquals(expected, counted ? told.split("relay ", -1).length - 1 + " relays" : told,
+                assertEquals(
+                        expected,
+                        counted ? told.split("relay ", -1).length - 1 + " relays" : told,
                         () -> "before: " + line + " in\n" + text);
                 batch.clear();
             } else if (w.word(0).equals("given")) {
@@ -82,14 +101,24 @@
     }
 
     private String play(long at, List<Event> batch) {
-        String told = batch.isEmpty() ? "" : module.decide(at, batch).stream().filter(a -> !(a instanceof Action.Wake))
-                .map(ScenarioTest::told).collect(Collectors.joining(", "));
+        String told =
+                batch.isEmpty()
+                        ? ""
+                        : module.decide(at, batch).stream()
+                                .filter(a -> !(a instanceof Action.Wake))
+                                .map(ScenarioTest::told)
+                                .collect(Collectors.joining(", "));
         return told.isEmpty() ? "nothing" : told;
     }
 
     private static Provisioning.Plan plan(String name, Words w) {
-        return new Provisioning.Plan(name, w.figure("reserve", 0), w.figure("weight", 1), w.figure("limit", 0),
-                w.figure("depth", 0), w.figure("slack", 0));
+        return new Provisioning.Plan(
+                name,
+                w.figure("reserve", 0),
+                w.figure("weight", 1),
+                w.figure("limit", 0),
+                w.figure("depth", 0),
+                w.figure("slack", 0));
     }
 
     private static String told(Action action) {
@@ -112,7 +141,8 @@
     }
 
     private static Event list(String scope, Words w) {
-        return new Event.TargetList(Event.Scope.valueOf(scope.toUpperCase()),
+        return new Event.TargetList(
+                Event.Scope.valueOf(scope.toUpperCase()),
                 w.words.subList(2, w.words.size()).stream().map(ScenarioTest::target).toList());
     }
 
@@ -120,12 +150,30 @@
         return switch (w.word(1)) {
             case "start" -> new Event.Start(7, provisioning());
             case "tick" -> new Event.Alarm();
-            case "take" -> new Event.Access(w.word(2), (int) w.figure("at", 0), w.named.get("x"),
-                    w.named.getOrDefault("vol", "v"), w.ms("ttl", 2000), w.named.getOrDefault("plan", "flat"),
-                    w.named.getOrDefault("cat", "read"), (int) w.figure("hosts", 1), w.figure("units", 1));
-            case "end" -> new Event.Ended(w.word(2), Integer.parseInt(w.word(3)),
-                    w.word(4).equals("ok") || w.words.contains("over"), ENDS.get(w.word(4)), w.ms("lag", 20));
-            case "probed" -> new Event.Probed(w.word(2), ENDS.get(w.word(3)), w.ms("lag", 1), w.figure("waiting", -1));
+            case "take" ->
+                    new Event.Access(
+                            w.word(2),
+                            (int) w.figure("at", 0),
+                            w.named.get("x"),
+                            w.named.getOrDefault("vol", "v"),
+                            w.ms("ttl", 2000),
+                            w.named.getOrDefault("plan", "flat"),
+                            w.named.getOrDefault("cat", "read"),
+                            (int) w.figure("hosts", 1),
+                            w.figure("units", 1));
+            case "end" ->
+                    new Event.Ended(
+                            w.word(2),
+                            Integer.parseInt(w.word(3)),
+                            w.word(4).equals("ok") || w.words.contains("over"),
+                            ENDS.get(w.word(4)),
+                            w.ms("lag", 20));
+            case "probed" ->
+                    new Event.Probed(
+                            w.word(2),
+                            ENDS.get(w.word(3)),
+                            w.ms("lag", 1),
+                            w.figure("waiting", -1));
             case "plan" -> {
                 plans.removeIf(p -> p.name().equals(w.word(2)));
                 plans.add(plan(w.word(2), w));
@@ -140,28 +188,54 @@
     private static Event.Target target(String text) {
         Map<Character, String> parts = new HashMap<>();
         for (String part : text.split("(?=[@/%:])")) {
-            parts.put("@/%:".indexOf(part.charAt(0)) < 0 ? 'i' : part.charAt(0), part.replaceAll("^[@/%:]", ""));
+            parts.put(
+                    "@/%:".indexOf(part.charAt(0)) < 0 ? 'i' : part.charAt(0),
+                    part.replaceAll("^[@/%:]", ""));
         }
-        return new Event.Target(Integer.parseInt(parts.get('@')), parts.get('i'), parts.getOrDefault('%', "z"),
+        return new Event.Target(
+                Integer.parseInt(parts.get('@')),
+                parts.get('i'),
+                parts.getOrDefault('%', "z"),
                 Event.Health.valueOf(parts.getOrDefault('/', "on").toUpperCase()),
                 Long.parseLong(parts.getOrDefault(':', "0")) * 1000);
     }
 
     private static Provisioning.Category category(Words w) {
-        return new Provisioning.Category(w.word(1), Provisioning.Repeats.valueOf(w.word(2).toUpperCase()),
-                Provisioning.Group.valueOf(w.named.getOrDefault("group", "all").toUpperCase()), w.ms("window", 0),
-                w.words.contains("ordered"), w.ms("agreed", 400), w.figure("importance", 2));
+        return new Provisioning.Category(
+                w.word(1),
+                Provisioning.Repeats.valueOf(w.word(2).toUpperCase()),
+                Provisioning.Group.valueOf(w.named.getOrDefault("group", "all").toUpperCase()),
+                w.ms("window", 0),
+                w.words.contains("ordered"),
+                w.ms("agreed", 400),
+                w.figure("importance", 2));
     }
 
     private Provisioning provisioning() {
         Words g = new Words("given");
         g.named.putAll(given);
-        return new Provisioning((int) g.figure("initiators", 1), categories, plans,
-                new Provisioning.Allowances((int) g.figure("relays", 3), g.figure("probes", 0) > 0,
-                        g.figure("cancels", 0) > 0, g.figure("advice", 0) > 0, g.ms("advice", 0)),
-                new Provisioning.Bounds(g.ms("quiet", 0), g.ms("cold", 0), g.figure("coldShare", 0.25),
-                        g.figure("bears", 0), g.ms("fall", 0), g.figure("tip", 2), g.figure("free", 0),
-                        g.figure("share", 0), g.ms("span", 0), g.ms("askIn", 0)), g.figure("ask", 0) > 0);
+        return new Provisioning(
+                (int) g.figure("initiators", 1),
+                categories,
+                plans,
+                new Provisioning.Allowances(
+                        (int) g.figure("relays", 3),
+                        g.figure("probes", 0) > 0,
+                        g.figure("cancels", 0) > 0,
+                        g.figure("advice", 0) > 0,
+                        g.ms("advice", 0)),
+                new Provisioning.Bounds(
+                        g.ms("quiet", 0),
+                        g.ms("cold", 0),
+                        g.figure("coldShare", 0.25),
+                        g.figure("bears", 0),
+                        g.ms("fall", 0),
+                        g.figure("tip", 2),
+                        g.figure("free", 0),
+                        g.figure("share", 0),
+                        g.ms("span", 0),
+                        g.ms("askIn", 0)),
+                g.figure("ask", 0) > 0);
     }
 
     /** The words of one line, and its name=value pairs. */
@@ -183,13 +257,17 @@
         /** One line for each of a range of ids, such as r1..r20. */
         List<Words> each() {
             String[] ends = words.size() < 3 ? new String[0] : words.get(2).split("\\.\\.");
-            return ends.length < 2 ? List.of(this)
-                    : IntStream.rangeClosed(number(ends[0]), number(ends[1])).mapToObj(i -> {
-                        Words one = new Words(String.join(" ", words));
-                        one.words.set(2, ends[0].replaceAll("\\d+$", "") + i);
-                        one.named.putAll(named);
-                        return one;
-                    }).toList();
+            return ends.length < 2
+                    ? List.of(this)
+                    : IntStream.rangeClosed(number(ends[0]), number(ends[1]))
+                            .mapToObj(
+                                    i -> {
+                                        Words one = new Words(String.join(" ", words));
+                                        one.words.set(2, ends[0].replaceAll("\\d+$", "") + i);
+                                        one.named.putAll(named);
+                                        return one;
+                                    })
+                            .toList();
         }
 
         private static int number(String id) {
--- a/core/src/test/java/milletyoke/StepCostTest.java
+++ b/core/src/test/java/milletyoke/StepCostTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What one access and one outcome cost with many held and many volumes known, beside the module from before, in one run.
- * Prints times; asserts only that both did the same.
+ * What one access and one outcome cost with many held and many volumes known, beside the module
+ * from before, in one run. Prints times; asserts only that both did the same.
  */
 @Timeout(120)
 class StepCostTest {
@@ -23,23 +23,37 @@
 
     @Test
     void besideTheModuleFromBefore() {
-        for (int[] size : new int[][] {{100, 100}, {1_000, 2_000}, {5_000, 2_000}, {1_000, 20_000}}) {
+        for (int[] size :
+                new int[][] {{100, 100}, {1_000, 2_000}, {5_000, 2_000}, {1_000, 20_000}}) {
             Decide now = new Decide();
             milletyoke.reference.Decide before = new milletyoke.reference.Decide();
             long[] relays = new long[2];
             double a = micros(now::decide, size[0], size[1], relays, 0);
             double b = micros(before::decide, size[0], size[1], relays, 1);
             assertEquals(relays[1], relays[0]);
-            System.out.printf("%d held, %d volumes: %.1f us a call, %.1f before, ratio %.1f%n", size[0], size[1], a, b, b / a);
+            System.out.printf(
+                    "%d held, %d volumes: %.1f us a call, %.1f before, ratio %.1f%n",
+                    size[0], size[1], a, b, b / a);
         }
     }
 
-    private static double micros(BiFunction<Long, List<Event>, List<Action>> module, int held, int volumes, long[] relays,
+    private static double micros(
+            BiFunction<Long, List<Event>, List<Action>> module,
+            int held,
+            int volumes,
+            long[] relays,
             int of) {
-        Category slow = new Category("slow", Repeats.HARMLESS, Group.ALL, 0, false, 600_000_000L, 1);
+        Category slow =
+                new Category("slow", Repeats.HARMLESS, Group.ALL, 0, false, 600_000_000L, 1);
         Category read = new Category("read", Repeats.HARMLESS, Group.ALL, 0, false, 400_000, 2);
-        Provisioning given = new Provisioning(3, List.of(slow, read), List.of(new Plan("free", 2, 1, 0, 0, 0)),
-                new Allowances(3, true, true, true, 500_000), new Bounds(0, 0, 1, 0, 0, 1, 0, 0, 0, 10_000_000), false);
+        Provisioning given =
+                new Provisioning(
+                        3,
+                        List.of(slow, read),
+                        List.of(new Plan("free", 2, 1, 0, 0, 0)),
+                        new Allowances(3, true, true, true, 500_000),
+                        new Bounds(0, 0, 1, 0, 0, 1, 0, 0, 0, 10_000_000),
+                        false);
         List<Event> start = new ArrayList<>(List.of(new Event.Start(1, given)));
         List<Event.Target> targets = new ArrayList<>();
         for (int t = 0; t < TARGETS; t++) {
@@ -50,20 +64,34 @@
         List<Action> out = new ArrayList<>(relaysOf(module.apply(time, start)));
         for (int v = 0; v < volumes; v++) { // every volume was here once
             time += 100;
-            List<Action> acts = module.apply(time, List.of(access("w" + v, v % TARGETS, v, "read")));
+            List<Action> acts =
+                    module.apply(time, List.of(access("w" + v, v % TARGETS, v, "read")));
             for (Action.Relay r : relaysOf(acts)) {
-                module.apply(time + 50, List.of(new Event.Ended(r.id(), 0, true, Outcome.SUCCEEDED, 50)));
+                module.apply(
+                        time + 50,
+                        List.of(new Event.Ended(r.id(), 0, true, Outcome.SUCCEEDED, 50)));
             }
         }
-        for (int h = 0; h < held; h++) { // those wait for a shard that nobody holds, and for busy ones
-            out.addAll(relaysOf(module.apply(time, List.of(access("h" + h, h % 2 == 0 ? TARGETS : h % TARGETS, h % volumes,
-                    "slow")))));
+        for (int h = 0;
+                h < held;
+                h++) { // those wait for a shard that nobody holds, and for busy ones
+            out.addAll(
+                    relaysOf(
+                            module.apply(
+                                    time,
+                                    List.of(
+                                            access(
+                                                    "h" + h,
+                                                    h % 2 == 0 ? TARGETS : h % TARGETS,
+                                                    h % volumes,
+                                                    "slow")))));
         }
         int attempt = 0;
         long began = System.nanoTime();
         for (int i = 0; i < STEPS; i++) {
             time += 20;
-            List<Event> events = new ArrayList<>(List.of(access("s" + i, i % TARGETS, i % volumes, "slow")));
+            List<Event> events =
+                    new ArrayList<>(List.of(access("s" + i, i % TARGETS, i % volumes, "slow")));
             if (!out.isEmpty()) {
                 Action.Relay r = (Action.Relay) out.remove(0);
                 events.add(new Event.Ended(r.id(), attempt, true, Outcome.SUCCEEDED, 3_000));
@@ -76,10 +104,14 @@
     }
 
     private static Event access(String id, int shard, int volume, String category) {
-        return new Event.Access(id, shard, null, "v" + volume, 700_000_000L, "free", category, 1, 1);
+        return new Event.Access(
+                id, shard, null, "v" + volume, 700_000_000L, "free", category, 1, 1);
     }
 
     private static List<Action.Relay> relaysOf(List<Action> actions) {
-        return actions.stream().filter(a -> a instanceof Action.Relay).map(a -> (Action.Relay) a).toList();
+        return actions.stream()
+                .filter(a -> a instanceof Action.Relay)
+                .map(a -> (Action.Relay) a)
+                .toList();
     }
 }
--- a/core/src/test/java/milletyoke/TimetableTest.java
+++ b/core/src/test/java/milletyoke/TimetableTest.java
@@ -19,7 +19,11 @@
             int index = chance.nextInt(300);
             if (chance.nextInt(20) == 0) {
                 long now = chance.nextInt(1_000);
-                int[] expected = plain.entrySet().stream().filter(e -> e.getValue() <= now).mapToInt(Map.Entry::getKey).toArray();
+                int[] expected =
+                        plain.entrySet().stream()
+                                .filter(e -> e.getValue() <= now)
+                                .mapToInt(Map.Entry::getKey)
+                                .toArray();
                 assertArrayEquals(expected, table.due(now));
                 plain.values().removeIf(at -> at <= now);
             } else if (chance.nextInt(4) == 0) {
@@ -30,12 +34,17 @@
                 table.set(index, at);
                 plain.put(index, at);
             }
-            assertEquals(plain.values().stream().mapToLong(x -> x).min().orElse(Timetable.NEVER), table.first());
+            assertEquals(
+                    plain.values().stream().mapToLong(x -> x).min().orElse(Timetable.NEVER),
+                    table.first());
             assertEquals(plain.getOrDefault(index, Timetable.NEVER), table.of(index));
         }
     }
 
-    /** A bound that went up quietly left times standing that rested on the lower one (found on a big day of the bench). */
+    /**
+     * A bound that went up quietly left times standing that rested on the lower one (found on a big
+     * day of the bench).
+     */
     @Test
     void aCeilingNeverRisesUnnoticed() {
         SplittableRandom chance = new SplittableRandom(6);
--- a/core/src/test/java/milletyoke/reference/Decide.java
+++ b/core/src/test/java/milletyoke/reference/Decide.java
@@ -10,40 +10,67 @@
 import milletyoke.reference.State.*;
 
 /**
- * The module from before its work was put in step with what happens, to be compared with; its stores are filled by time
- * alone already. It goes out when that work is done.
+ * The module from before its work was put in step with what happens, to be compared with; its
+ * stores are filled by time alone already. It goes out when that work is done.
  *
- * All decisions of one initiator. Its host makes one object for each start, calls {@link #decide} with the
- * time and what happened since, the start first, and carries out what it returns, in that order. The
- * interface is the package milletyoke.port; the design, and each departure, is in docs/design.md.
+ * <p>All decisions of one initiator. Its host makes one object for each start, calls {@link
+ * #decide} with the time and what happened since, the start first, and carries out what it returns,
+ * in that order. The interface is the package milletyoke.port; the design, and each departure, is
+ * in docs/design.md.
  */
 public final class Decide {
     // The design's figures.
     private static final int BASE_BATCH = 4;
     private static final double FIRST_WINDOW = 4, WINDOW_CEILING = 16;
     private static final double MARGIN_STEPS = 1.5;
-    /** An answer is late past this part of the shortest agreed time: at a target no tag order holds. */
+
+    /**
+     * An answer is late past this part of the shortest agreed time: at a target no tag order holds.
+     */
     private static final double LATE_PART = 1.0 / 6;
+
     // Smoothing, as TCP does it for its round trips: a figure settles in about eight answers.
     private static final double SMOOTHING = 1.0 / 8;
+
     /** A target that owes answers is silent once it has given none for this many of its lags. */
     private static final double PATIENCE = 4;
-    /** From this part of answers on that took over half of the shortest agreed time, probes go first. */
+
+    /**
+     * From this part of answers on that took over half of the shortest agreed time, probes go
+     * first.
+     */
     private static final double SUSPECT = 0.05;
-    /** What is said to wait at a target may take this part of that time, for accesses owed and for others. */
+
+    /**
+     * What is said to wait at a target may take this part of that time, for accesses owed and for
+     * others.
+     */
     private static final double JOIN_OWED = 0.75, JOIN_OTHERS = 0.25;
+
     private static final double LEAST_FURTHER = 0.1;
-    /** Trials and rests grow up to this many of the shortest agreed time; no lag outlives it unheard. */
+
+    /**
+     * Trials and rests grow up to this many of the shortest agreed time; no lag outlives it
+     * unheard.
+     */
     private static final long LONGEST_TRIAL = 4;
+
     /** Times between looks at what waits, and at what is only out (microseconds). */
     private static final long LOOK_WAITING = 4_000, LOOK_IDLE = 40_000;
+
     /** A final answer leaves this long before the client's time is up. */
     private static final long ANSWER_AHEAD = 5_000;
+
     private static final long FIRST_ASK = 500_000;
+
     /** The rest of a limit's slack is for sums that another counts in another order. */
     private static final double SLACK_USED = 0.9;
-    /** What waits at a cold target may take this part of what the bound leaves beyond its capacity. */
+
+    /**
+     * What waits at a cold target may take this part of what the bound leaves beyond its capacity.
+     */
     private static final double COLD_QUEUE = 1.0 / 8;
+
     private static final Set<Outcome> MAY_STILL_RUN =
             EnumSet.of(Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED);
 
@@ -52,17 +79,23 @@
     private SplittableRandom chance;
     private long startedAt;
     private long shortestAgreed;
-    /** So many initiators that windows of one each make a queue of twice the shortest agreed time. */
+
+    /**
+     * So many initiators that windows of one each make a queue of twice the shortest agreed time.
+     */
     private boolean crowd;
+
     private final Map<String, Category> categories = new HashMap<>();
     private final Map<String, Plan> plans = new HashMap<>();
 
     private long now;
     private List<Action> todo;
     private long wakeAt = Long.MAX_VALUE;
+
     /**
-     * When a turn last came far later than was asked for. Guards against standing still for any cause: what
-     * came meanwhile tells no target's lag or silence. Could harm where all turns are late: nothing adapts.
+     * When a turn last came far later than was asked for. Guards against standing still for any
+     * cause: what came meanwhile tells no target's lag or silence. Could harm where all turns are
+     * late: nothing adapts.
      */
     private long resumedAt;
 
@@ -79,10 +112,13 @@
     private final Map<String, Long> longestTtl = new HashMap<>();
     private final ArrayDeque<Long> taken = new ArrayDeque<>(), further = new ArrayDeque<>();
     double furtherSuccess = 1, lateShare;
+
     /** What an access takes at a target where no other waits. */
     private double aloneLag;
+
     /** Probes have told of waiting, so they do not merely show that the target runs. */
     private boolean probesTell;
+
     private double meanUnits;
 
     /** The one entry point: takes what happened, returns what is to be done. */
@@ -130,7 +166,8 @@
     private void provision(Provisioning next) {
         given = next;
         given.categories().forEach(c -> categories.put(c.name(), c));
-        shortestAgreed = given.categories().stream().mapToLong(Category::agreedTime).min().orElse(0);
+        shortestAgreed =
+                given.categories().stream().mapToLong(Category::agreedTime).min().orElse(0);
         given.plans().forEach(p -> plans.put(p.name(), p));
         for (Plan p : given.plans()) {
             Store s = unseen.computeIfAbsent(p.name(), n -> new Store());
@@ -141,10 +178,10 @@
     }
 
     /**
-     * New plans hold from now on, for what waits too. A limit's store is first filled by the plan it had and then
-     * holds no more than the new one allows. Guards rule 7 against a limit lowered and raised again, which would
-     * fill it at once, and against past time paid at a higher rate. Harms none but a volume whose limit rises: its
-     * store fills as time goes on.
+     * New plans hold from now on, for what waits too. A limit's store is first filled by the plan
+     * it had and then holds no more than the new one allows. Guards rule 7 against a limit lowered
+     * and raised again, which would fill it at once, and against past time paid at a higher rate.
+     * Harms none but a volume whose limit rises: its store fills as time goes on.
      */
     private void reprovision(Provisioning next) {
         limits.values().forEach(this::settle);
@@ -196,7 +233,10 @@
         nodes.forEach(this::findHolder);
     }
 
-    /** A failure does not tell if the subscription stands: it is asked again, out of step, ever later. */
+    /**
+     * A failure does not tell if the subscription stands: it is asked again, out of step, ever
+     * later.
+     */
     private void askAgain() {
         if (given.listMustBeAsked() && askAt == Long.MAX_VALUE) {
             askAt = now + (long) (askWait * (0.5 + chance.nextDouble()));
@@ -249,7 +289,8 @@
         Held h = new Held(e, category, plans.get(e.plan()));
         h.abandonAt = now + e.ttl();
         long longest = longestTtl.merge(category.name(), e.ttl(), Math::max);
-        boolean impatient = e.ttl() < category.agreedTime(); // a repeat that late would hardly be in time
+        boolean impatient =
+                e.ttl() < category.agreedTime(); // a repeat that late would hardly be in time
         h.firstTaken = impatient ? now : now - (longest - e.ttl());
         h.agreedAt = Math.min(h.firstTaken + category.agreedTime(), h.abandonAt - ANSWER_AHEAD);
         held.put(e.id(), h);
@@ -265,7 +306,10 @@
         enqueue(h);
     }
 
-    /** A new object goes to a target drawn at random, odds in step with the room each is thought to have. */
+    /**
+     * A new object goes to a target drawn at random, odds in step with the room each is thought to
+     * have.
+     */
     private Node draw() {
         double left = chance.nextDouble() * nodes.values().stream().mapToDouble(this::room).sum();
         Node drawn = null;
@@ -285,12 +329,17 @@
 
     private void enqueue(Held h) {
         Node node = h.node;
-        Reservation r = node.reservations.computeIfAbsent(h.access.volume(), v -> new Reservation());
+        Reservation r =
+                node.reservations.computeIfAbsent(h.access.volume(), v -> new Reservation());
         r.weight = weight(h.plan);
         if (r.queue.isEmpty()) {
             r.start = Math.max(node.virtualTime, r.finish);
-            double least = node.reservations.values().stream().filter(other -> !other.queue.isEmpty())
-                    .mapToDouble(other -> other.extra).min().orElse(r.extra);
+            double least =
+                    node.reservations.values().stream()
+                            .filter(other -> !other.queue.isEmpty())
+                            .mapToDouble(other -> other.extra)
+                            .min()
+                            .orElse(r.extra);
             r.extra = Math.max(r.extra, least);
         }
         r.queue.add(placeIn(r.queue, h), h);
@@ -302,11 +351,20 @@
         return plan == null || plan.weight() <= 0 ? 1 : plan.weight();
     }
 
-    /** Inside one volume importance goes first, then the newest: a backlog makes few very late, not all. */
+    /**
+     * Inside one volume importance goes first, then the newest: a backlog makes few very late, not
+     * all.
+     */
     private static int placeIn(LinkedList<Held> queue, Held h) {
         double own = h.category.importance();
-        return (int) queue.stream().filter(o -> o.category.importance() > own
-                || o.category.importance() == own && o.firstTaken >= h.firstTaken).count();
+        return (int)
+                queue.stream()
+                        .filter(
+                                o ->
+                                        o.category.importance() > own
+                                                || o.category.importance() == own
+                                                        && o.firstTaken >= h.firstTaken)
+                        .count();
     }
 
     private static double step(Reservation r, Held h) {
@@ -341,9 +399,10 @@
     }
 
     /**
-     * Whether to wait for a probe, sent now if the last one is old. Where answers come late among a crowd,
-     * one goes first: each hears too seldom of the queue that windows of one fill. Guards against any load
-     * that others bring; could harm where probes are dear, or answered later than work.
+     * Whether to wait for a probe, sent now if the last one is old. Where answers come late among a
+     * crowd, one goes first: each hears too seldom of the queue that windows of one fill. Guards
+     * against any load that others bring; could harm where probes are dear, or answered later than
+     * work.
      */
     private boolean mustAsk(int t) {
         boolean answers = given.allowances().probes() && t >= 0 && targets.nextTrial[t] == 0;
@@ -365,16 +424,20 @@
         return isTold(t) ? targets.crowd[t] + aloneLag : usual;
     }
 
-    /** Whether an access may join what is said to wait at the target; the draw keeps hosts out of step. */
+    /**
+     * Whether an access may join what is said to wait at the target; the draw keeps hosts out of
+     * step.
+     */
     private boolean fits(Held h, int t) {
         double part = isOwed(h) ? JOIN_OWED : JOIN_OTHERS * targets.bar[t];
         return !isTold(t) || targets.crowd[t] <= part * shortestAgreed;
     }
 
     /**
-     * What can no longer be answered in its agreed time takes the room that is left, unless others need it
-     * (a crowd, a limit), or gets its answer at once. Guards against a backlog of any cause that would make
-     * all that comes after it late too. Could harm where the lag is thought longer than it is.
+     * What can no longer be answered in its agreed time takes the room that is left, unless others
+     * need it (a crowd, a limit), or gets its answer at once. Guards against a backlog of any cause
+     * that would make all that comes after it late too. Could harm where the lag is thought longer
+     * than it is.
      */
     private List<Held> takeLate(Node node) {
         double expected = expected(node.target);
@@ -388,12 +451,17 @@
         return late;
     }
 
-    /** One base batch by least finish tag, beside each of it the inserts that may join; false if empty. */
+    /**
+     * One base batch by least finish tag, beside each of it the inserts that may join; false if
+     * empty.
+     */
     private boolean batch(Node node) {
         int room = roomAt(node);
         int most = Math.min(BASE_BATCH, (room + 1) / 2);
         List<Held> base = new ArrayList<>();
-        for (Reservation r = leastFinish(node); base.size() < most && r != null; r = leastFinish(node)) {
+        for (Reservation r = leastFinish(node);
+                base.size() < most && r != null;
+                r = leastFinish(node)) {
             Held h = sendable(node, r);
             node.virtualTime = r.start;
             r.start = r.finish;
@@ -405,7 +473,9 @@
             if (!relay(h, node.target)) {
                 enqueue(h); // one before it took the last of a limit or of a cold target's part
             }
-            for (Held beside = insert(node, h, room); beside != null; beside = insert(node, h, room)) {
+            for (Held beside = insert(node, h, room);
+                    beside != null;
+                    beside = insert(node, h, room)) {
                 relay(beside, node.target);
                 room--;
             }
@@ -414,8 +484,9 @@
     }
 
     /**
-     * The least finish tag among volumes owed part of their reserve; if none is, among all. Guards reserves
-     * where many ask for more; could harm the shares by weight if reserves took the whole node for long.
+     * The least finish tag among volumes owed part of their reserve; if none is, among all. Guards
+     * reserves where many ask for more; could harm the shares by weight if reserves took the whole
+     * node for long.
      */
     private Reservation leastFinish(Node node) {
         Reservation least = null;
@@ -437,9 +508,13 @@
         return r.queue.stream().filter(h -> mayRelay(h, t) && fits(h, t)).findFirst().orElse(null);
     }
 
-    /** What this host owes a volume of its reserve: at most a second, and an access of twice the mean. */
+    /**
+     * What this host owes a volume of its reserve: at most a second, and an access of twice the
+     * mean.
+     */
     private boolean isOwed(Held h) {
-        return level(reserves.get(h.access.volume()), reserve(h), reserveDepth(h)) >= h.access.units();
+        return level(reserves.get(h.access.volume()), reserve(h), reserveDepth(h))
+                >= h.access.units();
     }
 
     private static double reserve(Held h) {
@@ -457,8 +532,11 @@
         }
         for (Reservation r : node.reservations.values()) {
             for (Held h : r.queue) {
-                if (extent.equals(h.access.extent()) && !h.category.keyOrdered() && mayRelay(h, node.target)
-                        && fits(h, node.target) && withinMargin(node, r, step(r, h))) {
+                if (extent.equals(h.access.extent())
+                        && !h.category.keyOrdered()
+                        && mayRelay(h, node.target)
+                        && fits(h, node.target)
+                        && withinMargin(node, r, step(r, h))) {
                     r.extra += step(r, h);
                     dequeue(h, r);
                     return h;
@@ -468,7 +546,9 @@
         return null;
     }
 
-    /** Whether the widest gap of waiting volumes' extra tags stays within the margin after one step. */
+    /**
+     * Whether the widest gap of waiting volumes' extra tags stays within the margin after one step.
+     */
     private boolean withinMargin(Node node, Reservation one, double step) {
         double least = one.extra + step, most = least, lightest = one.weight;
         for (Reservation r : node.reservations.values()) {
@@ -503,7 +583,8 @@
             targets.coldSpent.get(t).addLast(new Spent(now, h.access.units()));
             targets.toldUntil[t] = 0;
         }
-        targets.heardAt[t] = targets.out[t] == 0 && targets.nextTrial[t] == 0 ? now : targets.heardAt[t];
+        targets.heardAt[t] =
+                targets.out[t] == 0 && targets.nextTrial[t] == 0 ? now : targets.heardAt[t];
         targets.mayTry[t] = false;
         h.relays++;
         h.lost = false;
@@ -517,34 +598,47 @@
 
     private boolean mayRelay(Held h, int t) {
         boolean inTime = !h.answered && now < h.abandonAt - ANSWER_AHEAD;
-        return t >= 0 && targets.usable[t] && inTime && noSecondEffect(h, t) && coldBears(h, t) && itsTurn(h)
-                && withinBudget(h) && withinLimit(h);
+        return t >= 0
+                && targets.usable[t]
+                && inTime
+                && noSecondEffect(h, t)
+                && coldBears(h, t)
+                && itsTurn(h)
+                && withinBudget(h)
+                && withinLimit(h);
     }
 
     private boolean noSecondEffect(Held h, int t) {
         if (h.outAt >= 0 || h.relays >= given.allowances().maxRelays()) {
             return false;
         }
-        boolean sameGroup = h.ranAt < 0 || switch (h.category.group()) {
-            case ALL -> true;
-            case ZONE -> targets.zone[t].equals(targets.zone[h.ranAt]);
-            case CELL -> targets.shardOf[t] == targets.shardOf[h.ranAt];
-        };
+        boolean sameGroup =
+                h.ranAt < 0
+                        || switch (h.category.group()) {
+                            case ALL -> true;
+                            case ZONE -> targets.zone[t].equals(targets.zone[h.ranAt]);
+                            case CELL -> targets.shardOf[t] == targets.shardOf[h.ranAt];
+                        };
         return mayRunAgain(h) && (sameGroup || h.category.repeats() == Repeats.HARMLESS);
     }
 
     private boolean mayRunAgain(Held h) {
-        return h.ranAt < 0 || h.category.repeats() == Repeats.HARMLESS
-                || h.category.repeats() == Repeats.STAMPED && now < h.ranSince + h.category.repeatWindow();
+        return h.ranAt < 0
+                || h.category.repeats() == Repeats.HARMLESS
+                || h.category.repeats() == Repeats.STAMPED
+                        && now < h.ranSince + h.category.repeatWindow();
     }
 
     boolean isCold(int t) {
-        return bounds.fall() > 0 && targets.launched[t] > 0 && now < targets.launched[t] + bounds.cold();
+        return bounds.fall() > 0
+                && targets.launched[t] > 0
+                && now < targets.launched[t] + bounds.cold();
     }
 
     /**
-     * This initiator's even part of what a cold target bears; a former life may have sent all of it. It may
-     * have more if a probe just told how little waits: what all sent was then served, within its capacity.
+     * This initiator's even part of what a cold target bears; a former life may have sent all of
+     * it. It may have more if a probe just told how little waits: what all sent was then served,
+     * within its capacity.
      */
     private boolean coldBears(Held h, int t) {
         if (!isCold(t)) {
@@ -562,10 +656,14 @@
         return spent + h.access.units() <= coldPart(t);
     }
 
-    /** The bound grows as the target warms, which is never slower than evenly; the window's start counts. */
+    /**
+     * The bound grows as the target warms, which is never slower than evenly; the window's start
+     * counts.
+     */
     private double coldPart(int t) {
         double share = bounds.coldShare();
-        double warmed = Math.max(0, now - bounds.fall() - targets.launched[t]) / (double) bounds.cold();
+        double warmed =
+                Math.max(0, now - bounds.fall() - targets.launched[t]) / (double) bounds.cold();
         double grown = share > 0 ? (share + (1 - share) * warmed) / share : 1;
         return bounds.coldBears() * grown / Math.max(1, given.initiators());
     }
@@ -576,12 +674,17 @@
     }
 
     private Turns turnsOf(Held h) {
-        return h.category.keyOrdered() && h.access.extent() != null ? turns.get(h.access.extent()) : null;
+        return h.category.keyOrdered() && h.access.extent() != null
+                ? turns.get(h.access.extent())
+                : null;
     }
 
     private boolean withinBudget(Held h) {
-        return h.relays == 0 || bounds.relayBudgetSpan() == 0 || inSpan(further).size() + 1
-                <= bounds.relayBudgetFree() + bounds.relayBudgetShare() * inSpan(taken).size();
+        return h.relays == 0
+                || bounds.relayBudgetSpan() == 0
+                || inSpan(further).size() + 1
+                        <= bounds.relayBudgetFree()
+                                + bounds.relayBudgetShare() * inSpan(taken).size();
     }
 
     private ArrayDeque<Long> inSpan(ArrayDeque<Long> times) {
@@ -599,19 +702,27 @@
         return h.plan != null && h.plan.limitRate() > 0;
     }
 
-    /** This host's part of a volume's limit, with slack. A former life may have spent it: it starts empty. */
+    /**
+     * This host's part of a volume's limit, with slack. A former life may have spent it: it starts
+     * empty.
+     */
     private Store limit(Held h) {
-        return limits.computeIfAbsent(h.access.volume(), v -> {
-            Store s = new Store();
-            s.units = unseen.get(h.access.plan()).units / hosts(h);
-            s.at = unseen.get(h.access.plan()).at;
-            s.plan = h.access.plan();
-            s.hosts = hosts(h);
-            return s;
-        });
+        return limits.computeIfAbsent(
+                h.access.volume(),
+                v -> {
+                    Store s = new Store();
+                    s.units = unseen.get(h.access.plan()).units / hosts(h);
+                    s.at = unseen.get(h.access.plan()).at;
+                    s.plan = h.access.plan();
+                    s.hosts = hosts(h);
+                    return s;
+                });
     }
 
-    /** A store follows the plan and hosts that are asked with: the time before is paid as those were. */
+    /**
+     * A store follows the plan and hosts that are asked with: the time before is paid as those
+     * were.
+     */
     private void openLimit(Held h) {
         Store s = limit(h);
         settle(s);
@@ -652,7 +763,8 @@
     /** What a store holds now. It is filled by time alone: to look at it changes nothing. */
     private double level(Store s, double rate, double depth) {
         double units = s == null ? 0 : s.units;
-        return Math.min(depth, units + rate * (now - Math.max(s == null ? 0 : s.at, startedAt)) / 1e6);
+        return Math.min(
+                depth, units + rate * (now - Math.max(s == null ? 0 : s.at, startedAt)) / 1e6);
     }
 
     private void drawOnReserve(Held h) {
@@ -717,7 +829,8 @@
             return;
         }
         if (aloneLag == 0 || isTold(t) && targets.crowd[t] < aloneLag) {
-            double part = took < aloneLag ? SMOOTHING : SMOOTHING / 8; // slow ones had others before them
+            double part =
+                    took < aloneLag ? SMOOTHING : SMOOTHING / 8; // slow ones had others before them
             aloneLag += (took - aloneLag) * (aloneLag == 0 ? 1 : part);
         }
         targets.took[t] = took;
@@ -732,10 +845,10 @@
     }
 
     /**
-     * Halves once a round trip: what was sent before the last halving tells of the time before it. Among a
-     * crowd, a refusal, a time-out or far too late an answer while hardly anything of its own is out tells of
-     * a queue that others fill: the target then rests, ever longer, for what does not fit. Could harm where
-     * answers are late by chance.
+     * Halves once a round trip: what was sent before the last halving tells of the time before it.
+     * Among a crowd, a refusal, a time-out or far too late an answer while hardly anything of its
+     * own is out tells of a queue that others fill: the target then rests, ever longer, for what
+     * does not fit. Could harm where answers are late by chance.
      */
     private void late(int t, Held h, long took) {
         if (h.sentAt < targets.halvedAt[t]) {
@@ -762,10 +875,13 @@
         targets.nextTrial[t] = 0;
     }
 
-    /** A target that owes answers and gave none for far longer than of late gets trials, ever later. */
+    /**
+     * A target that owes answers and gave none for far longer than of late gets trials, ever later.
+     */
     private void watchForSilence(int t) {
         long quiet = Math.max(now - Math.max(resumedAt, targets.heardAt[t]), shortestAgreed / 2);
-        double patience = Math.max(shortestAgreed / 2, PATIENCE * Math.max(targets.lag[t], targets.took[t]));
+        double patience =
+                Math.max(shortestAgreed / 2, PATIENCE * Math.max(targets.lag[t], targets.took[t]));
         if (targets.nextTrial[t] == 0 && targets.out[t] > 0 && quiet > patience) {
             fallSilent(t);
         } else if (targets.nextTrial[t] > 0 && now >= targets.nextTrial[t]) {
@@ -778,8 +894,9 @@
     }
 
     /**
-     * A relay that later ones overtook long ago is presumed lost. Guards the window against whatever vanishes
-     * one by one. Could harm where a target serves in no order; so one-shot accesses are let wait.
+     * A relay that later ones overtook long ago is presumed lost. Guards the window against
+     * whatever vanishes one by one. Could harm where a target serves in no order; so one-shot
+     * accesses are let wait.
      */
     private void watchForLoss(Held h) {
         int t = h.outAt;
@@ -795,8 +912,8 @@
     }
 
     /**
-     * Guards against a target that hangs, pauses long, is down or cannot be reached, whatever the list says;
-     * any answer ends it. Could harm where single connections fail by chance.
+     * Guards against a target that hangs, pauses long, is down or cannot be reached, whatever the
+     * list says; any answer ends it. Could harm where single connections fail by chance.
      */
     private void fallSilent(int t) {
         if (targets.nextTrial[t] == 0) {
@@ -813,13 +930,18 @@
         targets.askedAt[t] = 0;
         probesTell |= e.waiting() >= 0 || answered && aloneLag > 0 && e.lag() > aloneLag;
         double unanswered = isCold(t) ? shortestAgreed : 0;
-        told(t, answered ? Math.max(e.lag(), e.waiting() * aloneLag) : unanswered, shortestAgreed / 2);
+        told(
+                t,
+                answered ? Math.max(e.lag(), e.waiting() * aloneLag) : unanswered,
+                shortestAgreed / 2);
     }
 
     /** Further relays are made as often as recent ones succeeded. */
     private boolean worthAnother(Held h, int t) {
         boolean inTime = now + targets.lag[t] < h.agreedAt;
-        return mayRunAgain(h) && h.relays < given.allowances().maxRelays() && inTime
+        return mayRunAgain(h)
+                && h.relays < given.allowances().maxRelays()
+                && inTime
                 && chance.nextDouble() < Math.max(LEAST_FURTHER, furtherSuccess);
     }
 
--- a/core/src/test/java/milletyoke/reference/State.java
+++ b/core/src/test/java/milletyoke/reference/State.java
@@ -13,10 +13,12 @@
 
 /** What the module keeps, as plain data. */
 final class State {
-    private State() {
-    }
+    private State() {}
 
-    /** Figures about targets, in parallel arrays under a dense index that lasts one life of the initiator. */
+    /**
+     * Figures about targets, in parallel arrays under a dense index that lasts one life of the
+     * initiator.
+     */
     static final class Targets {
         int count;
         String[] id = {};
@@ -24,25 +26,43 @@
         int[] shardOf = {};
         boolean[] usable = {};
         long[] launched = {};
+
         /** Relays out; those of an earlier life, or presumed lost, are not counted. */
         int[] out = {};
+
         int[] life = {};
         double[] window = {};
+
         /** The usual lag of an answer. */
         double[] lag = {};
+
         /** What the latest answer took. */
         long[] took = {};
+
         long[] heardAt = {};
+
         /** When the latest answered relay was sent, and when the window was last halved. */
         long[] answeredSent = {};
+
         long[] halvedAt = {};
-        /** When a silent target is tried again, 0 for one that is not silent; and whether one access may try now. */
+
+        /**
+         * When a silent target is tried again, 0 for one that is not silent; and whether one access
+         * may try now.
+         */
         long[] nextTrial = {};
+
         boolean[] mayTry = {};
+
         /** When a probe left that has no answer yet, 0 for none. */
         long[] askedAt = {};
-        /** The waiting that was told of, until when that holds, the draw made with it, and how long a rest is now. */
+
+        /**
+         * The waiting that was told of, until when that holds, the draw made with it, and how long
+         * a rest is now.
+         */
         double[] crowd = {};
+
         long[] toldUntil = {};
         double[] bar = {};
         long[] rest = {};
@@ -85,15 +105,26 @@
         long firstTaken;
         long agreedAt;
         long abandonAt;
-        /** When, to which target and in which life of it the latest relay left; -1 once that has its outcome. */
+
+        /**
+         * When, to which target and in which life of it the latest relay left; -1 once that has its
+         * outcome.
+         */
         long sentAt;
+
         int outAt = -1;
         int outLife;
         int relays;
-        /** The target of the first relay that may have run, -1 while there is none, and when that relay left. */
+
+        /**
+         * The target of the first relay that may have run, -1 while there is none, and when that
+         * relay left.
+         */
         int ranAt = -1;
+
         long ranSince;
         boolean answered;
+
         /** Its relay is out, and presumed lost. */
         boolean lost;
 
@@ -125,8 +156,10 @@
     static final class Store {
         double units;
         long at;
+
         /** Whose plan fills it, and among how many hosts; null until it is first used. */
         String plan;
+
         double hosts;
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/Initiator.java
+++ b/gateway/src/main/java/milletyoke/gateway/Initiator.java
@@ -64,12 +64,19 @@
     private Console console;
     private CaptureWriter capture;
 
-    private Initiator(Setup setup, Tap tap, World world, long seed, Supplier<Decisions> instead) throws IOException {
+    private Initiator(Setup setup, Tap tap, World world, long seed, Supplier<Decisions> instead)
+            throws IOException {
         this.setup = setup;
         this.world = world;
         Setup.Room r = setup.room();
-        gate = new Gate(new Admission.Room(r.held(), r.bytes(), r.connectionPart(), r.greed(),
-                setup.deployment().provisioning().allowances().longestAdvice()));
+        gate =
+                new Gate(
+                        new Admission.Room(
+                                r.held(),
+                                r.bytes(),
+                                r.connectionPart(),
+                                r.greed(),
+                                setup.deployment().provisioning().allowances().longestAdvice()));
         lastList = setup.folder() == null ? null : new LastList(setup.folder(), !world.isVirtual());
         Setup.Transport t = setup.transport();
         toTargets = new Bounds(t.frameBytes(), t.waitingBytes(), t.partialTime(), 0);
@@ -78,15 +85,27 @@
         loop = new Loop(setup, this, world, counts, instead);
         faults = new Faults(counts, world::micros);
         ingress = new Ingress(setup, world, loop, counts, gate, faults);
-        following = setup.fleet() == null ? null : new Following(setup.fleet().file(), setup.folder(),
-                setup.fleet().fleet(), setup.fleet().files(), this::follow);
+        following =
+                setup.fleet() == null
+                        ? null
+                        : new Following(
+                                setup.fleet().file(),
+                                setup.folder(),
+                                setup.fleet().fleet(),
+                                setup.fleet().files(),
+                                this::follow);
         if (setup.fleet() != null) {
             ingress.configure(setup.fleet().fleet());
         }
         subscription = new Subscription(setup, wire, loop, side, ~seed);
         try {
-            listener = wire.listen(setup.listen().host(), setup.listen().port(), Role.INITIATOR, ingress,
-                    new Bounds(t.frameBytes(), t.waitingBytes(), t.partialTime(), 0));
+            listener =
+                    wire.listen(
+                            setup.listen().host(),
+                            setup.listen().port(),
+                            Role.INITIATOR,
+                            ingress,
+                            new Bounds(t.frameBytes(), t.waitingBytes(), t.partialTime(), 0));
         } catch (IOException taken) {
             wire.close();
             side.shutdownNow();
@@ -110,14 +129,16 @@
      * @param seed of all its chance: of the decisions, and of waits before it connects again
      * @param instead of the product's decisions, in a lab; null in service
      */
-    public static Initiator start(Setup setup, Tap tap, World world, long seed, Supplier<Decisions> instead)
+    public static Initiator start(
+            Setup setup, Tap tap, World world, long seed, Supplier<Decisions> instead)
             throws IOException, SetupError {
         Initiator made = new Initiator(setup, tap, world, seed, instead);
         TargetList restored = made.lastList == null ? null : made.lastList.load();
         made.loop.start(seed, restored);
         if (setup.console() != null) {
             try {
-                made.console = new Console(setup.console(), setup, made.loop, made.counts, made.following);
+                made.console =
+                        new Console(setup.console(), setup, made.loop, made.counts, made.following);
             } catch (IOException | SetupError unusable) {
                 made.kill();
                 throw unusable;
@@ -127,12 +148,19 @@
             made.side.scheduleWithFixedDelay(made.following::look, 500, 500, TimeUnit.MILLISECONDS);
         }
         made.subscription.connect();
-        LOG.info("{} takes accesses at {}:{}, {} targets known from before", setup.name(), setup.listen().host(),
-                made.port(), restored == null ? 0 : restored.getTargetCount());
+        LOG.info(
+                "{} takes accesses at {}:{}, {} targets known from before",
+                setup.name(),
+                setup.listen().host(),
+                made.port(),
+                restored == null ? 0 : restored.getTargetCount());
         return made;
     }
 
-    /** A version that holds from now on: the decisions know its plans before any access can name one. */
+    /**
+     * A version that holds from now on: the decisions know its plans before any access can name
+     * one.
+     */
     private void follow(Fleet fleet) {
         loop.tell(new Told.Reprovision(FromFleet.deployment(fleet).provisioning()));
         loop.tell(new Told.Do(() -> ingress.configure(fleet)));
@@ -147,8 +175,8 @@
     }
 
     /**
-     * Keeps what comes in from now on and could be taken, for replay. The daemon is not held up by it: what a slow disk cannot
-     * take is left out and counted in the file.
+     * Keeps what comes in from now on and could be taken, for replay. The daemon is not held up by
+     * it: what a slow disk cannot take is left out and counted in the file.
      *
      * @throws IOException where the file cannot be made, or is there already
      */
@@ -174,7 +202,9 @@
             try {
                 capture.close();
             } catch (IOException failed) {
-                LOG.warn("the last of the captured traffic could not be written: {}", failed.toString());
+                LOG.warn(
+                        "the last of the captured traffic could not be written: {}",
+                        failed.toString());
             }
             capture = null;
         }
@@ -196,7 +226,8 @@
     /**
      * Takes nothing new, answers what is held, then ends.
      *
-     * @param millis the longest to wait for that; every access held has its answer before its own time is up
+     * @param millis the longest to wait for that; every access held has its answer before its own
+     *     time is up
      * @return whether all was answered
      */
     public boolean leave(long millis) throws InterruptedException {
@@ -213,7 +244,8 @@
     }
 
     /**
-     * As {@link #leave}, for those who cannot wait: looks every few milliseconds whether all is answered.
+     * As {@link #leave}, for those who cannot wait: looks every few milliseconds whether all is
+     * answered.
      *
      * @param then is run when it has ended
      */
@@ -248,7 +280,11 @@
         }
         wire.close();
         side.shutdown();
-        LOG.info("{} has left{}: {}", setup.name(), clean ? "" : " with accesses unanswered", counts);
+        LOG.info(
+                "{} has left{}: {}",
+                setup.name(),
+                clean ? "" : " with accesses unanswered",
+                counts);
         return clean && loop.fault() == null;
     }
 
@@ -272,9 +308,14 @@
 
     @Override
     public Dial dial(String target, Address address, long dial) {
-        Net.Attempt attempt = wire.connect(address.host(), address.port(), Role.INITIATOR,
-                new LinkHandler(target, dial), toTargets,
-                why -> loop.tell(new Told.DialFailed(target, dial, why)));
+        Net.Attempt attempt =
+                wire.connect(
+                        address.host(),
+                        address.port(),
+                        Role.INITIATOR,
+                        new LinkHandler(target, dial),
+                        toTargets,
+                        why -> loop.tell(new Told.DialFailed(target, dial, why)));
         return attempt::giveUp;
     }
 
@@ -331,8 +372,13 @@
         public void got(Peer peer, Frame frame) throws BadFrame {
             switch (frame.getBodyCase()) {
                 case REPLY -> loop.tell(new Told.Replied(peer, frame.getReply(), world.micros()));
-                case PROBE_REPLY -> loop.tell(new Told.ProbeReplied(peer, frame.getProbeReply().getNumber(),
-                        frame.getProbeReply().getLoad(), world.micros()));
+                case PROBE_REPLY ->
+                        loop.tell(
+                                new Told.ProbeReplied(
+                                        peer,
+                                        frame.getProbeReply().getNumber(),
+                                        frame.getProbeReply().getLoad(),
+                                        world.micros()));
                 default -> throw new BadFrame("a target sends replies, not " + frame.getBodyCase());
             }
         }
@@ -341,8 +387,10 @@
         public void closed(Peer peer, String why) {
             LOG.debug("link to {} is gone: {}", target, why);
             faults.closed("target " + target, peer);
-            loop.tell(ready ? new Told.LinkLost(target, peer, why, peer.tookNothing(), 0)
-                    : new Told.DialFailed(target, dial, why));
+            loop.tell(
+                    ready
+                            ? new Told.LinkLost(target, peer, why, peer.tookNothing(), 0)
+                            : new Told.DialFailed(target, dial, why));
         }
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/console/Connections.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Connections.java
@@ -8,15 +8,18 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * Bounds the console's connections in number and each in the time that a request may take to come in. Guards against
- * peers that open many, or send a byte now and then (slow loris). Could harm a viewer on a very slow line.
+ * Bounds the console's connections in number and each in the time that a request may take to come
+ * in. Guards against peers that open many, or send a byte now and then (slow loris). Could harm a
+ * viewer on a very slow line.
  */
 final class Connections extends BaseFilter {
     private final int most;
     private final long patience;
     private final Map<Connection<?>, Long> since = new ConcurrentHashMap<>();
 
-    /** @param patience microseconds */
+    /**
+     * @param patience microseconds
+     */
     Connections(int most, long patience) {
         this.most = most;
         this.patience = patience;
@@ -45,10 +48,11 @@
     }
 
     void look(long now) {
-        since.forEach((connection, from) -> {
-            if (from != Long.MAX_VALUE && now - from > patience) {
-                connection.closeSilently();
-            }
-        });
+        since.forEach(
+                (connection, from) -> {
+                    if (from != Long.MAX_VALUE && now - from > patience) {
+                        connection.closeSilently();
+                    }
+                });
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/console/Console.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Console.java
@@ -36,15 +36,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The daemon's own web console, on a listener and threads of its own. Every answer is made of the latest picture and the
- * rows of past seconds; none waits for the loop, so it answers while the loop is behind.
+ * The daemon's own web console, on a listener and threads of its own. Every answer is made of the
+ * latest picture and the rows of past seconds; none waits for the loop, so it answers while the
+ * loop is behind.
  */
 public final class Console implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Console.class);
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int MOST_BODY = 4_096, MOST_FIND = 100, MOST_PAGE = 100_000, MOST_STREAMS = 256;
-    /** For a request to come in whole, and for a stream's reader to take what it was sent (microseconds). */
+    private static final int MOST_BODY = 4_096,
+            MOST_FIND = 100,
+            MOST_PAGE = 100_000,
+            MOST_STREAMS = 256;
+
+    /**
+     * For a request to come in whole, and for a stream's reader to take what it was sent
+     * (microseconds).
+     */
     private static final long PATIENCE = 5_000_000;
+
     private static final String COOKIE = "milletyoke";
 
     private final Loop loop;
@@ -82,11 +91,17 @@
                 return;
             }
             if (!response.getNIOOutputStream().canWrite()) {
-                return; // what it has not taken is not followed by more; after the patience it is closed
+                return; // what it has not taken is not followed by more; after the patience it is
+                // closed
             }
             try {
-                response.getNIOOutputStream().write(("data: " + JSON.writeValueAsString(views.of(page, sight, ask))
-                        + "\n\n").getBytes(StandardCharsets.UTF_8));
+                response.getNIOOutputStream()
+                        .write(
+                                ("data: "
+                                                + JSON.writeValueAsString(
+                                                        views.of(page, sight, ask))
+                                                + "\n\n")
+                                        .getBytes(StandardCharsets.UTF_8));
                 response.getNIOOutputStream().flush();
                 lastTaken = Wire.micros();
             } catch (IOException | RuntimeException gone) {
@@ -111,7 +126,8 @@
      * @throws IOException where its address cannot be had
      * @throws SetupError where its tokens cannot be used
      */
-    public Console(Setup.Console access, Setup setup, Loop loop, Counts counts, Following following) throws IOException, SetupError {
+    public Console(Setup.Console access, Setup setup, Loop loop, Counts counts, Following following)
+            throws IOException, SetupError {
         this.loop = loop;
         tokens = new Tokens(access.tokens());
         rates = new Rates(access.rate(), 4 * access.rate());
@@ -123,32 +139,49 @@
         listener.setMaxFormPostSize(MOST_BODY);
         listener.setMaxBufferedPostSize(MOST_BODY);
         listener.getKeepAlive().setIdleTimeoutInSeconds(30);
-        listener.setDefaultErrorPageGenerator((request, status, reason, description, exception) ->
-                "{\"type\":\"about:blank\",\"title\":\"" + status + "\",\"status\":" + status + "}");
+        listener.setDefaultErrorPageGenerator(
+                (request, status, reason, description, exception) ->
+                        "{\"type\":\"about:blank\",\"title\":\""
+                                + status
+                                + "\",\"status\":"
+                                + status
+                                + "}");
         listener.registerAddOn((on, chain) -> chain.add(1, connections));
-        listener.getTransport().setWorkerThreadPoolConfig(ThreadPoolConfig.defaultConfig().setPoolName("console")
-                .setCorePoolSize(4).setMaxPoolSize(4).setQueueLimit(4_096).setDaemon(true)
-                .setPriority(Thread.MAX_PRIORITY));
+        listener.getTransport()
+                .setWorkerThreadPoolConfig(
+                        ThreadPoolConfig.defaultConfig()
+                                .setPoolName("console")
+                                .setCorePoolSize(4)
+                                .setMaxPoolSize(4)
+                                .setQueueLimit(4_096)
+                                .setDaemon(true)
+                                .setPriority(Thread.MAX_PRIORITY));
         listener.getTransport().setSelectorRunnersCount(1);
         server.addListener(listener);
         server.getServerConfiguration().setSendFileEnabled(false);
-        server.getServerConfiguration().addHttpHandler(new HttpHandler("console") {
-            @Override
-            public void service(Request request, Response response) {
-                serve(request, response);
-            }
-        }, "/");
+        server.getServerConfiguration()
+                .addHttpHandler(
+                        new HttpHandler("console") {
+                            @Override
+                            public void service(Request request, Response response) {
+                                serve(request, response);
+                            }
+                        },
+                        "/");
         try {
             server.start();
         } catch (IOException taken) {
             server.shutdownNow();
-            throw new IOException("cannot listen at " + access.listen() + ": " + taken.getMessage(), taken);
-        }
-        pulse = Executors.newSingleThreadScheduledExecutor(task -> {
-            Thread thread = new Thread(task, "console-pulse");
-            thread.setDaemon(true);
-            return thread;
-        });
+            throw new IOException(
+                    "cannot listen at " + access.listen() + ": " + taken.getMessage(), taken);
+        }
+        pulse =
+                Executors.newSingleThreadScheduledExecutor(
+                        task -> {
+                            Thread thread = new Thread(task, "console-pulse");
+                            thread.setDaemon(true);
+                            return thread;
+                        });
         pulse.scheduleWithFixedDelay(this::beat, 1, 1, TimeUnit.SECONDS);
         LOG.info("console at http://{}:{}/", access.listen().host(), port());
     }
@@ -185,7 +218,10 @@
             tell(response, problem, machine);
         } catch (Exception unexpected) {
             LOG.error("a request of the console failed", unexpected);
-            tell(response, new Problem(500, "Failed", "This could not be answered; the log says why."), machine);
+            tell(
+                    response,
+                    new Problem(500, "Failed", "This could not be answered; the log says why."),
+                    machine);
         } finally {
             if (!response.isSuspended()) {
                 connections.answered(request.getContext().getConnection());
@@ -194,8 +230,10 @@
     }
 
     private static void secure(Response r) {
-        r.setHeader("Content-Security-Policy", "default-src 'none'; style-src 'self'; script-src 'self'; "
-                + "connect-src 'self'; form-action 'self'; base-uri 'none'; frame-ancestors 'none'");
+        r.setHeader(
+                "Content-Security-Policy",
+                "default-src 'none'; style-src 'self'; script-src 'self'; "
+                        + "connect-src 'self'; form-action 'self'; base-uri 'none'; frame-ancestors 'none'");
         r.setHeader("X-Content-Type-Options", "nosniff");
         r.setHeader("X-Frame-Options", "DENY");
         r.setHeader("Referrer-Policy", "no-referrer");
@@ -234,14 +272,27 @@
             only(request, Method.POST);
             form(request, response, path, sight, session, bearer != null);
         } else if (path.startsWith("/api/v1/")) {
-            api(request, response, path.substring("/api/v1/".length()), sight, token, bearer != null);
+            api(
+                    request,
+                    response,
+                    path.substring("/api/v1/".length()),
+                    sight,
+                    token,
+                    bearer != null);
         } else {
             only(request, Method.GET);
             String page = path.equals("/") ? "overview" : path.substring(1);
             known(page);
             Views.Ask ask = ask(request, Set.of("find", "page"), "page");
-            html(response, 200, Html.page(page, views.of(page, sight, ask), sight,
-                    session == null ? "" : session.csrf(), ask));
+            html(
+                    response,
+                    200,
+                    Html.page(
+                            page,
+                            views.of(page, sight, ask),
+                            sight,
+                            session == null ? "" : session.csrf(),
+                            ask));
         }
     }
 
@@ -267,7 +318,9 @@
 
     private static String bearer(Request request) {
         String header = request.getHeader("Authorization");
-        return header != null && header.startsWith("Bearer ") && header.length() < 300 ? header.substring(7).trim() : null;
+        return header != null && header.startsWith("Bearer ") && header.length() < 300
+                ? header.substring(7).trim()
+                : null;
     }
 
     private static String cookie(Request request) {
@@ -292,20 +345,35 @@
             return;
         }
         Sessions.Session session = sessions.begin(token, Wire.micros());
-        response.setHeader("Set-Cookie", COOKIE + "=" + session.id() + "; Path=/; HttpOnly; SameSite=Strict");
+        response.setHeader(
+                "Set-Cookie", COOKIE + "=" + session.id() + "; Path=/; HttpOnly; SameSite=Strict");
         response.setStatus(303);
         response.setHeader("Location", "/");
     }
 
     // ---- Acting ----
 
-    private void form(Request request, Response response, String path, Sight sight, Sessions.Session session,
-            boolean byBearer) throws Problem, IOException {
+    private void form(
+            Request request,
+            Response response,
+            String path,
+            Sight sight,
+            Sessions.Session session,
+            boolean byBearer)
+            throws Problem, IOException {
         Map<String, String> form = body(request, Set.of("csrf", "what", "whom"));
-        boolean own = byBearer || session != null && MessageDigest.isEqual(session.csrf().getBytes(StandardCharsets.UTF_8),
-                form.getOrDefault("csrf", "").getBytes(StandardCharsets.UTF_8));
+        boolean own =
+                byBearer
+                        || session != null
+                                && MessageDigest.isEqual(
+                                        session.csrf().getBytes(StandardCharsets.UTF_8),
+                                        form.getOrDefault("csrf", "")
+                                                .getBytes(StandardCharsets.UTF_8));
         if (!own) {
-            throw new Problem(403, "Forbidden", "This form was not made for this session; open the page again.");
+            throw new Problem(
+                    403,
+                    "Forbidden",
+                    "This form was not made for this session; open the page again.");
         }
         if (path.equals("/logout")) {
             if (session != null) {
@@ -329,8 +397,13 @@
         boolean on = what.startsWith("drain");
         switch (what) {
             case "drain", "undrain" -> {
-                journal.write(sight.name(), what, views.of("setup", sight, Views.Ask.FIRST).figures().get("initiator")
-                        .toString());
+                journal.write(
+                        sight.name(),
+                        what,
+                        views.of("setup", sight, Views.Ask.FIRST)
+                                .figures()
+                                .get("initiator")
+                                .toString());
                 loop.tell(new Told.Drain(on, sight.name()));
             }
             case "drain-target", "undrain-target" -> {
@@ -340,13 +413,21 @@
                 journal.write(sight.name(), what, whom);
                 loop.tell(new Told.DrainTarget(whom, on, sight.name()));
             }
-            default -> throw Problem.badRequest("drain, undrain, drain-target or undrain-target can be done.");
+            default ->
+                    throw Problem.badRequest(
+                            "drain, undrain, drain-target or undrain-target can be done.");
         }
     }
 
     // ---- The API ----
 
-    private void api(Request request, Response response, String path, Sight sight, String token, boolean byBearer)
+    private void api(
+            Request request,
+            Response response,
+            String path,
+            Sight sight,
+            String token,
+            boolean byBearer)
             throws Problem, IOException {
         if (path.isEmpty()) {
             only(request, Method.GET);
@@ -354,18 +435,27 @@
         } else if (path.equals("stream")) {
             only(request, Method.GET);
             stream(request, response, token);
-        } else if (path.equals("drain") || path.equals("undrain") || path.matches("targets/[^/]+/(drain|undrain)")) {
+        } else if (path.equals("drain")
+                || path.equals("undrain")
+                || path.matches("targets/[^/]+/(drain|undrain)")) {
             only(request, Method.POST);
             if (!byBearer) { // a browser's cookie goes with any form; a header does not
-                throw new Problem(403, "Forbidden", "Acting by this path needs the token in a header.");
+                throw new Problem(
+                        403, "Forbidden", "Acting by this path needs the token in a header.");
             }
             String[] parts = path.split("/");
-            act(sight, parts.length == 1 ? path : parts[2] + "-target", parts.length == 1 ? "" : decoded(parts[1]));
+            act(
+                    sight,
+                    parts.length == 1 ? path : parts[2] + "-target",
+                    parts.length == 1 ? "" : decoded(parts[1]));
             json(response, 202, Map.of("done", path));
         } else {
             only(request, Method.GET);
             known(path);
-            json(response, 200, views.of(path, sight, ask(request, Set.of("find", "page"), "page")));
+            json(
+                    response,
+                    200,
+                    views.of(path, sight, ask(request, Set.of("find", "page"), "page")));
         }
     }
 
@@ -374,7 +464,10 @@
         String page = request.getParameter("page");
         known(page == null ? "" : page);
         if (streams.size() >= MOST_STREAMS) {
-            throw new Problem(503, "Too many streams", "There are " + MOST_STREAMS + " at the most; poll instead.");
+            throw new Problem(
+                    503,
+                    "Too many streams",
+                    "There are " + MOST_STREAMS + " at the most; poll instead.");
         }
         response.setContentType("text/event-stream");
         response.setCharacterEncoding("UTF-8");
@@ -388,8 +481,10 @@
     private static Views.Ask ask(Request request, Set<String> may, String number) throws Problem {
         for (String name : request.getParameterNames()) {
             if (!may.contains(name)) {
-                throw Problem.badRequest("A parameter that is not known here; known are "
-                        + may.stream().sorted(Comparator.naturalOrder()).toList() + ".");
+                throw Problem.badRequest(
+                        "A parameter that is not known here; known are "
+                                + may.stream().sorted(Comparator.naturalOrder()).toList()
+                                + ".");
             }
         }
         String find = request.getParameter("find");
@@ -408,7 +503,8 @@
         throw Problem.badRequest(number + " takes a whole number from 0 to " + MOST_PAGE + ".");
     }
 
-    private static Map<String, String> body(Request request, Set<String> may) throws Problem, IOException {
+    private static Map<String, String> body(Request request, Set<String> may)
+            throws Problem, IOException {
         if (request.getContentLengthLong() > MOST_BODY) {
             throw new Problem(413, "Too large", MOST_BODY + " bytes are the most.");
         }
@@ -467,7 +563,8 @@
         }
     }
 
-    private static void send(Response response, int status, String type, byte[] body) throws IOException {
+    private static void send(Response response, int status, String type, byte[] body)
+            throws IOException {
         response.setStatus(status);
         response.setContentType(type);
         response.setContentLength(body.length);
@@ -475,11 +572,12 @@
     }
 
     private static void file(Response response, String name) throws Problem, IOException {
-        String type = switch (name) {
-            case "console.css" -> "text/css; charset=utf-8";
-            case "console.js" -> "text/javascript; charset=utf-8";
-            default -> throw Problem.notFound();
-        };
+        String type =
+                switch (name) {
+                    case "console.css" -> "text/css; charset=utf-8";
+                    case "console.js" -> "text/javascript; charset=utf-8";
+                    default -> throw Problem.notFound();
+                };
         try (InputStream in = Console.class.getResourceAsStream("/console/" + name)) {
             send(response, 200, type, in.readAllBytes());
         }
--- a/gateway/src/main/java/milletyoke/gateway/console/Journal.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Journal.java
@@ -15,7 +15,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What operators did through the console: a line of JSON each, appended before the deed; the latest kept in memory. */
+/**
+ * What operators did through the console: a line of JSON each, appended before the deed; the latest
+ * kept in memory.
+ */
 final class Journal {
     private static final Logger LOG = LoggerFactory.getLogger(Journal.class);
     private static final int KEPT = 200;
@@ -27,12 +30,16 @@
     private final Path file;
     private final ArrayDeque<Deed> latest = new ArrayDeque<>();
 
-    /** @param folder null keeps the journal in memory and the log only */
+    /**
+     * @param folder null keeps the journal in memory and the log only
+     */
     Journal(Path folder) {
         file = folder == null ? null : folder.resolve("actions.jsonl");
     }
 
-    /** @throws IOException where it cannot be written: the deed must not be done then */
+    /**
+     * @throws IOException where it cannot be written: the deed must not be done then
+     */
     synchronized void write(String who, String what, String whom) throws IOException {
         Deed deed = new Deed(Instant.now(), who, what, whom);
         if (file != null) {
@@ -42,8 +49,12 @@
             line.put("what", what);
             line.put("whom", whom);
             Files.createDirectories(file.getParent());
-            Files.write(file, (JSON.writeValueAsString(line) + "\n").getBytes(StandardCharsets.UTF_8),
-                    StandardOpenOption.CREATE, StandardOpenOption.APPEND, StandardOpenOption.DSYNC);
+            Files.write(
+                    file,
+                    (JSON.writeValueAsString(line) + "\n").getBytes(StandardCharsets.UTF_8),
+                    StandardOpenOption.CREATE,
+                    StandardOpenOption.APPEND,
+                    StandardOpenOption.DSYNC);
         }
         LOG.info("{} did {} {}", who, what, whom);
         latest.addLast(deed);
--- a/gateway/src/main/java/milletyoke/gateway/console/Problem.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Problem.java
@@ -1,6 +1,9 @@
 package milletyoke.gateway.console;
 
-/** An answer that is not what was asked for, as RFC 9457 has it; says nothing of the daemon's insides. */
+/**
+ * An answer that is not what was asked for, as RFC 9457 has it; says nothing of the daemon's
+ * insides.
+ */
 final class Problem extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -13,7 +16,9 @@
         this.title = title;
     }
 
-    /** The same for what is not there and for what is not the asker's, so that nobody learns which. */
+    /**
+     * The same for what is not there and for what is not the asker's, so that nobody learns which.
+     */
     static Problem notFound() {
         return new Problem(404, "Not found", "There is nothing here.");
     }
--- a/gateway/src/main/java/milletyoke/gateway/console/Rates.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Rates.java
@@ -3,7 +3,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Requests a second for each caller, as a bucket that fills; remembers the latest callers only. Knows no clock. */
+/**
+ * Requests a second for each caller, as a bucket that fills; remembers the latest callers only.
+ * Knows no clock.
+ */
 final class Rates {
     private static final int MOST = 4096;
 
@@ -14,14 +17,15 @@
 
     private final double perSecond;
     private final double burst;
-    private final LinkedHashMap<String, Bucket> buckets = new LinkedHashMap<>(64, 0.75f, true) {
-        private static final long serialVersionUID = 1L;
+    private final LinkedHashMap<String, Bucket> buckets =
+            new LinkedHashMap<>(64, 0.75f, true) {
+                private static final long serialVersionUID = 1L;
 
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Bucket> eldest) {
-            return size() > MOST;
-        }
-    };
+                @Override
+                protected boolean removeEldestEntry(Map.Entry<String, Bucket> eldest) {
+                    return size() > MOST;
+                }
+            };
 
     Rates(double perSecond, double burst) {
         this.perSecond = perSecond;
@@ -30,12 +34,15 @@
 
     /** Whether one more request of this caller is within its rate. @param now microseconds */
     synchronized boolean take(String caller, long now) {
-        Bucket b = buckets.computeIfAbsent(caller, c -> {
-            Bucket fresh = new Bucket();
-            fresh.left = burst;
-            fresh.at = now;
-            return fresh;
-        });
+        Bucket b =
+                buckets.computeIfAbsent(
+                        caller,
+                        c -> {
+                            Bucket fresh = new Bucket();
+                            fresh.left = burst;
+                            fresh.at = now;
+                            return fresh;
+                        });
         b.left = Math.min(burst, b.left + perSecond * (now - b.at) / 1e6);
         b.at = now;
         if (b.left < 1) {
--- a/gateway/src/main/java/milletyoke/gateway/console/Tokens.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Tokens.java
@@ -20,8 +20,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who may look, from a file that is read anew when it changes: a token that is taken out of it is of no use within a
- * second. The file has SHA-256 of each token, not the token; tokens are 256 random bits, so there is nothing to guess.
+ * Who may look, from a file that is read anew when it changes: a token that is taken out of it is
+ * of no use within a second. The file has SHA-256 of each token, not the token; tokens are 256
+ * random bits, so there is nothing to guess.
  */
 public final class Tokens {
     private static final Logger LOG = LoggerFactory.getLogger(Tokens.class);
@@ -34,7 +35,9 @@
     private FileTime seen;
     private long lookedAt;
 
-    /** @throws SetupError where the file cannot be used: a console without tokens is not started */
+    /**
+     * @throws SetupError where the file cannot be used: a console without tokens is not started
+     */
     public Tokens(Path file) throws SetupError {
         this.file = file;
         entries = read(file);
@@ -63,8 +66,10 @@
             } catch (DateTimeParseException notATime) {
                 throw t.wrong("until", "a time as 2027-01-31T00:00:00Z is expected");
             }
-            List<String> volumes = role == Sight.Role.TENANT ? List.of(t.text("volumes", null).split(",\\s*"))
-                    : List.of();
+            List<String> volumes =
+                    role == Sight.Role.TENANT
+                            ? List.of(t.text("volumes", null).split(",\\s*"))
+                            : List.of();
             t.done();
             all.add(new Entry(new Sight(name, role, volumes), hash, until));
         }
@@ -80,7 +85,10 @@
         }
     }
 
-    /** Reads the file again if it changed. One that cannot be used revokes nothing and is logged; one gone revokes all. */
+    /**
+     * Reads the file again if it changed. One that cannot be used revokes nothing and is logged;
+     * one gone revokes all.
+     */
     private synchronized void follow() {
         long now = System.nanoTime();
         if (now - lookedAt < LOOK_EVERY) {
@@ -105,7 +113,10 @@
         }
     }
 
-    /** Whose token it is; null where it is nobody's. Takes as long for any token: every entry is compared in full. */
+    /**
+     * Whose token it is; null where it is nobody's. Takes as long for any token: every entry is
+     * compared in full.
+     */
     public Sight sight(String token) {
         follow();
         byte[] hash = hash(token);
@@ -118,7 +129,8 @@
 
     public static byte[] hash(String token) {
         try {
-            return MessageDigest.getInstance("SHA-256").digest(token.getBytes(StandardCharsets.UTF_8));
+            return MessageDigest.getInstance("SHA-256")
+                    .digest(token.getBytes(StandardCharsets.UTF_8));
         } catch (NoSuchAlgorithmException impossible) {
             throw new IllegalStateException(impossible);
         }
--- a/gateway/src/main/java/milletyoke/gateway/discovery/LastList.java
+++ b/gateway/src/main/java/milletyoke/gateway/discovery/LastList.java
@@ -2,13 +2,13 @@
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import java.io.IOException;
+import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
-import java.nio.ByteBuffer;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.zip.CRC32C;
 import milletyoke.wire.proto.TargetList;
@@ -16,8 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The list as last held, in a file: eight bytes of CRC-32C and then the list. Written aside, forced and renamed, so that
- * a kill leaves the old one or the new one; one that does not check is not used.
+ * The list as last held, in a file: eight bytes of CRC-32C and then the list. Written aside, forced
+ * and renamed, so that a kill leaves the old one or the new one; one that does not check is not
+ * used.
  */
 public final class LastList {
     private static final Logger LOG = LoggerFactory.getLogger(LastList.class);
@@ -31,7 +32,10 @@
         this(folder, true);
     }
 
-    /** @param forced false where no power can fail, as in a lab: what is written is not forced to the disk */
+    /**
+     * @param forced false where no power can fail, as in a lab: what is written is not forced to
+     *     the disk
+     */
     public LastList(Path folder, boolean forced) throws IOException {
         this.forced = forced;
         Files.createDirectories(folder);
@@ -81,8 +85,12 @@
         System.arraycopy(body, 0, all, PREFIX, body.length);
         ByteBuffer.wrap(all).putLong(0, checksum(all));
         Path aside = file.resolveSibling("targets.list.new");
-        try (FileChannel out = FileChannel.open(aside, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                StandardOpenOption.TRUNCATE_EXISTING)) {
+        try (FileChannel out =
+                FileChannel.open(
+                        aside,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.WRITE,
+                        StandardOpenOption.TRUNCATE_EXISTING)) {
             ByteBuffer left = ByteBuffer.wrap(all);
             while (left.hasRemaining()) {
                 out.write(left);
@@ -90,7 +98,11 @@
             if (forced) {
                 out.force(true);
             }
-            Files.move(aside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(
+                    aside,
+                    file,
+                    StandardCopyOption.ATOMIC_MOVE,
+                    StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException failed) {
             LOG.warn("the list could not be kept in {}: {}", file, failed.getMessage());
         }
--- a/gateway/src/main/java/milletyoke/gateway/discovery/Subscription.java
+++ b/gateway/src/main/java/milletyoke/gateway/discovery/Subscription.java
@@ -19,11 +19,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The connection to discovery, kept up for as long as the initiator lives. Where lists must be asked for, the decisions
- * say when; where they are pushed, a fresh connection is itself the asking.
+ * The connection to discovery, kept up for as long as the initiator lives. Where lists must be
+ * asked for, the decisions say when; where they are pushed, a fresh connection is itself the
+ * asking.
  */
 public final class Subscription implements PeerHandler {
     private static final Logger LOG = LoggerFactory.getLogger(Subscription.class);
+
     /** Waits between tries to connect (milliseconds). */
     private static final long FIRST_WAIT = 50, LONGEST_WAIT = 2_000;
 
@@ -37,7 +39,8 @@
     private long wait = FIRST_WAIT;
     private boolean stopped;
 
-    public Subscription(Setup setup, Net wire, Loop loop, ScheduledExecutorService side, long seed) {
+    public Subscription(
+            Setup setup, Net wire, Loop loop, ScheduledExecutorService side, long seed) {
         this.setup = setup;
         this.wire = wire;
         this.loop = loop;
@@ -49,8 +52,12 @@
     public synchronized void connect() {
         if (!stopped) {
             var at = setup.discovery();
-            Bounds bounds = new Bounds(Math.max(setup.transport().frameBytes(), 16 << 20),
-                    setup.transport().waitingBytes(), setup.transport().partialTime(), 0);
+            Bounds bounds =
+                    new Bounds(
+                            Math.max(setup.transport().frameBytes(), 16 << 20),
+                            setup.transport().waitingBytes(),
+                            setup.transport().partialTime(),
+                            0);
             wire.connect(at.host(), at.port(), Role.INITIATOR, this, bounds, this::down);
         }
     }
@@ -61,8 +68,12 @@
 
     /** Sends what the decisions asked for, or tells them that it cannot be had. */
     public synchronized void follow(long version) {
-        boolean sent = peer != null && peer.send(Frame.newBuilder()
-                .setFollow(Follow.newBuilder().setVersion(version)).build());
+        boolean sent =
+                peer != null
+                        && peer.send(
+                                Frame.newBuilder()
+                                        .setFollow(Follow.newBuilder().setVersion(version))
+                                        .build());
         if (!sent) {
             loop.tell(new Told.ListUnavailable("discovery is not connected"));
         }
@@ -107,7 +118,10 @@
             side.schedule(this::connect, in, TimeUnit.MILLISECONDS);
         }
         if (subscribed) {
-            LOG.warn("discovery at {} is lost: {}; the list held stays in use", setup.discovery(), why);
+            LOG.warn(
+                    "discovery at {} is lost: {}; the list held stays in use",
+                    setup.discovery(),
+                    why);
             loop.tell(new Told.ListUnavailable(why));
         }
     }
--- a/gateway/src/main/java/milletyoke/gateway/fleet/Change.java
+++ b/gateway/src/main/java/milletyoke/gateway/fleet/Change.java
@@ -6,7 +6,8 @@
 import milletyoke.config.Fleet;
 
 /**
- * Decides what becomes of a new version of the configuration: all of it is applied, or nothing. Free of I/O and clocks.
+ * Decides what becomes of a new version of the configuration: all of it is applied, or nothing.
+ * Free of I/O and clocks.
  */
 public sealed interface Change {
     /** It means the same as the one in force. */
@@ -24,9 +25,11 @@
             switch (c.taken()) {
                 case RESTART -> why.add(c.text() + ": needs a restart");
                 case REFUSED -> why.add(c.text() + ": accesses of it may be held");
-                case IN_SERVICE -> { }
+                case IN_SERVICE -> {}
             }
         }
-        return changes.isEmpty() ? new Same() : why.isEmpty() ? new Apply(next, changes) : new Refuse(changes, why);
+        return changes.isEmpty()
+                ? new Same()
+                : why.isEmpty() ? new Apply(next, changes) : new Refuse(changes, why);
     }
 }
