--- a/lab/src/main/java/milletyoke/lab/experiment/Experiment.java
+++ b/lab/src/main/java/milletyoke/lab/experiment/Experiment.java
@@ -18,24 +18,32 @@
 import milletyoke.rehearsal.script.ScriptError;
 
 /**
- * What varies: arms, each a few statements of a script in place of the day's own, values that go into all arms, and seeds.
- * Every arm plays every value with the same seeds, so that arms can be compared pair by pair.
+ * What varies: arms, each a few statements of a script in place of the day's own, values that go
+ * into all arms, and seeds. Every arm plays every value with the same seeds, so that arms can be
+ * compared pair by pair.
  *
  * @param seeds plays of each arm and value
  * @param source of the decisions, for arms that vary their figures; null where none does
  * @param values what stands for {@code {x}} in the statements; one empty text where nothing does
  */
-public record Experiment(String name, Path day, int seeds, List<Arm> arms, List<String> values, String axis,
+public record Experiment(
+        String name,
+        Path day,
+        int seeds,
+        List<Arm> arms,
+        List<String> values,
+        String axis,
         Path source) {
 
     /**
      * One way.
      *
-     * @param set statements that replace those of the day with the same first word (and name, for categories and plans);
-     *     {@code calm} takes all troubles away
+     * @param set statements that replace those of the day with the same first word (and name, for
+     *     categories and plans); {@code calm} takes all troubles away
      * @param variant figures of the decisions that are other ones, under test only; empty for none
      */
-    public record Arm(String name, List<String> set, boolean straight, Scheduler scheduler, String variant) {}
+    public record Arm(
+            String name, List<String> set, boolean straight, Scheduler scheduler, String variant) {}
 
     /** One play that is to be made. */
     public record Run(Arm arm, String value, int seed) {
@@ -44,7 +52,9 @@
         }
     }
 
-    /** @throws SetupError that names file, line and field */
+    /**
+     * @throws SetupError that names file, line and field
+     */
     public static Experiment read(Path file) throws SetupError {
         Form f = Form.read(file);
         Path base = file.toAbsolutePath().getParent();
@@ -55,13 +65,24 @@
             if (!names.add(name)) {
                 throw a.wrong("name", "\"" + name + "\" is the name of an arm already");
             }
-            arms.add(new Arm(name, statements(a.text("set", "")), a.flag("straight", false),
-                    a.word("scheduler", Scheduler.class, Scheduler.MILLETYOKE), a.text("variant", "")));
+            arms.add(
+                    new Arm(
+                            name,
+                            statements(a.text("set", "")),
+                            a.flag("straight", false),
+                            a.word("scheduler", Scheduler.class, Scheduler.MILLETYOKE),
+                            a.text("variant", "")));
             a.done();
         }
-        Experiment made = new Experiment(f.text("name", null), base.resolve(f.text("day", null)),
-                f.whole("seeds", 10, 2, 10_000), List.copyOf(arms),
-                List.of(f.text("values", "").trim().split("\\s+")), f.text("axis", "value"), f.has("source") ? base.resolve(f.text("source", null)) : null);
+        Experiment made =
+                new Experiment(
+                        f.text("name", null),
+                        base.resolve(f.text("day", null)),
+                        f.whole("seeds", 10, 2, 10_000),
+                        List.copyOf(arms),
+                        List.of(f.text("values", "").trim().split("\\s+")),
+                        f.text("axis", "value"),
+                        f.has("source") ? base.resolve(f.text("source", null)) : null);
         f.done();
         if (made.source() == null && arms.stream().anyMatch(a -> !a.variant().isEmpty())) {
             throw f.wrong("source", "must name Decide.java where an arm is a variant");
@@ -79,8 +100,12 @@
     }
 
     private static List<String> statements(String set) {
-        return set.isBlank() ? List.of() : java.util.Arrays.stream(set.split(";")).map(String::trim)
-                .filter(s -> !s.isEmpty()).toList();
+        return set.isBlank()
+                ? List.of()
+                : java.util.Arrays.stream(set.split(";"))
+                        .map(String::trim)
+                        .filter(s -> !s.isEmpty())
+                        .toList();
     }
 
     /** All plays, in an order that is always the same. */
@@ -98,11 +123,19 @@
 
     /** The day that a run plays. */
     public BadDay dayOf(Run run) throws IOException, ScriptError {
-        String called = name + " " + run.arm().name() + (run.value().isEmpty() ? "" : " " + run.value());
-        List<String> set = run.arm().set().stream().map(s -> s.replace("{x}", run.value())).toList();
-        BadDay read = Script.read(day.getFileName() + " with arm " + run.arm().name(), called,
-                patched(Files.readString(day).lines().toList(), set));
-        return read.with(called, read.seed() + 7919L * run.seed(), set.contains("calm") ? List.of() : read.troubles());
+        String called =
+                name + " " + run.arm().name() + (run.value().isEmpty() ? "" : " " + run.value());
+        List<String> set =
+                run.arm().set().stream().map(s -> s.replace("{x}", run.value())).toList();
+        BadDay read =
+                Script.read(
+                        day.getFileName() + " with arm " + run.arm().name(),
+                        called,
+                        patched(Files.readString(day).lines().toList(), set));
+        return read.with(
+                called,
+                read.seed() + 7919L * run.seed(),
+                set.contains("calm") ? List.of() : read.troubles());
     }
 
     private static String patched(List<String> lines, List<String> set) {
@@ -118,7 +151,9 @@
         return out.stream().collect(Collectors.joining("\n"));
     }
 
-    /** What a statement is about: its first word, with the name for what there may be several of. */
+    /**
+     * What a statement is about: its first word, with the name for what there may be several of.
+     */
     private static String subject(String statement) {
         String[] words = statement.split("\\s+");
         return switch (words[0]) {
--- a/lab/src/main/java/milletyoke/lab/experiment/Results.java
+++ b/lab/src/main/java/milletyoke/lab/experiment/Results.java
@@ -17,7 +17,10 @@
 import java.util.Map;
 import java.util.TreeSet;
 
-/** Rows in a file of JSON lines, one a line, each flushed as it comes: what a kill leaves can be gone on with. */
+/**
+ * Rows in a file of JSON lines, one a line, each flushed as it comes: what a kill leaves can be
+ * gone on with.
+ */
 public final class Results implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -28,7 +31,8 @@
     /**
      * Opens a file, new or as an earlier run left it. A last line that a kill cut off is dropped.
      *
-     * @throws IOException where it cannot be read, or a line before the last is no row; the message names it
+     * @throws IOException where it cannot be read, or a line before the last is no row; the message
+     *     names it
      */
     public Results(Path file) throws IOException {
         this.file = file;
@@ -36,7 +40,11 @@
             List<Row> kept = read(file);
             Path aside = file.resolveSibling(file.getFileName() + ".new");
             Files.write(aside, kept.stream().map(Results::line).toList());
-            Files.move(aside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(
+                    aside,
+                    file,
+                    StandardCopyOption.ATOMIC_MOVE,
+                    StandardCopyOption.REPLACE_EXISTING);
             kept.forEach(r -> rows.put(r.key(), r));
         }
         out = Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
@@ -56,7 +64,12 @@
                 if (n == lines.length - 1) {
                     break; // no newline behind it: it was being written
                 }
-                throw new IOException(file + ":" + (n + 1) + ": not a row of results: " + bad.getOriginalMessage());
+                throw new IOException(
+                        file
+                                + ":"
+                                + (n + 1)
+                                + ": not a row of results: "
+                                + bad.getOriginalMessage());
             }
         }
         return rows;
@@ -83,8 +96,12 @@
 
     /** All rows, by arm, value and seed. */
     public synchronized List<Row> rows() {
-        return rows.values().stream().sorted(Comparator.comparing(Row::arm).thenComparing(Row::value)
-                .thenComparingInt(Row::seed)).toList();
+        return rows.values().stream()
+                .sorted(
+                        Comparator.comparing(Row::arm)
+                                .thenComparing(Row::value)
+                                .thenComparingInt(Row::seed))
+                .toList();
     }
 
     /** The same as a table for a spreadsheet, beside the lines. */
@@ -92,19 +109,51 @@
         TreeSet<String> categories = new TreeSet<>();
         rows.values().forEach(r -> categories.addAll(r.categories().keySet()));
         List<String> lines = new ArrayList<>();
-        lines.add("arm,value,seed,service," + String.join(",", categories) + (categories.isEmpty() ? "" : ",")
-                + "p50_ms,p99_ms,evenness,cold_used,asked,unfinished,digest,events,wall_us");
+        lines.add(
+                "arm,value,seed,service,"
+                        + String.join(",", categories)
+                        + (categories.isEmpty() ? "" : ",")
+                        + "p50_ms,p99_ms,evenness,cold_used,asked,unfinished,digest,events,wall_us");
         for (Row r : rows()) {
-            StringBuilder line = new StringBuilder(quoted(r.arm()) + "," + quoted(r.value()) + "," + r.seed() + ","
-                    + figure(r.service()));
-            categories.forEach(c -> line.append(',').append(r.categories().containsKey(c) ? figure(r.categories().get(c)) : ""));
-            line.append(',').append(figure(r.p50())).append(',').append(figure(r.p99())).append(',')
-                    .append(figure(r.evenness())).append(',')
-                    .append(figure(r.coldUsed())).append(',').append(r.asked()).append(',').append(r.unfinished()).append(',')
-                    .append(r.digest()).append(',').append(r.events()).append(',').append(r.wall());
+            StringBuilder line =
+                    new StringBuilder(
+                            quoted(r.arm())
+                                    + ","
+                                    + quoted(r.value())
+                                    + ","
+                                    + r.seed()
+                                    + ","
+                                    + figure(r.service()));
+            categories.forEach(
+                    c ->
+                            line.append(',')
+                                    .append(
+                                            r.categories().containsKey(c)
+                                                    ? figure(r.categories().get(c))
+                                                    : ""));
+            line.append(',')
+                    .append(figure(r.p50()))
+                    .append(',')
+                    .append(figure(r.p99()))
+                    .append(',')
+                    .append(figure(r.evenness()))
+                    .append(',')
+                    .append(figure(r.coldUsed()))
+                    .append(',')
+                    .append(r.asked())
+                    .append(',')
+                    .append(r.unfinished())
+                    .append(',')
+                    .append(r.digest())
+                    .append(',')
+                    .append(r.events())
+                    .append(',')
+                    .append(r.wall());
             lines.add(line.toString());
         }
-        Path csv = file.resolveSibling(file.getFileName().toString().replaceAll("\\.jsonl$", "") + ".csv");
+        Path csv =
+                file.resolveSibling(
+                        file.getFileName().toString().replaceAll("\\.jsonl$", "") + ".csv");
         Files.write(csv, lines);
         return csv;
     }
--- a/lab/src/main/java/milletyoke/lab/experiment/Row.java
+++ b/lab/src/main/java/milletyoke/lab/experiment/Row.java
@@ -13,9 +13,23 @@
  * @param coldUsed the largest part of what a cold target bears that any was sent
  * @param digest of all that travelled, in hexadecimal
  */
-public record Row(String arm, String value, int seed, double service, Map<String, Double> categories,
-        Map<String, Long> plans, List<Double> seconds,
-        double p50, double p99, double evenness, double coldUsed, long asked, long unfinished, String digest, long events, long wall) {
+public record Row(
+        String arm,
+        String value,
+        int seed,
+        double service,
+        Map<String, Double> categories,
+        Map<String, Long> plans,
+        List<Double> seconds,
+        double p50,
+        double p99,
+        double evenness,
+        double coldUsed,
+        long asked,
+        long unfinished,
+        String digest,
+        long events,
+        long wall) {
 
     public String key() {
         return arm + "|" + value + "|" + seed;
--- a/lab/src/main/java/milletyoke/lab/experiment/Runner.java
+++ b/lab/src/main/java/milletyoke/lab/experiment/Runner.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ExecutionException;
+import java.util.concurrent.ExecutorCompletionService;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import java.util.concurrent.ExecutorCompletionService;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import milletyoke.lab.play.Play;
@@ -16,7 +16,10 @@
 import milletyoke.rehearsal.script.ScriptError;
 import milletyoke.standins.Service;
 
-/** Plays what an experiment asks for on so many threads; each play is one thread's, so their number changes no figure. */
+/**
+ * Plays what an experiment asks for on so many threads; each play is one thread's, so their number
+ * changes no figure.
+ */
 public final class Runner {
     private final Experiment experiment;
     private final Results results;
@@ -29,15 +32,22 @@
         this.threads = threads;
     }
 
-    /** Plays all that the results do not have yet. @param progress hears a line after each; @return plays made */
+    /**
+     * Plays all that the results do not have yet. @param progress hears a line after each; @return
+     * plays made
+     */
     public int run(Consumer<String> progress) throws IOException, InterruptedException {
         for (Experiment.Run run : experiment.runs()) {
             String text = run.arm().variant().replace("{x}", run.value());
             if (!text.isEmpty() && !variants.containsKey(text)) {
-                variants.put(text, Variant.of(experiment.source(), text)); // all are built before any is played
+                variants.put(
+                        text,
+                        Variant.of(
+                                experiment.source(), text)); // all are built before any is played
             }
         }
-        List<Experiment.Run> missing = experiment.runs().stream().filter(r -> !results.has(r.key())).toList();
+        List<Experiment.Run> missing =
+                experiment.runs().stream().filter(r -> !results.has(r.key())).toList();
         ExecutorService workers = Executors.newFixedThreadPool(threads);
         try {
             ExecutorCompletionService<Row> plays = new ExecutorCompletionService<>(workers);
@@ -45,8 +55,15 @@
             for (int done = 1; done <= missing.size(); done++) {
                 Row row = plays.take().get();
                 results.add(row);
-                progress.accept(String.format("%d of %d: %s %s seed %d  service %.4f", done, missing.size(), row.arm(),
-                        row.value(), row.seed(), row.service()));
+                progress.accept(
+                        String.format(
+                                "%d of %d: %s %s seed %d  service %.4f",
+                                done,
+                                missing.size(),
+                                row.arm(),
+                                row.value(),
+                                row.seed(),
+                                row.service()));
             }
             return missing.size();
         } catch (ExecutionException failed) {
@@ -58,15 +75,30 @@
 
     private Row play(Experiment.Run run) throws IOException, ScriptError {
         Experiment.Arm arm = run.arm();
-        Supplier<Decisions> decisions = arm.variant().isEmpty() ? arm.scheduler().decisions()
-                : variants.get(arm.variant().replace("{x}", run.value()));
+        Supplier<Decisions> decisions =
+                arm.variant().isEmpty()
+                        ? arm.scheduler().decisions()
+                        : variants.get(arm.variant().replace("{x}", run.value()));
         Play.Came came = Play.of(experiment.dayOf(run), null, arm.straight(), decisions);
         Service s = came.service();
         Map<String, Double> categories = new LinkedHashMap<>();
         s.lines().forEach((name, line) -> categories.put(name, line.service()));
-        return new Row(arm.name(), run.value(), run.seed(), s.whole(), categories, s.inTimeByPlan(),
+        return new Row(
+                arm.name(),
+                run.value(),
+                run.seed(),
+                s.whole(),
+                categories,
+                s.inTimeByPlan(),
                 came.seconds(),
-                s.times().getValueAtPercentile(50) / 1e3, s.times().getValueAtPercentile(99) / 1e3, s.evenness(), came.coldUsed(),
-                s.askedInAll(), came.unfinished(), String.format("%016x", came.digest()), came.events(), came.wall());
+                s.times().getValueAtPercentile(50) / 1e3,
+                s.times().getValueAtPercentile(99) / 1e3,
+                s.evenness(),
+                came.coldUsed(),
+                s.askedInAll(),
+                came.unfinished(),
+                String.format("%016x", came.digest()),
+                came.events(),
+                came.wall());
     }
 }
--- a/lab/src/main/java/milletyoke/lab/experiment/Statistics.java
+++ b/lab/src/main/java/milletyoke/lab/experiment/Statistics.java
@@ -8,10 +8,11 @@
     /** Of intervals. */
     public static final double CONFIDENCE = 0.95;
 
-    private Statistics() {
-    }
+    private Statistics() {}
 
-    /** @param half of the interval's width; 0 where there are not two figures */
+    /**
+     * @param half of the interval's width; 0 where there are not two figures
+     */
     public record Mean(double mean, double half, int count) {
         public String text() {
             return String.format("%.4f ± %.4f", mean, half);
@@ -43,18 +44,29 @@
         return Math.sqrt(squares / (n - 1) / n);
     }
 
-    /** @throws IllegalArgumentException where there are not two pairs, or figures without a partner */
+    /**
+     * @throws IllegalArgumentException where there are not two pairs, or figures without a partner
+     */
     public static Paired paired(List<Double> first, List<Double> second) {
         if (first.size() != second.size() || first.size() < 2) {
-            throw new IllegalArgumentException("at least two pairs are compared, not " + first.size() + " figures with "
-                    + second.size());
+            throw new IllegalArgumentException(
+                    "at least two pairs are compared, not "
+                            + first.size()
+                            + " figures with "
+                            + second.size());
         }
-        List<Double> differences = java.util.stream.IntStream.range(0, first.size())
-                .mapToObj(i -> second.get(i) - first.get(i)).toList();
+        List<Double> differences =
+                java.util.stream.IntStream.range(0, first.size())
+                        .mapToObj(i -> second.get(i) - first.get(i))
+                        .toList();
         Mean mean = mean(differences);
         double error = error(differences, mean.mean());
-        double chance = error == 0 ? (mean.mean() == 0 ? 1 : 0)
-                : 2 * TDistribution.of(first.size() - 1.0).survivalProbability(Math.abs(mean.mean()) / error);
+        double chance =
+                error == 0
+                        ? (mean.mean() == 0 ? 1 : 0)
+                        : 2
+                                * TDistribution.of(first.size() - 1.0)
+                                        .survivalProbability(Math.abs(mean.mean()) / error);
         return new Paired(mean, chance);
     }
 }
--- a/lab/src/main/java/milletyoke/lab/policy/Plain.java
+++ b/lab/src/main/java/milletyoke/lab/policy/Plain.java
@@ -15,13 +15,14 @@
 import milletyoke.port.Provisioning.Repeats;
 
 /**
- * A textbook policy with no memory of targets: so many out at each, volumes in turn, one try more for what may run again.
- * It answers in time, repeats nothing that may not be repeated, and keeps even parts of limits; drains, cold targets, order
- * and budgets it knows nothing of.
+ * A textbook policy with no memory of targets: so many out at each, volumes in turn, one try more
+ * for what may run again. It answers in time, repeats nothing that may not be repeated, and keeps
+ * even parts of limits; drains, cold targets, order and budgets it knows nothing of.
  */
 final class Plain implements Decisions {
     /** A final answer leaves this long before the client's time is up (microseconds). */
     private static final long AHEAD = 10_000;
+
     private static final long LOOK = 5_000;
 
     private static final class Held {
@@ -122,8 +123,10 @@
     }
 
     private void taken(Event.Access e) {
-        int shard = e.shard() >= 0 || places.isEmpty() ? e.shard()
-                : new ArrayList<>(places.keySet()).get(chance.nextInt(places.size()));
+        int shard =
+                e.shard() >= 0 || places.isEmpty()
+                        ? e.shard()
+                        : new ArrayList<>(places.keySet()).get(chance.nextInt(places.size()));
         Held h = new Held(e, now + e.ttl() - AHEAD);
         held.put(e.id(), h);
         if (h.until <= now || !places.containsKey(shard) || !drawn(e)) {
@@ -136,13 +139,18 @@
 
     /** An even part of the volume's limit. */
     private boolean drawn(Event.Access e) {
-        Provisioning.Plan plan = given.plans().stream().filter(p -> p.name().equals(e.plan())).findFirst().orElseThrow();
+        Provisioning.Plan plan =
+                given.plans().stream()
+                        .filter(p -> p.name().equals(e.plan()))
+                        .findFirst()
+                        .orElseThrow();
         if (plan.limitRate() <= 0) {
             return true;
         }
         Store s = stores.computeIfAbsent(e.volume(), v -> new Store());
         double depth = plan.limitDepth() / e.hosts();
-        s.units = Math.min(depth, s.units + plan.limitRate() / e.hosts() * (now - s.filledAt) / 1e6);
+        s.units =
+                Math.min(depth, s.units + plan.limitRate() / e.hosts() * (now - s.filledAt) / 1e6);
         s.filledAt = now;
         if (s.units < e.units()) {
             return false;
@@ -186,11 +194,21 @@
             held.remove(e.id());
             return;
         }
-        boolean neverRan = e.outcome() == Outcome.FULL || e.outcome() == Outcome.MOOT || e.outcome() == Outcome.NO_CONNECTION;
-        Repeats repeats = given.categories().stream().filter(c -> c.name().equals(h.access.category())).findFirst()
-                .orElseThrow().repeats();
+        boolean neverRan =
+                e.outcome() == Outcome.FULL
+                        || e.outcome() == Outcome.MOOT
+                        || e.outcome() == Outcome.NO_CONNECTION;
+        Repeats repeats =
+                given.categories().stream()
+                        .filter(c -> c.name().equals(h.access.category()))
+                        .findFirst()
+                        .orElseThrow()
+                        .repeats();
         boolean may = neverRan || repeats == Repeats.HARMLESS;
-        if (may && h.relays < Math.min(2, given.allowances().maxRelays()) && now < h.until && p.target != null) {
+        if (may
+                && h.relays < Math.min(2, given.allowances().maxRelays())
+                && now < h.until
+                && p.target != null) {
             relay(p, h);
         } else if (may) {
             reject(h);
@@ -201,15 +219,20 @@
     }
 
     private void giveUp(Place p) {
-        p.waiting.values().forEach(q -> q.removeIf(h -> {
-            boolean late = now + LOOK >= h.until;
-            boolean there = held.get(h.access.id()) == h;
-            if (late && there) {
-                queued--;
-                reject(h);
-            }
-            return late || !there;
-        }));
+        p.waiting
+                .values()
+                .forEach(
+                        q ->
+                                q.removeIf(
+                                        h -> {
+                                            boolean late = now + LOOK >= h.until;
+                                            boolean there = held.get(h.access.id()) == h;
+                                            if (late && there) {
+                                                queued--;
+                                                reject(h);
+                                            }
+                                            return late || !there;
+                                        }));
         p.waiting.values().removeIf(ArrayDeque::isEmpty);
     }
 
--- a/lab/src/main/java/milletyoke/lab/policy/Variant.java
+++ b/lab/src/main/java/milletyoke/lab/policy/Variant.java
@@ -21,32 +21,35 @@
 import milletyoke.port.Decisions;
 
 /**
- * The product's decisions with other figures, for experiments alone: the module's own text with some of its constants
- * replaced, compiled beside it and loaded apart. The module knows nothing of it, and no setting reaches it.
+ * The product's decisions with other figures, for experiments alone: the module's own text with
+ * some of its constants replaced, compiled beside it and loaded apart. The module knows nothing of
+ * it, and no setting reaches it.
  */
 public final class Variant {
-    private Variant() {
-    }
+    private Variant() {}
 
     /**
      * Builds one.
      *
      * @param source the text of the decisions
      * @param figures as {@code MARGIN_STEPS = 0.5; BASE_BATCH = 8}
-     * @throws IOException where the text has no such constant or the outcome does not compile, with what is known
+     * @throws IOException where the text has no such constant or the outcome does not compile, with
+     *     what is known
      */
     public static Supplier<Decisions> of(Path source, String figures) throws IOException {
         String text = patched(Files.readString(source), figures);
         Path folder = Files.createTempDirectory("milletyoke-variant");
         try {
             compile(folder, text);
-            Class<?> made = new Apart(folder.resolve("out/milletyoke")).loadClass("milletyoke.Decide");
+            Class<?> made =
+                    new Apart(folder.resolve("out/milletyoke")).loadClass("milletyoke.Decide");
             var maker = made.getDeclaredConstructor();
             return () -> {
                 try {
                     return (Decisions) maker.newInstance();
                 } catch (ReflectiveOperationException impossible) {
-                    throw new IllegalStateException("a variant that compiled could not be made: " + figures, impossible);
+                    throw new IllegalStateException(
+                            "a variant that compiled could not be made: " + figures, impossible);
                 }
             };
         } catch (ReflectiveOperationException impossible) {
@@ -61,33 +64,59 @@
     static String patched(String text, String figures) throws IOException {
         String now = text;
         for (String figure : figures.split(";")) {
-            Matcher asked = Pattern.compile("\\s*([A-Z_]+)\\s*=\\s*([-0-9._/ ]+?)\\s*").matcher(figure);
+            Matcher asked =
+                    Pattern.compile("\\s*([A-Z_]+)\\s*=\\s*([-0-9._/ ]+?)\\s*").matcher(figure);
             if (!asked.matches()) {
-                throw new IOException("a variant is told as NAME = figure; ..., not \"" + figure.strip() + "\"");
+                throw new IOException(
+                        "a variant is told as NAME = figure; ..., not \"" + figure.strip() + "\"");
             }
-            Matcher there = Pattern.compile("(static final [^;]*?\\b" + asked.group(1) + "\\s*=\\s*)[^,;]+").matcher(now);
+            Matcher there =
+                    Pattern.compile("(static final [^;]*?\\b" + asked.group(1) + "\\s*=\\s*)[^,;]+")
+                            .matcher(now);
             if (!there.find()) {
                 throw new IOException("the decisions have no constant " + asked.group(1));
             }
             now = now.substring(0, there.end(1)) + asked.group(2) + now.substring(there.end());
         }
-        return now.replaceFirst("public final class Decide \\{", "public final class Decide implements"
-                + " milletyoke.port.Decisions {");
+        return now.replaceFirst(
+                "public final class Decide \\{",
+                "public final class Decide implements" + " milletyoke.port.Decisions {");
     }
 
     private static void compile(Path folder, String text) throws IOException {
         JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
         if (compiler == null) {
-            throw new IOException("variants need a JDK, and this runs on a runtime without a compiler");
+            throw new IOException(
+                    "variants need a JDK, and this runs on a runtime without a compiler");
         }
         Path file = Files.createDirectories(folder.resolve("in/milletyoke")).resolve("Decide.java");
         Files.writeString(file, text);
         Path out = Files.createDirectories(folder.resolve("out"));
         StringWriter said = new StringWriter();
         try (StandardJavaFileManager files = compiler.getStandardFileManager(null, null, null)) {
-            String core = Path.of(Decide.class.getProtectionDomain().getCodeSource().getLocation().toURI()).toString();
-            boolean good = compiler.getTask(said, files, null, List.of("-proc:none", "-nowarn", "-cp", core, "-d",
-                    out.toString()), null, files.getJavaFileObjects(file)).call();
+            String core =
+                    Path.of(
+                                    Decide.class
+                                            .getProtectionDomain()
+                                            .getCodeSource()
+                                            .getLocation()
+                                            .toURI())
+                            .toString();
+            boolean good =
+                    compiler.getTask(
+                                    said,
+                                    files,
+                                    null,
+                                    List.of(
+                                            "-proc:none",
+                                            "-nowarn",
+                                            "-cp",
+                                            core,
+                                            "-d",
+                                            out.toString()),
+                                    null,
+                                    files.getJavaFileObjects(file))
+                            .call();
             if (!good) {
                 throw new IOException("the variant does not compile: " + said);
             }
@@ -96,7 +125,10 @@
         }
     }
 
-    /** Loads the variant and what shares its package; all else, the events and actions among it, is the program's own. */
+    /**
+     * Loads the variant and what shares its package; all else, the events and actions among it, is
+     * the program's own.
+     */
     private static final class Apart extends ClassLoader {
         private final Map<String, byte[]> compiled = new HashMap<>();
 
@@ -104,7 +136,10 @@
             super(Variant.class.getClassLoader());
             try (Stream<Path> files = Files.list(folder)) {
                 for (Path file : files.toList()) {
-                    compiled.put("milletyoke." + file.getFileName().toString().replaceAll("\\.class$", ""), Files.readAllBytes(file));
+                    compiled.put(
+                            "milletyoke."
+                                    + file.getFileName().toString().replaceAll("\\.class$", ""),
+                            Files.readAllBytes(file));
                 }
             }
         }
@@ -122,7 +157,8 @@
         }
 
         private byte[] own(String name) throws ClassNotFoundException {
-            try (InputStream in = getParent().getResourceAsStream(name.replace('.', '/') + ".class")) {
+            try (InputStream in =
+                    getParent().getResourceAsStream(name.replace('.', '/') + ".class")) {
                 if (in == null) {
                     throw new ClassNotFoundException(name);
                 }
--- a/lab/src/main/java/milletyoke/lab/report/Report.java
+++ b/lab/src/main/java/milletyoke/lab/report/Report.java
@@ -25,7 +25,10 @@
 import org.knowm.xchart.style.Styler;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Tables, intervals, comparisons and plots of one set of results: files beside each other, and one page that needs none. */
+/**
+ * Tables, intervals, comparisons and plots of one set of results: files beside each other, and one
+ * page that needs none.
+ */
 public final class Report {
     private final String name;
     private final String axis;
@@ -35,7 +38,8 @@
 
     /**
      * @param axis what the values are
-     * @param first arms in this order before any others; the first of all is what the others are compared with
+     * @param first arms in this order before any others; the first of all is what the others are
+     *     compared with
      */
     public Report(String name, String axis, List<Row> rows, List<String> first) {
         this.name = name;
@@ -43,13 +47,22 @@
         this.rows = rows;
         Set<String> a = new LinkedHashSet<>(first);
         Set<String> v = new LinkedHashSet<>();
-        rows.forEach(r -> {
-            a.add(r.arm());
-            v.add(r.value());
-        });
+        rows.forEach(
+                r -> {
+                    a.add(r.arm());
+                    v.add(r.value());
+                });
         arms = List.copyOf(a);
-        values = v.stream().sorted((x, y) -> isFigure(x) && isFigure(y)
-                ? Double.compare(Double.parseDouble(x), Double.parseDouble(y)) : x.compareTo(y)).toList();
+        values =
+                v.stream()
+                        .sorted(
+                                (x, y) ->
+                                        isFigure(x) && isFigure(y)
+                                                ? Double.compare(
+                                                        Double.parseDouble(x),
+                                                        Double.parseDouble(y))
+                                                : x.compareTo(y))
+                        .toList();
     }
 
     private static boolean isFigure(String text) {
@@ -57,19 +70,31 @@
     }
 
     private List<Double> figures(String arm, String value, ToDoubleFunction<Row> of) {
-        return rows.stream().filter(r -> r.arm().equals(arm) && r.value().equals(value)).map(of::applyAsDouble).toList();
+        return rows.stream()
+                .filter(r -> r.arm().equals(arm) && r.value().equals(value))
+                .map(of::applyAsDouble)
+                .toList();
     }
 
     /** Seeds that both arms played, so that they stand in pairs. */
     private Paired compare(String first, String second, String value) {
         Map<Integer, Double> a = new LinkedHashMap<>();
-        rows.stream().filter(r -> r.arm().equals(first) && r.value().equals(value)).forEach(r -> a.put(r.seed(), r.service()));
+        rows.stream()
+                .filter(r -> r.arm().equals(first) && r.value().equals(value))
+                .forEach(r -> a.put(r.seed(), r.service()));
         List<Double> one = new ArrayList<>();
         List<Double> other = new ArrayList<>();
-        rows.stream().filter(r -> r.arm().equals(second) && r.value().equals(value) && a.containsKey(r.seed())).forEach(r -> {
-            one.add(a.get(r.seed()));
-            other.add(r.service());
-        });
+        rows.stream()
+                .filter(
+                        r ->
+                                r.arm().equals(second)
+                                        && r.value().equals(value)
+                                        && a.containsKey(r.seed()))
+                .forEach(
+                        r -> {
+                            one.add(a.get(r.seed()));
+                            other.add(r.service());
+                        });
         return one.size() < 2 ? null : Statistics.paired(one, other);
     }
 
@@ -83,13 +108,32 @@
                 if (service.isEmpty()) {
                     continue;
                 }
-                text.append(String.format("  %-24s service %s  evenness %.3f  p99 %.1f ms  passed %.0f%s  %d plays", arm,
-                        Statistics.mean(service).text(), Statistics.mean(figures(arm, value, Row::evenness)).mean(),
-                        Statistics.mean(figures(arm, value, Row::p99)).mean(), Statistics.mean(figures(arm, value,
-                        r -> r.plans().values().stream().mapToLong(n -> n).sum())).mean(), ratio(arm, value), service.size()));
+                text.append(
+                        String.format(
+                                "  %-24s service %s  evenness %.3f  p99 %.1f ms  passed %.0f%s  %d plays",
+                                arm,
+                                Statistics.mean(service).text(),
+                                Statistics.mean(figures(arm, value, Row::evenness)).mean(),
+                                Statistics.mean(figures(arm, value, Row::p99)).mean(),
+                                Statistics.mean(
+                                                figures(
+                                                        arm,
+                                                        value,
+                                                        r ->
+                                                                r.plans().values().stream()
+                                                                        .mapToLong(n -> n)
+                                                                        .sum()))
+                                        .mean(),
+                                ratio(arm, value),
+                                service.size()));
                 Paired p = arm.equals(arms.get(0)) ? null : compare(arms.get(0), arm, value);
-                text.append(p == null ? "" : String.format("  against %s %s, by chance %.2g", arms.get(0),
-                        p.difference().text(), p.chance())).append('\n');
+                text.append(
+                                p == null
+                                        ? ""
+                                        : String.format(
+                                                "  against %s %s, by chance %.2g",
+                                                arms.get(0), p.difference().text(), p.chance()))
+                        .append('\n');
             }
         }
         return text.toString();
@@ -101,15 +145,34 @@
             return "";
         }
         List<String> two = List.copyOf(rows.get(0).plans().keySet());
-        return "  ratio " + Statistics.mean(figures(arm, value, r -> r.plans().get(two.get(0))
-                / (double) Math.max(1, r.plans().get(two.get(1))))).text();
+        return "  ratio "
+                + Statistics.mean(
+                                figures(
+                                        arm,
+                                        value,
+                                        r ->
+                                                r.plans().get(two.get(0))
+                                                        / (double)
+                                                                Math.max(
+                                                                        1,
+                                                                        r.plans().get(two.get(1)))))
+                        .text();
     }
 
     // ---- Plots ----
 
     private XYChart chart(String title, String x, String y) {
-        XYChart chart = new XYChartBuilder().width(760).height(380).title(title).xAxisTitle(x).yAxisTitle(y).build();
-        chart.getStyler().setLegendPosition(Styler.LegendPosition.OutsideE).setChartBackgroundColor(java.awt.Color.WHITE);
+        XYChart chart =
+                new XYChartBuilder()
+                        .width(760)
+                        .height(380)
+                        .title(title)
+                        .xAxisTitle(x)
+                        .yAxisTitle(y)
+                        .build();
+        chart.getStyler()
+                .setLegendPosition(Styler.LegendPosition.OutsideE)
+                .setChartBackgroundColor(java.awt.Color.WHITE);
         chart.getStyler().setMarkerSize(5);
         return chart;
     }
@@ -118,7 +181,10 @@
     private XYChart overTime() {
         XYChart chart = chart("Service so far", "seconds", "importance in time over asked");
         for (String arm : arms) {
-            List<Row> of = rows.stream().filter(r -> r.arm().equals(arm) && r.value().equals(values.get(0))).toList();
+            List<Row> of =
+                    rows.stream()
+                            .filter(r -> r.arm().equals(arm) && r.value().equals(values.get(0)))
+                            .toList();
             int seconds = of.stream().mapToInt(r -> r.seconds().size()).min().orElse(0);
             if (seconds > 0) {
                 double[] x = new double[seconds];
@@ -126,7 +192,11 @@
                 for (int s = 0; s < seconds; s++) {
                     int second = s;
                     x[s] = s + 1;
-                    y[s] = of.stream().mapToDouble(r -> r.seconds().get(second)).average().orElse(0);
+                    y[s] =
+                            of.stream()
+                                    .mapToDouble(r -> r.seconds().get(second))
+                                    .average()
+                                    .orElse(0);
                 }
                 chart.addSeries(arm, x, y).setMarker(SeriesMarkers.NONE);
             }
@@ -134,7 +204,10 @@
         return chart;
     }
 
-    /** A figure over the values, with the interval of its mean; values that are no figures stand at 1, 2, 3. */
+    /**
+     * A figure over the values, with the interval of its mean; values that are no figures stand at
+     * 1, 2, 3.
+     */
     private XYChart over(String title, String y, ToDoubleFunction<Row> of) {
         XYChart chart = chart(title, axis, y);
         for (String arm : arms) {
@@ -164,17 +237,37 @@
         all.put("p99", over("Answer times, 99th percentile", "ms", Row::p99));
         all.put("p50", over("Answer times, median", "ms", Row::p50));
         if (rows.stream().anyMatch(r -> r.coldUsed() > 0)) {
-            all.put("cold", over("Most that a cold target was sent", "part of what it bears", Row::coldUsed));
+            all.put(
+                    "cold",
+                    over(
+                            "Most that a cold target was sent",
+                            "part of what it bears",
+                            Row::coldUsed));
         }
         all.put("evenness", over("Evenness between volumes", "Jain's index", Row::evenness));
-        all.put("passed", over("Answered in time", "accesses", r -> r.plans().values().stream().mapToLong(n -> n).sum()));
+        all.put(
+                "passed",
+                over(
+                        "Answered in time",
+                        "accesses",
+                        r -> r.plans().values().stream().mapToLong(n -> n).sum()));
         if (rows.stream().allMatch(r -> r.plans().size() == 2)) {
             List<String> two = List.copyOf(rows.get(0).plans().keySet());
-            all.put("ratio", over(two.get(0) + " to " + two.get(1), "answered in time, ratio",
-                    r -> r.plans().get(two.get(0)) / (double) Math.max(1, r.plans().get(two.get(1)))));
+            all.put(
+                    "ratio",
+                    over(
+                            two.get(0) + " to " + two.get(1),
+                            "answered in time, ratio",
+                            r ->
+                                    r.plans().get(two.get(0))
+                                            / (double) Math.max(1, r.plans().get(two.get(1)))));
         }
-        all.put("cost", over("What a play costs", "events of the lab a second of wall time", r -> r.events() * 1e6
-                / Math.max(1, r.wall())));
+        all.put(
+                "cost",
+                over(
+                        "What a play costs",
+                        "events of the lab a second of wall time",
+                        r -> r.events() * 1e6 / Math.max(1, r.wall())));
         return all;
     }
 
@@ -191,13 +284,17 @@
                 continue;
             }
             ByteArrayOutputStream svg = new ByteArrayOutputStream();
-            VectorGraphicsEncoder.saveVectorGraphic(each.getValue(), svg,
-                    VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
+            VectorGraphicsEncoder.saveVectorGraphic(
+                    each.getValue(), svg, VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
             String drawn = svg.toString(StandardCharsets.UTF_8);
             Files.writeString(folder.resolve(each.getKey() + ".svg"), drawn);
-            BitmapEncoder.saveBitmap(each.getValue(), folder.resolve(each.getKey() + ".png").toString(),
+            BitmapEncoder.saveBitmap(
+                    each.getValue(),
+                    folder.resolve(each.getKey() + ".png").toString(),
                     BitmapEncoder.BitmapFormat.PNG);
-            figures.append("<figure>").append(drawn.substring(drawn.indexOf("<svg"))).append("</figure>\n");
+            figures.append("<figure>")
+                    .append(drawn.substring(drawn.indexOf("<svg")))
+                    .append("</figure>\n");
         }
         Path page = folder.resolve("index.html");
         Files.writeString(page, page(figures.toString()));
@@ -207,9 +304,13 @@
     private String page(String figures) {
         Set<String> categories = new TreeSet<>();
         rows.forEach(r -> categories.addAll(r.categories().keySet()));
-        StringBuilder table = new StringBuilder("<table><tr><th>arm<th>" + escaped(axis) + "<th>plays<th>service");
+        StringBuilder table =
+                new StringBuilder(
+                        "<table><tr><th>arm<th>" + escaped(axis) + "<th>plays<th>service");
         categories.forEach(c -> table.append("<th>").append(escaped(c)));
-        table.append("<th>p50 ms<th>p99 ms<th>evenness<th>against ").append(escaped(arms.get(0))).append("<th>by chance</tr>\n");
+        table.append("<th>p50 ms<th>p99 ms<th>evenness<th>against ")
+                .append(escaped(arms.get(0)))
+                .append("<th>by chance</tr>\n");
         for (String value : values) {
             for (String arm : arms) {
                 List<Double> service = figures(arm, value, Row::service);
@@ -228,21 +329,53 @@
                 seeds (Student's t, two-sided).</p>
                 %s</table>
                 %s</html>
-                """.formatted(escaped(name), escaped(name), 100 * Statistics.CONFIDENCE, table, figures);
+                """
+                .formatted(
+                        escaped(name), escaped(name), 100 * Statistics.CONFIDENCE, table, figures);
     }
 
     private String row(String arm, String value, List<Double> service, Set<String> categories) {
         Paired p = arm.equals(arms.get(0)) ? null : compare(arms.get(0), arm, value);
-        return "<tr><td>" + escaped(arm) + "<td>" + escaped(value) + "<td>" + service.size() + "<td>"
-                + Statistics.mean(service).text() + categories.stream().map(c -> String.format("<td>%.3f",
-                Statistics.mean(figures(arm, value, r -> r.categories().getOrDefault(c, Double.NaN))).mean()))
-                .collect(Collectors.joining())
-                + String.format("<td>%.1f<td>%.1f<td>%.3f", Statistics.mean(figures(arm, value, Row::p50)).mean(),
-                Statistics.mean(figures(arm, value, Row::p99)).mean(), Statistics.mean(figures(arm, value, Row::evenness)).mean())
-                + (p == null ? "<td><td>" : "<td>" + p.difference().text() + String.format("<td>%.2g", p.chance())) + "</tr>\n";
+        return "<tr><td>"
+                + escaped(arm)
+                + "<td>"
+                + escaped(value)
+                + "<td>"
+                + service.size()
+                + "<td>"
+                + Statistics.mean(service).text()
+                + categories.stream()
+                        .map(
+                                c ->
+                                        String.format(
+                                                "<td>%.3f",
+                                                Statistics.mean(
+                                                                figures(
+                                                                        arm,
+                                                                        value,
+                                                                        r ->
+                                                                                r.categories()
+                                                                                        .getOrDefault(
+                                                                                                c,
+                                                                                                Double
+                                                                                                        .NaN)))
+                                                        .mean()))
+                        .collect(Collectors.joining())
+                + String.format(
+                        "<td>%.1f<td>%.1f<td>%.3f",
+                        Statistics.mean(figures(arm, value, Row::p50)).mean(),
+                        Statistics.mean(figures(arm, value, Row::p99)).mean(),
+                        Statistics.mean(figures(arm, value, Row::evenness)).mean())
+                + (p == null
+                        ? "<td><td>"
+                        : "<td>" + p.difference().text() + String.format("<td>%.2g", p.chance()))
+                + "</tr>\n";
     }
 
     private static String escaped(String text) {
-        return text.replace("&", "&amp;").replace("<", "&lt;").replace(">", "&gt;").replace("\"", "&quot;");
+        return text.replace("&", "&amp;")
+                .replace("<", "&lt;")
+                .replace(">", "&gt;")
+                .replace("\"", "&quot;");
     }
 }
--- a/lab/src/main/java/milletyoke/lab/storm/Hunt.java
+++ b/lab/src/main/java/milletyoke/lab/storm/Hunt.java
@@ -19,12 +19,16 @@
 /** Looks for the storm that breaks a rule, or costs most service, and shrinks it. */
 public final class Hunt {
     /** What is looked for. */
-    public enum Quarry { RULES, SERVICE }
+    public enum Quarry {
+        RULES,
+        SERVICE
+    }
 
     /**
      * One storm played.
      *
-     * @param broken a rule was broken, an access was left without its answer, or the play itself failed
+     * @param broken a rule was broken, an access was left without its answer, or the play itself
+     *     failed
      * @param why of that, in a line; empty where nothing broke
      */
     public record Catch(BadDay day, double service, boolean broken, String why) {}
@@ -40,7 +44,8 @@
     }
 
     /** All storms, the worst first; the same for any number of threads. */
-    public List<Catch> run(long firstSeed, int storms, Quarry quarry) throws InterruptedException, IOException {
+    public List<Catch> run(long firstSeed, int storms, Quarry quarry)
+            throws InterruptedException, IOException {
         ExecutorService workers = Executors.newFixedThreadPool(threads);
         try {
             List<Future<Catch>> plays = new ArrayList<>();
@@ -52,8 +57,10 @@
             for (Future<Catch> play : plays) {
                 all.add(play.get());
             }
-            all.sort(Comparator.comparing((Catch c) -> !c.broken()).thenComparingDouble(Catch::service)
-                    .thenComparing(c -> c.day().name()));
+            all.sort(
+                    Comparator.comparing((Catch c) -> !c.broken())
+                            .thenComparingDouble(Catch::service)
+                            .thenComparing(c -> c.day().name()));
             return all;
         } catch (ExecutionException failed) {
             throw new IOException("a storm could not be played", failed.getCause());
@@ -62,17 +69,29 @@
         }
     }
 
-    /** Plays a day and judges it. @param audited rules are looked at too, which costs a recording */
+    /**
+     * Plays a day and judges it. @param audited rules are looked at too, which costs a recording
+     */
     public static Catch play(BadDay day, boolean audited) {
         Path recording = null;
         try {
             recording = audited ? Files.createTempFile("milletyoke-", ".recording") : null;
             Play.Came came = Play.of(day, recording);
-            String why = came.unfinished() > 0 ? came.unfinished() + " without an answer" : !came.clean() ? "not left clean" : "";
+            String why =
+                    came.unfinished() > 0
+                            ? came.unfinished() + " without an answer"
+                            : !came.clean() ? "not left clean" : "";
             if (audited && why.isEmpty()) {
                 Audit.Report report = Audit.of(recording);
-                why = report.clean() ? "" : report.text(false).lines().filter(l -> l.contains("BREACHES")).findFirst()
-                        .orElse("a rule was broken").strip();
+                why =
+                        report.clean()
+                                ? ""
+                                : report.text(false)
+                                        .lines()
+                                        .filter(l -> l.contains("BREACHES"))
+                                        .findFirst()
+                                        .orElse("a rule was broken")
+                                        .strip();
             }
             return new Catch(day, came.service().whole(), !why.isEmpty(), why);
         } catch (IOException failed) {
@@ -94,24 +113,50 @@
         }
     }
 
-    /** The smallest day that still breaks, or that still costs nine tenths of what this one does. */
+    /**
+     * The smallest day that still breaks, or that still costs nine tenths of what this one does.
+     */
     public Catch shrink(Catch found, Quarry quarry) {
-        double quiet = play(base.with(found.day().name(), found.day().seed(), List.of()), false).service();
+        double quiet =
+                play(base.with(found.day().name(), found.day().seed(), List.of()), false).service();
         double bar = quiet - 0.9 * (quiet - found.service());
-        Shrink shrink = new Shrink(day -> {
-            Catch next = play(day, quarry == Quarry.RULES);
-            return quarry == Quarry.RULES ? next.broken() : next.service() <= bar;
-        });
+        Shrink shrink =
+                new Shrink(
+                        day -> {
+                            Catch next = play(day, quarry == Quarry.RULES);
+                            return quarry == Quarry.RULES ? next.broken() : next.service() <= bar;
+                        });
         return play(shrink.smallest(found.day()), quarry == Quarry.RULES);
     }
 
     /** The day as a script: the base's own text with these troubles in place of its own. */
     public static String script(String baseText, Catch found) {
-        String kept = baseText.lines().filter(l -> !l.strip().startsWith("at ") && !l.strip().startsWith("then ")
-                && !l.strip().startsWith("when ")
-                && !l.strip().startsWith("seed ") && !l.strip().startsWith("#")).collect(Collectors.joining("\n"));
-        String troubles = found.day().troubles().stream().map(TroubleText::of).collect(Collectors.joining("\n"));
-        String said = found.broken() ? found.why() : String.format("service %.4f in the lab", found.service());
-        return "# Found by a hunt: " + said + ".\nseed " + found.day().seed() + "\n" + kept.strip() + "\n" + troubles + "\n";
+        String kept =
+                baseText.lines()
+                        .filter(
+                                l ->
+                                        !l.strip().startsWith("at ")
+                                                && !l.strip().startsWith("then ")
+                                                && !l.strip().startsWith("when ")
+                                                && !l.strip().startsWith("seed ")
+                                                && !l.strip().startsWith("#"))
+                        .collect(Collectors.joining("\n"));
+        String troubles =
+                found.day().troubles().stream()
+                        .map(TroubleText::of)
+                        .collect(Collectors.joining("\n"));
+        String said =
+                found.broken()
+                        ? found.why()
+                        : String.format("service %.4f in the lab", found.service());
+        return "# Found by a hunt: "
+                + said
+                + ".\nseed "
+                + found.day().seed()
+                + "\n"
+                + kept.strip()
+                + "\n"
+                + troubles
+                + "\n";
     }
 }
--- a/lab/src/main/java/milletyoke/lab/storm/Shrink.java
+++ b/lab/src/main/java/milletyoke/lab/storm/Shrink.java
@@ -8,14 +8,17 @@
 import milletyoke.rehearsal.script.BadDay.Trouble;
 
 /**
- * Takes from a day what it does not need to be as bad: whole troubles first (delta debugging, Zeller and Hildebrandt, IEEE
- * Transactions on Software Engineering 28(2), 2002, with one at a time), then half of how long and of how many.
+ * Takes from a day what it does not need to be as bad: whole troubles first (delta debugging,
+ * Zeller and Hildebrandt, IEEE Transactions on Software Engineering 28(2), 2002, with one at a
+ * time), then half of how long and of how many.
  */
 public final class Shrink {
     private final Predicate<BadDay> stillBad;
     private int plays;
 
-    /** @param stillBad plays the day; must say the same of the same day every time */
+    /**
+     * @param stillBad plays the day; must say the same of the same day every time
+     */
     public Shrink(Predicate<BadDay> stillBad) {
         this.stillBad = stillBad;
     }
@@ -63,12 +66,36 @@
     private static List<Trouble> smaller(Trouble t) {
         List<Trouble> all = new ArrayList<>();
         if (t.span() > 400_000) {
-            all.add(new Trouble(t.at(), t.line(), t.sort(), t.whom(), t.span() / 2000 * 1000, t.figure(), t.range(), t.every(),
-                    t.count(), t.down(), t.name(), t.under()));
+            all.add(
+                    new Trouble(
+                            t.at(),
+                            t.line(),
+                            t.sort(),
+                            t.whom(),
+                            t.span() / 2000 * 1000,
+                            t.figure(),
+                            t.range(),
+                            t.every(),
+                            t.count(),
+                            t.down(),
+                            t.name(),
+                            t.under()));
         }
         if (t.whom().part() > 0.2) {
-            all.add(new Trouble(t.at(), t.line(), t.sort(), new Selection(Math.rint(5 * t.whom().part()) / 10, 0), t.span(),
-                    t.figure(), t.range(), t.every(), t.count(), t.down(), t.name(), t.under()));
+            all.add(
+                    new Trouble(
+                            t.at(),
+                            t.line(),
+                            t.sort(),
+                            new Selection(Math.rint(5 * t.whom().part()) / 10, 0),
+                            t.span(),
+                            t.figure(),
+                            t.range(),
+                            t.every(),
+                            t.count(),
+                            t.down(),
+                            t.name(),
+                            t.under()));
         }
         return all;
     }
--- a/lab/src/main/java/milletyoke/lab/storm/Storm.java
+++ b/lab/src/main/java/milletyoke/lab/storm/Storm.java
@@ -9,12 +9,36 @@
 import milletyoke.rehearsal.script.BadDay.Sort;
 import milletyoke.rehearsal.script.BadDay.Trouble;
 
-/** Draws troubles for a day from a seed: some at once, some in a cascade, whatever the day itself had is left out. */
+/**
+ * Draws troubles for a day from a seed: some at once, some in a cascade, whatever the day itself
+ * had is left out.
+ */
 public final class Storm {
-    private static final List<Sort> SORTS = List.of(Sort.HANG, Sort.SLOW, Sort.PAUSES, Sort.ERRORS, Sort.LOST, Sort.RESETS,
-            Sort.UNREACHABLE, Sort.RESTART, Sort.ROLL, Sort.DRAIN, Sort.AGE, Sort.LIST_LATE, Sort.LIST_PARTIAL,
-            Sort.LIST_FLAP, Sort.LIST_UNAVAILABLE, Sort.KILL, Sort.STILL, Sort.LEAVE, Sort.SURGE, Sort.HOTKEY,
-            Sort.RECONNECT, Sort.PARTITION, Sort.CLOCK);
+    private static final List<Sort> SORTS =
+            List.of(
+                    Sort.HANG,
+                    Sort.SLOW,
+                    Sort.PAUSES,
+                    Sort.ERRORS,
+                    Sort.LOST,
+                    Sort.RESETS,
+                    Sort.UNREACHABLE,
+                    Sort.RESTART,
+                    Sort.ROLL,
+                    Sort.DRAIN,
+                    Sort.AGE,
+                    Sort.LIST_LATE,
+                    Sort.LIST_PARTIAL,
+                    Sort.LIST_FLAP,
+                    Sort.LIST_UNAVAILABLE,
+                    Sort.KILL,
+                    Sort.STILL,
+                    Sort.LEAVE,
+                    Sort.SURGE,
+                    Sort.HOTKEY,
+                    Sort.RECONNECT,
+                    Sort.PARTITION,
+                    Sort.CLOCK);
 
     /**
      * Within what storms are drawn.
@@ -24,12 +48,17 @@
      * @param leastPart of targets that one strikes, and {@code mostPart}; in tenths
      * @param longest a trouble lasts, as a part of the day
      */
-    public record Ranges(List<Sort> sorts, int most, double leastPart, double mostPart, double longest) {
+    public record Ranges(
+            List<Sort> sorts, int most, double leastPart, double mostPart, double longest) {
         public Ranges {
-            if (sorts.isEmpty() || sorts.contains(Sort.LIMIT) || most < 1 || !(leastPart >= 0.1 && leastPart <= mostPart
-                    && mostPart <= 1) || !(longest > 0 && longest <= 1)) {
-                throw new IllegalArgumentException("some troubles but limit, one or more in a storm, parts of 10% to 100% and"
-                        + " the least first, and a longest of up to the whole day are expected");
+            if (sorts.isEmpty()
+                    || sorts.contains(Sort.LIMIT)
+                    || most < 1
+                    || !(leastPart >= 0.1 && leastPart <= mostPart && mostPart <= 1)
+                    || !(longest > 0 && longest <= 1)) {
+                throw new IllegalArgumentException(
+                        "some troubles but limit, one or more in a storm, parts of 10% to 100% and"
+                                + " the least first, and a longest of up to the whole day are expected");
             }
         }
 
@@ -39,8 +68,7 @@
         }
     }
 
-    private Storm() {
-    }
+    private Storm() {}
 
     /** A day with other troubles, at least one. */
     public static BadDay over(BadDay base, long seed, Ranges ranges) {
@@ -50,38 +78,56 @@
         long at = 0;
         for (int n = 0; n < count; n++) {
             boolean cascade = n > 0 && chance.nextInt(3) == 0; // soon after the one before
-            at = cascade ? at + 1000 * (1 + chance.nextLong(1500)) : 1000 * chance.nextLong(base.lasts() * 8 / 10_000);
+            at =
+                    cascade
+                            ? at + 1000 * (1 + chance.nextLong(1500))
+                            : 1000 * chance.nextLong(base.lasts() * 8 / 10_000);
             all.add(trouble(chance, at, ranges, base));
         }
         all.sort(Comparator.comparingLong(Trouble::at));
-        return base.with(base.name() + "-storm-" + Long.toUnsignedString(seed, 36), base.seed() + seed, all);
+        return base.with(
+                base.name() + "-storm-" + Long.toUnsignedString(seed, 36), base.seed() + seed, all);
     }
 
     private static Trouble trouble(SplittableRandom c, long at, Ranges in, BadDay base) {
         Sort sort = in.sorts().get(c.nextInt(in.sorts().size()));
         int tenths = (int) Math.round(10 * in.leastPart());
-        boolean initiator = switch (sort) {
-            case KILL, STILL, LEAVE, PARTITION -> true;
-            default -> false;
-        };
-        Selection whom = initiator ? new Selection(0, 1 + c.nextInt(base.initiators()))
-                : new Selection((tenths + c.nextInt((int) Math.round(10 * in.mostPart()) - tenths + 1)) / 10.0, 0);
-        long span = 1000 * (500 + c.nextLong(Math.max(1, (long) (base.lasts() * in.longest() / 1000))));
-        double figure = switch (sort) {
-            case SLOW, AGE -> 2 + c.nextInt(7);
-            case ERRORS, LOST, HOTKEY, PARTITION -> (1 + c.nextInt(9)) / 10.0;
-            case SURGE -> (2 + c.nextInt(20)) / 10.0;
-            default -> 0;
-        };
-        long[] range = switch (sort) {
-            case PAUSES -> new long[] {100_000, 400_000};
-            case LIST_LATE -> new long[] {1_000_000, 1_000_000 + 1000 * c.nextLong(3_000)};
-            default -> new long[] {300_000, 300_000 + 1000 * c.nextLong(1_500)};
-        };
-        long every = switch (sort) {
-            case PARTITION -> c.nextInt(4);
-            default -> 1000 * (100 + c.nextLong(900));
-        };
+        boolean initiator =
+                switch (sort) {
+                    case KILL, STILL, LEAVE, PARTITION -> true;
+                    default -> false;
+                };
+        Selection whom =
+                initiator
+                        ? new Selection(0, 1 + c.nextInt(base.initiators()))
+                        : new Selection(
+                                (tenths
+                                                + c.nextInt(
+                                                        (int) Math.round(10 * in.mostPart())
+                                                                - tenths
+                                                                + 1))
+                                        / 10.0,
+                                0);
+        long span =
+                1000 * (500 + c.nextLong(Math.max(1, (long) (base.lasts() * in.longest() / 1000))));
+        double figure =
+                switch (sort) {
+                    case SLOW, AGE -> 2 + c.nextInt(7);
+                    case ERRORS, LOST, HOTKEY, PARTITION -> (1 + c.nextInt(9)) / 10.0;
+                    case SURGE -> (2 + c.nextInt(20)) / 10.0;
+                    default -> 0;
+                };
+        long[] range =
+                switch (sort) {
+                    case PAUSES -> new long[] {100_000, 400_000};
+                    case LIST_LATE -> new long[] {1_000_000, 1_000_000 + 1000 * c.nextLong(3_000)};
+                    default -> new long[] {300_000, 300_000 + 1000 * c.nextLong(1_500)};
+                };
+        long every =
+                switch (sort) {
+                    case PARTITION -> c.nextInt(4);
+                    default -> 1000 * (100 + c.nextLong(900));
+                };
         if (sort == Sort.CLOCK) {
             span = (c.nextBoolean() ? 1 : -1) * 1_000_000 * (1 + c.nextLong(30));
         }
--- a/lab/src/main/java/milletyoke/lab/storm/TroubleText.java
+++ b/lab/src/main/java/milletyoke/lab/storm/TroubleText.java
@@ -4,40 +4,75 @@
 import milletyoke.rehearsal.script.BadDay;
 import milletyoke.rehearsal.script.BadDay.Trouble;
 
-/** Writes a trouble as a line of a script, so that a day that was found can be kept and played again by name. */
+/**
+ * Writes a trouble as a line of a script, so that a day that was found can be kept and played again
+ * by name.
+ */
 public final class TroubleText {
-    private TroubleText() {
-    }
+    private TroubleText() {}
 
-    /** @throws IllegalArgumentException for a trouble that storms do not draw */
+    /**
+     * @throws IllegalArgumentException for a trouble that storms do not draw
+     */
     public static String of(Trouble t) {
         String whom = t.whom().number() > 0 ? "" + t.whom().number() : percent(t.whom().part());
         String span = " for=" + time(t.span());
-        String start = t.under() > 0 ? "when service under=" + percent(t.under()) + " from=" + time(t.at()) + " "
-                : "at " + time(t.at()) + " ";
-        return start + switch (t.sort()) {
-            case HANG, UNREACHABLE, DRAIN, STILL -> name(t) + " " + whom + span;
-            case SLOW -> "slow " + whom + " by=" + t.figure() + span;
-            case PAUSES -> "pauses " + whom + " of=" + times(t.range()) + " every=" + time(t.every()) + span;
-            case ERRORS, LOST -> name(t) + " " + whom + " part=" + percent(t.figure()) + span;
-            case RESETS -> "resets " + whom + " every=" + time(t.every()) + span;
-            case RESTART -> "restart " + whom + " down=" + times(t.range());
-            case ROLL -> "roll " + whom + " over=" + time(t.span()) + " down=" + time(t.down());
-            case AGE -> "age " + whom + " to=" + t.figure() + " over=" + time(t.span()) + " down=" + time(t.down());
-            case LIST_LATE -> "list late by=" + times(t.range()) + span;
-            case LIST_PARTIAL -> "list partial " + whom + span;
-            case LIST_FLAP -> "list flap " + whom + " every=" + time(t.every()) + span;
-            case LIST_UNAVAILABLE -> "list unavailable" + span;
-            case KILL, LEAVE -> name(t) + " " + whom + " down=" + times(t.range());
-            case SURGE -> "surge volumes=" + t.count() + " by=" + percent(t.figure()) + span;
-            case HOTKEY -> "hotkey part=" + percent(t.figure()) + span;
-            case RECONNECT -> "reconnect";
-            case PARTITION -> "partition " + whom + " targets=" + (t.count() > 0 ? "" + t.count() : percent(t.figure()))
-                    + ((t.every() & BadDay.ONE_WAY) != 0 ? " oneway" : "") + ((t.every() & BadDay.GREY) != 0 ? " grey" : "")
-                    + span;
-            case CLOCK -> "clock " + (t.span() < 0 ? "back=" : "ahead=") + time(Math.abs(t.span()));
-            case LIMIT -> throw new IllegalArgumentException("a change of a limit is written by hand");
-        };
+        String start =
+                t.under() > 0
+                        ? "when service under=" + percent(t.under()) + " from=" + time(t.at()) + " "
+                        : "at " + time(t.at()) + " ";
+        return start
+                + switch (t.sort()) {
+                    case HANG, UNREACHABLE, DRAIN, STILL -> name(t) + " " + whom + span;
+                    case SLOW -> "slow " + whom + " by=" + t.figure() + span;
+                    case PAUSES ->
+                            "pauses "
+                                    + whom
+                                    + " of="
+                                    + times(t.range())
+                                    + " every="
+                                    + time(t.every())
+                                    + span;
+                    case ERRORS, LOST ->
+                            name(t) + " " + whom + " part=" + percent(t.figure()) + span;
+                    case RESETS -> "resets " + whom + " every=" + time(t.every()) + span;
+                    case RESTART -> "restart " + whom + " down=" + times(t.range());
+                    case ROLL ->
+                            "roll " + whom + " over=" + time(t.span()) + " down=" + time(t.down());
+                    case AGE ->
+                            "age "
+                                    + whom
+                                    + " to="
+                                    + t.figure()
+                                    + " over="
+                                    + time(t.span())
+                                    + " down="
+                                    + time(t.down());
+                    case LIST_LATE -> "list late by=" + times(t.range()) + span;
+                    case LIST_PARTIAL -> "list partial " + whom + span;
+                    case LIST_FLAP -> "list flap " + whom + " every=" + time(t.every()) + span;
+                    case LIST_UNAVAILABLE -> "list unavailable" + span;
+                    case KILL, LEAVE -> name(t) + " " + whom + " down=" + times(t.range());
+                    case SURGE ->
+                            "surge volumes=" + t.count() + " by=" + percent(t.figure()) + span;
+                    case HOTKEY -> "hotkey part=" + percent(t.figure()) + span;
+                    case RECONNECT -> "reconnect";
+                    case PARTITION ->
+                            "partition "
+                                    + whom
+                                    + " targets="
+                                    + (t.count() > 0 ? "" + t.count() : percent(t.figure()))
+                                    + ((t.every() & BadDay.ONE_WAY) != 0 ? " oneway" : "")
+                                    + ((t.every() & BadDay.GREY) != 0 ? " grey" : "")
+                                    + span;
+                    case CLOCK ->
+                            "clock "
+                                    + (t.span() < 0 ? "back=" : "ahead=")
+                                    + time(Math.abs(t.span()));
+                    case LIMIT ->
+                            throw new IllegalArgumentException(
+                                    "a change of a limit is written by hand");
+                };
     }
 
     private static String name(Trouble t) {
--- a/lab/src/main/java/milletyoke/lab/world/Clockwork.java
+++ b/lab/src/main/java/milletyoke/lab/world/Clockwork.java
@@ -37,7 +37,8 @@
 
         @Override
         public int compareTo(Delayed other) {
-            return Long.compare(getDelay(TimeUnit.MICROSECONDS), other.getDelay(TimeUnit.MICROSECONDS));
+            return Long.compare(
+                    getDelay(TimeUnit.MICROSECONDS), other.getDelay(TimeUnit.MICROSECONDS));
         }
 
         @Override
@@ -47,11 +48,13 @@
     }
 
     private void at(long time, Runnable task) {
-        world.at(time, () -> {
-            if (!shut) {
-                task.run();
-            }
-        });
+        world.at(
+                time,
+                () -> {
+                    if (!shut) {
+                        task.run();
+                    }
+                });
     }
 
     @Override
@@ -64,16 +67,21 @@
     @Override
     public <V> ScheduledFuture<V> schedule(Callable<V> task, long delay, TimeUnit unit) {
         Timer<V> timer = new Timer<>(task, world.micros() + Math.max(0, unit.toMicros(delay)));
-        timer.pending = world.at(timer.at, () -> {
-            if (!shut) {
-                timer.run();
-                rethrow(timer);
-            }
-        });
+        timer.pending =
+                world.at(
+                        timer.at,
+                        () -> {
+                            if (!shut) {
+                                timer.run();
+                                rethrow(timer);
+                            }
+                        });
         return timer;
     }
 
-    /** A fault of what was played is a fault of the play; swallowed, it would pass for a quiet day. */
+    /**
+     * A fault of what was played is a fault of the play; swallowed, it would pass for a quiet day.
+     */
     private void rethrow(FutureTask<?> done) {
         try {
             done.get();
@@ -84,24 +92,32 @@
 
     @Override
     public ScheduledFuture<?> schedule(Runnable task, long delay, TimeUnit unit) {
-        return schedule(() -> {
-            task.run();
-            return null;
-        }, delay, unit);
+        return schedule(
+                () -> {
+                    task.run();
+                    return null;
+                },
+                delay,
+                unit);
     }
 
     @Override
-    public ScheduledFuture<?> scheduleWithFixedDelay(Runnable task, long first, long delay, TimeUnit unit) {
-        return schedule(() -> {
-            task.run();
-            if (!shut) {
-                scheduleWithFixedDelay(task, delay, delay, unit);
-            }
-        }, first, unit);
+    public ScheduledFuture<?> scheduleWithFixedDelay(
+            Runnable task, long first, long delay, TimeUnit unit) {
+        return schedule(
+                () -> {
+                    task.run();
+                    if (!shut) {
+                        scheduleWithFixedDelay(task, delay, delay, unit);
+                    }
+                },
+                first,
+                unit);
     }
 
     @Override
-    public ScheduledFuture<?> scheduleAtFixedRate(Runnable task, long first, long every, TimeUnit unit) {
+    public ScheduledFuture<?> scheduleAtFixedRate(
+            Runnable task, long first, long every, TimeUnit unit) {
         return scheduleWithFixedDelay(task, first, every, unit); // a task takes no time here
     }
 
--- a/lab/src/main/java/milletyoke/lab/world/LabNet.java
+++ b/lab/src/main/java/milletyoke/lab/world/LabNet.java
@@ -16,8 +16,9 @@
 import milletyoke.wire.proto.Role;
 
 /**
- * One participant's connections in virtual time. A connection comes about after one round trip, keeps the order of what
- * is sent each way, loses nothing until it ends, and its end arrives behind what was sent before (RFC 9293).
+ * One participant's connections in virtual time. A connection comes about after one round trip,
+ * keeps the order of what is sent each way, loses nothing until it ends, and its end arrives behind
+ * what was sent before (RFC 9293).
  */
 final class LabNet implements Net {
     private final LabWorld world;
@@ -34,7 +35,8 @@
     }
 
     /** A bound port and who answers there. */
-    record Bound(LabNet net, int port, Role role, PeerHandler handler, Bounds bounds) implements Listener {
+    record Bound(LabNet net, int port, Role role, PeerHandler handler, Bounds bounds)
+            implements Listener {
         @Override
         public void stop() {
             net.world.unbind(port, this);
@@ -42,11 +44,13 @@
     }
 
     @Override
-    public Listener listen(String host, int port, Role role, PeerHandler handler, Bounds bounds) throws IOException {
+    public Listener listen(String host, int port, Role role, PeerHandler handler, Bounds bounds)
+            throws IOException {
         int at = port == 0 ? world.freePort() : port;
         Bound listener = new Bound(this, at, role, handler, bounds);
         if (!world.bind(at, listener)) {
-            throw new IOException("cannot listen at " + host + ":" + at + ": Address already in use");
+            throw new IOException(
+                    "cannot listen at " + host + ":" + at + ": Address already in use");
         }
         bound.add(listener);
         return listener;
@@ -63,24 +67,43 @@
     }
 
     @Override
-    public Attempt connect(String host, int port, Role role, PeerHandler handler, Bounds bounds, Consumer<String> failed) {
+    public Attempt connect(
+            String host,
+            int port,
+            Role role,
+            PeerHandler handler,
+            Bounds bounds,
+            Consumer<String> failed) {
         Making making = new Making();
-        world.at(world.micros() + world.travel(), () -> arrive(making, port, role, handler, bounds, failed));
+        world.at(
+                world.micros() + world.travel(),
+                () -> arrive(making, port, role, handler, bounds, failed));
         return making;
     }
 
-    private void arrive(Making making, int port, Role role, PeerHandler handler, Bounds bounds, Consumer<String> failed) {
+    private void arrive(
+            Making making,
+            int port,
+            Role role,
+            PeerHandler handler,
+            Bounds bounds,
+            Consumer<String> failed) {
         Bound there = world.listener(port);
         long back = world.micros() + world.travel();
         if (there == null) {
-            world.at(back, () -> {
-                if (!gone && !making.givenUp) {
-                    failed.accept("Connection refused");
-                }
-            });
+            world.at(
+                    back,
+                    () -> {
+                        if (!gone && !making.givenUp) {
+                            failed.accept("Connection refused");
+                        }
+                    });
             return;
         }
-        long open = Math.max(world.heldUntil(name, there.net().name, false), world.heldUntil(there.net().name, name, false));
+        long open =
+                Math.max(
+                        world.heldUntil(name, there.net().name, false),
+                        world.heldUntil(there.net().name, name, false));
         if (open > world.micros()) { // the first packet is sent again until it gets through
             world.at(open, () -> arrive(making, port, role, handler, bounds, failed));
             return;
@@ -93,13 +116,15 @@
         near.join(far);
         far.join(near);
         there.net().opened(far, there.role());
-        world.at(back, () -> {
-            if (gone || making.givenUp) {
-                near.reset();
-            } else {
-                opened(near, role);
-            }
-        });
+        world.at(
+                back,
+                () -> {
+                    if (gone || making.givenUp) {
+                        near.reset();
+                    } else {
+                        opened(near, role);
+                    }
+                });
     }
 
     private void opened(LabPeer peer, Role role) {
@@ -132,6 +157,7 @@
         private boolean connected = true;
         private boolean isOpened;
         private long lastArrival;
+
         /** What arrived before this end knew that the connection was open. */
         private final List<Runnable> early = new ArrayList<>();
 
@@ -164,10 +190,12 @@
             boolean work = frames.stream().anyMatch(f -> f.hasRelay() || f.hasReply());
             long leaves = world.heldUntil(net.name, other.net.name, work);
             lastArrival = Math.max(lastArrival, leaves + world.travel());
-            world.at(lastArrival, () -> {
-                written(size);
-                other.arrives(() -> frames.forEach(other::deliver));
-            });
+            world.at(
+                    lastArrival,
+                    () -> {
+                        written(size);
+                        other.arrives(() -> frames.forEach(other::deliver));
+                    });
         }
 
         private void arrives(Runnable what) {
@@ -180,7 +208,10 @@
 
         private void deliver(Frame frame) {
             if (connected) {
-                world.digest(((long) id() << 40) + ((long) frame.getBodyCase().getNumber() << 32) + frame.getSerializedSize());
+                world.digest(
+                        ((long) id() << 40)
+                                + ((long) frame.getBodyCase().getNumber() << 32)
+                                + frame.getSerializedSize());
                 got(frame);
             }
         }
@@ -200,10 +231,14 @@
             if (connected) {
                 connected = false;
                 net.peers.remove(this);
-                lastArrival = Math.max(lastArrival, world.heldUntil(net.name, other.net.name, false) + world.travel());
-                world.at(lastArrival, () -> other.arrives(() -> other.close("the connection closed (remotely)")));
+                lastArrival =
+                        Math.max(
+                                lastArrival,
+                                world.heldUntil(net.name, other.net.name, false) + world.travel());
+                world.at(
+                        lastArrival,
+                        () -> other.arrives(() -> other.close("the connection closed (remotely)")));
             }
         }
     }
-
 }
--- a/lab/src/main/java/milletyoke/lab/world/LabWorld.java
+++ b/lab/src/main/java/milletyoke/lab/world/LabWorld.java
@@ -12,9 +12,10 @@
 import milletyoke.wire.World;
 
 /**
- * Virtual time: one queue of events, those of one moment in the order in which they were asked for. Everything of the
- * product runs in it as in service, on the one thread that calls {@link #sleep}; the same seed plays the same events. Not
- * for use by several threads; any number of worlds may run side by side.
+ * Virtual time: one queue of events, those of one moment in the order in which they were asked for.
+ * Everything of the product runs in it as in service, on the one thread that calls {@link #sleep};
+ * the same seed plays the same events. Not for use by several threads; any number of worlds may run
+ * side by side.
  */
 public final class LabWorld implements World {
     /** Some moment; only differences matter. */
@@ -23,7 +24,8 @@
     /**
      * What the network and the machines are like.
      *
-     * @param leastTravel of a frame from end to end, and {@code mostTravel}; drawn evenly for each (microseconds)
+     * @param leastTravel of a frame from end to end, and {@code mostTravel}; drawn evenly for each
+     *     (microseconds)
      * @param turn an initiator's loop is busy for so long with each turn (microseconds)
      */
     public record Physics(long leastTravel, long mostTravel, long turn) {
@@ -32,8 +34,14 @@
 
         public Physics {
             if (leastTravel < 1 || mostTravel < leastTravel || turn < 0) {
-                throw new IllegalArgumentException("a travel of 1 us or more, least first, and a turn of 0 or more are"
-                        + " expected, not " + leastTravel + ", " + mostTravel + ", " + turn);
+                throw new IllegalArgumentException(
+                        "a travel of 1 us or more, least first, and a turn of 0 or more are"
+                                + " expected, not "
+                                + leastTravel
+                                + ", "
+                                + mostTravel
+                                + ", "
+                                + turn);
             }
         }
     }
@@ -106,8 +114,9 @@
     @Override
     public void sleep(long micros) {
         if (inside) {
-            throw new IllegalStateException("something in the lab wanted to wait inside of an event; nothing could ever end"
-                    + " that wait");
+            throw new IllegalStateException(
+                    "something in the lab wanted to wait inside of an event; nothing could ever end"
+                            + " that wait");
         }
         long until = now + Math.max(0, micros);
         inside = true;
@@ -231,11 +240,16 @@
     }
 
     long travel() {
-        return physics.leastTravel() + (physics.mostTravel() > physics.leastTravel()
-                ? chance.nextLong(physics.mostTravel() - physics.leastTravel() + 1) : 0);
+        return physics.leastTravel()
+                + (physics.mostTravel() > physics.leastTravel()
+                        ? chance.nextLong(physics.mostTravel() - physics.leastTravel() + 1)
+                        : 0);
     }
 
-    /** A one-way cut: what {@code from} sends to {@code to} waits until it heals, as TCP sends again what was lost. */
+    /**
+     * A one-way cut: what {@code from} sends to {@code to} waits until it heals, as TCP sends again
+     * what was lost.
+     */
     private record Cut(String from, String to, boolean work, long until) {}
 
     /** Where all is held, new connections do not come about in either direction. */
@@ -249,7 +263,10 @@
     long heldUntil(String from, String to, boolean work) {
         long until = now;
         for (Cut c : cuts) {
-            if (c.until() > until && c.from().equals(from) && c.to().equals(to) && (work || !c.work())) {
+            if (c.until() > until
+                    && c.from().equals(from)
+                    && c.to().equals(to)
+                    && (work || !c.work())) {
                 until = c.until();
             }
         }
--- a/lab/src/test/java/milletyoke/lab/ExperimentTest.java
+++ b/lab/src/test/java/milletyoke/lab/ExperimentTest.java
@@ -39,35 +39,46 @@
     private static final Path DAY = Path.of("../rehearsal/days/hang.day").toAbsolutePath();
     private static final Path DECIDE = Path.of("../core/src/main/java/milletyoke/Decide.java");
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private Experiment experiment(String arms) throws Exception {
         Path file = folder.resolve("e.json5");
-        Files.writeString(file, "{name: \"e\", day: \"" + DAY + "\", source: \"" + DECIDE.toAbsolutePath()
-                + "\", seeds: 2, values: \"100 200\", arms: [" + arms + "]}");
+        Files.writeString(
+                file,
+                "{name: \"e\", day: \""
+                        + DAY
+                        + "\", source: \""
+                        + DECIDE.toAbsolutePath()
+                        + "\", seeds: 2, values: \"100 200\", arms: ["
+                        + arms
+                        + "]}");
         return Experiment.read(file);
     }
 
-    private static final String ARMS = "{name: \"a\", set: \"load {x}/s; lasts 2s; calm\"},"
-            + "{name: \"b\", set: \"load {x}/s; lasts 2s; calm\", scheduler: \"at-once\"}";
+    private static final String ARMS =
+            "{name: \"a\", set: \"load {x}/s; lasts 2s; calm\"},"
+                    + "{name: \"b\", set: \"load {x}/s; lasts 2s; calm\", scheduler: \"at-once\"}";
 
     @Test
     void aKilledRunGoesOnAndEndsWithTheSameRows() throws Exception {
         Experiment e = experiment(ARMS);
         Path whole = folder.resolve("whole.jsonl");
         try (Results results = new Results(whole)) {
-            assertEquals(8, new Runner(e, results, 3).run(line -> { }));
+            assertEquals(8, new Runner(e, results, 3).run(line -> {}));
         }
         Path cut = folder.resolve("cut.jsonl");
         List<String> lines = Files.readAllLines(whole);
-        Files.writeString(cut, String.join("\n", lines.subList(0, 3)) + "\n" + lines.get(3).substring(0, 40));
+        Files.writeString(
+                cut, String.join("\n", lines.subList(0, 3)) + "\n" + lines.get(3).substring(0, 40));
         try (Results results = new Results(cut)) {
-            assertEquals(5, new Runner(e, results, 1).run(line -> { }), "three were whole, the fourth was cut off");
+            assertEquals(
+                    5,
+                    new Runner(e, results, 1).run(line -> {}),
+                    "three were whole, the fourth was cut off");
         }
         assertEquals(facts(whole), facts(cut));
         try (Results results = new Results(cut)) {
-            assertEquals(0, new Runner(e, results, 2).run(line -> { }), "nothing is played twice");
+            assertEquals(0, new Runner(e, results, 2).run(line -> {}), "nothing is played twice");
         }
     }
 
@@ -85,14 +96,25 @@
         Path file = folder.resolve("r.jsonl");
         Files.writeString(file, "no row\n");
         Files.writeString(file, "{}\n", StandardOpenOption.APPEND);
-        assertTrue(assertThrows(IOException.class, () -> Results.read(file)).getMessage().contains("r.jsonl:1"));
+        assertTrue(
+                assertThrows(IOException.class, () -> Results.read(file))
+                        .getMessage()
+                        .contains("r.jsonl:1"));
     }
 
     @Test
     void wrongExperimentsAreToldWithTheirLine() {
-        for (String arms : List.of("{name: \"a\", set: \"lod 5/s\"}", "{name: \"a\"}, {name: \"a\"}",
-                "{name: \"a\", scheduler: \"best\"}", "{name: \"a\", set: \"at 1s explode\"}")) {
-            assertTrue(assertThrows(SetupError.class, () -> experiment(arms), arms).getMessage().contains("e.json5"), arms);
+        for (String arms :
+                List.of(
+                        "{name: \"a\", set: \"lod 5/s\"}",
+                        "{name: \"a\"}, {name: \"a\"}",
+                        "{name: \"a\", scheduler: \"best\"}",
+                        "{name: \"a\", set: \"at 1s explode\"}")) {
+            assertTrue(
+                    assertThrows(SetupError.class, () -> experiment(arms), arms)
+                            .getMessage()
+                            .contains("e.json5"),
+                    arms);
         }
     }
 
@@ -100,7 +122,7 @@
     void theReportStandsByItself() throws Exception {
         Experiment e = experiment(ARMS);
         try (Results results = new Results(folder.resolve("r.jsonl"))) {
-            new Runner(e, results, 4).run(line -> { });
+            new Runner(e, results, 4).run(line -> {});
             Report report = new Report("e <1>", "load", results.rows(), List.of("a", "b"));
             String page = Files.readString(report.write(folder.resolve("report")));
             assertTrue(page.contains("e &lt;1&gt;") && page.contains("<svg"));
@@ -116,21 +138,34 @@
         Statistics.Mean mean = Statistics.mean(List.of(1.0, 2.0, 3.0, 4.0, 5.0));
         assertEquals(3, mean.mean(), 1e-12);
         assertEquals(2.776 * Math.sqrt(2.5 / 5), mean.half(), 1e-3);
-        Statistics.Paired p = Statistics.paired(List.of(1.0, 2.0, 3.0, 4.0), List.of(1.1, 2.3, 3.2, 4.4));
+        Statistics.Paired p =
+                Statistics.paired(List.of(1.0, 2.0, 3.0, 4.0), List.of(1.1, 2.3, 3.2, 4.4));
         assertEquals(0.25, p.difference().mean(), 1e-12);
         assertEquals(0.0305, p.chance(), 5e-4); // t = 3.873 with 3 degrees
         assertEquals(1, Statistics.paired(List.of(1.0, 2.0), List.of(1.0, 2.0)).chance());
-        assertThrows(IllegalArgumentException.class, () -> Statistics.paired(List.of(1.0), List.of(1.0)));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> Statistics.paired(List.of(1.0), List.of(1.0)));
     }
 
     @Test
     void aVariantWithTheSameFiguresPlaysTheSameAndAnotherDoesNot() throws Exception {
         BadDay day = Script.read(DAY);
         long own = Play.of(day, null).digest();
-        assertEquals(own, Play.of(day, null, false, Variant.of(DECIDE, "MARGIN_STEPS = 1.5")).digest());
-        assertNotEquals(own, Play.of(day, null, false,
-                Variant.of(DECIDE, "FIRST_WINDOW = 1; WINDOW_CEILING = 2")).digest());
-        assertTrue(assertThrows(IOException.class, () -> Variant.of(DECIDE, "NO_SUCH = 1")).getMessage().contains("NO_SUCH"));
+        assertEquals(
+                own, Play.of(day, null, false, Variant.of(DECIDE, "MARGIN_STEPS = 1.5")).digest());
+        assertNotEquals(
+                own,
+                Play.of(
+                                day,
+                                null,
+                                false,
+                                Variant.of(DECIDE, "FIRST_WINDOW = 1; WINDOW_CEILING = 2"))
+                        .digest());
+        assertTrue(
+                assertThrows(IOException.class, () -> Variant.of(DECIDE, "NO_SUCH = 1"))
+                        .getMessage()
+                        .contains("NO_SUCH"));
         assertThrows(IOException.class, () -> Variant.of(DECIDE, "MARGIN_STEPS = System.exit(1)"));
     }
 
@@ -140,13 +175,22 @@
         BadDay day = null;
         for (long seed = 1; day == null; seed++) { // one with a kill among others
             BadDay drawn = Storm.over(base, seed, Storm.Ranges.usual(8));
-            day = drawn.troubles().size() > 4 && drawn.troubles().stream().anyMatch(t -> t.sort() == Sort.KILL) ? drawn : null;
+            day =
+                    drawn.troubles().size() > 4
+                                    && drawn.troubles().stream()
+                                            .anyMatch(t -> t.sort() == Sort.KILL)
+                            ? drawn
+                            : null;
         }
         List<Integer> seen = new ArrayList<>();
-        BadDay small = new Shrink(d -> {
-            seen.add(d.troubles().size());
-            return d.troubles().stream().anyMatch(t -> t.sort() == Sort.KILL);
-        }).smallest(day);
+        BadDay small =
+                new Shrink(
+                                d -> {
+                                    seen.add(d.troubles().size());
+                                    return d.troubles().stream()
+                                            .anyMatch(t -> t.sort() == Sort.KILL);
+                                })
+                        .smallest(day);
         assertEquals(1, small.troubles().size());
         assertEquals(Sort.KILL, small.troubles().get(0).sort());
         assertTrue(seen.size() < 100);
@@ -157,14 +201,23 @@
         Storm.Ranges in = new Storm.Ranges(List.of(Sort.HANG, Sort.SLOW), 3, 0.2, 0.4, 0.25);
         for (long seed = 0; seed < 200; seed++) {
             for (var t : Storm.over(Script.read(DAY), seed, in).troubles()) {
-                assertTrue(in.sorts().contains(t.sort()) && t.whom().part() >= 0.2 && t.whom().part() <= 0.4
-                        && t.span() <= 500_000 + Script.read(DAY).lasts() / 4, "" + t);
+                assertTrue(
+                        in.sorts().contains(t.sort())
+                                && t.whom().part() >= 0.2
+                                && t.whom().part() <= 0.4
+                                && t.span() <= 500_000 + Script.read(DAY).lasts() / 4,
+                        "" + t);
             }
         }
-        assertThrows(IllegalArgumentException.class, () -> new Storm.Ranges(List.of(Sort.LIMIT), 3, 0.2, 0.4, 0.25));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> new Storm.Ranges(List.of(Sort.LIMIT), 3, 0.2, 0.4, 0.25));
     }
 
-    /** Means of one, so that a fleet does as much whatever the spread; spreads in the order that their names promise. */
+    /**
+     * Means of one, so that a fleet does as much whatever the spread; spreads in the order that
+     * their names promise.
+     */
     @Test
     void workVariesRoundItsMean() {
         double last = 0;
@@ -188,7 +241,9 @@
         }
     }
 
-    /** What was found is the same day when it is read again: by its text and by all that travels. */
+    /**
+     * What was found is the same day when it is read again: by its text and by all that travels.
+     */
     @Test
     void stormsAreKeptAsScriptsAndPlayTheSame() throws Exception {
         BadDay base = Script.read(DAY);
@@ -212,9 +267,14 @@
         Hunt one = new Hunt(Script.read(DAY), Storm.Ranges.usual(3), 1);
         Hunt four = new Hunt(Script.read(DAY), Storm.Ranges.usual(3), 4);
         List<Hunt.Catch> first = one.run(100, 6, Hunt.Quarry.RULES);
-        assertEquals(first.stream().map(c -> c.day().name() + c.service()).toList(),
-                four.run(100, 6, Hunt.Quarry.RULES).stream().map(c -> c.day().name() + c.service()).toList());
-        assertTrue(first.stream().noneMatch(Hunt.Catch::broken), () -> "a storm broke a rule: " + first);
+        assertEquals(
+                first.stream().map(c -> c.day().name() + c.service()).toList(),
+                four.run(100, 6, Hunt.Quarry.RULES).stream()
+                        .map(c -> c.day().name() + c.service())
+                        .toList());
+        assertTrue(
+                first.stream().noneMatch(Hunt.Catch::broken),
+                () -> "a storm broke a rule: " + first);
     }
 
     @Test
--- a/lab/src/test/java/milletyoke/lab/LabTest.java
+++ b/lab/src/test/java/milletyoke/lab/LabTest.java
@@ -45,12 +45,14 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The product in virtual time: the rules on days that the rehearsal plays too, the hard cases, and repeatability. */
+/**
+ * The product in virtual time: the rules on days that the rehearsal plays too, the hard cases, and
+ * repeatability.
+ */
 class LabTest {
     private static final Path REHEARSALS = Path.of("../rehearsal/days"), OWN = Path.of("days");
 
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     static Stream<Path> ownDays() throws Exception {
         try (Stream<Path> all = Files.list(OWN)) {
@@ -64,7 +66,9 @@
         Audit.Report report = Audit.of(recording);
         assertTrue(report.clean(), () -> day.name() + "\n" + report.text(true));
         assertEquals(0, came.unfinished(), "every access has its answer");
-        assertTrue(came.coldUsed() <= 1, "no cold target is sent more than it bears: " + came.coldUsed());
+        assertTrue(
+                came.coldUsed() <= 1,
+                "no cold target is sent more than it bears: " + came.coldUsed());
         assertTrue(came.clean(), "every initiator left with nothing unanswered");
         return report;
     }
@@ -76,8 +80,18 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"all-rules", "hang", "leave", "limits-change", "list-unavailable", "mass-restart-stamped",
-        "initiators-killed-cold", "overlap-list-roll-burst", "still"})
+    @ValueSource(
+            strings = {
+                "all-rules",
+                "hang",
+                "leave",
+                "limits-change",
+                "list-unavailable",
+                "mass-restart-stamped",
+                "initiators-killed-cold",
+                "overlap-list-roll-burst",
+                "still"
+            })
     void aRehearsalPlaysHereToo(String name) throws Exception {
         kept(Script.read(REHEARSALS.resolve(name + ".day")));
     }
@@ -97,14 +111,19 @@
         Play.Came alone = Play.of(day, null);
         for (int threads : new int[] {2, 6}) {
             ExecutorService workers = Executors.newFixedThreadPool(threads);
-            List<Future<Play.Came>> plays = IntStream.range(0, 6).mapToObj(n -> workers.submit(() -> Play.of(day, null))).toList();
+            List<Future<Play.Came>> plays =
+                    IntStream.range(0, 6)
+                            .mapToObj(n -> workers.submit(() -> Play.of(day, null)))
+                            .toList();
             for (Future<Play.Came> play : plays) {
                 assertEquals(alone.digest(), play.get().digest());
                 assertEquals(alone.service().text(), play.get().service().text());
             }
             workers.shutdown();
         }
-        assertNotEquals(alone.digest(), Play.of(day.with("other", day.seed() + 1, day.troubles()), null).digest());
+        assertNotEquals(
+                alone.digest(),
+                Play.of(day.with("other", day.seed() + 1, day.troubles()), null).digest());
     }
 
     @Test
@@ -113,8 +132,12 @@
         double quiet = Play.of(cut.with(cut.name(), cut.seed(), List.of()), null).service().whole();
         double grey = Play.of(cut, null).service().whole();
         assertTrue(quiet - grey > 0.005, "it costs something: " + quiet + ", " + grey);
-        assertTrue(quiet - grey < 0.15, "a third of accesses at half of the targets for a fifth of the time is a thirtieth: "
-                + quiet + ", " + grey);
+        assertTrue(
+                quiet - grey < 0.15,
+                "a third of accesses at half of the targets for a fifth of the time is a thirtieth: "
+                        + quiet
+                        + ", "
+                        + grey);
     }
 
     @Test
@@ -125,7 +148,10 @@
             Play.Came came = Play.of(day, recording, false, scheduler.decisions());
             Audit.Report report = Audit.of(recording);
             for (int rule : new int[] {1, 2, 7}) {
-                assertEquals(0, report.rule(rule).breaches(), () -> scheduler + "\n" + report.text(true));
+                assertEquals(
+                        0,
+                        report.rule(rule).breaches(),
+                        () -> scheduler + "\n" + report.text(true));
             }
             assertEquals(0, came.unfinished());
         }
@@ -134,54 +160,96 @@
     @Test
     void aTroubleThatWaitsForServiceComesOnceItHasFallen() throws Exception {
         String text = Files.readString(OWN.resolve("cascade.day"));
-        long without = Play.of(Script.read("d", "d", text.replaceAll("(?m)^when.*$", "")), null).digest();
-        assertEquals(without, Play.of(Script.read("d", "d", text.replace("under=70%", "under=1%")), null).digest(),
+        long without =
+                Play.of(Script.read("d", "d", text.replaceAll("(?m)^when.*$", "")), null).digest();
+        assertEquals(
+                without,
+                Play.of(Script.read("d", "d", text.replace("under=70%", "under=1%")), null)
+                        .digest(),
                 "service never falls so low");
         assertNotEquals(without, Play.of(Script.read("d", "d", text), null).digest());
-        assertTrue(assertThrows(ScriptError.class, () -> Script.read("d", "d", text.replace("when service", "when luck")))
-                .getMessage().contains("luck"));
+        assertTrue(
+                assertThrows(
+                                ScriptError.class,
+                                () ->
+                                        Script.read(
+                                                "d",
+                                                "d",
+                                                text.replace("when service", "when luck")))
+                        .getMessage()
+                        .contains("luck"));
     }
 
     @Test
     void whatTargetsAreLikeShows() throws Exception {
-        String text = Files.readString(REHEARSALS.resolve("mass-restart-stamped.day"))
-                .replaceAll("(?m)^load [0-9]*/s", "load 2500/s").replaceAll(" limit=\\d+", "");
+        String text =
+                Files.readString(REHEARSALS.resolve("mass-restart-stamped.day"))
+                        .replaceAll("(?m)^load [0-9]*/s", "load 2500/s")
+                        .replaceAll(" limit=\\d+", "");
         String crowd = text.replaceAll("(?m)^targets .*$", "$0 crowd=10%");
         double plain = atOnce(text);
         double crowded = atOnce(crowd);
-        assertTrue(crowded < plain - 0.05, "targets that lose to a crowd do less: " + crowded + ", " + plain);
-        assertTrue(Play.of(Script.read("d", "d", crowd), null).service().whole() > crowded + 0.05, "windows leave them less of one");
+        assertTrue(
+                crowded < plain - 0.05,
+                "targets that lose to a crowd do less: " + crowded + ", " + plain);
+        assertTrue(
+                Play.of(Script.read("d", "d", crowd), null).service().whole() > crowded + 0.05,
+                "windows leave them less of one");
         BadDay cold = Script.read(OWN.resolve("cold-restart-40.day"));
-        String byWork = Files.readString(OWN.resolve("cold-restart-40.day")).replaceAll("(?m)^targets .*$", "$0 warmunits=20");
-        assertTrue(Play.of(Script.read("d", "d", byWork), null).service().whole()
-                > Play.of(cold, null).service().whole(), "targets that are warm after twenty units do more");
-        String costly = Files.readString(REHEARSALS.resolve("reconnect.day")).replaceAll("(?m)^targets .*$", "$0 connecting=200ms");
-        assertTrue(Play.of(Script.read("d", "d", costly), null).service().whole()
-                < Play.of(Script.read(REHEARSALS.resolve("reconnect.day")), null).service().whole());
+        String byWork =
+                Files.readString(OWN.resolve("cold-restart-40.day"))
+                        .replaceAll("(?m)^targets .*$", "$0 warmunits=20");
+        assertTrue(
+                Play.of(Script.read("d", "d", byWork), null).service().whole()
+                        > Play.of(cold, null).service().whole(),
+                "targets that are warm after twenty units do more");
+        String costly =
+                Files.readString(REHEARSALS.resolve("reconnect.day"))
+                        .replaceAll("(?m)^targets .*$", "$0 connecting=200ms");
+        assertTrue(
+                Play.of(Script.read("d", "d", costly), null).service().whole()
+                        < Play.of(Script.read(REHEARSALS.resolve("reconnect.day")), null)
+                                .service()
+                                .whole());
     }
 
     @Test
     void travelIsPartOfEveryAnswer() throws Exception {
         String text = Files.readString(REHEARSALS.resolve("slow.day"));
-        double near = Play.of(Script.read("d", "d", text), null).service().times().getValueAtPercentile(50);
-        double far = Play.of(Script.read("d", "d", text + "\nnetwork travel=4ms..6ms"), null).service().times()
-                .getValueAtPercentile(50);
-        assertTrue(far > near + 18_000 && far < near + 26_000, "four ways of 4 to 6 ms: " + near + ", " + far);
+        double near =
+                Play.of(Script.read("d", "d", text), null)
+                        .service()
+                        .times()
+                        .getValueAtPercentile(50);
+        double far =
+                Play.of(Script.read("d", "d", text + "\nnetwork travel=4ms..6ms"), null)
+                        .service()
+                        .times()
+                        .getValueAtPercentile(50);
+        assertTrue(
+                far > near + 18_000 && far < near + 26_000,
+                "four ways of 4 to 6 ms: " + near + ", " + far);
     }
 
     private static double atOnce(String text) throws Exception {
         return Play.of(Script.read("d", "d", text), null, false, Scheduler.AT_ONCE.decisions())
-                .service().whole();
+                .service()
+                .whole();
     }
 
-    /** Traffic as it came in at three initiators is asked again, access by access, also at another speed. */
+    /**
+     * Traffic as it came in at three initiators is asked again, access by access, also at another
+     * speed.
+     */
     @Test
     void capturedTrafficIsAskedAgain() throws Exception {
         BadDay day = Script.read(REHEARSALS.resolve("slow.day"));
         long firstTries;
-        try (Stage stage = new Stage(day, null, false, null, new LabWorld(3, LabWorld.Physics.LOOPBACK), null)) {
+        try (Stage stage =
+                new Stage(
+                        day, null, false, null, new LabWorld(3, LabWorld.Physics.LOOPBACK), null)) {
             stage.capture(folder.resolve("traffic"));
-            firstTries = stage.play(s -> { }).service().askedInAll();
+            firstTries = stage.play(s -> {}).service().askedInAll();
         }
         Map<String, Integer> came = new HashMap<>();
         for (int i = 1; i <= 3; i++) {
@@ -190,35 +258,70 @@
             traffic.accesses().forEach(a -> came.merge(a.category(), 1, Integer::sum));
         }
         int all = came.values().stream().mapToInt(n -> n).sum();
-        assertTrue(all >= firstTries && all < 1.3 * firstTries, "further tries are traffic too: " + all + ", " + firstTries);
-        String text = Files.readString(REHEARSALS.resolve("slow.day")).replaceAll("(?m)^load .*$",
-                "load traffic=traffic/initiator-1.traffic,traffic/initiator-2.traffic,traffic/initiator-3.traffic retries=0").replaceAll("(?m)^lasts .*$", "lasts 14s");
+        assertTrue(
+                all >= firstTries && all < 1.3 * firstTries,
+                "further tries are traffic too: " + all + ", " + firstTries);
+        String text =
+                Files.readString(REHEARSALS.resolve("slow.day"))
+                        .replaceAll(
+                                "(?m)^load .*$",
+                                "load traffic=traffic/initiator-1.traffic,traffic/initiator-2.traffic,traffic/initiator-3.traffic retries=0")
+                        .replaceAll("(?m)^lasts .*$", "lasts 14s");
         for (String speed : List.of("", " speed=2")) {
-            BadDay again = Script.read(folder.resolve("again.day").toString(), "again", text.replace("retries=0", "retries=0"
-                    + speed));
+            BadDay again =
+                    Script.read(
+                            folder.resolve("again.day").toString(),
+                            "again",
+                            text.replace("retries=0", "retries=0" + speed));
             Play.Came replayed = Play.of(again, null);
-            came.forEach((category, n) -> assertEquals(n.longValue(), replayed.service().line(category).asked));
+            came.forEach(
+                    (category, n) ->
+                            assertEquals(n.longValue(), replayed.service().line(category).asked));
             assertEquals(0, replayed.unfinished());
         }
-        BadDay small = Script.read(folder.resolve("again.day").toString(), "again", text.replaceAll("(?m)^targets 8 ",
-                "targets 2 "));
-        assertTrue(assertThrows(IOException.class, () -> Play.of(small, null)).getMessage().contains("wants shard"));
+        BadDay small =
+                Script.read(
+                        folder.resolve("again.day").toString(),
+                        "again",
+                        text.replaceAll("(?m)^targets 8 ", "targets 2 "));
+        assertTrue(
+                assertThrows(IOException.class, () -> Play.of(small, null))
+                        .getMessage()
+                        .contains("wants shard"));
     }
 
-    /** Decisions that fail break off what is held; what still comes is rejected, not left in a queue that nobody takes from. */
+    /**
+     * Decisions that fail break off what is held; what still comes is rejected, not left in a queue
+     * that nobody takes from.
+     */
     @Test
     void whatComesToALoopThatFailedIsRejected() throws Exception {
         BadDay day = Script.read(REHEARSALS.resolve("slow.day"));
         Path recording = folder.resolve("recording");
         LabWorld world = new LabWorld(4, LabWorld.Physics.LOOPBACK);
         int[] calls = new int[1];
-        try (Stage stage = new Stage(day, recording, false, null, world, () -> (now, events) -> {
-            if (events.stream().anyMatch(e -> e instanceof milletyoke.port.Event.Access) && ++calls[0] > 30) {
-                throw new IllegalStateException("made to fail");
-            }
-            return List.of();
-        })) {
-            Stage.Played played = stage.play(s -> { });
+        try (Stage stage =
+                new Stage(
+                        day,
+                        recording,
+                        false,
+                        null,
+                        world,
+                        () ->
+                                (now, events) -> {
+                                    if (events.stream()
+                                                    .anyMatch(
+                                                            e ->
+                                                                    e
+                                                                            instanceof
+                                                                            milletyoke.port.Event
+                                                                                    .Access)
+                                            && ++calls[0] > 30) {
+                                        throw new IllegalStateException("made to fail");
+                                    }
+                                    return List.of();
+                                })) {
+            Stage.Played played = stage.play(s -> {});
             assertEquals(0, played.unfinished());
             assertFalse(played.leftClean(), "a loop that failed says so");
         }
@@ -230,35 +333,84 @@
     void aFloodOfOneMomentLosesNothing() throws Exception {
         LabWorld world = new LabWorld(5, LabWorld.Physics.LOOPBACK);
         Discovery discovery = new Discovery(0, 1, world.clockwork("discovery", 1), Tap.NONE, world);
-        Deployment deployment = Deployment.read(Form.of("test", "{initiators: 1, categories: [{name: \"read\", repeats:"
-                + " \"harmless\", agreedTime: \"400 ms\"}], plans: [{name: \"basic\"}], bounds: {answerSlack: \"100 ms\"}}"));
-        Initiator initiator = Initiator.start(new Setup("i", 1, new Address("127.0.0.1", 0),
-                new Address("127.0.0.1", discovery.port()), null, deployment,
-                new Setup.Transport(200_000, 30_000_000, 2, 100, 250_000, 65_536, 8 << 20, 5_000_000, 2),
-                new Setup.Room(10_000, 1 << 14, 100, 1e6, 3_600_000_000L), null, null), Tap.NONE, world, 1, null);
-        discovery.learn(milletyoke.wire.proto.Target.newBuilder().setId("t").setShard(0)
-                .setHealth(milletyoke.wire.proto.Health.ON).setHost("127.0.0.1").setPort(1).build());
+        Deployment deployment =
+                Deployment.read(
+                        Form.of(
+                                "test",
+                                "{initiators: 1, categories: [{name: \"read\", repeats:"
+                                        + " \"harmless\", agreedTime: \"400 ms\"}], plans: [{name: \"basic\"}], bounds: {answerSlack: \"100 ms\"}}"));
+        Initiator initiator =
+                Initiator.start(
+                        new Setup(
+                                "i",
+                                1,
+                                new Address("127.0.0.1", 0),
+                                new Address("127.0.0.1", discovery.port()),
+                                null,
+                                deployment,
+                                new Setup.Transport(
+                                        200_000,
+                                        30_000_000,
+                                        2,
+                                        100,
+                                        250_000,
+                                        65_536,
+                                        8 << 20,
+                                        5_000_000,
+                                        2),
+                                new Setup.Room(10_000, 1 << 14, 100, 1e6, 3_600_000_000L),
+                                null,
+                                null),
+                        Tap.NONE,
+                        world,
+                        1,
+                        null);
+        discovery.learn(
+                milletyoke.wire.proto.Target.newBuilder()
+                        .setId("t")
+                        .setShard(0)
+                        .setHealth(milletyoke.wire.proto.Health.ON)
+                        .setHost("127.0.0.1")
+                        .setPort(1)
+                        .build());
         Map<Long, Integer> answers = new HashMap<>();
         Peer[] client = new Peer[1];
-        world.net("client", 1, Tap.NONE).connect("127.0.0.1", initiator.port(), Role.CLIENT, new PeerHandler() {
-            @Override
-            public void ready(Peer peer) {
-                client[0] = peer;
-            }
+        world.net("client", 1, Tap.NONE)
+                .connect(
+                        "127.0.0.1",
+                        initiator.port(),
+                        Role.CLIENT,
+                        new PeerHandler() {
+                            @Override
+                            public void ready(Peer peer) {
+                                client[0] = peer;
+                            }
 
-            @Override
-            public void got(Peer peer, Frame frame) {
-                answers.merge(frame.getAnswer().getNumber(), 1, Integer::sum);
-            }
+                            @Override
+                            public void got(Peer peer, Frame frame) {
+                                answers.merge(frame.getAnswer().getNumber(), 1, Integer::sum);
+                            }
 
-            @Override
-            public void closed(Peer peer, String why) {
-            }
-        }, new Bounds(65_536, 64 << 20, 5_000_000, 0), why -> { });
+                            @Override
+                            public void closed(Peer peer, String why) {}
+                        },
+                        new Bounds(65_536, 64 << 20, 5_000_000, 0),
+                        why -> {});
         world.sleep(1_000_000);
         for (long n = 1; n <= 3_000; n++) { // all arrive within the time of one turn
-            client[0].post(Frame.newBuilder().setAccess(Access.newBuilder().setNumber(n).setShard(0).setVolume("v" + n % 7)
-                    .setPlan("basic").setCategory("read").setHosts(1).setUnits(1).setTimeLeft(500_000)).build());
+            client[0].post(
+                    Frame.newBuilder()
+                            .setAccess(
+                                    Access.newBuilder()
+                                            .setNumber(n)
+                                            .setShard(0)
+                                            .setVolume("v" + n % 7)
+                                            .setPlan("basic")
+                                            .setCategory("read")
+                                            .setHosts(1)
+                                            .setUnits(1)
+                                            .setTimeLeft(500_000))
+                            .build());
         }
         client[0].flush();
         world.sleep(2_000_000);
--- a/lifecycle/src/main/java/milletyoke/admission/Admission.java
+++ b/lifecycle/src/main/java/milletyoke/admission/Admission.java
@@ -4,11 +4,12 @@
 import java.util.Map;
 
 /**
- * Decides which accesses get a place. Places and bytes are bounded for the whole daemon and for each connection, and for
- * each volume by a bound that moves: a volume may hold at most {@code greed} times what is free (the dynamic threshold of
- * Choudhury and Hahne, IEEE/ACM Transactions on Networking 6(2), 1998). So one volume's flood takes at most
- * greed/(1+greed) of the places, n floods together leave 1/(1+n·greed) free, and whoever holds little finds a place
- * whenever there is one. Knows no clock and no I/O; one owner at a time may call it.
+ * Decides which accesses get a place. Places and bytes are bounded for the whole daemon and for
+ * each connection, and for each volume by a bound that moves: a volume may hold at most {@code
+ * greed} times what is free (the dynamic threshold of Choudhury and Hahne, IEEE/ACM Transactions on
+ * Networking 6(2), 1998). So one volume's flood takes at most greed/(1+greed) of the places, n
+ * floods together leave 1/(1+n·greed) free, and whoever holds little finds a place whenever there
+ * is one. Knows no clock and no I/O; one owner at a time may call it.
  */
 public final class Admission {
     /** How fast the mean stay follows. */
@@ -23,19 +24,39 @@
      * @param greed how many times the free room one volume may hold
      * @param longestAdvice microseconds
      */
-    public record Room(int places, long bytes, double connectionPart, double greed, long longestAdvice) {
+    public record Room(
+            int places, long bytes, double connectionPart, double greed, long longestAdvice) {
         public Room {
-            if (places < 1 || bytes < 1 || !(connectionPart > 0 && connectionPart <= 1) || !(greed >= 1)
+            if (places < 1
+                    || bytes < 1
+                    || !(connectionPart > 0 && connectionPart <= 1)
+                    || !(greed >= 1)
                     || longestAdvice < 0) {
-                throw new IllegalArgumentException("places and bytes from 1, a part of 0 to 1, greed from 1 and advice"
-                        + " from 0 are expected, not " + places + ", " + bytes + ", " + connectionPart + ", " + greed
-                        + ", " + longestAdvice);
+                throw new IllegalArgumentException(
+                        "places and bytes from 1, a part of 0 to 1, greed from 1 and advice"
+                                + " from 0 are expected, not "
+                                + places
+                                + ", "
+                                + bytes
+                                + ", "
+                                + connectionPart
+                                + ", "
+                                + greed
+                                + ", "
+                                + longestAdvice);
             }
         }
     }
 
     /** Why there was no place. */
-    public enum Bound { NONE, DAEMON_PLACES, DAEMON_BYTES, CONNECTION, VOLUME, NAMES }
+    public enum Bound {
+        NONE,
+        DAEMON_PLACES,
+        DAEMON_BYTES,
+        CONNECTION,
+        VOLUME,
+        NAMES
+    }
 
     /**
      * The answer to one asking.
@@ -86,13 +107,15 @@
             return Bound.DAEMON_BYTES;
         }
         Held c = byConnection.get(connection);
-        if (c != null && (c.places >= Math.max(1, room.connectionPart() * room.places())
-                || c.bytes + bytes > room.connectionPart() * room.bytes())) {
+        if (c != null
+                && (c.places >= Math.max(1, room.connectionPart() * room.places())
+                        || c.bytes + bytes > room.connectionPart() * room.bytes())) {
             return Bound.CONNECTION;
         }
         Held v = byVolume.get(volume);
-        if (v != null && (v.places >= room.greed() * (room.places() - all.places)
-                || v.bytes + bytes > room.greed() * (room.bytes() - all.bytes))) {
+        if (v != null
+                && (v.places >= room.greed() * (room.places() - all.places)
+                        || v.bytes + bytes > room.greed() * (room.bytes() - all.bytes))) {
             return Bound.VOLUME;
         }
         return Bound.NONE;
@@ -107,14 +130,15 @@
      * Gives a place back.
      *
      * @param stay for how long it was held (microseconds)
-     * @throws IllegalStateException where no such place is held: a place given back twice would let in too many
+     * @throws IllegalStateException where no such place is held: a place given back twice would let
+     *     in too many
      */
     public void release(int connection, String volume, long bytes, long stay) {
         Held c = byConnection.get(connection);
         Held v = byVolume.get(volume);
         if (c == null || v == null || v.bytes < bytes || c.bytes < bytes) {
-            throw new IllegalStateException("no place of connection " + connection + " and volume " + volume
-                    + " is held");
+            throw new IllegalStateException(
+                    "no place of connection " + connection + " and volume " + volume + " is held");
         }
         add(all, -1, -bytes);
         add(c, -1, -bytes);
--- a/lifecycle/src/main/java/milletyoke/lifecycle/Condition.java
+++ b/lifecycle/src/main/java/milletyoke/lifecycle/Condition.java
@@ -1,10 +1,15 @@
 package milletyoke.lifecycle;
 
-/** What a daemon is at one moment, in the order in which one outweighs the other: a later one hides an earlier one. */
+/**
+ * What a daemon is at one moment, in the order in which one outweighs the other: a later one hides
+ * an earlier one.
+ */
 public enum Condition {
     /** Knows its targets and has room. */
     READY(true, true, "takes accesses"),
-    /** Knows targets, but discovery has told nothing for longer than is borne: the list may be old. */
+    /**
+     * Knows targets, but discovery has told nothing for longer than is borne: the list may be old.
+     */
     LIST_LOST(true, true, "takes accesses by a list that may be old"),
     /** Little room is left; what is beyond is rejected at once. */
     SATURATED(true, true, "takes accesses as far as there is room"),
--- a/lifecycle/src/main/java/milletyoke/lifecycle/Lifecycle.java
+++ b/lifecycle/src/main/java/milletyoke/lifecycle/Lifecycle.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * Decides a daemon's condition from facts. It knows no clock: each fact comes with its time (microseconds). It never says
- * what becomes of an access that was taken; that is decided elsewhere.
+ * Decides a daemon's condition from facts. It knows no clock: each fact comes with its time
+ * (microseconds). It never says what becomes of an access that was taken; that is decided
+ * elsewhere.
  */
 public final class Lifecycle {
     /** Transitions remembered. */
@@ -15,7 +16,8 @@
     /**
      * What is borne.
      *
-     * @param listAge without a word from discovery for so long the list counts as lost (microseconds)
+     * @param listAge without a word from discovery for so long the list counts as lost
+     *     (microseconds)
      * @param full from this part of room used on, the daemon is saturated
      * @param eased and below this part no more; a gap keeps it from flapping
      * @param settled a daemon stays saturated for at least so long (microseconds)
@@ -25,8 +27,8 @@
 
         public Marks {
             if (!(full > eased && eased >= 0 && full <= 1)) {
-                throw new IllegalArgumentException("full must be over eased, both within 0 and 1, not " + full + ", "
-                        + eased);
+                throw new IllegalArgumentException(
+                        "full must be over eased, both within 0 and 1, not " + full + ", " + eased);
             }
         }
     }
@@ -76,8 +78,11 @@
         if (fact instanceof Fact.Listed f) {
             heardList |= !f.restored() || f.usable() > 0;
             usable = f.usable();
-            listLostAt = f.restored() ? now : -1; // what was restored is old until discovery confirms it
-            return f.usable() + " targets may be sent to" + (f.restored() ? ", as known before the start" : "");
+            listLostAt =
+                    f.restored() ? now : -1; // what was restored is old until discovery confirms it
+            return f.usable()
+                    + " targets may be sent to"
+                    + (f.restored() ? ", as known before the start" : "");
         } else if (fact instanceof Fact.ListUnavailable) {
             listLostAt = listLostAt < 0 ? now : listLostAt;
             return "discovery is lost";
@@ -114,7 +119,9 @@
             return Condition.DRAINING;
         }
         if (!heardList) {
-            return listLostAt >= 0 && now - listLostAt >= marks.listAge() ? Condition.WITHOUT_LIST : Condition.STARTING;
+            return listLostAt >= 0 && now - listLostAt >= marks.listAge()
+                    ? Condition.WITHOUT_LIST
+                    : Condition.STARTING;
         }
         if (usable == 0) {
             return Condition.WITHOUT_LIST;
@@ -122,6 +129,8 @@
         if (saturated) {
             return Condition.SATURATED;
         }
-        return listLostAt >= 0 && now - listLostAt >= marks.listAge() ? Condition.LIST_LOST : Condition.READY;
+        return listLostAt >= 0 && now - listLostAt >= marks.listAge()
+                ? Condition.LIST_LOST
+                : Condition.READY;
     }
 }
--- a/lifecycle/src/test/java/milletyoke/admission/AdmissionTest.java
+++ b/lifecycle/src/test/java/milletyoke/admission/AdmissionTest.java
@@ -37,36 +37,68 @@
         void check() {
             assertEquals(held.size(), real.places(), "places leaked or were given back twice");
             assertEquals(bytes(), real.bytes());
-            assertTrue(held.size() <= PLACES && bytes() <= BYTES, "a bound of the daemon was passed");
+            assertTrue(
+                    held.size() <= PLACES && bytes() <= BYTES, "a bound of the daemon was passed");
             for (int c = 0; c < 4; c++) {
                 int connection = c;
-                assertTrue(held.stream().filter(p -> p.connection() == connection).count() <= 0.75 * PLACES);
+                assertTrue(
+                        held.stream().filter(p -> p.connection() == connection).count()
+                                <= 0.75 * PLACES);
             }
-            assertTrue(real.remembered() <= 2 * held.size(), "something is remembered of who holds nothing");
+            assertTrue(
+                    real.remembered() <= 2 * held.size(),
+                    "something is remembered of who holds nothing");
         }
     }
 
     @Provide
     Arbitrary<ActionChain<Both>> chains() {
-        return ActionChain.startWith(Both::new).withAction(4, new Ask()).withAction(2, new GiveBack())
+        return ActionChain.startWith(Both::new)
+                .withAction(4, new Ask())
+                .withAction(2, new GiveBack())
                 .withMaxTransformations(200);
     }
 
     private static final class Ask implements Action.Independent<Both> {
         @Override
         public Arbitrary<Transformer<Both>> transformer() {
-            return Arbitraries.integers().between(0, 3).flatMap(c -> Arbitraries.of("a", "b", "c", "d", "e").flatMap(v ->
-                    Arbitraries.longs().between(0, 400).map(bytes ->
-                            Transformer.mutate("ask " + c + v + bytes, both -> ask(both, c, v, bytes)))));
+            return Arbitraries.integers()
+                    .between(0, 3)
+                    .flatMap(
+                            c ->
+                                    Arbitraries.of("a", "b", "c", "d", "e")
+                                            .flatMap(
+                                                    v ->
+                                                            Arbitraries.longs()
+                                                                    .between(0, 400)
+                                                                    .map(
+                                                                            bytes ->
+                                                                                    Transformer
+                                                                                            .mutate(
+                                                                                                    "ask "
+                                                                                                            + c
+                                                                                                            + v
+                                                                                                            + bytes,
+                                                                                                    both ->
+                                                                                                            ask(
+                                                                                                                    both,
+                                                                                                                    c,
+                                                                                                                    v,
+                                                                                                                    bytes)))));
         }
 
         private static void ask(Both both, int c, String v, long bytes) {
             long mine = both.held.stream().filter(p -> p.volume().equals(v)).count();
-            boolean free = both.held.size() < PLACES && both.bytes() + bytes <= BYTES
-                    && both.held.stream().noneMatch(p -> p.connection() == c);
+            boolean free =
+                    both.held.size() < PLACES
+                            && both.bytes() + bytes <= BYTES
+                            && both.held.stream().noneMatch(p -> p.connection() == c);
             Admission.Verdict verdict = both.real.ask(c, v, bytes);
-            assertTrue(mine > 0 || !free || verdict.admitted(), "a volume that holds nothing found no place");
-            assertTrue(verdict.admitted() == (verdict.retryIn() == 0) && verdict.retryIn() <= 500_000);
+            assertTrue(
+                    mine > 0 || !free || verdict.admitted(),
+                    "a volume that holds nothing found no place");
+            assertTrue(
+                    verdict.admitted() == (verdict.retryIn() == 0) && verdict.retryIn() <= 500_000);
             if (verdict.admitted()) {
                 both.held.add(new Place(c, v, bytes));
             }
@@ -82,12 +114,22 @@
 
         @Override
         public Arbitrary<Transformer<Both>> transformer(Both now) {
-            return Arbitraries.integers().between(0, now.held.size() - 1).map(i -> Transformer.mutate("give back " + i,
-                    both -> {
-                        Place place = both.held.remove(i % both.held.size());
-                        both.real.release(place.connection(), place.volume(), place.bytes(), 1_000);
-                        both.check();
-                    }));
+            return Arbitraries.integers()
+                    .between(0, now.held.size() - 1)
+                    .map(
+                            i ->
+                                    Transformer.mutate(
+                                            "give back " + i,
+                                            both -> {
+                                                Place place =
+                                                        both.held.remove(i % both.held.size());
+                                                both.real.release(
+                                                        place.connection(),
+                                                        place.volume(),
+                                                        place.bytes(),
+                                                        1_000);
+                                                both.check();
+                                            }));
         }
     }
 
@@ -96,7 +138,10 @@
         chain.run();
     }
 
-    /** However many volumes flood, one that holds nothing finds a place, and its part grows as they go. */
+    /**
+     * However many volumes flood, one that holds nothing finds a place, and its part grows as they
+     * go.
+     */
     @Property(tries = 100, seed = "20261201")
     void floodsLeaveRoomForOthers(@ForAll @IntRange(min = 1, max = 20) int floods) {
         Admission admission = new Admission(new Admission.Room(1000, 1 << 30, 1, 1, 0));
@@ -106,7 +151,9 @@
             }
         }
         int left = 1000 - admission.places();
-        assertTrue(left >= 1000 / (1 + floods) - floods, left + " places are left beside " + floods + " floods");
+        assertTrue(
+                left >= 1000 / (1 + floods) - floods,
+                left + " places are left beside " + floods + " floods");
         int quiet = 0;
         while (admission.ask(99, "quiet", 1).admitted()) {
             quiet++;
--- a/lifecycle/src/test/java/milletyoke/admission/NamesTest.java
+++ b/lifecycle/src/test/java/milletyoke/admission/NamesTest.java
@@ -23,7 +23,9 @@
         int refused = 0;
         for (long now = 0; now < 200_000; now++) {
             refused += used(names, "made-up-" + now, now) ? 0 : 1;
-            assertTrue(used(names, "ours-" + chance.nextInt(10), now) || now < 100, "a name in use got in before");
+            assertTrue(
+                    used(names, "ours-" + chance.nextInt(10), now) || now < 100,
+                    "a name in use got in before");
             assertTrue(names.inUse() <= 100);
         }
         assertTrue(refused > 100_000, "most of the flood stays outside");
--- a/lifecycle/src/test/java/milletyoke/lifecycle/LifecycleTest.java
+++ b/lifecycle/src/test/java/milletyoke/lifecycle/LifecycleTest.java
@@ -74,16 +74,23 @@
 
     @Provide
     Arbitrary<List<Fact>> facts() {
-        Arbitrary<Fact> any = Arbitraries.oneOf(
-                Arbitraries.integers().between(0, 3).map(n -> new Fact.Listed(n, false)),
-                Arbitraries.integers().between(0, 3).map(n -> new Fact.Listed(n, true)),
-                Arbitraries.just(new Fact.ListUnavailable()), Arbitraries.just(new Fact.Tick()),
-                Arbitraries.doubles().between(0, 1).map(Fact.Used::new), Arbitraries.just(new Fact.Drain("x")),
-                Arbitraries.just(new Fact.Undrain("x")), Arbitraries.just(new Fact.Leave()));
+        Arbitrary<Fact> any =
+                Arbitraries.oneOf(
+                        Arbitraries.integers().between(0, 3).map(n -> new Fact.Listed(n, false)),
+                        Arbitraries.integers().between(0, 3).map(n -> new Fact.Listed(n, true)),
+                        Arbitraries.just(new Fact.ListUnavailable()),
+                        Arbitraries.just(new Fact.Tick()),
+                        Arbitraries.doubles().between(0, 1).map(Fact.Used::new),
+                        Arbitraries.just(new Fact.Drain("x")),
+                        Arbitraries.just(new Fact.Undrain("x")),
+                        Arbitraries.just(new Fact.Leave()));
         return any.list().ofMaxSize(200);
     }
 
-    /** In any order: leaving is for ever, no access is taken without a target, and each change is remembered in order. */
+    /**
+     * In any order: leaving is for ever, no access is taken without a target, and each change is
+     * remembered in order.
+     */
     @Property(tries = 500, seed = "20261201")
     void whatAlwaysHolds(@ForAll("facts") List<Fact> facts) {
         Lifecycle any = new Lifecycle(Lifecycle.Marks.USUAL);
@@ -99,7 +106,8 @@
             assertTrue(usable > 0 || !after.admits());
             if (after != before) {
                 var last = any.past().get(any.past().size() - 1);
-                assertEquals(List.of(before, after, now), List.of(last.from(), last.to(), last.at()));
+                assertEquals(
+                        List.of(before, after, now), List.of(last.from(), last.to(), last.at()));
             }
             before = after;
         }
--- a/rehearsal/src/main/java/milletyoke/rehearsal/Onlookers.java
+++ b/rehearsal/src/main/java/milletyoke/rehearsal/Onlookers.java
@@ -15,23 +15,36 @@
 
 /** Viewers of one console: so many poll pages and JSON in turn, as many keep a stream open. */
 public final class Onlookers implements AutoCloseable {
-    private static final List<String> PATHS = List.of("/", "/api/v1/overview", "/targets", "/api/v1/targets", "/volumes",
-            "/api/v1/volumes", "/events", "/api/v1/categories");
+    private static final List<String> PATHS =
+            List.of(
+                    "/",
+                    "/api/v1/overview",
+                    "/targets",
+                    "/api/v1/targets",
+                    "/volumes",
+                    "/api/v1/volumes",
+                    "/events",
+                    "/api/v1/categories");
 
-    private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
-        Thread thread = new Thread(task, "onlooker");
-        thread.setDaemon(true);
-        return thread;
-    });
+    private final ExecutorService threads =
+            Executors.newCachedThreadPool(
+                    task -> {
+                        Thread thread = new Thread(task, "onlooker");
+                        thread.setDaemon(true);
+                        return thread;
+                    });
     private final ConcurrentHistogram times = new ConcurrentHistogram(60_000_000, 3);
     private final LongAdder failed = new LongAdder(), streamed = new LongAdder();
     private volatile boolean over;
 
-    /** @param every milliseconds between two pages of one viewer */
+    /**
+     * @param every milliseconds between two pages of one viewer
+     */
     public Onlookers(int port, String token, int viewers, long every) {
         List<HttpClient> clients = new ArrayList<>();
         for (int i = 0; i < viewers; i++) {
-            HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+            HttpClient client =
+                    HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
             clients.add(client);
             int first = i;
             threads.execute(() -> poll(client, port, token, first, every));
@@ -40,16 +53,20 @@
     }
 
     private static HttpRequest request(int port, String token, String path) {
-        return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path)).timeout(Duration.ofSeconds(60))
-                .header("Authorization", "Bearer " + token).build();
+        return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
+                .timeout(Duration.ofSeconds(60))
+                .header("Authorization", "Bearer " + token)
+                .build();
     }
 
     private void poll(HttpClient client, int port, String token, int first, long every) {
         for (int n = first; !over; n++) {
             long began = System.nanoTime();
             try {
-                var answer = client.send(request(port, token, PATHS.get(n % PATHS.size())),
-                        HttpResponse.BodyHandlers.ofString());
+                var answer =
+                        client.send(
+                                request(port, token, PATHS.get(n % PATHS.size())),
+                                HttpResponse.BodyHandlers.ofString());
                 if (answer.statusCode() != 200) {
                     failed.increment();
                 }
@@ -64,9 +81,14 @@
     }
 
     private void stream(HttpClient client, int port, String token) {
-        try (var lines = client.send(request(port, token, "/api/v1/stream?page=overview"),
-                HttpResponse.BodyHandlers.ofLines()).body()) {
-            lines.takeWhile(l -> !over).filter(l -> l.startsWith("data:")).forEach(l -> streamed.increment());
+        try (var lines =
+                client.send(
+                                request(port, token, "/api/v1/stream?page=overview"),
+                                HttpResponse.BodyHandlers.ofLines())
+                        .body()) {
+            lines.takeWhile(l -> !over)
+                    .filter(l -> l.startsWith("data:"))
+                    .forEach(l -> streamed.increment());
         } catch (java.io.IOException | java.io.UncheckedIOException ended) {
             failed.add(over ? 0 : 1);
         } catch (InterruptedException stopped) {
@@ -76,9 +98,15 @@
 
     /** What they saw so far. */
     public String text() {
-        return String.format("%d pages, %d failed, %d messages on streams; p50 %.1f  p99 %.1f  p99.9 %.1f  most %.1f ms",
-                times.getTotalCount(), failed.sum(), streamed.sum(), times.getValueAtPercentile(50) / 1e3,
-                times.getValueAtPercentile(99) / 1e3, times.getValueAtPercentile(99.9) / 1e3, times.getMaxValue() / 1e3);
+        return String.format(
+                "%d pages, %d failed, %d messages on streams; p50 %.1f  p99 %.1f  p99.9 %.1f  most %.1f ms",
+                times.getTotalCount(),
+                failed.sum(),
+                streamed.sum(),
+                times.getValueAtPercentile(50) / 1e3,
+                times.getValueAtPercentile(99) / 1e3,
+                times.getValueAtPercentile(99.9) / 1e3,
+                times.getMaxValue() / 1e3);
     }
 
     @Override
--- a/rehearsal/src/main/java/milletyoke/rehearsal/Stage.java
+++ b/rehearsal/src/main/java/milletyoke/rehearsal/Stage.java
@@ -60,11 +60,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Plays one bad day on loopback sockets: real initiators between stand-ins for clients, targets and discovery, all in
- * this process, and every trouble of the script at its time.
+ * Plays one bad day on loopback sockets: real initiators between stand-ins for clients, targets and
+ * discovery, all in this process, and every trouble of the script at its time.
  */
 public final class Stage implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Stage.class);
+
     /** The machine stood still where a short sleep took this much longer (microseconds). */
     private static final long NAP = 5_000, STOOD = 15_000;
 
@@ -73,16 +74,20 @@
     private final Supplier<Decisions> instead;
     private final boolean straight;
     private final Path consoleTokens;
+
     /** Plans as they are now; where their limits change, initiators follow a file. */
     private final List<Plan> plans = new ArrayList<>();
+
     private volatile Setup.FleetFile fleetFile;
     private final Recorder recorder;
     private final Path folder;
     private final ScheduledExecutorService clockwork;
     private final SplittableRandom chance;
     private final Discovery discovery;
+
     /** By shard: who holds it now. */
     private final List<Target> targets = new ArrayList<>();
+
     private final List<Target> replaced = new ArrayList<>();
     private final Map<String, Long> launched = new ConcurrentHashMap<>();
     private final Map<String, Marks> marks = new HashMap<>();
@@ -100,21 +105,30 @@
      * @param cpuMicros of this process, for each access asked
      * @param coldUsed the largest part of what a cold target bears that any was sent
      */
-    public record Played(Service service, long unfinished, double cpuMicros, List<String> counts, boolean leftClean,
+    public record Played(
+            Service service,
+            long unfinished,
+            double cpuMicros,
+            List<String> counts,
+            boolean leftClean,
             double coldUsed) {}
 
     /**
      * Sets the stage; nothing is asked yet.
      *
      * @param recording where what the sockets saw is written; null for nowhere
-     * @param straight clients go straight to the targets, for comparison; there are no initiators then
+     * @param straight clients go straight to the targets, for comparison; there are no initiators
+     *     then
      */
     public Stage(BadDay day, Path recording, boolean straight) throws IOException {
         this(day, recording, straight, null);
     }
 
-    /** @param consoleTokens who may look at the initiators' consoles, null for no consoles */
-    public Stage(BadDay day, Path recording, boolean straight, Path consoleTokens) throws IOException {
+    /**
+     * @param consoleTokens who may look at the initiators' consoles, null for no consoles
+     */
+    public Stage(BadDay day, Path recording, boolean straight, Path consoleTokens)
+            throws IOException {
         this(day, recording, straight, consoleTokens, new Sockets(), null);
     }
 
@@ -122,8 +136,14 @@
      * @param world that the day is played in; where it is virtual, nobody looks at consoles
      * @param instead of the product's decisions, for comparison; null for these
      */
-    public Stage(BadDay day, Path recording, boolean straight, Path consoleTokens, World world,
-            Supplier<Decisions> instead) throws IOException {
+    public Stage(
+            BadDay day,
+            Path recording,
+            boolean straight,
+            Path consoleTokens,
+            World world,
+            Supplier<Decisions> instead)
+            throws IOException {
         this.instead = instead;
         this.world = world;
         refuseWhatSocketsCannot(day);
@@ -135,7 +155,10 @@
         recorder = recording == null ? null : new Recorder(recording, world::micros);
         folder = Files.createTempDirectory("milletyoke-rehearsal");
         plans.addAll(day.plans().stream().map(BadDay.PlanOf::plan).toList());
-        fleetFile = day.troubles().stream().anyMatch(t -> t.sort() == BadDay.Sort.LIMIT) ? writeFleet() : null;
+        fleetFile =
+                day.troubles().stream().anyMatch(t -> t.sort() == BadDay.Sort.LIMIT)
+                        ? writeFleet()
+                        : null;
         note("stage", Note.Kind.BOUNDS, rules(), 0);
         initiators = new Initiator[straight ? 0 : day.initiators()];
         ports = new int[initiators.length];
@@ -151,7 +174,8 @@
         for (int i = 0; i < initiators.length; i++) {
             startInitiator(i);
         }
-        clients = new Clients(demand(), straight, chance.nextLong(), clockwork, tap("client"), world);
+        clients =
+                new Clients(demand(), straight, chance.nextLong(), clockwork, tap("client"), world);
         for (int i = 0; i < initiators.length; i++) {
             clients.addDoor(initiators[i].name(), "127.0.0.1", ports[i]);
         }
@@ -169,13 +193,23 @@
         if (!world.isVirtual()) {
             for (Trouble t : day.troubles()) {
                 if (t.sort().virtual()) {
-                    throw new IOException(day.name() + ":" + t.line() + ": a " + t.sort().name().toLowerCase(Locale.ROOT)
-                            + " is played in the lab alone: bin/milletyoke lab play");
+                    throw new IOException(
+                            day.name()
+                                    + ":"
+                                    + t.line()
+                                    + ": a "
+                                    + t.sort().name().toLowerCase(Locale.ROOT)
+                                    + " is played in the lab alone: bin/milletyoke lab play");
                 }
             }
             if (day.initiators() > 100 || day.fleet().targets() > 1000) {
-                throw new IOException(day.name() + ": up to 100 initiators and 1000 targets are played on sockets, not "
-                        + day.initiators() + " and " + day.fleet().targets() + "; the lab plays more: bin/milletyoke lab play");
+                throw new IOException(
+                        day.name()
+                                + ": up to 100 initiators and 1000 targets are played on sockets, not "
+                                + day.initiators()
+                                + " and "
+                                + day.fleet().targets()
+                                + "; the lab plays more: bin/milletyoke lab play");
             }
         }
     }
@@ -212,37 +246,97 @@
         BadDay.Fleet f = day.fleet();
         double speed = f.speeds()[0] + chance.nextDouble() * (f.speeds()[1] - f.speeds()[0]);
         BadDay.BoundsOf b = day.bounds();
-        Nature nature = new Nature(f.cores(), speed, f.unit(), f.room(), f.connections(), f.extents(), f.extentSaves(),
-                f.putOff(), f.putOffEvery(), f.pauseEvery(), f.pause(), b.coldShare(), b.cold(), b.tipMultiple(),
-                b.fall(), f.tells(), f.dropsCancelled(), f.crowd(), f.connecting(), f.warmUnits(), f.work());
-        return new Target(id, shard, nature, chance.nextLong(), clockwork, category -> marks(category, shard),
-                tap(id), this::note, world);
+        Nature nature =
+                new Nature(
+                        f.cores(),
+                        speed,
+                        f.unit(),
+                        f.room(),
+                        f.connections(),
+                        f.extents(),
+                        f.extentSaves(),
+                        f.putOff(),
+                        f.putOffEvery(),
+                        f.pauseEvery(),
+                        f.pause(),
+                        b.coldShare(),
+                        b.cold(),
+                        b.tipMultiple(),
+                        b.fall(),
+                        f.tells(),
+                        f.dropsCancelled(),
+                        f.crowd(),
+                        f.connecting(),
+                        f.warmUnits(),
+                        f.work());
+        return new Target(
+                id,
+                shard,
+                nature,
+                chance.nextLong(),
+                clockwork,
+                category -> marks(category, shard),
+                tap(id),
+                this::note,
+                world);
     }
 
-    /** The marks that the target of a shard shares with its group; null where repeats are not dropped. */
+    /**
+     * The marks that the target of a shard shares with its group; null where repeats are not
+     * dropped.
+     */
     private synchronized Marks marks(String category, int shard) {
         for (Category c : day.categories()) {
             if (c.name().equals(category) && c.repeats() == Repeats.STAMPED) {
-                String group = c.group() == Group.ALL ? "all" : c.group() == Group.ZONE ? zone(shard) : "cell" + shard;
-                return marks.computeIfAbsent(category + " " + group, g -> new Marks(c.repeatWindow()));
+                String group =
+                        c.group() == Group.ALL
+                                ? "all"
+                                : c.group() == Group.ZONE ? zone(shard) : "cell" + shard;
+                return marks.computeIfAbsent(
+                        category + " " + group, g -> new Marks(c.repeatWindow()));
             }
         }
         return null;
     }
 
     private milletyoke.wire.proto.Target entry(Target target, Health health) {
-        return Discovery.entry(target, zone(target.shard()), health, launched.getOrDefault(target.id(), 0L));
+        return Discovery.entry(
+                target, zone(target.shard()), health, launched.getOrDefault(target.id(), 0L));
     }
 
     private void startInitiator(int i) throws IOException {
         String name = "initiator-" + (i + 1);
-        Setup setup = new Setup(name, i + 1, new Address("127.0.0.1", ports[i]),
-                new Address("127.0.0.1", discovery.port()), folder.resolve(name), fleetFile == null ? day.deployment()
-                : FromFleet.deployment(fleetFile.fleet()),
-                new Setup.Transport(250_000, 30_000_000, 4, 100, 250_000, 1 << 20, 8L << 20, 5_000_000, 2),
-                new Setup.Room(day.held(), world.isVirtual() ? 1 << 12 : 1 << 16, 1 << 16, 1e6, 3_600_000_000L),
-                consoleTokens == null ? null : new Setup.Console(new Address("127.0.0.1", 0), consoleTokens, 1000),
-                fleetFile);
+        Setup setup =
+                new Setup(
+                        name,
+                        i + 1,
+                        new Address("127.0.0.1", ports[i]),
+                        new Address("127.0.0.1", discovery.port()),
+                        folder.resolve(name),
+                        fleetFile == null
+                                ? day.deployment()
+                                : FromFleet.deployment(fleetFile.fleet()),
+                        new Setup.Transport(
+                                250_000,
+                                30_000_000,
+                                4,
+                                100,
+                                250_000,
+                                1 << 20,
+                                8L << 20,
+                                5_000_000,
+                                2),
+                        new Setup.Room(
+                                day.held(),
+                                world.isVirtual() ? 1 << 12 : 1 << 16,
+                                1 << 16,
+                                1e6,
+                                3_600_000_000L),
+                        consoleTokens == null
+                                ? null
+                                : new Setup.Console(
+                                        new Address("127.0.0.1", 0), consoleTokens, 1000),
+                        fleetFile);
         note(name, Note.Kind.UP, "initiator", 0);
         try {
             initiators[i] = Initiator.start(setup, tap(name), world, draw(), instead);
@@ -253,7 +347,10 @@
         running[i] = true;
     }
 
-    /** Volumes of each plan, with data on one to four targets and a leading initiator each, drawn from the seed. */
+    /**
+     * Volumes of each plan, with data on one to four targets and a leading initiator each, drawn
+     * from the seed.
+     */
     private Demand demand() throws IOException {
         SplittableRandom draw = new SplittableRandom(day.seed());
         List<Demand.Kind> kinds = new ArrayList<>();
@@ -261,9 +358,20 @@
         for (int k = 0; k < day.kinds().size(); k++) {
             BadDay.Kind kind = day.kinds().get(k);
             Category c = day.categories().get(k);
-            kinds.add(new Demand.Kind(c.name(), kind.share() / shares, kind.leastUnits(), kind.mostUnits(), kind.write(),
-                    c.keyOrdered(), BadDay.repeats(c), c.repeats() == Repeats.STAMPED && c.group() == Group.ALL,
-                    c.agreedTime(), kind.abandon(), c.importance(), kind.anywhere()));
+            kinds.add(
+                    new Demand.Kind(
+                            c.name(),
+                            kind.share() / shares,
+                            kind.leastUnits(),
+                            kind.mostUnits(),
+                            kind.write(),
+                            c.keyOrdered(),
+                            BadDay.repeats(c),
+                            c.repeats() == Repeats.STAMPED && c.group() == Group.ALL,
+                            c.agreedTime(),
+                            kind.abandon(),
+                            c.importance(),
+                            kind.anywhere()));
         }
         List<Demand.Volume> all = new ArrayList<>();
         double parts = day.plans().stream().mapToDouble(BadDay.PlanOf::share).sum();
@@ -271,20 +379,38 @@
             for (int v = 0; v < plan.volumes(); v++) {
                 String name = plan.plan().name() + "-" + (v + 1);
                 volumes.add(name);
-                all.add(new Demand.Volume(name, plan.plan().name(), plan.share() / parts / plan.volumes(),
-                        some(draw, day.fleet().targets(), 1 + draw.nextInt(4)),
-                        some(draw, day.initiators(), plan.hosts())));
+                all.add(
+                        new Demand.Volume(
+                                name,
+                                plan.plan().name(),
+                                plan.share() / parts / plan.volumes(),
+                                some(draw, day.fleet().targets(), 1 + draw.nextInt(4)),
+                                some(draw, day.initiators(), plan.hosts())));
             }
         }
         BadDay.Load l = day.load();
-        List<Demand.Traced> trace = l.traffic().isEmpty() ? List.of()
-                : Trace.of(day, kinds, all, volumes);
-        return new Demand(l.rate(), kinds, all, l.retries(), l.retryWait(), l.impatient(), l.littleTime()[0],
-                l.littleTime()[1], l.vanish(), day.bounds().answerSlack(), l.closed(), l.think(), trace);
+        List<Demand.Traced> trace =
+                l.traffic().isEmpty() ? List.of() : Trace.of(day, kinds, all, volumes);
+        return new Demand(
+                l.rate(),
+                kinds,
+                all,
+                l.retries(),
+                l.retryWait(),
+                l.impatient(),
+                l.littleTime()[0],
+                l.littleTime()[1],
+                l.vanish(),
+                day.bounds().answerSlack(),
+                l.closed(),
+                l.think(),
+                trace);
     }
 
     private static int[] some(SplittableRandom draw, int of, int most) {
-        if (of > 64 && most < of / 8) { // for a hundred thousand volumes it would be much to shuffle all for each
+        if (of > 64
+                && most < of / 8) { // for a hundred thousand volumes it would be much to shuffle
+            // all for each
             Set<Integer> few = new LinkedHashSet<>();
             while (few.size() < most) {
                 few.add(draw.nextInt(of));
@@ -302,12 +428,32 @@
     private String rules() {
         List<Map<String, Object>> categories = new ArrayList<>();
         for (Category c : day.categories()) {
-            categories.add(Map.of("name", c.name(), "repeats", c.repeats().name().toLowerCase(Locale.ROOT), "group",
-                    c.group().name().toLowerCase(Locale.ROOT), "window", c.repeatWindow(), "ordered", c.keyOrdered()));
+            categories.add(
+                    Map.of(
+                            "name",
+                            c.name(),
+                            "repeats",
+                            c.repeats().name().toLowerCase(Locale.ROOT),
+                            "group",
+                            c.group().name().toLowerCase(Locale.ROOT),
+                            "window",
+                            c.repeatWindow(),
+                            "ordered",
+                            c.keyOrdered()));
         }
         List<Map<String, Object>> plans = new ArrayList<>();
-        this.plans.forEach(p -> plans.add(Map.of("name", p.name(), "rate", p.limitRate(), "depth", p.limitDepth(),
-                "slack", p.limitSlack())));
+        this.plans.forEach(
+                p ->
+                        plans.add(
+                                Map.of(
+                                        "name",
+                                        p.name(),
+                                        "rate",
+                                        p.limitRate(),
+                                        "depth",
+                                        p.limitDepth(),
+                                        "slack",
+                                        p.limitSlack())));
         BadDay.BoundsOf b = day.bounds();
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("categories", categories);
@@ -335,7 +481,10 @@
         return initiators[i];
     }
 
-    /** Keeps the traffic that comes in at each initiator that runs now, in files of their names; for replay. */
+    /**
+     * Keeps the traffic that comes in at each initiator that runs now, in files of their names; for
+     * replay.
+     */
     public void capture(Path to) throws IOException {
         Files.createDirectories(to);
         for (Initiator i : initiators) {
@@ -345,10 +494,12 @@
 
     // ---- The day ----
 
-    /** Plays the day to its end. @param live hears a line of service every second; may do nothing */
+    /**
+     * Plays the day to its end. @param live hears a line of service every second; may do nothing
+     */
     public Played play(Consumer<String> live) throws IOException, InterruptedException {
         int[] second = new int[1];
-        return play(s -> live.accept(String.format("%3d s  %s", ++second[0], s.brief())), () -> { });
+        return play(s -> live.accept(String.format("%3d s  %s", ++second[0], s.brief())), () -> {});
     }
 
     /**
@@ -357,7 +508,8 @@
      * @param each sees the service so far after every second
      * @param before is run when clients have stopped asking, before the initiators leave
      */
-    public Played play(Consumer<Service> each, Runnable before) throws IOException, InterruptedException {
+    public Played play(Consumer<Service> each, Runnable before)
+            throws IOException, InterruptedException {
         if (!clients.awaitDoors(10_000)) {
             throw new IOException("the clients found no way in within 10 s");
         }
@@ -382,16 +534,27 @@
             if (running[n]) {
                 var p = i.loop().picture();
                 clean &= i.leave(longest / 1000 + 1_000);
-                counts.add(String.format("%s: %s; turns p50 %d us, p99 %d us; pictures take %.2f%% of the loop's time",
-                        i.name(), i.counts(), p.turnP50(), p.turnP99(), 100 * p.costs()));
+                counts.add(
+                        String.format(
+                                "%s: %s; turns p50 %d us, p99 %d us; pictures take %.2f%% of the loop's time",
+                                i.name(), i.counts(), p.turnP50(), p.turnP99(), 100 * p.costs()));
             }
         }
-        return new Played(clients.service(), unfinished, cpuEach, counts, clean,
-                Stream.concat(targets.stream(), replaced.stream()).mapToDouble(Target::coldUsed).max().orElse(0));
+        return new Played(
+                clients.service(),
+                unfinished,
+                cpuEach,
+                counts,
+                clean,
+                Stream.concat(targets.stream(), replaced.stream())
+                        .mapToDouble(Target::coldUsed)
+                        .max()
+                        .orElse(0));
     }
 
     private static long cpu() {
-        return ((com.sun.management.OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean())
+        return ((com.sun.management.OperatingSystemMXBean)
+                        ManagementFactory.getOperatingSystemMXBean())
                 .getProcessCpuTime();
     }
 
@@ -400,28 +563,38 @@
             after(t.at(), () -> await(t, clients.service().sums()));
             return;
         }
-        after(t.at(), () -> {
-            LOG.info("{} strikes", t.sort().name().toLowerCase(Locale.ROOT).replace('_', ' '));
-            strike(t);
-        });
+        after(
+                t.at(),
+                () -> {
+                    LOG.info(
+                            "{} strikes",
+                            t.sort().name().toLowerCase(Locale.ROOT).replace('_', ' '));
+                    strike(t);
+                });
     }
 
     /** Looks ten times a second whether service of the last second is under the trouble's part. */
     private void await(Trouble t, double[]... seconds) {
-        after(100_000, () -> {
-            double[] now = clients.service().sums();
-            double[][] kept = java.util.Arrays.copyOf(seconds, Math.min(10, seconds.length + 1));
-            System.arraycopy(seconds, 0, kept, 1, kept.length - 1);
-            kept[0] = now;
-            double[] before = seconds[seconds.length - 1];
-            double due = now[0] - before[0];
-            if (seconds.length == 10 && due > 0 && (now[1] - before[1]) / due < t.under()) {
-                LOG.info("{} strikes, service is {}", t.sort().name().toLowerCase(Locale.ROOT), (now[1] - before[1]) / due);
-                strike(t);
-            } else {
-                await(t, kept);
-            }
-        });
+        after(
+                100_000,
+                () -> {
+                    double[] now = clients.service().sums();
+                    double[][] kept =
+                            java.util.Arrays.copyOf(seconds, Math.min(10, seconds.length + 1));
+                    System.arraycopy(seconds, 0, kept, 1, kept.length - 1);
+                    kept[0] = now;
+                    double[] before = seconds[seconds.length - 1];
+                    double due = now[0] - before[0];
+                    if (seconds.length == 10 && due > 0 && (now[1] - before[1]) / due < t.under()) {
+                        LOG.info(
+                                "{} strikes, service is {}",
+                                t.sort().name().toLowerCase(Locale.ROOT),
+                                (now[1] - before[1]) / due);
+                        strike(t);
+                    } else {
+                        await(t, kept);
+                    }
+                });
     }
 
     private interface Task {
@@ -429,17 +602,24 @@
     }
 
     private void after(long micros, Task task) {
-        clockwork.schedule(() -> {
-            if (over) {
-                return;
-            }
-            try {
-                task.run();
-            } catch (Exception failed) {
-                LOG.error("a trouble could not be played", failed);
-                note("stage", Note.Kind.OTHER, "a trouble could not be played: " + failed, 0);
-            }
-        }, micros, TimeUnit.MICROSECONDS);
+        clockwork.schedule(
+                () -> {
+                    if (over) {
+                        return;
+                    }
+                    try {
+                        task.run();
+                    } catch (Exception failed) {
+                        LOG.error("a trouble could not be played", failed);
+                        note(
+                                "stage",
+                                Note.Kind.OTHER,
+                                "a trouble could not be played: " + failed,
+                                0);
+                    }
+                },
+                micros,
+                TimeUnit.MICROSECONDS);
     }
 
     private List<Integer> struck(BadDay.Selection whom, int of) {
@@ -467,12 +647,20 @@
     private void strike(Trouble t) throws Exception {
         switch (t.sort()) {
             case HANG -> span(t, x -> x.hang(true), x -> x.hang(false));
-            case UNREACHABLE -> span(t, x -> {
-                x.refuse(true);
-                x.resetConnections();
-            }, x -> x.refuse(false));
+            case UNREACHABLE ->
+                    span(
+                            t,
+                            x -> {
+                                x.refuse(true);
+                                x.resetConnections();
+                            },
+                            x -> x.refuse(false));
             case SLOW -> span(t, x -> x.slow(t.figure()), x -> x.slow(1));
-            case PAUSES -> span(t, x -> x.pauses(t.every(), t.range()[0], t.range()[1]), x -> x.pauses(0, 0, 0));
+            case PAUSES ->
+                    span(
+                            t,
+                            x -> x.pauses(t.every(), t.range()[0], t.range()[1]),
+                            x -> x.pauses(0, 0, 0));
             case ERRORS -> span(t, x -> x.errors(t.figure()), x -> x.errors(0));
             case LOST -> span(t, x -> x.loses(t.figure()), x -> x.loses(0));
             case RESETS -> {
@@ -483,8 +671,11 @@
             }
             case RESTART -> struckTargets(t).forEach(x -> restart(x, between(t.range())));
             case ROLL -> roll(t);
-            case DRAIN -> span(t, x -> discovery.change(entry(x, Health.DRAINING)),
-                    x -> discovery.change(entry(x, Health.ON)));
+            case DRAIN ->
+                    span(
+                            t,
+                            x -> discovery.change(entry(x, Health.DRAINING)),
+                            x -> discovery.change(entry(x, Health.ON)));
             case AGE -> age(t);
             case LIST_LATE -> {
                 discovery.lag(t.range()[0], t.range()[1]);
@@ -506,11 +697,22 @@
             case CLOCK -> world.stepClock(t.span());
             case KILL -> struckInitiators(t).forEach(i -> kill(i, between(t.range())));
             case LEAVE -> struckInitiators(t).forEach(i -> leave(i, between(t.range())));
-            case STILL -> struckInitiators(t).forEach(i -> initiators[i].standStill(t.span() / 1000, () ->
-                    note("initiator-" + (i + 1), Note.Kind.STOOD_STILL, "", t.span())));
+            case STILL ->
+                    struckInitiators(t)
+                            .forEach(
+                                    i ->
+                                            initiators[i].standStill(
+                                                    t.span() / 1000,
+                                                    () ->
+                                                            note(
+                                                                    "initiator-" + (i + 1),
+                                                                    Note.Kind.STOOD_STILL,
+                                                                    "",
+                                                                    t.span())));
             case SURGE -> {
                 Set<String> whom = new LinkedHashSet<>();
-                struck(new BadDay.Selection(1, 0), volumes.size()).stream().limit(t.count())
+                struck(new BadDay.Selection(1, 0), volumes.size()).stream()
+                        .limit(t.count())
                         .forEach(v -> whom.add(volumes.get(v)));
                 clients.surge(whom, t.figure());
                 after(t.span(), () -> clients.surge(Set.of(), 0));
@@ -532,7 +734,9 @@
     }
 
     private List<Integer> struckInitiators(Trouble t) {
-        return struck(t.whom(), initiators.length).stream().filter(i -> initiators.length > 0).toList();
+        return struck(t.whom(), initiators.length).stream()
+                .filter(i -> initiators.length > 0)
+                .toList();
     }
 
     /** Shown and hidden in turn, shown at the end. */
@@ -565,15 +769,28 @@
 
     // ---- Limits that change in service ----
 
-    /** The deployment in the configuration language, written aside and renamed as a careful operator would. */
+    /**
+     * The deployment in the configuration language, written aside and renamed as a careful operator
+     * would.
+     */
     private Setup.FleetFile writeFleet() throws IOException {
         Provisioning p = day.deployment().provisioning();
-        Deployment now = new Deployment(new Provisioning(p.initiators(), p.categories(), List.copyOf(plans), p.allowances(),
-                p.bounds(), p.listMustBeAsked()), day.deployment().answerSlack(), day.deployment().drainGrace());
+        Deployment now =
+                new Deployment(
+                        new Provisioning(
+                                p.initiators(),
+                                p.categories(),
+                                List.copyOf(plans),
+                                p.allowances(),
+                                p.bounds(),
+                                p.listMustBeAsked()),
+                        day.deployment().answerSlack(),
+                        day.deployment().drainGrace());
         Path file = folder.resolve("main.fleet");
         Path aside = folder.resolve("main.fleet.new");
         Files.writeString(aside, FromFleet.text(now));
-        Files.move(aside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(
+                aside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         String name = Following.name(file);
         Checker.Result checked = Checker.check(new DiskLibrary(), name);
         if (!checked.clean()) {
@@ -583,8 +800,17 @@
     }
 
     private synchronized void changeLimit(Trouble t) throws IOException {
-        plans.replaceAll(p -> p.name().equals(t.name()) ? new Plan(p.name(), p.reserve(), p.weight(), t.figure(),
-                t.range()[0], t.range()[1]) : p);
+        plans.replaceAll(
+                p ->
+                        p.name().equals(t.name())
+                                ? new Plan(
+                                        p.name(),
+                                        p.reserve(),
+                                        p.weight(),
+                                        t.figure(),
+                                        t.range()[0],
+                                        t.range()[1])
+                                : p);
         fleetFile = writeFleet(); // who starts from now on reads this one
         note("stage", Note.Kind.BOUNDS, rules(), 0);
     }
@@ -598,36 +824,45 @@
     private void restart(Target target, long down) {
         target.kill();
         discovery.change(entry(target, Health.GONE));
-        after(down, () -> {
-            launched.put(target.id(), discovery.now());
-            target.start(true);
-            discovery.change(entry(target, Health.ON));
-        });
+        after(
+                down,
+                () -> {
+                    launched.put(target.id(), discovery.now());
+                    target.start(true);
+                    discovery.change(entry(target, Health.ON));
+                });
     }
 
-    /** One after another is told to drain, its successor under a new id starts cold, and then it goes. */
+    /**
+     * One after another is told to drain, its successor under a new id starts cold, and then it
+     * goes.
+     */
     private void roll(Trouble t) {
         List<Target> whom = struckTargets(t);
         for (int i = 0; i < whom.size(); i++) {
             Target old = whom.get(i);
-            after(t.span() * i / whom.size(), () -> {
-                discovery.change(entry(old, Health.DRAINING));
-                Target next = target(old.id() + "n", old.shard());
-                launched.put(next.id(), discovery.now());
-                next.start(true);
-                discovery.change(entry(next, Health.ON));
-                synchronized (targets) {
-                    targets.set(old.shard(), next);
-                    replaced.add(old);
-                }
-                if (straight) {
-                    clients.moveDoor(old.shard(), next.port());
-                }
-                after(t.down() + day.fleet().listLag()[1], () -> {
-                    old.kill();
-                    discovery.change(entry(old, Health.GONE));
-                });
-            });
+            after(
+                    t.span() * i / whom.size(),
+                    () -> {
+                        discovery.change(entry(old, Health.DRAINING));
+                        Target next = target(old.id() + "n", old.shard());
+                        launched.put(next.id(), discovery.now());
+                        next.start(true);
+                        discovery.change(entry(next, Health.ON));
+                        synchronized (targets) {
+                            targets.set(old.shard(), next);
+                            replaced.add(old);
+                        }
+                        if (straight) {
+                            clients.moveDoor(old.shard(), next.port());
+                        }
+                        after(
+                                t.down() + day.fleet().listLag()[1],
+                                () -> {
+                                    old.kill();
+                                    discovery.change(entry(old, Health.GONE));
+                                });
+                    });
         }
     }
 
@@ -638,10 +873,14 @@
             double factor = 1 + (t.figure() - 1) * step / 10;
             after(t.span() * step / 10, () -> whom.forEach(x -> x.slow(factor)));
         }
-        after(t.span(), () -> whom.forEach(x -> {
-            x.slow(1);
-            restart(x, t.down());
-        }));
+        after(
+                t.span(),
+                () ->
+                        whom.forEach(
+                                x -> {
+                                    x.slow(1);
+                                    restart(x, t.down());
+                                }));
     }
 
     private void kill(int i, long down) {
--- a/rehearsal/src/main/java/milletyoke/rehearsal/Trace.java
+++ b/rehearsal/src/main/java/milletyoke/rehearsal/Trace.java
@@ -12,20 +12,22 @@
 import milletyoke.wire.capture.Traffic;
 
 /**
- * Captured traffic as a day's demand: every access when it came, through the initiator that its capture stands for (the first
- * file for the first, and so on round), with its own volume, units and time. The day says what its categories and plans are.
+ * Captured traffic as a day's demand: every access when it came, through the initiator that its
+ * capture stands for (the first file for the first, and so on round), with its own volume, units
+ * and time. The day says what its categories and plans are.
  */
 final class Trace {
-    private Trace() {
-    }
+    private Trace() {}
 
     /**
      * Reads the day's captures.
      *
      * @param all the volumes of the day; replaced by those that the captures name
-     * @throws IOException where a capture cannot be read, or names what the day does not have; with the place
+     * @throws IOException where a capture cannot be read, or names what the day does not have; with
+     *     the place
      */
-    static List<Demand.Traced> of(BadDay day, List<Demand.Kind> kinds, List<Demand.Volume> all, List<String> names)
+    static List<Demand.Traced> of(
+            BadDay day, List<Demand.Kind> kinds, List<Demand.Volume> all, List<String> names)
             throws IOException {
         Map<String, Demand.Volume> volumes = new LinkedHashMap<>();
         List<Demand.Traced> trace = new ArrayList<>();
@@ -34,27 +36,62 @@
             int n = 0;
             for (Traffic.One one : Traffic.read(files.get(f)).accesses()) {
                 String place = files.get(f) + ": access " + ++n;
-                Demand.Kind kind = kinds.stream().filter(k -> k.name().equals(one.category())).findFirst().orElseThrow(() ->
-                        new IOException(place + " is of category " + one.category() + ", which the day does not have"));
+                Demand.Kind kind =
+                        kinds.stream()
+                                .filter(k -> k.name().equals(one.category()))
+                                .findFirst()
+                                .orElseThrow(
+                                        () ->
+                                                new IOException(
+                                                        place
+                                                                + " is of category "
+                                                                + one.category()
+                                                                + ", which the day does not have"));
                 if (day.plans().stream().noneMatch(p -> p.plan().name().equals(one.plan()))) {
-                    throw new IOException(place + " is of plan " + one.plan() + ", which the day does not have");
+                    throw new IOException(
+                            place + " is of plan " + one.plan() + ", which the day does not have");
                 }
                 if (one.shard() >= day.fleet().targets()) {
-                    throw new IOException(place + " wants shard " + one.shard() + ", and the day has " + day.fleet().targets()
-                            + " targets, numbered from 0");
+                    throw new IOException(
+                            place
+                                    + " wants shard "
+                                    + one.shard()
+                                    + ", and the day has "
+                                    + day.fleet().targets()
+                                    + " targets, numbered from 0");
                 }
                 int[] through = new int[Math.max(1, Math.min(one.hosts(), day.initiators()))];
-                Demand.Volume volume = volumes.computeIfAbsent(one.volume(), v -> new Demand.Volume(v, one.plan(), 0, new int[0],
-                        through));
-                trace.add(new Demand.Traced((long) (one.at() / day.load().speed()), kind, volume, f % day.initiators(),
-                        one.shard(), one.extent(), one.units(), one.timeLeft()));
+                Demand.Volume volume =
+                        volumes.computeIfAbsent(
+                                one.volume(),
+                                v -> new Demand.Volume(v, one.plan(), 0, new int[0], through));
+                trace.add(
+                        new Demand.Traced(
+                                (long) (one.at() / day.load().speed()),
+                                kind,
+                                volume,
+                                f % day.initiators(),
+                                one.shard(),
+                                one.extent(),
+                                one.units(),
+                                one.timeLeft()));
             }
         }
         trace.sort(Comparator.comparingLong(Demand.Traced::at));
-        if (!trace.isEmpty()) { // what came first comes at once; files that began together stay in step
+        if (!trace.isEmpty()) { // what came first comes at once; files that began together stay in
+            // step
             long first = trace.get(0).at();
-            trace.replaceAll(t -> new Demand.Traced(t.at() - first, t.kind(), t.volume(), t.door(), t.shard(), t.extent(),
-                    t.units(), t.timeLeft()));
+            trace.replaceAll(
+                    t ->
+                            new Demand.Traced(
+                                    t.at() - first,
+                                    t.kind(),
+                                    t.volume(),
+                                    t.door(),
+                                    t.shard(),
+                                    t.extent(),
+                                    t.units(),
+                                    t.timeLeft()));
         }
         all.clear();
         all.addAll(volumes.values());
