--- a/wire/src/main/java/milletyoke/wire/Tap.java
+++ b/wire/src/main/java/milletyoke/wire/Tap.java
@@ -3,11 +3,16 @@
 import milletyoke.wire.proto.Direction;
 import milletyoke.wire.proto.Frame;
 
-/** Sees every frame of one end as it is handed to or taken from its connection; called on whichever thread does so. */
+/**
+ * Sees every frame of one end as it is handed to or taken from its connection; called on whichever
+ * thread does so.
+ */
 @FunctionalInterface
 public interface Tap {
-    Tap NONE = (peer, direction, frame) -> { };
+    Tap NONE = (peer, direction, frame) -> {};
 
-    /** @param frame null where the direction tells that the connection opened or closed */
+    /**
+     * @param frame null where the direction tells that the connection opened or closed
+     */
     void saw(Peer peer, Direction direction, Frame frame);
 }
--- a/wire/src/main/java/milletyoke/wire/Wire.java
+++ b/wire/src/main/java/milletyoke/wire/Wire.java
@@ -24,7 +24,10 @@
 
 /** One participant's sockets: its listeners, its connections and the threads that serve them. */
 public final class Wire implements Net {
-    /** What was handed over before a clean end has this long to be taken by its readers (microseconds). */
+    /**
+     * What was handed over before a clean end has this long to be taken by its readers
+     * (microseconds).
+     */
     private static final long LAST_WRITES = 1_000_000;
 
     /** Connections of one participant; what is beyond is closed as it comes. */
@@ -45,25 +48,38 @@
         this(name, threads, tap, MOST_PEERS);
     }
 
-    /** @param mostPeers connections at once; a further one that comes in is closed and nothing is kept of it */
+    /**
+     * @param mostPeers connections at once; a further one that comes in is closed and nothing is
+     *     kept of it
+     */
     public Wire(String name, int threads, Tap tap, int mostPeers) throws IOException {
         this.mostPeers = mostPeers;
         this.name = name;
         this.tap = tap;
-        TCPNIOTransportBuilder builder = TCPNIOTransportBuilder.newInstance()
-                .setIOStrategy(SameThreadIOStrategy.getInstance())
-                .setSelectorThreadPoolConfig(ThreadPoolConfig.defaultConfig().setPoolName(name + "-io")
-                        .setCorePoolSize(threads).setMaxPoolSize(threads).setDaemon(true))
-                .setTcpNoDelay(true).setReuseAddress(true).setServerConnectionBackLog(1024);
+        TCPNIOTransportBuilder builder =
+                TCPNIOTransportBuilder.newInstance()
+                        .setIOStrategy(SameThreadIOStrategy.getInstance())
+                        .setSelectorThreadPoolConfig(
+                                ThreadPoolConfig.defaultConfig()
+                                        .setPoolName(name + "-io")
+                                        .setCorePoolSize(threads)
+                                        .setMaxPoolSize(threads)
+                                        .setDaemon(true))
+                        .setTcpNoDelay(true)
+                        .setReuseAddress(true)
+                        .setServerConnectionBackLog(1024);
         builder.setSelectorRunnersCount(threads);
         transport = builder.build();
         transport.start();
-        looks = Executors.newSingleThreadScheduledExecutor(task -> {
-            Thread thread = new Thread(task, name + "-looks");
-            thread.setDaemon(true);
-            return thread;
-        });
-        looks.scheduleWithFixedDelay(() -> peers.forEach(p -> p.look(micros())), 250, 250, TimeUnit.MILLISECONDS);
+        looks =
+                Executors.newSingleThreadScheduledExecutor(
+                        task -> {
+                            Thread thread = new Thread(task, name + "-looks");
+                            thread.setDaemon(true);
+                            return thread;
+                        });
+        looks.scheduleWithFixedDelay(
+                () -> peers.forEach(p -> p.look(micros())), 250, 250, TimeUnit.MILLISECONDS);
     }
 
     /** The monotonic clock that all times of the product are told on (microseconds). */
@@ -72,49 +88,66 @@
     }
 
     @Override
-    public Net.Listener listen(String host, int port, Role role, PeerHandler handler, Bounds bounds) throws IOException {
+    public Net.Listener listen(String host, int port, Role role, PeerHandler handler, Bounds bounds)
+            throws IOException {
         try {
-            TCPNIOServerConnection server = (TCPNIOServerConnection) binder(role, handler, bounds).bind(
-                    new InetSocketAddress(host, port));
+            TCPNIOServerConnection server =
+                    (TCPNIOServerConnection)
+                            binder(role, handler, bounds).bind(new InetSocketAddress(host, port));
             return new Bound(this, server);
         } catch (IOException failed) {
-            throw new IOException("cannot listen at " + host + ":" + port + ": " + failed.getMessage(), failed);
+            throw new IOException(
+                    "cannot listen at " + host + ":" + port + ": " + failed.getMessage(), failed);
         }
     }
 
-    private org.glassfish.grizzly.nio.transport.TCPNIOBindingHandler binder(Role role, PeerHandler handler,
-            Bounds bounds) {
+    private org.glassfish.grizzly.nio.transport.TCPNIOBindingHandler binder(
+            Role role, PeerHandler handler, Bounds bounds) {
         return org.glassfish.grizzly.nio.transport.TCPNIOBindingHandler.builder(transport)
-                .processor(chain(role, handler, bounds)).build();
+                .processor(chain(role, handler, bounds))
+                .build();
     }
 
     @Override
-    public Net.Attempt connect(String host, int port, Role role, PeerHandler handler, Bounds bounds,
+    public Net.Attempt connect(
+            String host,
+            int port,
+            Role role,
+            PeerHandler handler,
+            Bounds bounds,
             Consumer<String> failed) {
-        var connector = TCPNIOConnectorHandler.builder(transport).processor(chain(role, handler, bounds)).build();
+        var connector =
+                TCPNIOConnectorHandler.builder(transport)
+                        .processor(chain(role, handler, bounds))
+                        .build();
         Making attempt = new Making();
-        connector.connect(new InetSocketAddress(host, port), new EmptyCompletionHandler<Connection>() {
-            @Override
-            public void completed(Connection made) {
-                attempt.made(made);
-            }
-
-            @Override
-            public void failed(Throwable cause) {
-                failed.accept(String.valueOf(cause.getMessage()));
-            }
-
-            @Override
-            public void cancelled() {
-                failed.accept("given up");
-            }
-        });
+        connector.connect(
+                new InetSocketAddress(host, port),
+                new EmptyCompletionHandler<Connection>() {
+                    @Override
+                    public void completed(Connection made) {
+                        attempt.made(made);
+                    }
+
+                    @Override
+                    public void failed(Throwable cause) {
+                        failed.accept(String.valueOf(cause.getMessage()));
+                    }
+
+                    @Override
+                    public void cancelled() {
+                        failed.accept("given up");
+                    }
+                });
         return attempt;
     }
 
     private FilterChain chain(Role role, PeerHandler handler, Bounds bounds) {
-        return FilterChainBuilder.stateless().add(new TransportFilter()).add(new FrameFilter())
-                .add(new PeerFilter(this, role, name, handler, bounds, tap)).build();
+        return FilterChainBuilder.stateless()
+                .add(new TransportFilter())
+                .add(new FrameFilter())
+                .add(new PeerFilter(this, role, name, handler, bounds, tap))
+                .build();
     }
 
     /** Guards memory and file handles against peers that open connections without end. */
@@ -148,7 +181,8 @@
         transport.unbindAll();
         peers.forEach(p -> p.send(Peer.byeFrame("shutting down")));
         long until = micros() + LAST_WRITES;
-        while (micros() < until && peers.stream().anyMatch(p -> p.isOpen() && p.waitingBytes() > 0)) {
+        while (micros() < until
+                && peers.stream().anyMatch(p -> p.isOpen() && p.waitingBytes() > 0)) {
             java.util.concurrent.locks.LockSupport.parkNanos(1_000_000);
         }
         peers.forEach(p -> p.close("shutting down"));
--- a/wire/src/main/java/milletyoke/wire/capture/CaptureWriter.java
+++ b/wire/src/main/java/milletyoke/wire/capture/CaptureWriter.java
@@ -15,14 +15,20 @@
 import milletyoke.wire.proto.Access;
 
 /**
- * Writes what comes in, in blocks. Whoever serves sockets only adds to a block in memory; another thread writes it. Where the
- * disk is behind by {@value #MOST_WAITING} accesses, further ones are left out and counted: a daemon is never held up by
- * its capture, and peers that never use a name twice cannot make it remember without bound. Marks and payloads are not kept, only that there was one of so many bytes.
+ * Writes what comes in, in blocks. Whoever serves sockets only adds to a block in memory; another
+ * thread writes it. Where the disk is behind by {@value #MOST_WAITING} accesses, further ones are
+ * left out and counted: a daemon is never held up by its capture, and peers that never use a name
+ * twice cannot make it remember without bound. Marks and payloads are not kept, only that there was
+ * one of so many bytes.
  */
 public final class CaptureWriter implements AutoCloseable {
     static final byte[] BEGINNING = "MYTRAFF1".getBytes(StandardCharsets.US_ASCII);
     private static final int MOST_WAITING = 200_000;
-    /** Characters of names that wait to be written, and of names remembered; beyond the latter they are told anew each time. */
+
+    /**
+     * Characters of names that wait to be written, and of names remembered; beyond the latter they
+     * are told anew each time.
+     */
     private static final int MOST_WAITING_TEXT = 8 << 20, MOST_TEXT = 16 << 20;
 
     private final DataOutputStream out;
@@ -36,10 +42,13 @@
 
     /**
      * @param now when it begins (microseconds)
-     * @throws IOException where the file cannot be made, or is there already: no capture is written over
+     * @throws IOException where the file cannot be made, or is there already: no capture is written
+     *     over
      */
     public CaptureWriter(Path file, String initiator, long now) throws IOException {
-        OutputStream raw = Files.newOutputStream(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
+        OutputStream raw =
+                Files.newOutputStream(
+                        file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
         out = new DataOutputStream(raw);
         out.write(BEGINNING);
         block = Block.newBuilder().setInitiator(initiator);
@@ -53,10 +62,19 @@
             return;
         }
         long at = Math.max(last, now);
-        block.addCame(Came.newBuilder().setAfter(at - last).setVolume(name(a.getVolume())).setPlan(name(a.getPlan()))
-                .setCategory(name(a.getCategory())).setExtent(name(a.getExtent())).setShard(a.hasShard() ? a.getShard() + 1 : 0)
-                .setHosts(a.getHosts()).setUnits(a.getUnits()).setTimeLeft(Math.max(0, a.getTimeLeft())).setWrite(a.getWrite())
-                .setPayload(a.getPayload().size()));
+        block.addCame(
+                Came.newBuilder()
+                        .setAfter(at - last)
+                        .setVolume(name(a.getVolume()))
+                        .setPlan(name(a.getPlan()))
+                        .setCategory(name(a.getCategory()))
+                        .setExtent(name(a.getExtent()))
+                        .setShard(a.hasShard() ? a.getShard() + 1 : 0)
+                        .setHosts(a.getHosts())
+                        .setUnits(a.getUnits())
+                        .setTimeLeft(Math.max(0, a.getTimeLeft()))
+                        .setWrite(a.getWrite())
+                        .setPayload(a.getPayload().size()));
         last = at;
     }
 
--- a/wire/src/main/java/milletyoke/wire/capture/Traffic.java
+++ b/wire/src/main/java/milletyoke/wire/capture/Traffic.java
@@ -29,12 +29,26 @@
      * @param at microseconds since the capture began
      * @param shard -1 for a new object
      */
-    public record One(long at, String volume, String plan, String category, String extent, int shard, int hosts, double units,
-            long timeLeft, boolean write, int payload) {}
+    public record One(
+            long at,
+            String volume,
+            String plan,
+            String category,
+            String extent,
+            int shard,
+            int hosts,
+            double units,
+            long timeLeft,
+            boolean write,
+            int payload) {}
 
-    /** @throws IOException where it is no capture of a version that is known, or a whole block says what cannot be */
+    /**
+     * @throws IOException where it is no capture of a version that is known, or a whole block says
+     *     what cannot be
+     */
     public static Traffic read(Path file) throws IOException {
-        try (DataInputStream in = new DataInputStream(new BufferedInputStream(Files.newInputStream(file), 1 << 16))) {
+        try (DataInputStream in =
+                new DataInputStream(new BufferedInputStream(Files.newInputStream(file), 1 << 16))) {
             byte[] beginning = in.readNBytes(CaptureWriter.BEGINNING.length);
             if (!Arrays.equals(beginning, CaptureWriter.BEGINNING)) {
                 throw new IOException(file + ": not captured traffic of version 1");
@@ -61,19 +75,36 @@
                 leftOut += block.getLeftOut();
                 for (Came c : block.getCameList()) {
                     at += c.getAfter();
-                    all.add(new One(at, name(names, c.getVolume(), file, number), name(names, c.getPlan(), file, number),
-                            name(names, c.getCategory(), file, number), name(names, c.getExtent(), file, number),
-                            c.getShard() - 1, c.getHosts(), c.getUnits(), c.getTimeLeft(), c.getWrite(), c.getPayload()));
+                    all.add(
+                            new One(
+                                    at,
+                                    name(names, c.getVolume(), file, number),
+                                    name(names, c.getPlan(), file, number),
+                                    name(names, c.getCategory(), file, number),
+                                    name(names, c.getExtent(), file, number),
+                                    c.getShard() - 1,
+                                    c.getHosts(),
+                                    c.getUnits(),
+                                    c.getTimeLeft(),
+                                    c.getWrite(),
+                                    c.getPayload()));
                 }
             }
             return new Traffic(initiator, List.copyOf(all), leftOut, whole);
         }
     }
 
-    private static String name(List<String> names, int number, Path file, int block) throws IOException {
+    private static String name(List<String> names, int number, Path file, int block)
+            throws IOException {
         if (number < 0 || number >= names.size()) {
-            throw new IOException(file + ": block " + block + " names what was never told, number "
-                    + Integer.toUnsignedString(number) + " of " + names.size());
+            throw new IOException(
+                    file
+                            + ": block "
+                            + block
+                            + " names what was never told, number "
+                            + Integer.toUnsignedString(number)
+                            + " of "
+                            + names.size());
         }
         return names.get(number);
     }
--- a/wire/src/main/java/milletyoke/wire/record/Recorder.java
+++ b/wire/src/main/java/milletyoke/wire/record/Recorder.java
@@ -22,8 +22,8 @@
 import milletyoke.wire.proto.Record;
 
 /**
- * Writes what the ends of connections saw to a file, in the order they told it; payloads are left out. Nothing is
- * dropped: where the disk is slower than the sockets, those who tell wait.
+ * Writes what the ends of connections saw to a file, in the order they told it; payloads are left
+ * out. Nothing is dropped: where the disk is slower than the sockets, those who tell wait.
  */
 public final class Recorder implements AutoCloseable {
     private static final Record END = Record.getDefaultInstance();
@@ -34,7 +34,9 @@
     private final Thread writer;
     private volatile IOException failed;
 
-    /** @param clock of the world that is recorded (microseconds) */
+    /**
+     * @param clock of the world that is recorded (microseconds)
+     */
     public Recorder(Path file, LongSupplier clock) throws IOException {
         this.clock = clock;
         out = new BufferedOutputStream(Files.newOutputStream(file), 1 << 18);
@@ -49,8 +51,13 @@
     }
 
     private void saw(String witness, Peer peer, Direction direction, Frame frame) {
-        Record.Builder record = Record.newBuilder().setAt(clock.getAsLong()).setWitness(witness)
-                .setPeer(peer.name()).setConnection(peer.id()).setDirection(direction);
+        Record.Builder record =
+                Record.newBuilder()
+                        .setAt(clock.getAsLong())
+                        .setWitness(witness)
+                        .setPeer(peer.name())
+                        .setConnection(peer.id())
+                        .setDirection(direction);
         if (frame != null) {
             record.setFrame(bare(frame));
         }
@@ -59,22 +66,50 @@
 
     private static Frame bare(Frame frame) {
         return switch (frame.getBodyCase()) {
-            case ACCESS -> frame.getAccess().getPayload().isEmpty() ? frame : frame.toBuilder()
-                    .setAccess(frame.getAccess().toBuilder().setPayload(ByteString.EMPTY)).build();
-            case RELAY -> frame.getRelay().getPayload().isEmpty() ? frame : frame.toBuilder()
-                    .setRelay(frame.getRelay().toBuilder().setPayload(ByteString.EMPTY)).build();
-            case ANSWER -> frame.getAnswer().getPayload().isEmpty() ? frame : frame.toBuilder()
-                    .setAnswer(frame.getAnswer().toBuilder().setPayload(ByteString.EMPTY)).build();
-            case REPLY -> frame.getReply().getPayload().isEmpty() ? frame : frame.toBuilder()
-                    .setReply(frame.getReply().toBuilder().setPayload(ByteString.EMPTY)).build();
+            case ACCESS ->
+                    frame.getAccess().getPayload().isEmpty()
+                            ? frame
+                            : frame.toBuilder()
+                                    .setAccess(
+                                            frame.getAccess().toBuilder()
+                                                    .setPayload(ByteString.EMPTY))
+                                    .build();
+            case RELAY ->
+                    frame.getRelay().getPayload().isEmpty()
+                            ? frame
+                            : frame.toBuilder()
+                                    .setRelay(
+                                            frame.getRelay().toBuilder()
+                                                    .setPayload(ByteString.EMPTY))
+                                    .build();
+            case ANSWER ->
+                    frame.getAnswer().getPayload().isEmpty()
+                            ? frame
+                            : frame.toBuilder()
+                                    .setAnswer(
+                                            frame.getAnswer().toBuilder()
+                                                    .setPayload(ByteString.EMPTY))
+                                    .build();
+            case REPLY ->
+                    frame.getReply().getPayload().isEmpty()
+                            ? frame
+                            : frame.toBuilder()
+                                    .setReply(
+                                            frame.getReply().toBuilder()
+                                                    .setPayload(ByteString.EMPTY))
+                                    .build();
             default -> frame;
         };
     }
 
     /** Records what was done to a part, or what it did on no connection. */
     public void note(String witness, Note.Kind kind, String text, double figure) {
-        put(Record.newBuilder().setAt(clock.getAsLong()).setWitness(witness)
-                .setNote(Note.newBuilder().setKind(kind).setText(text).setFigure(figure)).build());
+        put(
+                Record.newBuilder()
+                        .setAt(clock.getAsLong())
+                        .setWitness(witness)
+                        .setNote(Note.newBuilder().setKind(kind).setText(text).setFigure(figure))
+                        .build());
     }
 
     private void put(Record record) {
@@ -101,7 +136,9 @@
         }
     }
 
-    /** @throws IOException where any record could not be written: the recording is of no use then */
+    /**
+     * @throws IOException where any record could not be written: the recording is of no use then
+     */
     @Override
     public void close() throws IOException {
         try {
@@ -117,9 +154,13 @@
         }
     }
 
-    /** Reads a recording. A record cut off at the end, as a kill leaves it, ends the reading without an error. */
+    /**
+     * Reads a recording. A record cut off at the end, as a kill leaves it, ends the reading without
+     * an error.
+     */
     public static void read(Path file, Consumer<Record> each) throws IOException {
-        try (InputStream in = new java.io.BufferedInputStream(Files.newInputStream(file), 1 << 18)) {
+        try (InputStream in =
+                new java.io.BufferedInputStream(Files.newInputStream(file), 1 << 18)) {
             for (Record record = next(in, file); record != null; record = next(in, file)) {
                 each.accept(record);
             }
--- a/wire/src/test/java/milletyoke/wire/CaptureTest.java
+++ b/wire/src/test/java/milletyoke/wire/CaptureTest.java
@@ -19,8 +19,7 @@
 
 /** Captured traffic comes back as it was, up to wherever a kill or a bad disk cut it. */
 class CaptureTest {
-    @TempDir
-    Path folder;
+    @TempDir Path folder;
 
     private Path written(int blocks, int each) throws IOException {
         Path file = folder.resolve("traffic" + blocks);
@@ -28,9 +27,18 @@
         try (CaptureWriter writer = new CaptureWriter(file, "i-1", 5_000)) {
             for (int b = 0; b < blocks; b++) {
                 for (int n = 0; n < each; n++) {
-                    Access.Builder a = Access.newBuilder().setVolume("v" + chance.nextInt(9)).setPlan("p").setCategory("c")
-                            .setUnits(n).setHosts(2).setTimeLeft(100 + n).setPayload(ByteString.copyFrom(new byte[n]));
-                    writer.came(5_000 + b * 1_000L + n, n % 3 == 0 ? a.build() : a.setShard(n).setExtent("x" + n).build());
+                    Access.Builder a =
+                            Access.newBuilder()
+                                    .setVolume("v" + chance.nextInt(9))
+                                    .setPlan("p")
+                                    .setCategory("c")
+                                    .setUnits(n)
+                                    .setHosts(2)
+                                    .setTimeLeft(100 + n)
+                                    .setPayload(ByteString.copyFrom(new byte[n]));
+                    writer.came(
+                            5_000 + b * 1_000L + n,
+                            n % 3 == 0 ? a.build() : a.setShard(n).setExtent("x" + n).build());
                 }
                 writer.flush();
             }
@@ -53,19 +61,30 @@
         assertEquals("", t.accesses().get(100).extent());
     }
 
-    /** Peers that make up long names cannot make the writer keep them without bound: what is beyond is counted. */
+    /**
+     * Peers that make up long names cannot make the writer keep them without bound: what is beyond
+     * is counted.
+     */
     @Test
     void longNamesAreLeftOutAndCounted() throws IOException {
         Path file = folder.resolve("long");
         int asked = 40_000;
         try (CaptureWriter writer = new CaptureWriter(file, "i", 0)) {
             for (int n = 0; n < asked; n++) {
-                writer.came(n, Access.newBuilder().setVolume("v" + n + "x".repeat(500)).setPlan("p").setCategory("c").build());
+                writer.came(
+                        n,
+                        Access.newBuilder()
+                                .setVolume("v" + n + "x".repeat(500))
+                                .setPlan("p")
+                                .setCategory("c")
+                                .build());
             }
         }
         Traffic t = Traffic.read(file);
         assertEquals(asked, t.accesses().size() + t.leftOut());
-        assertTrue(t.leftOut() > asked / 2 && Files.size(file) < 9 << 20, "8 MiB of names wait at the most");
+        assertTrue(
+                t.leftOut() > asked / 2 && Files.size(file) < 9 << 20,
+                "8 MiB of names wait at the most");
     }
 
     @Test
@@ -93,7 +112,12 @@
             assertFalse(t.whole());
             assertEquals(sound.accesses().subList(0, t.accesses().size()), t.accesses());
         }
-        assertThrows(IOException.class, () -> Traffic.read(Files.write(folder.resolve("other"), new byte[40])));
-        assertThrows(IOException.class, () -> new CaptureWriter(file, "i", 0), "no capture is written over");
+        assertThrows(
+                IOException.class,
+                () -> Traffic.read(Files.write(folder.resolve("other"), new byte[40])));
+        assertThrows(
+                IOException.class,
+                () -> new CaptureWriter(file, "i", 0),
+                "no capture is written over");
     }
 }
--- a/wire/src/test/java/milletyoke/wire/WireTest.java
+++ b/wire/src/test/java/milletyoke/wire/WireTest.java
@@ -15,16 +15,13 @@
 @Timeout(30)
 class WireTest implements PeerHandler {
     @Override
-    public void ready(Peer peer) {
-    }
+    public void ready(Peer peer) {}
 
     @Override
-    public void got(Peer peer, Frame frame) {
-    }
+    public void got(Peer peer, Frame frame) {}
 
     @Override
-    public void closed(Peer peer, String why) {
-    }
+    public void closed(Peer peer, String why) {}
 
     private static boolean greeted(Socket socket) throws Exception {
         socket.setSoTimeout(5_000);
@@ -60,53 +57,68 @@
         }
     }
 
-    /** Frames of one turn leave in one write; none is lost or changed, and their order stays, whatever their sizes. */
+    /**
+     * Frames of one turn leave in one write; none is lost or changed, and their order stays,
+     * whatever their sizes.
+     */
     @Test
     void whatIsPostedComesWholeAndInOrder() throws Exception {
         int frames = 5_000;
         java.util.SplittableRandom chance = new java.util.SplittableRandom(1);
-        java.util.concurrent.BlockingQueue<Frame> came = new java.util.concurrent.LinkedBlockingQueue<>();
-        java.util.concurrent.BlockingQueue<Peer> ready = new java.util.concurrent.LinkedBlockingQueue<>();
-        PeerHandler taking = new PeerHandler() {
-            @Override
-            public void ready(Peer peer) {
-            }
+        java.util.concurrent.BlockingQueue<Frame> came =
+                new java.util.concurrent.LinkedBlockingQueue<>();
+        java.util.concurrent.BlockingQueue<Peer> ready =
+                new java.util.concurrent.LinkedBlockingQueue<>();
+        PeerHandler taking =
+                new PeerHandler() {
+                    @Override
+                    public void ready(Peer peer) {}
 
-            @Override
-            public void got(Peer peer, Frame frame) {
-                came.add(frame);
-            }
+                    @Override
+                    public void got(Peer peer, Frame frame) {
+                        came.add(frame);
+                    }
 
-            @Override
-            public void closed(Peer peer, String why) {
-            }
-        };
-        PeerHandler sending = new PeerHandler() {
-            @Override
-            public void ready(Peer peer) {
-                ready.add(peer);
-            }
+                    @Override
+                    public void closed(Peer peer, String why) {}
+                };
+        PeerHandler sending =
+                new PeerHandler() {
+                    @Override
+                    public void ready(Peer peer) {
+                        ready.add(peer);
+                    }
 
-            @Override
-            public void got(Peer peer, Frame frame) {
-            }
+                    @Override
+                    public void got(Peer peer, Frame frame) {}
 
-            @Override
-            public void closed(Peer peer, String why) {
-            }
-        };
+                    @Override
+                    public void closed(Peer peer, String why) {}
+                };
         Bounds wide = new Bounds(1 << 20, 1L << 30, 5_000_000, 0);
-        try (Wire server = new Wire("server", 1, Tap.NONE, 4); Wire client = new Wire("client", 1, Tap.NONE, 4)) {
+        try (Wire server = new Wire("server", 1, Tap.NONE, 4);
+                Wire client = new Wire("client", 1, Tap.NONE, 4)) {
             int port = server.listen("127.0.0.1", 0, Role.INITIATOR, taking, wide).port();
-            client.connect("127.0.0.1", port, Role.CLIENT, sending, wide, why -> { });
+            client.connect("127.0.0.1", port, Role.CLIENT, sending, wide, why -> {});
             Peer peer = ready.poll(5, java.util.concurrent.TimeUnit.SECONDS);
             assertTrue(peer != null, "connected");
             List<Frame> sent = new ArrayList<>();
             for (int i = 0; i < frames; i++) {
-                byte[] payload = new byte[chance.nextInt(10) == 0 ? chance.nextInt(60_000) : chance.nextInt(200)];
+                byte[] payload =
+                        new byte
+                                [chance.nextInt(10) == 0
+                                        ? chance.nextInt(60_000)
+                                        : chance.nextInt(200)];
                 java.util.Arrays.fill(payload, (byte) i);
-                Frame frame = Frame.newBuilder().setAnswer(milletyoke.wire.proto.Answer.newBuilder().setNumber(i)
-                        .setPayload(com.google.protobuf.ByteString.copyFrom(payload))).build();
+                Frame frame =
+                        Frame.newBuilder()
+                                .setAnswer(
+                                        milletyoke.wire.proto.Answer.newBuilder()
+                                                .setNumber(i)
+                                                .setPayload(
+                                                        com.google.protobuf.ByteString.copyFrom(
+                                                                payload)))
+                                .build();
                 sent.add(frame);
                 assertTrue(chance.nextInt(50) == 0 ? flushThenSend(peer, frame) : peer.post(frame));
                 if (chance.nextInt(20) == 0) {
