--- a/core/src/test/java/milletyoke/StepCostTest.java
+++ b/core/src/test/java/milletyoke/StepCostTest.java
@@ -4,8 +4,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.BiFunction;
 import milletyoke.port.Action;
+import milletyoke.port.Decisions;
 import milletyoke.port.Event;
 import milletyoke.port.Outcome;
 import milletyoke.port.Provisioning;
@@ -37,12 +37,7 @@
         }
     }
 
-    private static double micros(
-            BiFunction<Long, List<Event>, List<Action>> module,
-            int held,
-            int volumes,
-            long[] relays,
-            int of) {
+    private static double micros(Decisions module, int held, int volumes, long[] relays, int of) {
         Category slow =
                 new Category("slow", Repeats.HARMLESS, Group.ALL, 0, false, 600_000_000L, 1);
         Category read = new Category("read", Repeats.HARMLESS, Group.ALL, 0, false, 400_000, 2);
@@ -61,13 +56,13 @@
         }
         start.add(new Event.TargetList(Event.Scope.REPLACE, targets));
         long time = 1_000_000_000L;
-        List<Action> out = new ArrayList<>(relaysOf(module.apply(time, start)));
+        List<Action> out = new ArrayList<>(relaysOf(module.decide(time, start)));
         for (int v = 0; v < volumes; v++) { // every volume was here once
             time += 100;
             List<Action> acts =
-                    module.apply(time, List.of(access("w" + v, v % TARGETS, v, "read")));
+                    module.decide(time, List.of(access("w" + v, v % TARGETS, v, "read")));
             for (Action.Relay r : relaysOf(acts)) {
-                module.apply(
+                module.decide(
                         time + 50,
                         List.of(new Event.Ended(r.id(), 0, true, Outcome.SUCCEEDED, 50)));
             }
@@ -77,7 +72,7 @@
                 h++) { // those wait for a shard that nobody holds, and for busy ones
             out.addAll(
                     relaysOf(
-                            module.apply(
+                            module.decide(
                                     time,
                                     List.of(
                                             access(
@@ -96,7 +91,7 @@
                 Action.Relay r = (Action.Relay) out.remove(0);
                 events.add(new Event.Ended(r.id(), attempt, true, Outcome.SUCCEEDED, 3_000));
             }
-            List<Action.Relay> more = relaysOf(module.apply(time, events));
+            List<Action.Relay> more = relaysOf(module.decide(time, events));
             relays[of] += more.size();
             out.addAll(more);
         }
