--- a/benchmarks/src/main/java/milletyoke/benchmarks/BesideBefore.java
+++ b/benchmarks/src/main/java/milletyoke/benchmarks/ReferenceComparisonBenchmark.java
@@ -1,7 +1,7 @@
 package milletyoke.benchmarks;
 
 import java.util.concurrent.TimeUnit;
-import milletyoke.Decide;
+import milletyoke.scheduler.RequestScheduler;
 import org.openjdk.jmh.annotations.*;
 
 /** The same beside the module from before its work was put in step with what happens. */
@@ -13,14 +13,14 @@
         value = 1,
         jvmArgsAppend = {"-Xms2g", "-Xmx2g", "-XX:+UseSerialGC"})
 @State(Scope.Thread)
-public class BesideBefore {
+public class ReferenceComparisonBenchmark {
     @Param({"100x100", "1000x2000", "5000x2000"})
     public String size;
 
     @Param({"now", "before"})
     public String module;
 
-    private Steady steady;
+    private SteadyLoad steady;
 
     @Setup(Level.Trial)
     public void fill() {
@@ -29,8 +29,12 @@
         int volumes = Integer.parseInt(of[1]);
         steady =
                 module.equals("now")
-                        ? new Steady(new Decide()::decide, held, volumes, 30)
-                        : new Steady(new milletyoke.reference.Decide()::decide, held, volumes, 30);
+                        ? new SteadyLoad(new RequestScheduler()::decide, held, volumes, 30)
+                        : new SteadyLoad(
+                                new milletyoke.scheduler.reference.Decide()::decide,
+                                held,
+                                volumes,
+                                30);
     }
 
     @Benchmark
--- a/benchmarks/src/main/java/milletyoke/benchmarks/Turn.java
+++ b/benchmarks/src/main/java/milletyoke/benchmarks/SchedulerTurnBenchmark.java
@@ -1,7 +1,7 @@
 package milletyoke.benchmarks;
 
 import java.util.concurrent.TimeUnit;
-import milletyoke.Decide;
+import milletyoke.scheduler.RequestScheduler;
 import org.openjdk.jmh.annotations.*;
 
 /**
@@ -16,7 +16,7 @@
         value = 1,
         jvmArgsAppend = {"-Xms2g", "-Xmx2g", "-XX:+UseSerialGC"})
 @State(Scope.Thread)
-public class Turn {
+public class SchedulerTurnBenchmark {
     @Param({"100", "1000", "10000", "50000"})
     public int held;
 
@@ -30,11 +30,11 @@
     @Param({"0"})
     public int newEvery;
 
-    private Steady steady;
+    private SteadyLoad steady;
 
     @Setup(Level.Trial)
     public void fill() {
-        steady = new Steady(new Decide()::decide, held, volumes, targets);
+        steady = new SteadyLoad(new RequestScheduler()::decide, held, volumes, targets);
         steady.newEvery = newEvery;
     }
 
--- a/benchmarks/src/main/java/milletyoke/benchmarks/Steady.java
+++ b/benchmarks/src/main/java/milletyoke/benchmarks/SteadyLoad.java
@@ -4,21 +4,29 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiFunction;
-import milletyoke.port.Action;
-import milletyoke.port.Event;
-import milletyoke.port.Outcome;
-import milletyoke.port.Provisioning;
-import milletyoke.port.Provisioning.*;
+import milletyoke.scheduler.api.Action;
+import milletyoke.scheduler.api.Event;
+import milletyoke.scheduler.api.Outcome;
+import milletyoke.scheduler.api.SchedulerSettings;
+import milletyoke.scheduler.api.SchedulerSettings.*;
 
 /**
  * A steady stream round one module: so many accesses held, so many volumes known, so many targets;
  * time is made up.
  */
-final class Steady {
-    private static final Category SLOW =
-            new Category("slow", Repeats.HARMLESS, Group.ALL, 0, false, 600_000_000L, 1);
-    private static final Category READ =
-            new Category("read", Repeats.HARMLESS, Group.ALL, 0, false, 400_000, 2);
+final class SteadyLoad {
+    private static final RequestClass SLOW =
+            new RequestClass(
+                    "slow",
+                    Idempotency.IDEMPOTENT,
+                    DeduplicationScope.ALL,
+                    0,
+                    false,
+                    600_000_000L,
+                    1);
+    private static final RequestClass READ =
+            new RequestClass(
+                    "read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false, 400_000, 2);
 
     private final BiFunction<Long, List<Event>, List<Action>> module;
     private final int volumes;
@@ -30,23 +38,30 @@
     /** Every so many-th access is a new object; 0 for none. */
     int newEvery;
 
-    Steady(BiFunction<Long, List<Event>, List<Action>> module, int held, int volumes, int targets) {
+    SteadyLoad(
+            BiFunction<Long, List<Event>, List<Action>> module,
+            int held,
+            int volumes,
+            int targets) {
         this.module = module;
         this.volumes = volumes;
         this.targets = targets;
-        Provisioning given =
-                new Provisioning(
+        SchedulerSettings given =
+                new SchedulerSettings(
                         3,
                         List.of(SLOW, READ),
-                        List.of(new Plan("free", 2, 1, 0, 0, 0)),
-                        new Allowances(3, true, true, true, 500_000),
-                        new Bounds(0, 0, 1, 0, 0, 1, 0, 0, 0, 10_000_000),
+                        List.of(new ServicePlan("free", 2, 1, 0, 0, 0)),
+                        new Capabilities(3, true, true, true, 500_000),
+                        new RuleLimits(0, 0, 1, 0, 0, 1, 0, 0, 0, 10_000_000),
                         false);
         List<Event.Target> listed = new ArrayList<>();
         for (int t = 0; t < targets; t++) {
-            listed.add(new Event.Target(t, "t" + t, "z", Event.Health.ON, 0));
+            listed.add(new Event.Target(t, "t" + t, "z", Event.Health.ACTIVE, 0));
         }
-        tell(List.of(new Event.Start(1, given), new Event.TargetList(Event.Scope.REPLACE, listed)));
+        tell(
+                List.of(
+                        new Event.Started(1, given),
+                        new Event.EndpointListReceived(Event.ListScope.REPLACE, listed)));
         for (int v = 0; v < volumes; v++) { // every volume was here once
             now += 10;
             tell(List.of(access("read", next)));
@@ -74,7 +89,7 @@
         next++;
         // volumes and targets are drawn over all of them, out of step with each other
         int volume = (int) (number * 2_654_435_761L >>> 7 & Integer.MAX_VALUE) % volumes;
-        return new Event.Access(
+        return new Event.RequestReceived(
                 "s" + number,
                 newEvery > 0 && number % newEvery == 0 ? -1 : (int) (number % targets),
                 null,
@@ -87,13 +102,13 @@
     }
 
     private Event ended() {
-        return new Event.Ended(out.pollFirst(), 0, true, Outcome.SUCCEEDED, 3_000);
+        return new Event.AttemptEnded(out.pollFirst(), 0, true, Outcome.SUCCEEDED, 3_000);
     }
 
     private int tell(List<Event> events) {
         List<Action> actions = module.apply(now, events);
         for (Action a : actions) {
-            if (a instanceof Action.Relay r) {
+            if (a instanceof Action.SendAttempt r) {
                 out.addLast(r.id());
             }
         }
--- a/cli/src/main/java/milletyoke/cli/Ask.java
+++ b/cli/src/main/java/milletyoke/cli/AdminCommands.java
@@ -20,7 +20,7 @@
 import picocli.CommandLine.Parameters;
 
 /** The commands that ask a running initiator through its console. */
-abstract class Ask implements Callable<Integer> {
+abstract class AdminCommands implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     @Option(
@@ -125,7 +125,7 @@
     }
 
     /** Pages that list. */
-    abstract static class Listing extends Ask {
+    abstract static class Listing extends AdminCommands {
         @Option(
                 names = "--find",
                 defaultValue = "",
@@ -145,7 +145,7 @@
             name = "status",
             mixinStandardHelpOptions = true,
             description = "What an initiator is and does.")
-    static final class Status extends Ask {
+    static final class Status extends AdminCommands {
         @Override
         public Integer call() throws Exception {
             return ask("GET", "overview");
@@ -186,7 +186,7 @@
     }
 
     /** Taking out of service and putting back. */
-    abstract static class Draining extends Ask {
+    abstract static class Draining extends AdminCommands {
         @Parameters(
                 arity = "0..1",
                 paramLabel = "TARGET",
--- a/cli/src/main/java/milletyoke/cli/Practise.java
+++ b/cli/src/main/java/milletyoke/cli/ArchiveTraining.java
@@ -7,8 +7,8 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.concurrent.Callable;
-import milletyoke.platform.service.Service;
-import milletyoke.standins.http.HttpStandIn;
+import milletyoke.platform.process.InitiatorProcess;
+import milletyoke.standins.http.ScriptedHttpServer;
 import picocli.CommandLine.Command;
 
 /**
@@ -22,23 +22,24 @@
         mixinStandardHelpOptions = true,
         description =
                 "Serves itself a few accesses on loopback and ends; the build makes its class archive so.")
-final class Practise implements Callable<Integer> {
+final class ArchiveTraining implements Callable<Integer> {
     private static final int ACCESSES = 200;
 
     @Override
     public Integer call() throws Exception {
-        try (HttpStandIn target =
-                new HttpStandIn("target", (c, m) -> HttpStandIn.answer(c, 200, m.body()))) {
+        try (ScriptedHttpServer target =
+                new ScriptedHttpServer(
+                        "target", (c, m) -> ScriptedHttpServer.answer(c, 200, m.body()))) {
             String list =
                     "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"t\",\"endpoint\":\"127.0.0.1:"
                             + target.port()
                             + "\",\"az\":\"a\",\"model\":\"m\",\"pod_group\":0,\"state\":\"up\",\"capacity_hint\":1.0,\"boot_ms\":0}]}";
-            try (HttpStandIn registry =
-                    new HttpStandIn(
+            try (ScriptedHttpServer registry =
+                    new ScriptedHttpServer(
                             "registry",
                             (c, m) -> {
                                 if (!m.target().contains("from")) {
-                                    HttpStandIn.answer(
+                                    ScriptedHttpServer.answer(
                                             c, 200, list.getBytes(StandardCharsets.UTF_8));
                                 }
                             })) {
@@ -59,7 +60,7 @@
                         + "\"effect\":\"pure\",\"aim\":400000,\"points\":1}],\"policies\":[{\"name\":\"p\",\"weight\":1,\"reservation\":1}],"
                         + "\"limits\":{\"maxAttempts\":3,\"probes\":true,\"retryAfter\":true}}}");
         int answered = 0;
-        Service service = Service.start(config);
+        InitiatorProcess service = InitiatorProcess.start(config);
         for (int i = 0; i < ACCESSES; i++) {
             answered += ask(service.port(), i) ? 1 : 0;
         }
--- a/cli/src/main/java/milletyoke/cli/RunAudit.java
+++ b/cli/src/main/java/milletyoke/cli/AuditCommand.java
@@ -2,7 +2,7 @@
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import milletyoke.rehearsal.audit.Audit;
+import milletyoke.scenario.audit.Audit;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
@@ -10,7 +10,7 @@
         name = "audit",
         mixinStandardHelpOptions = true,
         description = "Judges a recording by the seven rules; 0 only if none was broken.")
-final class RunAudit implements Callable<Integer> {
+final class AuditCommand implements Callable<Integer> {
     @Parameters(paramLabel = "RECORDING")
     private Path recording;
 
--- a/cli/src/main/java/milletyoke/cli/Config.java
+++ b/cli/src/main/java/milletyoke/cli/ConfigCommand.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import milletyoke.config.Checker;
-import milletyoke.config.Difference;
-import milletyoke.config.Finding;
+import milletyoke.config.Diagnostic;
+import milletyoke.config.FleetDiff;
 import milletyoke.config.Formatter;
-import milletyoke.config.Library;
-import milletyoke.config.disk.DiskLibrary;
-import milletyoke.gateway.setup.FromFleet;
-import milletyoke.gateway.setup.Setup;
+import milletyoke.config.SourceProvider;
+import milletyoke.config.disk.FileSourceProvider;
+import milletyoke.gateway.config.FleetConverter;
+import milletyoke.gateway.config.InitiatorConfig;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -27,13 +27,13 @@
         mixinStandardHelpOptions = true,
         description = "The configuration language: docs/configuration.md.",
         subcommands = {
-            Config.CheckFleet.class,
-            Config.Format.class,
-            Config.Diff.class,
-            Config.Show.class,
-            Config.Convert.class
+            ConfigCommand.CheckFleet.class,
+            ConfigCommand.Format.class,
+            ConfigCommand.Diff.class,
+            ConfigCommand.Show.class,
+            ConfigCommand.Convert.class
         })
-final class Config implements Callable<Integer> {
+final class ConfigCommand implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     @Override
@@ -44,15 +44,15 @@
 
     private static Checker.Result check(Path file) {
         try {
-            return Checker.check(new DiskLibrary(), DiskLibrary.name(file));
-        } catch (Library.Unreadable missing) {
+            return Checker.check(new FileSourceProvider(), FileSourceProvider.name(file));
+        } catch (SourceProvider.UnreadableSourceException missing) {
             throw new IllegalArgumentException(file + ": " + missing.getMessage());
         }
     }
 
-    private static boolean tell(List<Finding> findings) {
+    private static boolean tell(List<Diagnostic> findings) {
         findings.forEach(f -> System.err.print(f.text()));
-        return findings.stream().noneMatch(Finding::error);
+        return findings.stream().noneMatch(Diagnostic::error);
     }
 
     @Command(
@@ -71,7 +71,7 @@
             Checker.Result result = check(file);
             if (json) {
                 List<Map<String, Object>> all = new ArrayList<>();
-                for (Finding f : result.findings()) {
+                for (Diagnostic f : result.findings()) {
                     all.add(
                             Map.of(
                                     "severity",
@@ -95,7 +95,7 @@
                         JSON.writeValueAsString(Map.of("clean", result.clean(), "findings", all)));
             } else {
                 tell(result.findings());
-                long errors = result.findings().stream().filter(Finding::error).count();
+                long errors = result.findings().stream().filter(Diagnostic::error).count();
                 System.out.printf(
                         "%d files, %d errors, %d warnings%n",
                         result.files().size(), errors, result.findings().size() - errors);
@@ -122,11 +122,11 @@
         public Integer call() throws Exception {
             boolean good = true;
             for (Path file : files) {
-                List<Finding> findings = new ArrayList<>();
+                List<Diagnostic> findings = new ArrayList<>();
                 String text;
                 try {
-                    text = new DiskLibrary().text(file.toString());
-                } catch (Library.Unreadable unreadable) {
+                    text = new FileSourceProvider().text(file.toString());
+                } catch (SourceProvider.UnreadableSourceException unreadable) {
                     throw new IllegalArgumentException(file + ": " + unreadable.getMessage());
                 }
                 String formatted = Formatter.format(file.toString(), text, findings);
@@ -171,11 +171,11 @@
         @Override
         public Integer call() throws Exception {
             Checker.Result a = check(before), b = check(after);
-            if (!tell(a.findings().stream().filter(Finding::error).toList())
-                    | !tell(b.findings().stream().filter(Finding::error).toList())) {
+            if (!tell(a.findings().stream().filter(Diagnostic::error).toList())
+                    | !tell(b.findings().stream().filter(Diagnostic::error).toList())) {
                 return 2;
             }
-            List<Difference.Change> changes = Difference.between(a.fleet(), b.fleet());
+            List<FleetDiff.Change> changes = FleetDiff.between(a.fleet(), b.fleet());
             if (json) {
                 System.out.println(JSON.writeValueAsString(changes));
             } else {
@@ -214,7 +214,7 @@
 
         @Override
         public Integer call() throws Exception {
-            System.out.print(FromFleet.text(Setup.read(file).deployment()));
+            System.out.print(FleetConverter.text(InitiatorConfig.read(file).deployment()));
             return 0;
         }
     }
--- a/cli/src/main/java/milletyoke/cli/Demo.java
+++ b/cli/src/main/java/milletyoke/cli/DemoCommand.java
@@ -5,10 +5,10 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import milletyoke.rehearsal.Stage;
-import milletyoke.rehearsal.audit.Audit;
-import milletyoke.rehearsal.script.BadDay;
-import milletyoke.rehearsal.script.Script;
+import milletyoke.scenario.ScenarioRunner;
+import milletyoke.scenario.audit.Audit;
+import milletyoke.scenario.script.Scenario;
+import milletyoke.scenario.script.ScenarioParser;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -17,7 +17,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Three initiators, eight targets and a small load on loopback, in this process, for 12 s.")
-final class Demo implements Callable<Integer> {
+final class DemoCommand implements Callable<Integer> {
     @Option(
             names = "--show-script",
             description = "Print the script that is played, and play nothing.")
@@ -26,18 +26,18 @@
     @Override
     public Integer call() throws Exception {
         String text;
-        try (InputStream in = Demo.class.getResourceAsStream("/demo.day")) {
+        try (InputStream in = DemoCommand.class.getResourceAsStream("/demo.day")) {
             text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
         if (show) {
             System.out.print(text);
             return 0;
         }
-        BadDay day = Script.read("demo.day", "demo", text);
+        Scenario day = ScenarioParser.read("demo.day", "demo", text);
         Path recording = Files.createTempFile("milletyoke-", ".recording");
         try {
-            Stage.Played played;
-            try (Stage stage = new Stage(day, recording, false)) {
+            ScenarioRunner.ScenarioResult played;
+            try (ScenarioRunner stage = new ScenarioRunner(day, recording, false)) {
                 System.out.printf(
                         "%d initiators, %d targets, %.0f accesses a second for %d s; a target hangs at 4 s%n",
                         day.initiators(),
--- a/cli/src/main/java/milletyoke/cli/RunDiscovery.java
+++ b/cli/src/main/java/milletyoke/cli/DiscoveryCommand.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.concurrent.Executors;
-import milletyoke.gateway.setup.Address;
+import milletyoke.gateway.config.Address;
 import milletyoke.standins.Discovery;
-import milletyoke.wire.Tap;
+import milletyoke.wire.FrameObserver;
 import milletyoke.wire.proto.Health;
 import milletyoke.wire.proto.Target;
 import picocli.CommandLine.Command;
@@ -15,7 +15,7 @@
         name = "discovery",
         mixinStandardHelpOptions = true,
         description = "Runs a stand-in for discovery that tells a list of targets.")
-final class RunDiscovery implements Callable<Integer> {
+final class DiscoveryCommand implements Callable<Integer> {
     @Option(names = "--port", defaultValue = "0", description = "0 takes a free one.")
     private int port;
 
@@ -30,7 +30,10 @@
     public Integer call() throws Exception {
         Discovery discovery =
                 new Discovery(
-                        port, System.nanoTime(), Executors.newScheduledThreadPool(1), Tap.NONE);
+                        port,
+                        System.nanoTime(),
+                        Executors.newScheduledThreadPool(1),
+                        FrameObserver.NONE);
         for (String text : targets) {
             String[] parts = text.split("[=@]", 3);
             if (parts.length != 3 || !parts[1].matches("\\d{1,5}")) {
@@ -43,7 +46,7 @@
                             .setId(parts[0])
                             .setShard(Integer.parseInt(parts[1]))
                             .setZone("zone-1")
-                            .setHealth(Health.ON)
+                            .setHealth(Health.ACTIVE)
                             .setHost(at.host())
                             .setPort(at.port())
                             .build());
--- a/cli/src/main/java/milletyoke/cli/RunInitiator.java
+++ b/cli/src/main/java/milletyoke/cli/InitiatorCommand.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
 import milletyoke.gateway.Initiator;
-import milletyoke.gateway.setup.Setup;
-import milletyoke.wire.Tap;
+import milletyoke.gateway.config.InitiatorConfig;
+import milletyoke.wire.FrameObserver;
 import milletyoke.wire.proto.Note;
-import milletyoke.wire.record.Recorder;
+import milletyoke.wire.recording.Recorder;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -16,7 +16,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Runs one initiator until SIGTERM or SIGINT; it then answers what it holds and leaves.")
-final class RunInitiator implements Callable<Integer> {
+final class InitiatorCommand implements Callable<Integer> {
     @Option(
             names = "--config",
             required = true,
@@ -47,14 +47,15 @@
 
     @Override
     public Integer call() throws Exception {
-        Setup setup = Setup.read(config);
+        InitiatorConfig setup = InitiatorConfig.read(config);
         Recorder recorder =
-                record == null ? null : new Recorder(record, milletyoke.wire.Wire::micros);
+                record == null ? null : new Recorder(record, milletyoke.wire.SocketNetwork::micros);
         if (recorder != null) {
-            recorder.note(setup.name(), Note.Kind.UP, "initiator", 0);
+            recorder.note(setup.name(), Note.Kind.STARTED, "initiator", 0);
         }
         Initiator initiator =
-                Initiator.start(setup, recorder == null ? Tap.NONE : recorder.tap(setup.name()));
+                Initiator.start(
+                        setup, recorder == null ? FrameObserver.NONE : recorder.tap(setup.name()));
         if (capture != null) {
             initiator.capture(capture);
         }
--- a/cli/src/main/java/milletyoke/cli/RunLoad.java
+++ b/cli/src/main/java/milletyoke/cli/LoadCommand.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.concurrent.Executors;
-import milletyoke.gateway.setup.Address;
-import milletyoke.gateway.setup.Setup;
-import milletyoke.port.Provisioning;
-import milletyoke.standins.Clients;
-import milletyoke.standins.Demand;
-import milletyoke.wire.Tap;
+import milletyoke.gateway.config.Address;
+import milletyoke.gateway.config.InitiatorConfig;
+import milletyoke.scheduler.api.SchedulerSettings;
+import milletyoke.standins.LoadGenerator;
+import milletyoke.standins.LoadProfile;
+import milletyoke.wire.FrameObserver;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -19,7 +19,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Asks running initiators for accesses at a rate, whether or not earlier ones were answered.")
-final class RunLoad implements Callable<Integer> {
+final class LoadCommand implements Callable<Integer> {
     @Option(
             names = "--config",
             required = true,
@@ -62,40 +62,40 @@
                     "--rate over 0, --seconds of 1 to 3600 and --shards of 1 or more are"
                             + " expected");
         }
-        Setup setup = Setup.read(config);
-        Provisioning given = setup.deployment().provisioning();
-        List<Demand.Kind> kinds = new ArrayList<>();
-        for (Provisioning.Category c : given.categories()) {
+        InitiatorConfig setup = InitiatorConfig.read(config);
+        SchedulerSettings given = setup.deployment().scheduler();
+        List<LoadProfile.RequestClass> kinds = new ArrayList<>();
+        for (SchedulerSettings.RequestClass c : given.requestClasses()) {
             kinds.add(
-                    new Demand.Kind(
+                    new LoadProfile.RequestClass(
                             c.name(),
-                            1.0 / given.categories().size(),
+                            1.0 / given.requestClasses().size(),
                             1,
                             4,
-                            c.repeats() != Provisioning.Repeats.HARMLESS,
+                            c.idempotency() != SchedulerSettings.Idempotency.IDEMPOTENT,
                             c.keyOrdered(),
-                            Demand.Repeats.valueOf(c.repeats().name()),
-                            c.group() == Provisioning.Group.ALL,
-                            c.agreedTime(),
+                            LoadProfile.Idempotency.valueOf(c.idempotency().name()),
+                            c.deduplicationScope() == SchedulerSettings.DeduplicationScope.ALL,
+                            c.latencyObjectiveMicros(),
                             abandon * 1000,
-                            c.importance(),
+                            c.priorityWeight(),
                             false));
         }
         int[] all = java.util.stream.IntStream.range(0, shards).toArray();
         int[] doors = java.util.stream.IntStream.range(0, initiators.size()).toArray();
-        List<Demand.Volume> volumes =
+        List<LoadProfile.Volume> volumes =
                 given.plans().stream()
                         .map(
                                 p ->
-                                        new Demand.Volume(
+                                        new LoadProfile.Volume(
                                                 "load-" + p.name(),
                                                 p.name(),
                                                 1.0 / given.plans().size(),
                                                 all,
                                                 doors))
                         .toList();
-        Demand demand =
-                new Demand(
+        LoadProfile demand =
+                new LoadProfile(
                         rate,
                         kinds,
                         volumes,
@@ -105,17 +105,17 @@
                         1,
                         1,
                         0,
-                        setup.deployment().answerSlack(),
+                        setup.deployment().answerSlackMicros(),
                         0,
                         0,
                         List.of());
-        Clients clients =
-                new Clients(
+        LoadGenerator clients =
+                new LoadGenerator(
                         demand,
                         false,
                         System.nanoTime(),
                         Executors.newScheduledThreadPool(2),
-                        Tap.NONE);
+                        FrameObserver.NONE);
         for (String text : initiators) {
             Address at = Address.of(text);
             clients.addDoor(text, at.host(), at.port());
--- a/cli/src/main/java/milletyoke/cli/Logs.java
+++ b/cli/src/main/java/milletyoke/cli/Logging.java
@@ -11,7 +11,7 @@
 import org.slf4j.LoggerFactory;
 
 /** How the program tells of itself on standard error: lines of text, or of JSON. */
-final class Logs {
+final class Logging {
     enum Form {
         text,
         json
@@ -24,7 +24,7 @@
         debug
     }
 
-    private Logs() {}
+    private Logging() {}
 
     /**
      * Lines of text by the plainest library there is, each behind its milliseconds since the start.
--- a/cli/src/main/java/milletyoke/cli/Main.java
+++ b/cli/src/main/java/milletyoke/cli/Main.java
@@ -2,8 +2,8 @@
 
 import java.io.IOException;
 import java.util.concurrent.Callable;
-import milletyoke.gateway.setup.SetupError;
-import milletyoke.rehearsal.script.ScriptError;
+import milletyoke.gateway.config.ConfigException;
+import milletyoke.scenario.script.ScenarioFormatException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -20,26 +20,26 @@
         description =
                 "A storage gateway that schedules a host's reads and writes over storage nodes.",
         subcommands = {
-            Demo.class,
-            Serve.class,
-            Practise.class,
-            RunInitiator.class,
-            RunTarget.class,
-            RunDiscovery.class,
-            RunLoad.class,
-            Rehearse.class,
-            Rates.class,
-            RunAudit.class,
-            Check.class,
-            Ask.Status.class,
-            Ask.Targets.class,
-            Ask.Volumes.class,
-            Ask.Events.class,
-            Ask.Drain.class,
-            Ask.Undrain.class,
-            MakeToken.class,
-            Config.class,
-            Lab.class
+            DemoCommand.class,
+            ServeCommand.class,
+            ArchiveTraining.class,
+            InitiatorCommand.class,
+            TargetCommand.class,
+            DiscoveryCommand.class,
+            LoadCommand.class,
+            ScenarioCommand.class,
+            RatesCommand.class,
+            AuditCommand.class,
+            CheckCommand.class,
+            AdminCommands.Status.class,
+            AdminCommands.Targets.class,
+            AdminCommands.Volumes.class,
+            AdminCommands.Events.class,
+            AdminCommands.Drain.class,
+            AdminCommands.Undrain.class,
+            TokenCommand.class,
+            ConfigCommand.class,
+            SimulationCommand.class
         },
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {"0:done", "1:failed", "2:wrong use, or a file that cannot be used"})
@@ -50,14 +50,14 @@
             defaultValue = "text",
             description =
                     "Form of the log on standard error: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
-    private Logs.Form log;
+    private Logging.Form log;
 
     @Option(
             names = "--log-level",
             scope = ScopeType.INHERIT,
             defaultValue = "info",
             description = "Least serious lines shown: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
-    private Logs.Depth level;
+    private Logging.Depth level;
 
     public static void main(String[] args) {
         System.setProperty("slf4j.internal.verbosity", "WARN");
@@ -69,14 +69,14 @@
         CommandLine line = new CommandLine(main);
         line.setExecutionStrategy(
                 parsed -> {
-                    Logs.begin(main.log, main.level);
+                    Logging.begin(main.log, main.level);
                     return new CommandLine.RunLast().execute(parsed);
                 });
         line.setExecutionExceptionHandler(
                 (failure, command, parsed) -> {
                     boolean wrongUse =
-                            failure instanceof SetupError
-                                    || failure instanceof ScriptError
+                            failure instanceof ConfigException
+                                    || failure instanceof ScenarioFormatException
                                     || failure instanceof IllegalArgumentException;
                     boolean told = wrongUse || failure instanceof IOException;
                     System.err.println(
@@ -99,10 +99,12 @@
      * clients have nobody.
      */
     private static int atOnce(String command) {
-        Logs.beginPlain();
+        Logging.beginPlain();
         try {
-            return command.equals("serve") ? new Serve().atOnce() : new Practise().call();
-        } catch (SetupError unusable) {
+            return command.equals("serve")
+                    ? new ServeCommand().atOnce()
+                    : new ArchiveTraining().call();
+        } catch (ConfigException unusable) {
             System.err.println("milletyoke: " + unusable.getMessage());
             return 2;
         } catch (Exception failed) {
--- a/cli/src/main/java/milletyoke/cli/Rates.java
+++ b/cli/src/main/java/milletyoke/cli/RatesCommand.java
@@ -4,9 +4,9 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import milletyoke.rehearsal.Stage;
-import milletyoke.rehearsal.script.BadDay;
-import milletyoke.rehearsal.script.Script;
+import milletyoke.scenario.ScenarioRunner;
+import milletyoke.scenario.script.Scenario;
+import milletyoke.scenario.script.ScenarioParser;
 import org.HdrHistogram.Histogram;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -18,7 +18,7 @@
         description =
                 "Plays one day at several rates, through the initiators and straight to the targets, in this one process,"
                         + " and shows what the way through adds. Nothing is recorded or audited: see rehearse.")
-final class Rates implements Callable<Integer> {
+final class RatesCommand implements Callable<Integer> {
     @Parameters(paramLabel = "SCRIPT", description = "Script of the day; its own rate is not used.")
     private Path script;
 
@@ -32,7 +32,7 @@
 
     @Override
     public Integer call() throws Exception {
-        BadDay day = Script.read(script);
+        Scenario day = ScenarioParser.read(script);
         if (rates.stream().anyMatch(r -> r < 1)) {
             throw new IllegalArgumentException(
                     "--at takes rates of 1 a second and more, not " + rates);
@@ -45,8 +45,8 @@
                 "   rate  asked through: in time   p50     p99 ms   straight: in time   p50     p99 ms"
                         + "   added: p50    p99 ms   turn p99 us (slowest initiator)  CPU us/access");
         for (int rate : rates) {
-            Stage.Played through = play(day.at(rate), false);
-            Stage.Played straight = play(day.at(rate), true);
+            ScenarioRunner.ScenarioResult through = play(day.at(rate), false);
+            ScenarioRunner.ScenarioResult straight = play(day.at(rate), true);
             Histogram a = through.service().times();
             Histogram b = straight.service().times();
             System.out.printf(
@@ -75,9 +75,9 @@
         return times.getValueAtPercentile(percentile) / 1e3;
     }
 
-    private static Stage.Played play(BadDay day, boolean straight)
+    private static ScenarioRunner.ScenarioResult play(Scenario day, boolean straight)
             throws IOException, InterruptedException {
-        try (Stage stage = new Stage(day, null, straight)) {
+        try (ScenarioRunner stage = new ScenarioRunner(day, null, straight)) {
             return stage.play(line -> {});
         }
     }
--- a/cli/src/main/java/milletyoke/cli/Rehearse.java
+++ b/cli/src/main/java/milletyoke/cli/ScenarioCommand.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import milletyoke.gateway.console.Tokens;
-import milletyoke.rehearsal.Onlookers;
-import milletyoke.rehearsal.Stage;
-import milletyoke.rehearsal.audit.Audit;
-import milletyoke.rehearsal.script.BadDay;
-import milletyoke.rehearsal.script.Script;
+import milletyoke.scenario.ConsoleViewers;
+import milletyoke.scenario.ScenarioRunner;
+import milletyoke.scenario.audit.Audit;
+import milletyoke.scenario.script.Scenario;
+import milletyoke.scenario.script.ScenarioParser;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -21,7 +21,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Plays bad days on loopback sockets, then audits the rules; 0 only if every rule was kept.")
-final class Rehearse implements Callable<Integer> {
+final class ScenarioCommand implements Callable<Integer> {
     @Parameters(arity = "1..*", paramLabel = "SCRIPT", description = "Scripts of bad days.")
     private List<Path> scripts;
 
@@ -64,17 +64,18 @@
             throw new IllegalArgumentException("--record takes one script, not " + scripts.size());
         }
         boolean clean = true;
-        for (BadDay day : Script.readAll(scripts)) {
+        for (Scenario day : ScenarioParser.readAll(scripts)) {
             clean &= play(day);
         }
         return clean ? 0 : 1;
     }
 
-    private boolean play(BadDay day) throws IOException, InterruptedException {
+    private boolean play(Scenario day) throws IOException, InterruptedException {
         System.out.println("== " + day.name());
         Path recording = keep != null ? keep : Files.createTempFile("milletyoke-", ".recording");
         try {
-            Stage.Played played = viewers > 0 ? watched(day, recording) : bare(day, recording);
+            ScenarioRunner.ScenarioResult played =
+                    viewers > 0 ? watched(day, recording) : bare(day, recording);
             System.out.print(played.service().text());
             played.counts().forEach(c -> System.out.println("  " + c));
             Audit.Report report = Audit.of(recording);
@@ -95,8 +96,9 @@
         }
     }
 
-    private Stage.Played bare(BadDay day, Path recording) throws IOException, InterruptedException {
-        try (Stage stage = new Stage(day, recording, false)) {
+    private ScenarioRunner.ScenarioResult bare(Scenario day, Path recording)
+            throws IOException, InterruptedException {
+        try (ScenarioRunner stage = new ScenarioRunner(day, recording, false)) {
             if (capture != null) {
                 stage.capture(capture);
             }
@@ -104,9 +106,9 @@
         }
     }
 
-    private Stage.Played watched(BadDay day, Path recording)
+    private ScenarioRunner.ScenarioResult watched(Scenario day, Path recording)
             throws IOException, InterruptedException {
-        Stage.Played alone = bare(day, recording);
+        ScenarioRunner.ScenarioResult alone = bare(day, recording);
         String token = Tokens.make();
         Path tokens = Files.createTempFile("milletyoke-", ".json5");
         Files.writeString(
@@ -114,10 +116,10 @@
                 "{tokens: [{name: \"viewer\", role: \"viewer\", sha256: \""
                         + HexFormat.of().formatHex(Tokens.hash(token))
                         + "\"}]}");
-        try (Stage stage = new Stage(day, recording, false, tokens);
-                Onlookers onlookers =
-                        new Onlookers(stage.initiator(0).consolePort(), token, viewers, 200)) {
-            Stage.Played played =
+        try (ScenarioRunner stage = new ScenarioRunner(day, recording, false, tokens);
+                ConsoleViewers onlookers =
+                        new ConsoleViewers(stage.initiator(0).consolePort(), token, viewers, 200)) {
+            ScenarioRunner.ScenarioResult played =
                     stage.play(
                             service -> {},
                             () -> {
@@ -137,11 +139,11 @@
         }
     }
 
-    private void compare(BadDay day, Stage.Played through)
+    private void compare(Scenario day, ScenarioRunner.ScenarioResult through)
             throws IOException, InterruptedException {
-        Stage.Played bare;
+        ScenarioRunner.ScenarioResult bare;
         Path recording = Files.createTempFile("milletyoke-", ".recording");
-        try (Stage stage = new Stage(day, recording, true)) {
+        try (ScenarioRunner stage = new ScenarioRunner(day, recording, true)) {
             bare = stage.play(line -> {});
         } finally {
             Files.deleteIfExists(recording);
--- a/cli/src/main/java/milletyoke/cli/Serve.java
+++ b/cli/src/main/java/milletyoke/cli/ServeCommand.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicReference;
-import milletyoke.gateway.setup.SetupError;
-import milletyoke.platform.service.Service;
+import milletyoke.gateway.config.ConfigException;
+import milletyoke.platform.process.InitiatorProcess;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import sun.misc.Signal;
@@ -19,7 +19,7 @@
         description =
                 "Runs one initiator in the platform's service:"
                         + " HTTP entry and exit, set up by the file that LB_CONFIG names. SIGHUP reads it again, SIGTERM ends.")
-final class Serve implements Callable<Integer> {
+final class ServeCommand implements Callable<Integer> {
     @Option(
             names = "--config",
             paramLabel = "FILE",
@@ -30,7 +30,7 @@
     @Override
     public Integer call() throws Exception {
         if (config == null) {
-            throw new SetupError("LB_CONFIG is not set, and no --config names the file");
+            throw new ConfigException("LB_CONFIG is not set, and no --config names the file");
         }
         return run(config);
     }
@@ -43,7 +43,7 @@
     }
 
     /** One that came while it started is not lost. */
-    private static void reload(Service service, AtomicBoolean asked) {
+    private static void reload(InitiatorProcess service, AtomicBoolean asked) {
         if (service != null && asked.getAndSet(false)) {
             service.reload();
         }
@@ -52,9 +52,9 @@
     /**
      * @return 0 where all that was held was answered, 1 where not
      */
-    static int run(Path config) throws IOException, SetupError, InterruptedException {
+    static int run(Path config) throws IOException, ConfigException, InterruptedException {
         CountDownLatch asked = new CountDownLatch(1);
-        AtomicReference<Service> started = new AtomicReference<>();
+        AtomicReference<InitiatorProcess> started = new AtomicReference<>();
         AtomicBoolean reload = new AtomicBoolean();
         // Before it listens, so before anybody is told that it is ready: SIGHUP would end the
         // process, SIGTERM lose what is held.
@@ -66,7 +66,7 @@
                 });
         Signal.handle(new Signal("TERM"), s -> asked.countDown());
         Signal.handle(new Signal("INT"), s -> asked.countDown());
-        Service service = Service.start(config);
+        InitiatorProcess service = InitiatorProcess.start(config);
         started.set(service);
         reload(service, reload);
         while (!asked.await(500, TimeUnit.MILLISECONDS)) {
--- a/cli/src/main/java/milletyoke/cli/Lab.java
+++ b/cli/src/main/java/milletyoke/cli/SimulationCommand.java
@@ -6,19 +6,19 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
-import milletyoke.lab.experiment.Experiment;
-import milletyoke.lab.experiment.Results;
-import milletyoke.lab.experiment.Row;
-import milletyoke.lab.experiment.Runner;
-import milletyoke.lab.play.Play;
-import milletyoke.lab.report.Report;
-import milletyoke.lab.storm.Hunt;
-import milletyoke.lab.storm.Storm;
-import milletyoke.rehearsal.Stage;
-import milletyoke.rehearsal.audit.Audit;
-import milletyoke.rehearsal.script.BadDay;
-import milletyoke.rehearsal.script.Script;
-import milletyoke.standins.Service;
+import milletyoke.scenario.ScenarioRunner;
+import milletyoke.scenario.audit.Audit;
+import milletyoke.scenario.script.Scenario;
+import milletyoke.scenario.script.ScenarioParser;
+import milletyoke.simulation.experiment.Experiment;
+import milletyoke.simulation.experiment.ExperimentRunner;
+import milletyoke.simulation.experiment.ResultRow;
+import milletyoke.simulation.experiment.ResultStore;
+import milletyoke.simulation.faults.FaultGenerator;
+import milletyoke.simulation.faults.FaultSearch;
+import milletyoke.simulation.report.Report;
+import milletyoke.simulation.run.SimulationRun;
+import milletyoke.standins.ServiceLevelRecorder;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -27,15 +27,15 @@
         name = "lab",
         mixinStandardHelpOptions = true,
         subcommands = {
-            Lab.PlayDays.class,
-            Lab.RunExperiment.class,
-            Lab.ShowReport.class,
-            Lab.HuntStorms.class,
-            Lab.BesideSockets.class
+            SimulationCommand.PlayDays.class,
+            SimulationCommand.RunExperiment.class,
+            SimulationCommand.ShowReport.class,
+            SimulationCommand.HuntStorms.class,
+            SimulationCommand.BesideSockets.class
         },
         description =
                 "Fleets in virtual time: the same daemons, stand-ins and scripts, without sockets.")
-final class Lab implements Callable<Integer> {
+final class SimulationCommand implements Callable<Integer> {
     @Override
     public Integer call() {
         picocli.CommandLine.usage(this, System.err);
@@ -71,13 +71,13 @@
                 throw new IllegalArgumentException("--record takes one script, without --bare");
             }
             boolean clean = true;
-            for (BadDay day : Script.readAll(scripts)) {
+            for (Scenario day : ScenarioParser.readAll(scripts)) {
                 clean &= play(day);
             }
             return clean ? 0 : 1;
         }
 
-        private boolean play(BadDay day) throws IOException {
+        private boolean play(Scenario day) throws IOException {
             Path recording =
                     bare
                             ? null
@@ -85,7 +85,7 @@
                                     ? keep
                                     : Files.createTempFile("milletyoke-", ".recording");
             try {
-                Play.Came came = Play.of(day, recording);
+                SimulationRun.Came came = SimulationRun.of(day, recording);
                 Audit.Report report = bare ? null : Audit.of(recording);
                 boolean kept = came.clean() && came.unfinished() == 0 && (bare || report.clean());
                 System.out.printf(
@@ -143,8 +143,8 @@
         public Integer call() throws Exception {
             Experiment experiment = Experiment.read(file);
             Files.createDirectories(folder);
-            try (Results results = new Results(folder.resolve("results.jsonl"))) {
-                new Runner(experiment, results, Math.max(1, threads))
+            try (ResultStore results = new ResultStore(folder.resolve("results.jsonl"))) {
+                new ExperimentRunner(experiment, results, Math.max(1, threads))
                         .run(quiet ? line -> {} : System.err::println);
                 Path csv = results.writeCsv();
                 Report report =
@@ -181,17 +181,17 @@
 
         @Override
         public Integer call() throws Exception {
-            List<Row> rows = new ArrayList<>();
+            List<ResultRow> rows = new ArrayList<>();
             for (Path file : files) {
                 String mark =
                         files.size() == 1
                                 ? ""
                                 : file.toAbsolutePath().getParent().getFileName() + ": ";
-                Results.read(file)
+                ResultStore.read(file)
                         .forEach(
                                 r ->
                                         rows.add(
-                                                new Row(
+                                                new ResultRow(
                                                         mark + r.arm(),
                                                         r.value(),
                                                         r.seed(),
@@ -259,7 +259,7 @@
                 description =
                         "Troubles that are drawn, as HANG,SLOW;"
                                 + " usually all: ${COMPLETION-CANDIDATES}.")
-        private List<BadDay.Sort> only = List.of();
+        private List<Scenario.FaultType> only = List.of();
 
         @Option(
                 names = "--least",
@@ -283,7 +283,7 @@
                 names = "--for",
                 paramLabel = "WHAT",
                 description = "${COMPLETION-CANDIDATES}: a broken rule, or the least service.")
-        private Hunt.Quarry quarry = Hunt.Quarry.RULES;
+        private FaultSearch.SearchGoal quarry = FaultSearch.SearchGoal.RULES;
 
         @Option(
                 names = "--keep",
@@ -302,16 +302,17 @@
             if (storms < 1 || troubles < 1) {
                 throw new IllegalArgumentException("at least one storm of one trouble is played");
             }
-            Storm.Ranges usual = Storm.Ranges.usual(troubles);
-            Storm.Ranges ranges =
-                    new Storm.Ranges(
+            FaultGenerator.Ranges usual = FaultGenerator.Ranges.usual(troubles);
+            FaultGenerator.Ranges ranges =
+                    new FaultGenerator.Ranges(
                             only.isEmpty() ? usual.sorts() : only,
                             troubles,
                             least / 100,
                             most / 100,
                             longest / 100);
-            Hunt hunt = new Hunt(Script.read(script), ranges, Math.max(1, threads));
-            List<Hunt.Catch> all = hunt.run(seed, storms, quarry);
+            FaultSearch hunt =
+                    new FaultSearch(ScenarioParser.read(script), ranges, Math.max(1, threads));
+            List<FaultSearch.Failure> all = hunt.run(seed, storms, quarry);
             all.stream()
                     .limit(5)
                     .forEach(
@@ -319,16 +320,16 @@
                                     System.out.printf(
                                             "%-40s service %.4f  %s%n",
                                             c.day().name(), c.service(), c.why()));
-            long broken = all.stream().filter(Hunt.Catch::broken).count();
+            long broken = all.stream().filter(FaultSearch.Failure::broken).count();
             System.out.printf(
                     "%d storms, %d of them broken, mean service %.4f%n",
                     all.size(),
                     broken,
-                    all.stream().mapToDouble(Hunt.Catch::service).average().orElse(0));
-            Hunt.Catch worst = all.get(0);
-            if (worst.broken() || quarry == Hunt.Quarry.SERVICE) {
-                Hunt.Catch small = hunt.shrink(worst, quarry);
-                String text = Hunt.script(Files.readString(script), small);
+                    all.stream().mapToDouble(FaultSearch.Failure::service).average().orElse(0));
+            FaultSearch.Failure worst = all.get(0);
+            if (worst.broken() || quarry == FaultSearch.SearchGoal.SERVICE) {
+                FaultSearch.Failure small = hunt.shrink(worst, quarry);
+                String text = FaultSearch.script(Files.readString(script), small);
                 System.out.printf(
                         "shrunk to %d of %d troubles, service %.4f  %s%n%s",
                         small.day().troubles().size(),
@@ -377,14 +378,14 @@
             System.out.printf(
                     "%-32s %-16s %8s %22s %8s%n",
                     "day", "category", "sockets", "lab, mean and range", "apart");
-            for (BadDay day : Script.readAll(scripts)) {
-                Service sockets;
-                try (Stage stage = new Stage(day, null, false)) {
+            for (Scenario day : ScenarioParser.readAll(scripts)) {
+                ServiceLevelRecorder sockets;
+                try (ScenarioRunner stage = new ScenarioRunner(day, null, false)) {
                     sockets = stage.play(line -> {}).service();
                 }
-                List<Service> plays = new ArrayList<>();
+                List<ServiceLevelRecorder> plays = new ArrayList<>();
                 for (int n = 0; n < Math.max(1, turns); n++) {
-                    plays.add(Play.of(day, null, false, null, n).service());
+                    plays.add(SimulationRun.of(day, null, false, null, n).service());
                 }
                 for (String category : sockets.lines().keySet()) {
                     double here = 100 * sockets.line(category).service();
--- a/cli/src/main/java/milletyoke/cli/RunTarget.java
+++ b/cli/src/main/java/milletyoke/cli/TargetCommand.java
@@ -2,11 +2,11 @@
 
 import java.util.concurrent.Callable;
 import java.util.concurrent.Executors;
-import milletyoke.standins.Marks;
-import milletyoke.standins.Nature;
+import milletyoke.standins.DeduplicationCache;
+import milletyoke.standins.ExecutionListener;
 import milletyoke.standins.Target;
-import milletyoke.standins.Witness;
-import milletyoke.wire.Tap;
+import milletyoke.standins.TargetBehavior;
+import milletyoke.wire.FrameObserver;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -14,7 +14,7 @@
         name = "target",
         mixinStandardHelpOptions = true,
         description = "Runs one stand-in for a storage node; it keeps no data, its work is time.")
-final class RunTarget implements Callable<Integer> {
+final class TargetCommand implements Callable<Integer> {
     @Option(names = "--id", required = true)
     private String id;
 
@@ -50,11 +50,11 @@
 
     @Override
     public Integer call() throws Exception {
-        Nature nature =
-                new Nature(
+        TargetBehavior nature =
+                new TargetBehavior(
                         cores, speed, unit, room, 1000, 3, 0.5, 0.3, 2_000_000, 0, 0, 1, 0, 1, 0,
                         true, false);
-        Marks known = new Marks(marks * 1000);
+        DeduplicationCache known = new DeduplicationCache(marks * 1000);
         Target target =
                 new Target(
                         id,
@@ -63,8 +63,8 @@
                         System.nanoTime(),
                         Executors.newScheduledThreadPool(2),
                         category -> known,
-                        Tap.NONE,
-                        Witness.NONE);
+                        FrameObserver.NONE,
+                        ExecutionListener.NONE);
         target.startAt(port);
         System.out.println(id + " serves shard " + shard + " at port " + target.port());
         Thread.currentThread().join();
--- a/cli/src/main/java/milletyoke/cli/MakeToken.java
+++ b/cli/src/main/java/milletyoke/cli/TokenCommand.java
@@ -11,7 +11,7 @@
         mixinStandardHelpOptions = true,
         description =
                 "Makes a token for the console: the token on standard output, its line for the file on standard error.")
-final class MakeToken implements Callable<Integer> {
+final class TokenCommand implements Callable<Integer> {
     enum Role {
         operator,
         viewer,
--- a/cli/src/test/java/milletyoke/cli/ServeProcessTest.java
+++ b/cli/src/test/java/milletyoke/cli/ServeProcessTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import milletyoke.standins.http.HttpStandIn;
+import milletyoke.standins.http.ScriptedHttpServer;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -123,16 +123,16 @@
     @Test
     void idleClientsKeepNobodyFromDiscoveryOrTargets() throws Exception {
         List<Socket> idle = new ArrayList<>();
-        try (HttpStandIn target =
-                        new HttpStandIn(
+        try (ScriptedHttpServer target =
+                        new ScriptedHttpServer(
                                 "target",
-                                (c, m) -> HttpStandIn.answer(c, 200, "served".getBytes()));
-                HttpStandIn discovery =
-                        new HttpStandIn(
+                                (c, m) -> ScriptedHttpServer.answer(c, 200, "served".getBytes()));
+                ScriptedHttpServer discovery =
+                        new ScriptedHttpServer(
                                 "discovery",
                                 (c, m) -> {
                                     if (!m.target().contains("from")) {
-                                        HttpStandIn.answer(
+                                        ScriptedHttpServer.answer(
                                                 c,
                                                 200,
                                                 ("{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"t\",\"endpoint\":\"127.0.0.1:"
--- a/config/src/main/java/milletyoke/config/Checker.java
+++ b/config/src/main/java/milletyoke/config/Checker.java
@@ -13,9 +13,9 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import milletyoke.config.Quantity.Dimension;
-import milletyoke.config.Syntax.At;
-import milletyoke.config.Syntax.Block;
-import milletyoke.config.Syntax.Setting;
+import milletyoke.config.SyntaxTree.At;
+import milletyoke.config.SyntaxTree.Block;
+import milletyoke.config.SyntaxTree.Setting;
 
 /**
  * Finds everything wrong with a configuration in one pass, and what it means. What is wrong in one
@@ -31,46 +31,46 @@
     private static final long MOST_TEXT = 64L << 20;
 
     /** What came of it; {@code fleet} is null where there is any error. */
-    public record Result(Fleet fleet, List<Finding> findings, List<String> files) {
+    public record Result(Fleet fleet, List<Diagnostic> findings, List<String> files) {
         public boolean clean() {
-            return findings.stream().noneMatch(Finding::error);
+            return findings.stream().noneMatch(Diagnostic::error);
         }
     }
 
     /** Stands for a setting that is there and wrong: it was told, and is not missing. */
     private static final List<Object> WRONG = new ArrayList<>();
 
-    private final Library library;
-    private final List<Finding> findings = new ArrayList<>();
-    private final Map<String, Syntax.File> files = new LinkedHashMap<>();
+    private final SourceProvider library;
+    private final List<Diagnostic> findings = new ArrayList<>();
+    private final Map<String, SyntaxTree.File> files = new LinkedHashMap<>();
     private final Map<String, String> texts = new HashMap<>();
     private final Map<String, List<String>> lines = new HashMap<>();
     private final ArrayDeque<String> open = new ArrayDeque<>();
     private final Map<String, Set<String>> includes = new HashMap<>();
-    private final Map<String, Syntax.Let> lets = new LinkedHashMap<>();
+    private final Map<String, SyntaxTree.Let> lets = new LinkedHashMap<>();
     private final Map<String, Quantity> constants = new HashMap<>();
     private final Set<String> evaluating = new LinkedHashSet<>();
     private final Map<String, Block> blocks = new LinkedHashMap<>();
-    private final List<Syntax.Route> routes = new ArrayList<>();
+    private final List<SyntaxTree.Route> routes = new ArrayList<>();
     private final Map<String, SortedMap<String, List<Object>>> settled = new HashMap<>();
     private long read;
 
-    private Checker(Library library) {
+    private Checker(SourceProvider library) {
         this.library = library;
     }
 
     /**
      * @param file as the library names it
      */
-    public static Result check(Library library, String file) {
+    public static Result check(SourceProvider library, String file) {
         Checker checker = new Checker(library);
         checker.load(file, null);
         Fleet fleet = checker.mean();
         checker.findings.sort(
-                Comparator.comparing(Finding::file)
-                        .thenComparingInt(Finding::line)
-                        .thenComparingInt(Finding::column));
-        boolean clean = checker.findings.stream().noneMatch(Finding::error);
+                Comparator.comparing(Diagnostic::file)
+                        .thenComparingInt(Diagnostic::line)
+                        .thenComparingInt(Diagnostic::column));
+        boolean clean = checker.findings.stream().noneMatch(Diagnostic::error);
         return new Result(
                 clean ? fleet : null,
                 List.copyOf(checker.findings),
@@ -95,7 +95,7 @@
                             at.file(), f -> texts.getOrDefault(f, "").lines().toList());
             String shown = at.line() >= 1 && at.line() <= of.size() ? of.get(at.line() - 1) : "";
             findings.add(
-                    new Finding(
+                    new Diagnostic(
                             error,
                             code,
                             at.file(),
@@ -127,18 +127,18 @@
         if (files.containsKey(file)) {
             return; // included twice, by whatever names: once is enough
         }
-        if (files.size() >= MOST_FILES || open.size() >= Reader.DEEPEST) {
+        if (files.size() >= MOST_FILES || open.size() >= FleetReader.DEEPEST) {
             error(
                     from,
                     "size",
-                    "over " + MOST_FILES + " files, or includes deeper than " + Reader.DEEPEST,
+                    "over " + MOST_FILES + " files, or includes deeper than " + FleetReader.DEEPEST,
                     "");
             return;
         }
         String text;
         try {
             text = library.text(file);
-        } catch (Library.Unreadable unreadable) {
+        } catch (SourceProvider.UnreadableSourceException unreadable) {
             At at = from == null ? new At(file, 1, 1) : from;
             error(at, "file", file + " cannot be read: " + unreadable.getMessage(), "");
             return;
@@ -153,28 +153,28 @@
             return;
         }
         texts.put(file, text);
-        Syntax.File syntax = Reader.read(file, text, findings);
+        SyntaxTree.File syntax = FleetReader.read(file, text, findings);
         files.put(file, syntax);
         open.push(file);
-        for (Syntax.Statement s : syntax.statements()) {
-            if (s instanceof Syntax.Include i) {
+        for (SyntaxTree.Statement s : syntax.statements()) {
+            if (s instanceof SyntaxTree.Include i) {
                 include(file, i);
-            } else if (s instanceof Syntax.Let l) {
+            } else if (s instanceof SyntaxTree.Let l) {
                 define(l);
-            } else if (s instanceof Syntax.Block b) {
+            } else if (s instanceof SyntaxTree.Block b) {
                 place(b);
-            } else if (s instanceof Syntax.Route r) {
+            } else if (s instanceof SyntaxTree.Route r) {
                 routes.add(r);
             }
         }
         open.pop();
     }
 
-    private void include(String file, Syntax.Include i) {
+    private void include(String file, SyntaxTree.Include i) {
         List<String> found;
         try {
             found = library.find(file, i.pattern());
-        } catch (Library.Unreadable unreadable) {
+        } catch (SourceProvider.UnreadableSourceException unreadable) {
             error(i.at(), "file", "\"" + i.pattern() + "\": " + unreadable.getMessage(), "");
             return;
         }
@@ -207,8 +207,8 @@
         return false;
     }
 
-    private void define(Syntax.Let l) {
-        Syntax.Let before = lets.putIfAbsent(l.name(), l);
+    private void define(SyntaxTree.Let l) {
+        SyntaxTree.Let before = lets.putIfAbsent(l.name(), l);
         if (before != null) {
             error(
                     l.at(),
@@ -243,16 +243,16 @@
 
     // ---- Figures ----
 
-    private Quantity evaluate(Syntax.Expression e) throws Quantity.Wrong {
-        if (e instanceof Syntax.Figure f) {
+    private Quantity evaluate(SyntaxTree.Expression e) throws Quantity.QuantityFormatException {
+        if (e instanceof SyntaxTree.Figure f) {
             return Quantity.of(f.text());
-        } else if (e instanceof Syntax.Word w) {
+        } else if (e instanceof SyntaxTree.Word w) {
             return constant(w);
-        } else if (e instanceof Syntax.Minus m) {
+        } else if (e instanceof SyntaxTree.Minus m) {
             Quantity of = evaluate(m.of());
             return new Quantity(-of.figure(), of.dimension());
         }
-        Syntax.Binary b = (Syntax.Binary) e;
+        SyntaxTree.Binary b = (SyntaxTree.Binary) e;
         Quantity left = evaluate(b.left()), right = evaluate(b.right());
         return switch (b.op()) {
             case '*' -> left.times(right);
@@ -262,27 +262,29 @@
         };
     }
 
-    private Quantity constant(Syntax.Word w) throws Quantity.Wrong {
+    private Quantity constant(SyntaxTree.Word w) throws Quantity.QuantityFormatException {
         Quantity known = constants.get(w.name());
         if (known != null) {
             return known;
         }
-        Syntax.Let let = lets.get(w.name());
+        SyntaxTree.Let let = lets.get(w.name());
         if (let == null) {
-            throw new Quantity.Wrong(
+            throw new Quantity.QuantityFormatException(
                     "name",
                     "no constant is called " + w.name(),
                     lets.isEmpty()
                             ? ""
-                            : "did you mean " + Names.nearest(w.name(), lets.keySet()) + "?");
+                            : "did you mean "
+                                    + NameSuggestions.nearest(w.name(), lets.keySet())
+                                    + "?");
         }
-        if (!evaluating.add(w.name()) || evaluating.size() > Reader.DEEPEST) {
-            throw new Quantity.Wrong(
+        if (!evaluating.add(w.name()) || evaluating.size() > FleetReader.DEEPEST) {
+            throw new Quantity.QuantityFormatException(
                     "cycle",
                     "constant "
                             + w.name()
                             + " rests on itself, or on over "
-                            + Reader.DEEPEST
+                            + FleetReader.DEEPEST
                             + " others: "
                             + String.join(", ", evaluating),
                     "");
@@ -303,8 +305,8 @@
                 .forEach(
                         l -> {
                             try {
-                                constant(new Syntax.Word(l.at(), l.name()));
-                            } catch (Quantity.Wrong wrong) {
+                                constant(new SyntaxTree.Word(l.at(), l.name()));
+                            } catch (Quantity.QuantityFormatException wrong) {
                                 error(l.value().at(), wrong.code, wrong.getMessage(), wrong.hint);
                             }
                         });
@@ -344,7 +346,7 @@
         references(fleet);
         routesReach();
         patterns();
-        if (findings.stream().noneMatch(Finding::error)) {
+        if (findings.stream().noneMatch(Diagnostic::error)) {
             sense(fleet);
         }
         return fleet;
@@ -370,7 +372,7 @@
     private static Object usual(Schema.Field field) {
         try {
             return field.type().dimension() == null ? field.usual() : Quantity.of(field.usual());
-        } catch (Quantity.Wrong impossible) {
+        } catch (Quantity.QuantityFormatException impossible) {
             throw new IllegalStateException(impossible);
         }
     }
@@ -413,7 +415,7 @@
             return known;
         }
         SortedMap<String, List<Object>> all = new TreeMap<>();
-        if (!path.add(key) || path.size() > Reader.DEEPEST) {
+        if (!path.add(key) || path.size() > FleetReader.DEEPEST) {
             error(
                     b.parentAt(),
                     "cycle",
@@ -421,7 +423,7 @@
                             + " "
                             + b.name()
                             + " is like itself, or like over "
-                            + Reader.DEEPEST
+                            + FleetReader.DEEPEST
                             + " others in a row",
                     "");
             return all;
@@ -448,7 +450,7 @@
                         "name",
                         kind + " has no setting " + s.name(),
                         "did you mean "
-                                + Names.nearest(s.name(), fields.keySet())
+                                + NameSuggestions.nearest(s.name(), fields.keySet())
                                 + "? Known are "
                                 + String.join(", ", fields.keySet()));
             } else if (seen.put(s.name(), s.at()) != null) {
@@ -471,7 +473,7 @@
             return null;
         }
         List<Object> all = new ArrayList<>();
-        for (Syntax.Value v : s.values()) {
+        for (SyntaxTree.Value v : s.values()) {
             Object value = type.dimension() != null ? figure(s, v, type) : word(s, v, type);
             if (value == null) {
                 return null;
@@ -481,7 +483,7 @@
         return List.copyOf(all);
     }
 
-    private Quantity figure(Setting s, Syntax.Value v, Schema.Type type) {
+    private Quantity figure(Setting s, SyntaxTree.Value v, Schema.Type type) {
         Dimension wanted = type.dimension();
         if (v.expression() == null) {
             error(
@@ -529,15 +531,15 @@
                 return null;
             }
             return q;
-        } catch (Quantity.Wrong wrong) {
+        } catch (Quantity.QuantityFormatException wrong) {
             error(v.expression().at(), wrong.code, wrong.getMessage(), wrong.hint);
             return null;
         }
     }
 
     /** The figure as it was written, so that the hint changes the unit alone. */
-    private static double shownFigure(Syntax.Value v, Quantity q) {
-        if (v.expression() instanceof Syntax.Figure f) {
+    private static double shownFigure(SyntaxTree.Value v, Quantity q) {
+        if (v.expression() instanceof SyntaxTree.Figure f) {
             String digits = f.text().replaceAll("[^0-9.].*$", "");
             return Double.parseDouble(digits);
         }
@@ -548,11 +550,11 @@
         return wanted.example().replaceAll("^[0-9.]+", "");
     }
 
-    private String word(Setting s, Syntax.Value v, Schema.Type type) {
+    private String word(Setting s, SyntaxTree.Value v, Schema.Type type) {
         String text =
                 v.text() != null
                         ? v.text()
-                        : v.expression() instanceof Syntax.Word w ? w.name() : null;
+                        : v.expression() instanceof SyntaxTree.Word w ? w.name() : null;
         if (text == null) {
             error(
                     v.at(),
@@ -571,7 +573,7 @@
                     v.at(),
                     "type",
                     s.name() + " takes one of " + String.join(", ", type.words()) + ", not " + text,
-                    "did you mean " + Names.nearest(text, type.words()) + "?");
+                    "did you mean " + NameSuggestions.nearest(text, type.words()) + "?");
             return null;
         }
         return text;
@@ -592,7 +594,7 @@
                 "no " + kind + " is called " + name,
                 known.isEmpty()
                         ? "none is defined"
-                        : "did you mean " + Names.nearest(name, known) + "?");
+                        : "did you mean " + NameSuggestions.nearest(name, known) + "?");
     }
 
     private void references(Fleet fleet) {
@@ -631,14 +633,14 @@
 
     /** A route behind one that takes all it could take is never reached. */
     private void routesReach() {
-        Map<String, Syntax.Route> taken = new HashMap<>();
-        for (Syntax.Route r : routes) {
+        Map<String, SyntaxTree.Route> taken = new HashMap<>();
+        for (SyntaxTree.Route r : routes) {
             String bare =
                     r.pattern().endsWith("*")
                             ? r.pattern().substring(0, r.pattern().length() - 1)
                             : r.pattern();
             boolean whole = r.pattern().endsWith("*") || r.what().equals("prefix");
-            Syntax.Route before = whole ? null : taken.get(r.what() + "=" + bare);
+            SyntaxTree.Route before = whole ? null : taken.get(r.what() + "=" + bare);
             for (int n = 0; n <= bare.length() && before == null; n++) {
                 before = taken.get(r.what() + "^" + bare.substring(0, n));
             }
--- a/config/src/main/java/milletyoke/config/Finding.java
+++ b/config/src/main/java/milletyoke/config/Diagnostic.java
@@ -10,7 +10,7 @@
  * @param shown the line itself, without its end
  * @param chain further places that belong to it, as the files of an include cycle
  */
-public record Finding(
+public record Diagnostic(
         boolean error,
         String code,
         String file,
--- a/config/src/main/java/milletyoke/config/Difference.java
+++ b/config/src/main/java/milletyoke/config/FleetDiff.java
@@ -8,9 +8,9 @@
 /**
  * What changes from one configuration to another, by meaning, and how a running initiator takes it.
  */
-public final class Difference {
+public final class FleetDiff {
     /** How a change is taken. */
-    public enum Taken {
+    public enum ApplyMode {
         IN_SERVICE,
         RESTART,
         REFUSED
@@ -24,7 +24,12 @@
      * @param whom whom it concerns, in words; empty where it is everybody
      */
     public record Change(
-            String what, String setting, String before, String after, String whom, Taken taken) {
+            String what,
+            String setting,
+            String before,
+            String after,
+            String whom,
+            ApplyMode taken) {
         public String text() {
             String change =
                     setting.isEmpty()
@@ -46,7 +51,7 @@
         }
     }
 
-    private Difference() {}
+    private FleetDiff() {}
 
     /** In the order of kinds and names; empty if and only if both mean the same. */
     public static List<Change> between(Fleet a, Fleet b) {
@@ -89,8 +94,8 @@
                                 after == null ? "" : Fleet.written(after),
                                 whom(b, y),
                                 field.change() == Schema.Change.RESTART
-                                        ? Taken.RESTART
-                                        : Taken.IN_SERVICE));
+                                        ? ApplyMode.RESTART
+                                        : ApplyMode.IN_SERVICE));
             }
         }
     }
@@ -99,11 +104,11 @@
      * A category that goes may have accesses held: that is refused under traffic; one that comes
      * needs no care.
      */
-    private static Taken comesOrGoes(Fleet.Block block, boolean comes) {
+    private static ApplyMode comesOrGoes(Fleet.Block block, boolean comes) {
         return switch (block.kind()) {
-            case "category", "plan" -> comes ? Taken.IN_SERVICE : Taken.REFUSED;
-            case "fleet", "bounds", "allowances" -> Taken.RESTART;
-            default -> Taken.IN_SERVICE;
+            case "category", "plan" -> comes ? ApplyMode.IN_SERVICE : ApplyMode.REFUSED;
+            case "fleet", "bounds", "allowances" -> ApplyMode.RESTART;
+            default -> ApplyMode.IN_SERVICE;
         };
     }
 
@@ -149,7 +154,7 @@
                                 x == null ? "" : words(x),
                                 y == null ? "" : words(y),
                                 "",
-                                Taken.IN_SERVICE));
+                                ApplyMode.IN_SERVICE));
             }
         }
     }
--- a/config/src/main/java/milletyoke/config/Reader.java
+++ b/config/src/main/java/milletyoke/config/FleetReader.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import milletyoke.config.Syntax.At;
+import milletyoke.config.SyntaxTree.At;
 import milletyoke.config.grammar.FleetLexer;
 import milletyoke.config.grammar.FleetParser;
 import org.antlr.v4.runtime.BaseErrorListener;
@@ -19,27 +19,27 @@
  * nesting and the length of an expression, since the parser and all that walks its tree go as deep
  * as the text does.
  */
-final class Reader {
+final class FleetReader {
     static final int LARGEST = 16 << 20, DEEPEST = 64, LONGEST_SUM = 256, MOST_FINDINGS = 200;
 
     private final String file;
     private final String text;
-    private final List<Finding> findings;
+    private final List<Diagnostic> findings;
     private List<String> lines;
 
-    private Reader(String file, String text, List<Finding> findings) {
+    private FleetReader(String file, String text, List<Diagnostic> findings) {
         this.file = file;
         this.text = text;
         this.findings = findings;
     }
 
-    static Syntax.File read(String file, String text, List<Finding> findings) {
-        return new Reader(file, text, findings).read();
+    static SyntaxTree.File read(String file, String text, List<Diagnostic> findings) {
+        return new FleetReader(file, text, findings).read();
     }
 
     /** All tokens, remarks too; null where the text is beyond a bound, and that was found. */
-    static CommonTokenStream tokens(String file, String text, List<Finding> findings) {
-        Reader reader = new Reader(file, text, findings);
+    static CommonTokenStream tokens(String file, String text, List<Diagnostic> findings) {
+        FleetReader reader = new FleetReader(file, text, findings);
         return reader.bounded() ? reader.lex() : null;
     }
 
@@ -100,10 +100,10 @@
         return true;
     }
 
-    private Syntax.File read() {
+    private SyntaxTree.File read() {
         CommonTokenStream tokens = bounded() ? lex() : null;
         if (tokens == null) {
-            return new Syntax.File(file, List.of());
+            return new SyntaxTree.File(file, List.of());
         }
         FleetParser parser = new FleetParser(tokens);
         parser.getInterpreter().setPredictionMode(PredictionMode.SLL);
@@ -121,14 +121,14 @@
                         found("syntax", line, column + 1, words(message, symbol), "");
                     }
                 });
-        List<Syntax.Statement> statements = new ArrayList<>();
+        List<SyntaxTree.Statement> statements = new ArrayList<>();
         for (FleetParser.StatementContext s : parser.file().statement()) {
-            Syntax.Statement made = statement(s);
+            SyntaxTree.Statement made = statement(s);
             if (made != null) {
                 statements.add(made);
             }
         }
-        return new Syntax.File(file, statements);
+        return new SyntaxTree.File(file, statements);
     }
 
     private static String words(String message, Object symbol) {
@@ -145,7 +145,7 @@
     private void found(String code, int line, int column, String message, String hint) {
         if (findings.size() < MOST_FINDINGS) {
             findings.add(
-                    new Finding(
+                    new Diagnostic(
                             true, code, file, line, column, message, hint, line(line), List.of()));
         }
     }
@@ -165,19 +165,20 @@
         return new At(file, t.getLine(), t.getCharPositionInLine() + 1);
     }
 
-    private Syntax.Statement statement(FleetParser.StatementContext s) {
+    private SyntaxTree.Statement statement(FleetParser.StatementContext s) {
         if (s.exception != null) {
             return null;
         }
         if (s instanceof FleetParser.IncludeFileContext c && c.STRING() != null) {
-            return new Syntax.Include(at(c), unquoted(c.STRING().getText()));
+            return new SyntaxTree.Include(at(c), unquoted(c.STRING().getText()));
         } else if (s instanceof FleetParser.ConstantContext c && c.NAME() != null) {
-            Syntax.Expression value = expression(c.expression());
-            return value == null ? null : new Syntax.Let(at(c), c.NAME().getText(), value);
+            SyntaxTree.Expression value = expression(c.expression());
+            return value == null ? null : new SyntaxTree.Let(at(c), c.NAME().getText(), value);
         } else if (s instanceof FleetParser.SingleContext c && c.body() != null) {
-            return new Syntax.Block(at(c), c.kind.getText(), "", null, null, settings(c.body()));
+            return new SyntaxTree.Block(
+                    at(c), c.kind.getText(), "", null, null, settings(c.body()));
         } else if (s instanceof FleetParser.BlockContext c && c.name != null && c.body() != null) {
-            return new Syntax.Block(
+            return new SyntaxTree.Block(
                     at(c),
                     c.kind.getText(),
                     label(c.name),
@@ -185,7 +186,7 @@
                     c.parent == null ? null : at(c.parent),
                     settings(c.body()));
         } else if (s instanceof FleetParser.RouteContext c && c.pattern != null && c.pool != null) {
-            return new Syntax.Route(
+            return new SyntaxTree.Route(
                     at(c), c.what.getText(), label(c.pattern), label(c.pool), at(c.pool));
         }
         return null;
@@ -201,38 +202,39 @@
                 : text.substring(1, text.length() - 1).replaceAll("\\\\([\"\\\\])", "$1");
     }
 
-    private List<Syntax.Setting> settings(FleetParser.BodyContext body) {
-        List<Syntax.Setting> all = new ArrayList<>();
+    private List<SyntaxTree.Setting> settings(FleetParser.BodyContext body) {
+        List<SyntaxTree.Setting> all = new ArrayList<>();
         for (FleetParser.SettingContext s : body.setting()) {
             if (s.exception != null || s.key() == null) {
                 continue;
             }
-            List<Syntax.Value> values = new ArrayList<>();
+            List<SyntaxTree.Value> values = new ArrayList<>();
             for (FleetParser.ValueContext v : s.value()) {
-                Syntax.Expression e = v.expression() == null ? null : expression(v.expression());
+                SyntaxTree.Expression e =
+                        v.expression() == null ? null : expression(v.expression());
                 if (v.STRING() != null || e != null) {
                     values.add(
-                            new Syntax.Value(
+                            new SyntaxTree.Value(
                                     at(v),
                                     e,
                                     v.STRING() == null ? null : unquoted(v.STRING().getText())));
                 }
             }
-            all.add(new Syntax.Setting(at(s), s.key().getText(), values));
+            all.add(new SyntaxTree.Setting(at(s), s.key().getText(), values));
         }
         return all;
     }
 
-    private Syntax.Expression expression(FleetParser.ExpressionContext e) {
+    private SyntaxTree.Expression expression(FleetParser.ExpressionContext e) {
         if (e instanceof FleetParser.QuantityContext c && c.QUANTITY() != null) {
-            return new Syntax.Figure(at(c), c.QUANTITY().getText());
+            return new SyntaxTree.Figure(at(c), c.QUANTITY().getText());
         } else if (e instanceof FleetParser.WordContext c && c.key() != null) {
-            return new Syntax.Word(at(c), c.key().getText());
+            return new SyntaxTree.Word(at(c), c.key().getText());
         } else if (e instanceof FleetParser.GroupContext c) {
             return expression(c.expression());
         } else if (e instanceof FleetParser.MinusContext c) {
-            Syntax.Expression of = expression(c.expression());
-            return of == null ? null : new Syntax.Minus(at(c), of);
+            SyntaxTree.Expression of = expression(c.expression());
+            return of == null ? null : new SyntaxTree.Minus(at(c), of);
         } else if (e instanceof FleetParser.ProductContext c) {
             return binary(at(c), c.op, c.left, c.right);
         } else if (e instanceof FleetParser.SumContext c) {
@@ -241,12 +243,12 @@
         return null;
     }
 
-    private Syntax.Expression binary(
+    private SyntaxTree.Expression binary(
             At at, Token op, FleetParser.ExpressionContext a, FleetParser.ExpressionContext b) {
-        Syntax.Expression left = expression(a);
-        Syntax.Expression right = expression(b);
+        SyntaxTree.Expression left = expression(a);
+        SyntaxTree.Expression right = expression(b);
         return left == null || right == null || op == null
                 ? null
-                : new Syntax.Binary(at, op.getText().charAt(0), left, right);
+                : new SyntaxTree.Binary(at, op.getText().charAt(0), left, right);
     }
 }
--- a/config/src/main/java/milletyoke/config/Formatter.java
+++ b/config/src/main/java/milletyoke/config/Formatter.java
@@ -21,10 +21,10 @@
     /**
      * @return null where the text has errors of syntax, which are in the findings
      */
-    public static String format(String file, String text, List<Finding> findings) {
-        List<Finding> own = new ArrayList<>();
-        Reader.read(file, text, own);
-        CommonTokenStream tokens = own.isEmpty() ? Reader.tokens(file, text, own) : null;
+    public static String format(String file, String text, List<Diagnostic> findings) {
+        List<Diagnostic> own = new ArrayList<>();
+        FleetReader.read(file, text, own);
+        CommonTokenStream tokens = own.isEmpty() ? FleetReader.tokens(file, text, own) : null;
         findings.addAll(own);
         return tokens == null ? null : new Formatter().format(tokens.getTokens());
     }
--- a/config/src/main/java/milletyoke/config/Names.java
+++ b/config/src/main/java/milletyoke/config/NameSuggestions.java
@@ -3,10 +3,10 @@
 import java.util.Collection;
 
 /** Names that look alike. */
-final class Names {
+final class NameSuggestions {
     private static final int LONGEST = 64;
 
-    private Names() {}
+    private NameSuggestions() {}
 
     /**
      * The known name with the fewest changes; the first of equals, so the same hint comes each
--- a/config/src/main/java/milletyoke/config/Quantity.java
+++ b/config/src/main/java/milletyoke/config/Quantity.java
@@ -64,19 +64,19 @@
     }
 
     /** What cannot be; the message is for people. */
-    static final class Wrong extends Exception {
+    static final class QuantityFormatException extends Exception {
         private static final long serialVersionUID = 1L;
         final String code;
         final String hint;
 
-        Wrong(String code, String message, String hint) {
+        QuantityFormatException(String code, String message, String hint) {
             super(message);
             this.code = code;
             this.hint = hint;
         }
     }
 
-    static Quantity of(String text) throws Wrong {
+    static Quantity of(String text) throws QuantityFormatException {
         int end = 0;
         while (end < text.length()
                 && (Character.isDigit(text.charAt(end)) || text.charAt(end) == '.')) {
@@ -85,19 +85,20 @@
         String name = text.substring(end);
         Unit unit = UNITS.get(name);
         if (unit == null) {
-            throw new Wrong(
+            throw new QuantityFormatException(
                     "unit",
                     "\"" + name + "\" is no unit",
                     "did you mean "
-                            + Names.nearest(name, UNITS.keySet())
+                            + NameSuggestions.nearest(name, UNITS.keySet())
                             + "? Known are us, ms, s, min, h; u, ku; u/s, ku/s, u/min; B, KiB, MiB, GiB; %");
         }
         return checked(Double.parseDouble(text.substring(0, end)) * unit.base(), unit.dimension());
     }
 
-    private static Quantity checked(double figure, Dimension dimension) throws Wrong {
+    private static Quantity checked(double figure, Dimension dimension)
+            throws QuantityFormatException {
         if (!(Math.abs(figure) <= MOST)) {
-            throw new Wrong(
+            throw new QuantityFormatException(
                     "range",
                     "a figure over " + plain(MOST) + " in base units",
                     "no such figure has a meaning here");
@@ -105,9 +106,9 @@
         return new Quantity(figure, dimension);
     }
 
-    Quantity plus(Quantity o, int sign) throws Wrong {
+    Quantity plus(Quantity o, int sign) throws QuantityFormatException {
         if (dimension != o.dimension) {
-            throw new Wrong(
+            throw new QuantityFormatException(
                     "unit",
                     dimension.words() + " and " + o.dimension.words() + " cannot be added",
                     "");
@@ -115,7 +116,7 @@
         return checked(figure + sign * o.figure, dimension);
     }
 
-    Quantity times(Quantity o) throws Wrong {
+    Quantity times(Quantity o) throws QuantityFormatException {
         if (dimension == Dimension.NONE || o.dimension == Dimension.NONE) {
             return checked(
                     figure * o.figure, dimension == Dimension.NONE ? o.dimension : dimension);
@@ -128,15 +129,15 @@
                 || dimension == Dimension.TIME && o.dimension == Dimension.RATE) {
             return checked(figure * o.figure / 1e6, Dimension.UNITS);
         }
-        throw new Wrong(
+        throw new QuantityFormatException(
                 "unit",
                 dimension.words() + " times " + o.dimension.words() + " is nothing known here",
                 "");
     }
 
-    Quantity over(Quantity o) throws Wrong {
+    Quantity over(Quantity o) throws QuantityFormatException {
         if (o.figure == 0) {
-            throw new Wrong("range", "a division by 0", "");
+            throw new QuantityFormatException("range", "a division by 0", "");
         }
         if (o.dimension == Dimension.NONE) {
             return checked(figure / o.figure, dimension);
@@ -150,7 +151,7 @@
         if (dimension == Dimension.UNITS && o.dimension == Dimension.RATE) {
             return checked(figure / o.figure * 1e6, Dimension.TIME);
         }
-        throw new Wrong(
+        throw new QuantityFormatException(
                 "unit",
                 dimension.words() + " over " + o.dimension.words() + " is nothing known here",
                 "");
--- a/config/src/main/java/milletyoke/config/Library.java
+++ b/config/src/main/java/milletyoke/config/SourceProvider.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /** Where the text of files comes from; the language itself touches no disk. */
-public interface Library {
+public interface SourceProvider {
     /** A file that cannot be had; the message says why. */
-    final class Unreadable extends Exception {
+    final class UnreadableSourceException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        public Unreadable(String message) {
+        public UnreadableSourceException(String message) {
             super(message);
         }
     }
@@ -19,7 +19,7 @@
      *
      * @param from the including file, by that name
      */
-    List<String> find(String from, String pattern) throws Unreadable;
+    List<String> find(String from, String pattern) throws UnreadableSourceException;
 
-    String text(String file) throws Unreadable;
+    String text(String file) throws UnreadableSourceException;
 }
--- a/config/src/main/java/milletyoke/config/Syntax.java
+++ b/config/src/main/java/milletyoke/config/SyntaxTree.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /** One file as it stands, after parsing and before any meaning. */
-final class Syntax {
-    private Syntax() {}
+final class SyntaxTree {
+    private SyntaxTree() {}
 
     /** Where something stands. */
     record At(String file, int line, int column) {}
--- a/config/src/main/java/milletyoke/config/disk/DiskLibrary.java
+++ b/config/src/main/java/milletyoke/config/disk/FileSourceProvider.java
@@ -14,10 +14,10 @@
 import java.util.List;
 import java.util.function.LongSupplier;
 import java.util.stream.Stream;
-import milletyoke.config.Library;
+import milletyoke.config.SourceProvider;
 
 /** Files of a folder. The one name of a file is its real path, so two links to it are one file. */
-public final class DiskLibrary implements Library {
+public final class FileSourceProvider implements SourceProvider {
     private static final int LARGEST = 64 << 20, MOST = 10_000, TRIES = 8;
 
     /** A file that was written to so short a time ago may be half written (milliseconds). */
@@ -25,30 +25,30 @@
 
     private final LongSupplier clock;
 
-    public DiskLibrary() {
+    public FileSourceProvider() {
         this(System::currentTimeMillis);
     }
 
     /**
      * @param clock milliseconds, as files are stamped with
      */
-    DiskLibrary(LongSupplier clock) {
+    FileSourceProvider(LongSupplier clock) {
         this.clock = clock;
     }
 
     /** The one name of a file that an operator named. */
-    public static String name(Path file) throws Unreadable {
+    public static String name(Path file) throws UnreadableSourceException {
         try {
             return file.toRealPath().toString();
         } catch (NoSuchFileException missing) {
-            throw new Unreadable("there is no such file");
+            throw new UnreadableSourceException("there is no such file");
         } catch (IOException failed) {
-            throw new Unreadable(String.valueOf(failed.getMessage()));
+            throw new UnreadableSourceException(String.valueOf(failed.getMessage()));
         }
     }
 
     @Override
-    public List<String> find(String from, String pattern) throws Unreadable {
+    public List<String> find(String from, String pattern) throws UnreadableSourceException {
         Path folder = Path.of(from).getParent();
         boolean glob = pattern.matches(".*[*?\\[{].*");
         try {
@@ -72,9 +72,9 @@
             }
             return names;
         } catch (IllegalArgumentException bad) {
-            throw new Unreadable("not a pattern of files: " + bad.getMessage());
+            throw new UnreadableSourceException("not a pattern of files: " + bad.getMessage());
         } catch (IOException failed) {
-            throw new Unreadable("there is no such folder, or it cannot be read");
+            throw new UnreadableSourceException("there is no such folder, or it cannot be read");
         }
     }
 
@@ -84,13 +84,13 @@
      * the moment of a change, which waits.
      */
     @Override
-    public String text(String file) throws Unreadable {
+    public String text(String file) throws UnreadableSourceException {
         Path path = Path.of(file);
         try {
             for (int i = 0; i < TRIES; i++) {
                 BasicFileAttributes before = Files.readAttributes(path, BasicFileAttributes.class);
                 if (!before.isRegularFile() || before.size() > LARGEST) {
-                    throw new Unreadable(
+                    throw new UnreadableSourceException(
                             before.isRegularFile() ? "over " + LARGEST + " bytes" : "not a file");
                 }
                 byte[] bytes = Files.readAllBytes(path);
@@ -107,13 +107,13 @@
                 }
                 java.util.concurrent.locks.LockSupport.parkNanos(SETTLED * 1_000_000);
             }
-            throw new Unreadable("it changes while it is read");
+            throw new UnreadableSourceException("it changes while it is read");
         } catch (CharacterCodingException notText) {
-            throw new Unreadable("it is not UTF-8 text");
+            throw new UnreadableSourceException("it is not UTF-8 text");
         } catch (NoSuchFileException missing) {
-            throw new Unreadable("there is no such file");
+            throw new UnreadableSourceException("there is no such file");
         } catch (IOException failed) {
-            throw new Unreadable(String.valueOf(failed.getMessage()));
+            throw new UnreadableSourceException(String.valueOf(failed.getMessage()));
         }
     }
 }
--- a/config/src/test/java/milletyoke/config/CheckerTest.java
+++ b/config/src/test/java/milletyoke/config/CheckerTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import milletyoke.config.disk.DiskLibrary;
+import milletyoke.config.disk.FileSourceProvider;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -28,7 +28,7 @@
     @Test
     void whatIsRightIsTaken() {
         Checker.Result r =
-                Memory.check(
+                InMemorySourceProvider.check(
                         BASE
                                 + "let one = 10u/s;\ntemplate t { weight 2; reserve one * 2; }\n"
                                 + "plan club like t { weight 3; }\npool main { targets a, b; }\nvolume club-* { plan club; hosts 2; }\n"
@@ -89,8 +89,8 @@
                 "volume v { plan \"basic                     | syntax      | ",
             })
     void saysWhatIsWrongAndWhere(String line, String code, String hint) {
-        Checker.Result r = Memory.check(BASE + line);
-        Finding f =
+        Checker.Result r = InMemorySourceProvider.check(BASE + line);
+        Diagnostic f =
                 r.findings().stream().filter(x -> x.code().equals(code)).findFirst().orElse(null);
         assertTrue(f != null, () -> "not found among " + r.findings());
         assertEquals(4, f.line(), f.text());
@@ -101,39 +101,39 @@
     @Test
     void everythingWrongIsFoundInOnePass() {
         Checker.Result r =
-                Memory.check(
+                InMemorySourceProvider.check(
                         "fleet { initiators 0; }\nplan a { weight 0; }\nplan b { wight 1; }\n"
                                 + "category c { repeats no; agreed 5; }\nvolume v { plan z; }\n");
         assertEquals(
                 List.of(1, 2, 3, 4, 4, 5),
-                r.findings().stream().map(Finding::line).toList(),
+                r.findings().stream().map(Diagnostic::line).toList(),
                 r.findings().toString());
     }
 
     @Test
     void warningsDoNotRefuse() {
         Checker.Result r =
-                Memory.check(
+                InMemorySourceProvider.check(
                         BASE
                                 + "pool main { targets a; }\nroute volume a* to main;\n"
                                 + "route volume ab* to main;\nvolume a* { plan basic; }\nvolume ab* { plan basic; }\n");
         assertTrue(r.clean());
         assertEquals(
                 List.of("unreachable", "overlap"),
-                r.findings().stream().map(Finding::code).toList());
+                r.findings().stream().map(Diagnostic::code).toList());
     }
 
     @Test
     void reservesBeyondWhatAPoolBears() {
         Checker.Result r =
-                Memory.check(
+                InMemorySourceProvider.check(
                         BASE
                                 + "plan big { reserve 60u/s; }\npool main { targets a; capacity 100u/s; }\n"
                                 + "volume v { plan big; }\nvolume w { plan big; }\nroute volume * to main;\n"
                                         .replace("volume *", "volume \"*\""));
         assertEquals(
                 List.of("reserve"),
-                r.findings().stream().map(Finding::code).toList(),
+                r.findings().stream().map(Diagnostic::code).toList(),
                 r.findings().toString());
     }
 
@@ -141,17 +141,18 @@
 
     @Test
     void includeCyclesAreToldWithTheWholeChain() {
-        Checker.Result one = Checker.check(new Memory().with("f", BASE + "include \"f\";"), "f");
+        Checker.Result one =
+                Checker.check(new InMemorySourceProvider().with("f", BASE + "include \"f\";"), "f");
         assertEquals("cycle", one.findings().get(0).code());
         assertEquals(4, one.findings().get(0).line());
         Checker.Result three =
                 Checker.check(
-                        new Memory()
+                        new InMemorySourceProvider()
                                 .with("f", BASE + "include \"g\";")
                                 .with("g", "\ninclude \"h\";")
                                 .with("h", "include \"f\";"),
                         "f");
-        Finding f = three.findings().get(0);
+        Diagnostic f = three.findings().get(0);
         assertEquals("h:1", f.file() + ":" + f.line());
         assertEquals(
                 List.of("f includes", "g includes", "h includes", "f, which is open already"),
@@ -162,7 +163,7 @@
     void theIncludingFileHidesAndSiblingsMayNot() {
         Checker.Result hides =
                 Checker.check(
-                        new Memory()
+                        new InMemorySourceProvider()
                                 .with(
                                         "f",
                                         "include \"g\";\nplan basic { weight 7; }\n"
@@ -173,7 +174,7 @@
         assertEquals(7, hides.fleet().block("plan", "basic").figure("weight"));
         Checker.Result siblings =
                 Checker.check(
-                        new Memory()
+                        new InMemorySourceProvider()
                                 .with("f", BASE + "include \"part-*\";")
                                 .with("part-1", "plan x { weight 1; }")
                                 .with("part-2", "\nplan x { weight 2; }"),
@@ -197,10 +198,10 @@
                         BASE
                                 + "include \"part.fleet\";\n"
                                 + "include \"other.fleet\";\ninclude \"*.fleet\";\n");
-        Checker.Result r = Checker.check(new DiskLibrary(), DiskLibrary.name(main));
+        Checker.Result r = Checker.check(new FileSourceProvider(), FileSourceProvider.name(main));
         assertEquals(
                 List.of("cycle"),
-                r.findings().stream().map(Finding::code).toList(),
+                r.findings().stream().map(Diagnostic::code).toList(),
                 "the glob takes main itself");
         assertEquals(2, r.files().size());
     }
@@ -215,7 +216,7 @@
                         "let a = " + "-".repeat(10_000) + "1;",
                         "let a = 1" + " + 1".repeat(10_000) + ";",
                         "plan p " + "{".repeat(10_000))) {
-            Checker.Result r = Memory.check(BASE + deep);
+            Checker.Result r = InMemorySourceProvider.check(BASE + deep);
             assertEquals("depth:4", r.findings().get(0).code() + ":" + r.findings().get(0).line());
         }
         StringBuilder likes = new StringBuilder(BASE).append("plan p0 { }\n");
@@ -223,25 +224,30 @@
             likes.append("plan p").append(i).append(" like p").append(i - 1).append(" { }\n");
         }
         assertTrue(
-                Memory.check(likes.toString()).findings().stream()
+                InMemorySourceProvider.check(likes.toString()).findings().stream()
                         .allMatch(f -> f.code().equals("cycle")));
     }
 
     @Test
     void aFileOfTenMegabytesIsReadAndOneBeyondTheBoundIsNot() {
         String remark = "# " + "x".repeat(998) + "\n";
-        assertTrue(Memory.check(BASE + remark.repeat(10_000)).clean());
-        assertEquals("size", Memory.check(BASE + remark.repeat(17_000)).findings().get(0).code());
+        assertTrue(InMemorySourceProvider.check(BASE + remark.repeat(10_000)).clean());
+        assertEquals(
+                "size",
+                InMemorySourceProvider.check(BASE + remark.repeat(17_000))
+                        .findings()
+                        .get(0)
+                        .code());
     }
 
     @Test
     void endingsAndMarksOfTextDoNotMatter() {
-        Fleet plain = Memory.check(BASE).fleet();
-        assertEquals(plain, Memory.check(BASE.strip()).fleet());
-        assertEquals(plain, Memory.check(BASE.replace("\n", "\r\n")).fleet());
-        assertEquals(plain, Memory.check("\uFEFF" + BASE).fleet());
+        Fleet plain = InMemorySourceProvider.check(BASE).fleet();
+        assertEquals(plain, InMemorySourceProvider.check(BASE.strip()).fleet());
+        assertEquals(plain, InMemorySourceProvider.check(BASE.replace("\n", "\r\n")).fleet());
+        assertEquals(plain, InMemorySourceProvider.check("\uFEFF" + BASE).fleet());
         assertFalse(
-                Memory.check(BASE + "plan bаsic { }").clean(),
+                InMemorySourceProvider.check(BASE + "plan bаsic { }").clean(),
                 "a Cyrillic letter is not a Latin one");
     }
 
@@ -258,7 +264,7 @@
             n++;
             Checker.Result r =
                     Checker.check(
-                            new Memory()
+                            new InMemorySourceProvider()
                                     .with(
                                             "f",
                                             example.contains("fleet {")
--- a/config/src/test/java/milletyoke/config/GeneratedTest.java
+++ b/config/src/test/java/milletyoke/config/GeneratedTest.java
@@ -159,13 +159,13 @@
     }
 
     private static Fleet meaning(String text) {
-        Checker.Result r = Memory.check(text);
+        Checker.Result r = InMemorySourceProvider.check(text);
         assertTrue(r.clean(), () -> r.findings() + "\n" + text);
         return r.fleet();
     }
 
     private static String formatted(String text) {
-        List<Finding> findings = new ArrayList<>();
+        List<Diagnostic> findings = new ArrayList<>();
         String out = Formatter.format("f", text, findings);
         assertNotNull(out, findings::toString);
         return out;
@@ -178,7 +178,7 @@
         for (String text : List.of(t.plain(), t.shaken())) {
             String once = formatted(text);
             assertEquals(once, formatted(once));
-            assertEquals(List.of(), Difference.between(plain, meaning(once)));
+            assertEquals(List.of(), FleetDiff.between(plain, meaning(once)));
             assertEquals(plain, meaning(text), "white space and remarks mean nothing");
             assertEquals(remarks(text), remarks(once), "no remark is lost");
         }
@@ -192,7 +192,7 @@
     @Property(tries = 200, seed = "20261201")
     void whatIsShownMeansTheSame(@ForAll long seed) {
         Fleet plain = meaning(generate(seed).plain());
-        assertEquals(List.of(), Difference.between(plain, meaning(plain.show())));
+        assertEquals(List.of(), FleetDiff.between(plain, meaning(plain.show())));
     }
 
     /** Any one figure, word or block that changes its meaning is found, and nothing else is. */
@@ -215,9 +215,9 @@
         String unit = old.replaceAll("[0-9]", "");
         int value = Integer.parseInt(old.substring(0, old.length() - unit.length()));
         t.tokens.set(at, value + 1 + unit);
-        Checker.Result after = Memory.check(t.plain());
+        Checker.Result after = InMemorySourceProvider.check(t.plain());
         if (after.clean()) { // a change may also be refused, as fall over cold
-            List<Difference.Change> changes = Difference.between(before, after.fleet());
+            List<FleetDiff.Change> changes = FleetDiff.between(before, after.fleet());
             boolean constant = t.tokens.get(1).equals("base") && at < t.tokens.indexOf(";");
             boolean common = at > t.tokens.indexOf("common") && at < t.tokens.indexOf("plan");
             if (constant || common) {
@@ -270,9 +270,9 @@
                                         at, Math.min(text.length(), at + t.chance.nextInt(200))));
             }
         }
-        Checker.Result r = Memory.check(text.toString());
+        Checker.Result r = InMemorySourceProvider.check(text.toString());
         long lines = text.toString().lines().count();
-        for (Finding f : r.findings()) {
+        for (Diagnostic f : r.findings()) {
             assertTrue(f.line() >= 1 && f.line() <= lines + 1, f::text);
             assertFalse(f.text().isBlank());
         }
--- a/config/src/test/java/milletyoke/config/Memory.java
+++ b/config/src/test/java/milletyoke/config/InMemorySourceProvider.java
@@ -5,16 +5,16 @@
 import java.util.Map;
 
 /** Files in memory; a pattern that ends in * finds by prefix. */
-final class Memory implements Library {
+final class InMemorySourceProvider implements SourceProvider {
     final Map<String, String> files = new LinkedHashMap<>();
 
-    Memory with(String name, String text) {
+    InMemorySourceProvider with(String name, String text) {
         files.put(name, text);
         return this;
     }
 
     @Override
-    public List<String> find(String from, String pattern) throws Unreadable {
+    public List<String> find(String from, String pattern) throws UnreadableSourceException {
         List<String> found =
                 files.keySet().stream()
                         .filter(
@@ -26,20 +26,20 @@
                         .sorted()
                         .toList();
         if (found.isEmpty()) {
-            throw new Unreadable("there is no such file");
+            throw new UnreadableSourceException("there is no such file");
         }
         return found;
     }
 
     @Override
-    public String text(String file) throws Unreadable {
+    public String text(String file) throws UnreadableSourceException {
         if (!files.containsKey(file)) {
-            throw new Unreadable("there is no such file");
+            throw new UnreadableSourceException("there is no such file");
         }
         return files.get(file);
     }
 
     static Checker.Result check(String text) {
-        return Checker.check(new Memory().with("f", text), "f");
+        return Checker.check(new InMemorySourceProvider().with("f", text), "f");
     }
 }
--- a/config/src/test/java/milletyoke/config/disk/DiskLibraryTest.java
+++ b/config/src/test/java/milletyoke/config/disk/FileSourceProviderTest.java
@@ -6,24 +6,25 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.attribute.FileTime;
-import milletyoke.config.Library;
+import milletyoke.config.SourceProvider;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** A file that is being written to is not taken half; the clock is the test's. */
-class DiskLibraryTest {
+class FileSourceProviderTest {
     @TempDir Path folder;
 
     @Test
     void whatWasWrittenToJustNowIsRefusedAndWhatHasSettledIsRead() throws Exception {
         Path file = Files.writeString(folder.resolve("f.fleet"), "half of an ed");
         Files.setLastModifiedTime(file, FileTime.fromMillis(1_000_000));
-        Library.Unreadable told =
+        SourceProvider.UnreadableSourceException told =
                 assertThrows(
-                        Library.Unreadable.class,
-                        () -> new DiskLibrary(() -> 1_000_030).text(file.toString()));
+                        SourceProvider.UnreadableSourceException.class,
+                        () -> new FileSourceProvider(() -> 1_000_030).text(file.toString()));
         assertEquals("it changes while it is read", told.getMessage());
-        assertEquals("half of an ed", new DiskLibrary(() -> 1_000_031).text(file.toString()));
+        assertEquals(
+                "half of an ed", new FileSourceProvider(() -> 1_000_031).text(file.toString()));
     }
 
     @Test
@@ -32,7 +33,7 @@
         Files.setLastModifiedTime(file, FileTime.fromMillis(1_000_000));
         int[] looks = new int[1];
         String text =
-                new DiskLibrary(
+                new FileSourceProvider(
                                 () -> {
                                     try {
                                         if (looks[0]++ == 0) {
--- a/core/src/main/java/milletyoke/Agenda.java
+++ b/core/src/main/java/milletyoke/scheduler/DispatchQueue.java
@@ -1,4 +1,4 @@
-package milletyoke;
+package milletyoke.scheduler;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,21 +11,21 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import milletyoke.State.Held;
-import milletyoke.State.Kept;
-import milletyoke.State.Node;
-import milletyoke.State.Reservation;
-import milletyoke.State.Store;
-import milletyoke.State.Turns;
-import milletyoke.State.Volume;
-import milletyoke.port.Event;
+import milletyoke.scheduler.State.Held;
+import milletyoke.scheduler.State.Kept;
+import milletyoke.scheduler.State.Node;
+import milletyoke.scheduler.State.Reservation;
+import milletyoke.scheduler.State.Store;
+import milletyoke.scheduler.State.Turns;
+import milletyoke.scheduler.State.Volume;
+import milletyoke.scheduler.api.Event;
 
 /**
  * The nodes, and which of them are to be served in this turn: those where something happened, and
  * those whose time has come. What need not be served costs nothing. Decides nothing: a node that is
  * served for no reason does nothing.
  */
-final class Agenda {
+final class DispatchQueue {
     private final Map<Integer, Node> nodes = new LinkedHashMap<>();
     private final Map<String, Volume> volumes = new LinkedHashMap<>();
 
@@ -45,7 +45,7 @@
 
     private int made;
     private final TreeSet<Node> touched = new TreeSet<>(Comparator.comparingInt(n -> n.made));
-    private final Timetable due = new Timetable();
+    private final IndexedTimerQueue due = new IndexedTimerQueue();
     private final Set<Node> forBudget = new LinkedHashSet<>();
     private long reservationsMade;
     private long queued;
@@ -92,7 +92,7 @@
         nodes.remove(node.shard);
         touched.remove(node);
         forBudget.remove(node);
-        due.set(node.slot, Timetable.NEVER);
+        due.set(node.slot, IndexedTimerQueue.NEVER);
         slots.set(node.slot, null);
         free.add(node.slot);
     }
@@ -133,7 +133,7 @@
     }
 
     /** The volume of an access that is taken now; a new one where it is not known. */
-    Volume volume(Event.Access access, long now) {
+    Volume volume(Event.RequestReceived access, long now) {
         Volume known = volumes.get(access.volume());
         if (known == null) {
             known = new Volume(access.volume());
--- a/core/src/main/java/milletyoke/Forgetting.java
+++ b/core/src/main/java/milletyoke/scheduler/IdleStateEviction.java
@@ -1,4 +1,4 @@
-package milletyoke;
+package milletyoke.scheduler;
 
 import java.util.BitSet;
 import java.util.Collection;
@@ -8,14 +8,14 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.function.ToDoubleFunction;
-import milletyoke.State.Held;
-import milletyoke.State.Kept;
-import milletyoke.State.Node;
-import milletyoke.State.Reservation;
-import milletyoke.State.Store;
-import milletyoke.State.Targets;
-import milletyoke.State.Turns;
-import milletyoke.State.Volume;
+import milletyoke.scheduler.State.Held;
+import milletyoke.scheduler.State.Kept;
+import milletyoke.scheduler.State.Node;
+import milletyoke.scheduler.State.Reservation;
+import milletyoke.scheduler.State.Store;
+import milletyoke.scheduler.State.Targets;
+import milletyoke.scheduler.State.Turns;
+import milletyoke.scheduler.State.Volume;
 
 /**
  * Lets go of what volumes, keys, targets and shards leave behind, so that years of service need no
@@ -35,7 +35,7 @@
  *   <li>a shard: nobody holds it, waits for it, or has a reservation there.
  * </ul>
  */
-final class Forgetting {
+final class IdleStateEviction {
     /** Volumes and targets are kept at least this long after their last use (microseconds). */
     static final long AFTER = 600_000_000;
 
@@ -49,7 +49,7 @@
      */
     private static final int A_TURN = 8, AN_EVENT = 4;
 
-    private final Agenda agenda;
+    private final DispatchQueue agenda;
     private final Targets targets;
     private final Map<String, Integer> indexOf;
     private final Map<String, Turns> turns;
@@ -63,8 +63,8 @@
             new PriorityQueue<>((a, b) -> Long.compare(a.lookAt, b.lookAt));
     private long sweepAt;
 
-    Forgetting(
-            Agenda agenda,
+    IdleStateEviction(
+            DispatchQueue agenda,
             Targets targets,
             Map<String, Integer> indexOf,
             Map<String, Turns> turns,
--- a/core/src/main/java/milletyoke/Timetable.java
+++ b/core/src/main/java/milletyoke/scheduler/IndexedTimerQueue.java
@@ -1,4 +1,4 @@
-package milletyoke;
+package milletyoke.scheduler;
 
 import java.util.Arrays;
 
@@ -7,7 +7,7 @@
  * index, so that to set a time, or to take it back, costs the logarithm of how many are set.
  * Decides nothing. One thread.
  */
-final class Timetable {
+final class IndexedTimerQueue {
     /** Set for what is not due at all. */
     static final long NEVER = Long.MAX_VALUE;
 
--- a/core/src/main/java/milletyoke/Decide.java
+++ b/core/src/main/java/milletyoke/scheduler/RequestScheduler.java
@@ -1,20 +1,20 @@
-package milletyoke;
+package milletyoke.scheduler;
 
 import java.util.*;
-import milletyoke.State.*;
-import milletyoke.port.Action;
-import milletyoke.port.Event;
-import milletyoke.port.Outcome;
-import milletyoke.port.Provisioning;
-import milletyoke.port.Provisioning.*;
+import milletyoke.scheduler.State.*;
+import milletyoke.scheduler.api.Action;
+import milletyoke.scheduler.api.Event;
+import milletyoke.scheduler.api.Outcome;
+import milletyoke.scheduler.api.SchedulerSettings;
+import milletyoke.scheduler.api.SchedulerSettings.*;
 
 /**
  * All decisions of one initiator. Its host makes one object for each start, calls {@link #decide}
  * with the time and what happened since, the start first, and carries out what it returns, in that
- * order. The interface is the package milletyoke.port; the design, and each departure, is in
- * docs/design.md.
+ * order. The interface is the package milletyoke.scheduler.api; the design, and each departure, is
+ * in docs/design.md.
  */
-public final class Decide {
+public final class RequestScheduler {
     // The design's figures.
     private static final int BASE_BATCH = 4, LOTS = 64;
     private static final double FIRST_WINDOW = 4, WINDOW_CEILING = 16;
@@ -71,8 +71,8 @@
     private static final Set<Outcome> MAY_STILL_RUN =
             EnumSet.of(Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED);
 
-    private Provisioning given;
-    private Bounds bounds;
+    private SchedulerSettings given;
+    private RuleLimits bounds;
     private SplittableRandom chance;
     private long startedAt;
     private long shortestAgreed;
@@ -82,8 +82,8 @@
      */
     private boolean crowd;
 
-    private final Map<String, Category> categories = new HashMap<>();
-    private final Map<String, Plan> plans = new HashMap<>();
+    private final Map<String, RequestClass> categories = new HashMap<>();
+    private final Map<String, ServicePlan> plans = new HashMap<>();
 
     private long now;
     private List<Action> todo;
@@ -101,7 +101,7 @@
 
     private long askAt = Long.MAX_VALUE, askWait = FIRST_ASK;
 
-    final Agenda agenda = new Agenda();
+    final DispatchQueue agenda = new DispatchQueue();
 
     /**
      * The earliest time at which what was just found to be so, or not, may be otherwise by time
@@ -114,8 +114,8 @@
     private final Map<String, Held> held = new LinkedHashMap<>();
     private long takenInAll;
     private final Map<String, Turns> turns = new HashMap<>();
-    private final Forgetting forgetting =
-            new Forgetting(
+    private final IdleStateEviction forgetting =
+            new IdleStateEviction(
                     agenda,
                     targets,
                     indexOf,
@@ -152,37 +152,40 @@
     }
 
     private void learn(Event event) {
-        if (event instanceof Event.Start e) {
+        if (event instanceof Event.Started e) {
             start(e);
-        } else if (event instanceof Event.Reprovisioned e) {
-            reprovision(e.provisioning());
-        } else if (event instanceof Event.TargetList e) {
+        } else if (event instanceof Event.SettingsChanged e) {
+            reprovision(e.settings());
+        } else if (event instanceof Event.EndpointListReceived e) {
             list(e);
-        } else if (event instanceof Event.Access e) {
+        } else if (event instanceof Event.RequestReceived e) {
             take(e);
-        } else if (event instanceof Event.Ended e) {
+        } else if (event instanceof Event.AttemptEnded e) {
             ended(e);
-        } else if (event instanceof Event.Probed e && indexOf.containsKey(e.target())) {
+        } else if (event instanceof Event.ProbeEnded e && indexOf.containsKey(e.target())) {
             probed(e);
-        } else if (event instanceof Event.Over e && held.containsKey(e.id())) {
+        } else if (event instanceof Event.RequestClosed e && held.containsKey(e.id())) {
             leave(held.get(e.id()));
         }
     }
 
-    private void start(Event.Start e) {
-        bounds = e.provisioning().bounds();
+    private void start(Event.Started e) {
+        bounds = e.settings().limits();
         chance = new SplittableRandom(e.seed());
         startedAt = now;
-        provision(e.provisioning());
-        crowd = given.initiators() * LATE_PART > 2;
-        askAt = given.listMustBeAsked() ? now : Long.MAX_VALUE;
+        provision(e.settings());
+        crowd = given.initiatorCount() * LATE_PART > 2;
+        askAt = given.mustWatchEndpoints() ? now : Long.MAX_VALUE;
     }
 
-    private void provision(Provisioning next) {
+    private void provision(SchedulerSettings next) {
         given = next;
-        given.categories().forEach(c -> categories.put(c.name(), c));
+        given.requestClasses().forEach(c -> categories.put(c.name(), c));
         shortestAgreed =
-                given.categories().stream().mapToLong(Category::agreedTime).min().orElse(0);
+                given.requestClasses().stream()
+                        .mapToLong(RequestClass::latencyObjectiveMicros)
+                        .min()
+                        .orElse(0);
         given.plans().forEach(p -> plans.put(p.name(), p));
         given.plans().forEach(p -> agenda.unseen(p.name(), now));
     }
@@ -193,7 +196,7 @@
      * raised again, which would fill it at once, and against past time paid at a higher rate. Harms
      * none but a volume whose limit rises: its store fills as time goes on.
      */
-    private void reprovision(Provisioning next) {
+    private void reprovision(SchedulerSettings next) {
         agenda.limits().forEach(this::settle);
         provision(next);
         agenda.limits().forEach(this::settle);
@@ -208,7 +211,7 @@
     }
 
     double settled(Store s) {
-        Plan plan = plans.get(s.plan);
+        ServicePlan plan = plans.get(s.plan);
         boolean limited = plan != null && plan.limitRate() > 0;
         return limited ? level(s, plan.limitRate() / s.hosts, limitDepth(plan) / s.hosts) : s.units;
     }
@@ -220,23 +223,23 @@
                         : now + (agenda.waiting > 0 ? LOOK_WAITING : LOOK_IDLE);
         if (Math.min(askAt, look) < wakeAt) {
             wakeAt = Math.min(askAt, look);
-            todo.add(new Action.Wake(Math.max(1, wakeAt - now)));
+            todo.add(new Action.ScheduleWakeUp(Math.max(1, wakeAt - now)));
         }
     }
 
     // ---- The list of targets ----
 
-    private void list(Event.TargetList e) {
-        if (e.scope() == Event.Scope.UNAVAILABLE) {
+    private void list(Event.EndpointListReceived e) {
+        if (e.scope() == Event.ListScope.UNAVAILABLE) {
             askAgain();
             return;
         }
-        askWait = e.scope() == Event.Scope.RESTORED ? askWait : FIRST_ASK;
-        if (e.scope() != Event.Scope.UPDATE) {
+        askWait = e.scope() == Event.ListScope.RESTORED ? askWait : FIRST_ASK;
+        if (e.scope() != Event.ListScope.UPDATE) {
             Arrays.fill(targets.usable, false);
         }
         e.targets().forEach(this::listed);
-        boolean part = e.scope() == Event.Scope.UPDATE;
+        boolean part = e.scope() == Event.ListScope.UPDATE;
         (part ? e.targets().stream().map(t -> agenda.node(t.shard())) : agenda.nodes().stream())
                 .forEach(this::findHolder);
     }
@@ -271,7 +274,7 @@
      */
     private void watch(int t) {
         long silent = Math.max(resumedAt, targets.heardAt[t]) + (long) patience(t) + 1;
-        long due = targets.out[t] > 0 ? silent : Timetable.NEVER;
+        long due = targets.out[t] > 0 ? silent : IndexedTimerQueue.NEVER;
         due = targets.nextTrial[t] > 0 ? targets.nextTrial[t] : due;
         for (Held h : targets.outs.get(t)) {
             double most =
@@ -309,16 +312,16 @@
      * later.
      */
     private void askAgain() {
-        if (given.listMustBeAsked() && askAt == Long.MAX_VALUE) {
+        if (given.mustWatchEndpoints() && askAt == Long.MAX_VALUE) {
             askAt = now + (long) (askWait * (0.5 + chance.nextDouble()));
-            askWait = Math.max(FIRST_ASK, Math.min(2 * askWait, bounds.mustAskIn() / 2));
+            askWait = Math.max(FIRST_ASK, Math.min(2 * askWait, bounds.watchDeadlineMicros() / 2));
         }
     }
 
     private void followList() {
         if (now >= askAt) {
             askAt = Long.MAX_VALUE;
-            todo.add(new Action.FollowList());
+            todo.add(new Action.WatchEndpoints());
         }
     }
 
@@ -329,9 +332,9 @@
         before.listed.remove(t);
         nodeOf(t).listed.add(t);
         findHolder(before);
-        targets.usable[t] = target.health() == Event.Health.ON;
-        if (targets.life[t] == 0 || target.launched() > targets.launched[t]) {
-            targets.launched[t] = target.launched();
+        targets.usable[t] = target.health() == Event.Health.ACTIVE;
+        if (targets.life[t] == 0 || target.startedAtMicros() > targets.launched[t]) {
+            targets.launched[t] = target.startedAtMicros();
             targets.renew(t, FIRST_WINDOW);
         }
         watch(t);
@@ -348,17 +351,23 @@
 
     // ---- Taking ----
 
-    private void take(Event.Access e) {
-        Category category = categories.get(e.category());
+    private void take(Event.RequestReceived e) {
+        RequestClass category = categories.get(e.requestClass());
         Held h = new Held(e, takenInAll++, category, agenda.volume(e, now), plans.get(e.plan()));
-        h.abandonAt = now + e.ttl();
-        long longest = longestTtl.merge(category.name(), e.ttl(), Math::max);
+        h.abandonAt = now + e.timeLeftMicros();
+        long longest = longestTtl.merge(category.name(), e.timeLeftMicros(), Math::max);
         boolean impatient =
-                e.ttl() < category.agreedTime(); // a repeat that late would hardly be in time
-        h.firstTaken = impatient ? now : now - (longest - e.ttl());
-        h.agreedAt = Math.min(h.firstTaken + category.agreedTime(), h.abandonAt - ANSWER_AHEAD);
+                e.timeLeftMicros()
+                        < category
+                                .latencyObjectiveMicros(); // a repeat that late would hardly be in
+        // time
+        h.firstTaken = impatient ? now : now - (longest - e.timeLeftMicros());
+        h.agreedAt =
+                Math.min(
+                        h.firstTaken + category.latencyObjectiveMicros(),
+                        h.abandonAt - ANSWER_AHEAD);
         held.put(e.id(), h);
-        taken.add(now, now - bounds.relayBudgetSpan());
+        taken.add(now, now - bounds.retryWindowMicros());
         if (h.hasLimit()) {
             openLimit(h);
         }
@@ -440,10 +449,10 @@
      * parked.
      */
     private void arrangeServing(Node node, boolean asking) {
-        again = Timetable.NEVER;
+        again = IndexedTimerQueue.NEVER;
         double expected = expected(node.target) + aloneMost.most - aloneLag;
         if (node.target >= 0 && isCold(node.target)) {
-            againAt(targets.launched[node.target] + bounds.cold());
+            againAt(targets.launched[node.target] + bounds.warmUpMicros());
         }
         if (!asking && !node.parked.isEmpty() && roomAt(node) > 0) {
             againAt(node.parked.first().lookAt);
@@ -462,11 +471,11 @@
      * work.
      */
     private boolean mustAsk(int t) {
-        boolean answers = given.allowances().probes() && t >= 0 && targets.nextTrial[t] == 0;
+        boolean answers = given.capabilities().canProbe() && t >= 0 && targets.nextTrial[t] == 0;
         boolean suspect = answers && (lateShare >= SUSPECT || isCold(t));
         if (suspect && targets.askedAt[t] == 0 && !isTold(t)) {
             targets.askedAt[t] = now;
-            todo.add(new Action.Probe(targets.id[t]));
+            todo.add(new Action.SendProbe(targets.id[t]));
         }
         return suspect && targets.askedAt[t] > 0;
     }
@@ -538,7 +547,7 @@
         node.refresh(now);
         while (!node.owed.isEmpty()) {
             Reservation r = node.owed.first();
-            again = Timetable.NEVER;
+            again = IndexedTimerQueue.NEVER;
             Held h = sendable(node, r);
             if (h != null && isOwed(h)) {
                 return r;
@@ -547,7 +556,7 @@
         }
         while (!node.ready.isEmpty()) {
             Reservation r = node.ready.first();
-            again = Timetable.NEVER;
+            again = IndexedTimerQueue.NEVER;
             if (sendable(node, r) != null) {
                 return r;
             }
@@ -578,7 +587,9 @@
     }
 
     private long filledAt(double missing, double rate) {
-        return rate > 0 ? now + (long) Math.min(missing / rate * 1e6, 1e15) - 1 : Timetable.NEVER;
+        return rate > 0
+                ? now + (long) Math.min(missing / rate * 1e6, 1e15) - 1
+                : IndexedTimerQueue.NEVER;
     }
 
     private double reserveDepth(Held h) {
@@ -624,7 +635,7 @@
             return false;
         }
         if (h.relays > 0) {
-            further.add(now, now - bounds.relayBudgetSpan());
+            further.add(now, now - bounds.retryWindowMicros());
             noticeBudget();
         } else if (h.hasLimit()) {
             drawOnLimit(h);
@@ -646,7 +657,7 @@
         targets.out[t]++;
         targets.outs.get(t).add(h);
         watch(t);
-        todo.add(new Action.Relay(h.access.id(), h.abandonAt, targets.id[t]));
+        todo.add(new Action.SendAttempt(h.access.id(), h.abandonAt, targets.id[t]));
         return true;
     }
 
@@ -664,30 +675,33 @@
     }
 
     private boolean noSecondEffect(Held h, int t) {
-        if (h.outAt >= 0 || h.relays >= given.allowances().maxRelays()) {
+        if (h.outAt >= 0 || h.relays >= given.capabilities().maxAttempts()) {
             return false;
         }
         boolean sameGroup =
                 h.ranAt < 0
-                        || switch (h.category.group()) {
+                        || switch (h.category.deduplicationScope()) {
                             case ALL -> true;
                             case ZONE -> targets.zone[t].equals(targets.zone[h.ranAt]);
                             case CELL -> targets.shardOf[t] == targets.shardOf[h.ranAt];
                         };
-        return mayRunAgain(h) && (sameGroup || h.category.repeats() == Repeats.HARMLESS);
+        return mayRunAgain(h) && (sameGroup || h.category.idempotency() == Idempotency.IDEMPOTENT);
     }
 
     private boolean mayRunAgain(Held h) {
-        long until = h.ranSince + h.category.repeatWindow();
-        boolean stamped = h.ranAt >= 0 && h.category.repeats() == Repeats.STAMPED && now < until;
+        long until = h.ranSince + h.category.deduplicationWindowMicros();
+        boolean stamped =
+                h.ranAt >= 0
+                        && h.category.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && now < until;
         againAt(stamped ? until : again);
-        return h.ranAt < 0 || h.category.repeats() == Repeats.HARMLESS || stamped;
+        return h.ranAt < 0 || h.category.idempotency() == Idempotency.IDEMPOTENT || stamped;
     }
 
     boolean isCold(int t) {
-        return bounds.fall() > 0
+        return bounds.overloadWindowMicros() > 0
                 && targets.launched[t] > 0
-                && now < targets.launched[t] + bounds.cold();
+                && now < targets.launched[t] + bounds.warmUpMicros();
     }
 
     /**
@@ -699,27 +713,29 @@
         if (!isCold(t)) {
             return true;
         }
-        double queue = COLD_QUEUE * (bounds.tipMultiple() - 1) * bounds.fall();
+        double queue = COLD_QUEUE * (bounds.overloadFactor() - 1) * bounds.overloadWindowMicros();
         if (probesTell && isTold(t) && targets.crowd[t] <= queue) {
             return true;
         }
-        againAt(targets.launched[t] + bounds.cold());
-        if (now < startedAt + bounds.fall() && targets.launched[t] < startedAt) {
-            againAt(startedAt + bounds.fall());
+        againAt(targets.launched[t] + bounds.warmUpMicros());
+        if (now < startedAt + bounds.overloadWindowMicros() && targets.launched[t] < startedAt) {
+            againAt(startedAt + bounds.overloadWindowMicros());
             return false;
         }
         double missing =
-                targets.spentAfter(t, now - bounds.fall()) + h.access.units() - coldPart(t);
-        againAt(targets.firstSpent(t) + bounds.fall());
+                targets.spentAfter(t, now - bounds.overloadWindowMicros())
+                        + h.access.units()
+                        - coldPart(t);
+        againAt(targets.firstSpent(t) + bounds.overloadWindowMicros());
         againAt(missing > 0 ? filledAt(missing, coldGrowth()) : again);
         return missing <= 0;
     }
 
     /** By how much a second the part grows while a target warms. */
     private double coldGrowth() {
-        double share = bounds.coldShare();
-        double grown = share > 0 ? (1 - share) / share / bounds.cold() : 0;
-        return 1e6 * bounds.coldBears() * grown / Math.max(1, given.initiators());
+        double share = bounds.initialFraction();
+        double grown = share > 0 ? (1 - share) / share / bounds.warmUpMicros() : 0;
+        return 1e6 * bounds.warmUpBudgetUnits() * grown / Math.max(1, given.initiatorCount());
     }
 
     /**
@@ -727,11 +743,12 @@
      * counts.
      */
     private double coldPart(int t) {
-        double share = bounds.coldShare();
+        double share = bounds.initialFraction();
         double warmed =
-                Math.max(0, now - bounds.fall() - targets.launched[t]) / (double) bounds.cold();
+                Math.max(0, now - bounds.overloadWindowMicros() - targets.launched[t])
+                        / (double) bounds.warmUpMicros();
         double grown = share > 0 ? (share + (1 - share) * warmed) / share : 1;
-        return bounds.coldBears() * grown / Math.max(1, given.initiators());
+        return bounds.warmUpBudgetUnits() * grown / Math.max(1, given.initiatorCount());
     }
 
     private boolean itsTurn(Held h) {
@@ -748,7 +765,7 @@
     }
 
     private boolean withinBudget(Held h) {
-        if (h.relays > 0 && bounds.relayBudgetSpan() > 0) {
+        if (h.relays > 0 && bounds.retryWindowMicros() > 0) {
             agenda.restsOnBudget(h.node);
         }
         return h.relays == 0 || budgetLeft();
@@ -762,11 +779,10 @@
     }
 
     private boolean budgetLeft() {
-        long since = now - bounds.relayBudgetSpan();
-        return bounds.relayBudgetSpan() == 0
+        long since = now - bounds.retryWindowMicros();
+        return bounds.retryWindowMicros() == 0
                 || further.after(since) + 1
-                        <= bounds.relayBudgetFree()
-                                + bounds.relayBudgetShare() * taken.after(since);
+                        <= bounds.freeRetries() + bounds.retryShare() * taken.after(since);
     }
 
     private boolean withinLimit(Held h) {
@@ -809,13 +825,13 @@
         return limitDepth(h.plan) / h.hosts();
     }
 
-    private static double limitDepth(Plan plan) {
-        return plan.limitDepth() + SLACK_USED * plan.limitSlack();
+    private static double limitDepth(ServicePlan plan) {
+        return plan.limitBurst() + SLACK_USED * plan.limitSlack();
     }
 
     /** What a reserve holds, for accesses of up to eight times the mean. */
     private double reserveHolds(Store s) {
-        double rate = plans.containsKey(s.plan) ? plans.get(s.plan).reserve() : 0;
+        double rate = plans.containsKey(s.plan) ? plans.get(s.plan).reservationRate() : 0;
         return level(s, rate, 8 * (rate + 2 * meanUnits));
     }
 
@@ -834,9 +850,9 @@
 
     // ---- Outcomes ----
 
-    private void ended(Event.Ended e) {
+    private void ended(Event.AttemptEnded e) {
         Held h = held.get(e.id());
-        if (h == null || h.outAt < 0 || h.relays - 1 != e.relay()) {
+        if (h == null || h.outAt < 0 || h.relays - 1 != e.attemptNumber()) {
             return;
         }
         int t = h.outAt;
@@ -848,7 +864,7 @@
         boolean mayStillRun = MAY_STILL_RUN.contains(e.outcome());
         Turns k = turnsOf(h);
         if (k != null && mayStillRun) {
-            k.restUntil = Math.max(k.restUntil, now + bounds.keyQuiet());
+            k.restUntil = Math.max(k.restUntil, now + bounds.keyQuietMicros());
         }
         if (h.ranAt < 0 && (mayStillRun || e.outcome() == Outcome.ERROR)) {
             h.ranAt = t;
@@ -871,11 +887,11 @@
         agenda.touch(nodeOf(t));
     }
 
-    private void judge(int t, Held h, Event.Ended e) {
+    private void judge(int t, Held h, Event.AttemptEnded e) {
         switch (e.outcome()) {
-            case SUCCEEDED -> succeeded(t, h, e.lag());
+            case SUCCEEDED -> succeeded(t, h, e.latencyMicros());
             case ERROR -> heard(t);
-            case FULL -> {
+            case OVERLOADED -> {
                 heard(t);
                 late(t, h, shortestAgreed);
             }
@@ -947,10 +963,10 @@
             fallSilent(t);
         } else if (targets.nextTrial[t] > 0 && now >= targets.nextTrial[t]) {
             targets.nextTrial[t] = now + Math.min(quiet, LONGEST_TRIAL * shortestAgreed);
-            targets.mayTry[t] = !given.allowances().probes();
+            targets.mayTry[t] = !given.capabilities().canProbe();
             agenda.touch(nodeOf(t));
             if (!targets.mayTry[t] && targets.usable[t]) {
-                todo.add(new Action.Probe(targets.id[t]));
+                todo.add(new Action.SendProbe(targets.id[t]));
             }
         }
     }
@@ -972,8 +988,9 @@
             giveRoom(h, t);
             targets.outs.get(t).remove(h);
             h.lost = true;
-            if (given.allowances().cancels() && h.category.repeats() != Repeats.ONE_SHOT) {
-                todo.add(new Action.Cancel(h.access.id(), h.relays - 1));
+            if (given.capabilities().canCancel()
+                    && h.category.idempotency() != Idempotency.NON_IDEMPOTENT) {
+                todo.add(new Action.CancelAttempt(h.access.id(), h.relays - 1));
             }
         }
     }
@@ -991,12 +1008,13 @@
     }
 
     /** A probe may be answered beside the work, so its success only lets one access try. */
-    private void probed(Event.Probed e) {
+    private void probed(Event.ProbeEnded e) {
         int t = indexOf.get(e.target());
         boolean answered = e.outcome() == Outcome.SUCCEEDED;
         targets.mayTry[t] |= answered;
         targets.askedAt[t] = 0;
-        boolean tells = e.waiting() >= 0 || answered && aloneLag > 0 && e.lag() > aloneLag;
+        boolean tells =
+                e.queueLength() >= 0 || answered && aloneLag > 0 && e.latencyMicros() > aloneLag;
         if (tells && !probesTell) {
             probesTell = true;
             agenda.upsetAll(); // cold targets may now bear more
@@ -1004,7 +1022,7 @@
         double unanswered = isCold(t) ? shortestAgreed : 0;
         told(
                 t,
-                answered ? Math.max(e.lag(), e.waiting() * aloneLag) : unanswered,
+                answered ? Math.max(e.latencyMicros(), e.queueLength() * aloneLag) : unanswered,
                 shortestAgreed / 2);
     }
 
@@ -1012,7 +1030,7 @@
     private boolean worthAnother(Held h, int t) {
         boolean inTime = now + targets.lag[t] < h.agreedAt;
         return mayRunAgain(h)
-                && h.relays < given.allowances().maxRelays()
+                && h.relays < given.capabilities().maxAttempts()
                 && inTime
                 && chance.nextDouble() < Math.max(LEAST_FURTHER, furtherSuccess);
     }
@@ -1020,19 +1038,23 @@
     // ---- Final answers ----
 
     private void giveUp(Held h) {
-        Repeats kind = h.category.repeats();
-        boolean dropsRepeats = kind == Repeats.STAMPED && h.category.group() == Group.ALL;
-        boolean harmless = h.ranAt < 0 || kind == Repeats.HARMLESS || dropsRepeats;
+        Idempotency kind = h.category.idempotency();
+        boolean dropsRepeats =
+                kind == Idempotency.IDEMPOTENCY_KEY
+                        && h.category.deduplicationScope() == DeduplicationScope.ALL;
+        boolean harmless = h.ranAt < 0 || kind == Idempotency.IDEMPOTENT || dropsRepeats;
         String id = h.access.id();
-        todo.add(harmless ? new Action.Reject(id, advice(h.node.target)) : new Action.BreakOff(id));
+        todo.add(harmless ? new Action.Reject(id, advice(h.node.target)) : new Action.Fail(id));
         leave(h);
     }
 
     private long advice(int t) {
         long trial = t < 0 ? now + shortestAgreed : targets.nextTrial[t];
         long wait = trial > 0 ? trial - now : (long) targets.lag[t];
-        Allowances may = given.allowances();
-        return may.advice() ? Math.max(1, Math.min(may.longestAdvice(), wait)) : 0;
+        Capabilities may = given.capabilities();
+        return may.canSuggestRetryAfter()
+                ? Math.max(1, Math.min(may.maxRetryAfterMicros(), wait))
+                : 0;
     }
 
     private void leave(Held h) {
--- a/core/src/main/java/milletyoke/State.java
+++ b/core/src/main/java/milletyoke/scheduler/State.java
@@ -1,4 +1,4 @@
-package milletyoke;
+package milletyoke.scheduler;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -10,9 +10,9 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Predicate;
-import milletyoke.port.Event;
-import milletyoke.port.Provisioning.Category;
-import milletyoke.port.Provisioning.Plan;
+import milletyoke.scheduler.api.Event;
+import milletyoke.scheduler.api.SchedulerSettings.RequestClass;
+import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 
 /** What the module keeps, as plain data. */
 final class State {
@@ -83,7 +83,7 @@
         /**
          * When what is owed there is to be looked at again: no later than it can be silent or lost.
          */
-        final Timetable due = new Timetable();
+        final IndexedTimerQueue due = new IndexedTimerQueue();
 
         int add(String name) {
             if (!free.isEmpty()) {
@@ -150,7 +150,7 @@
             usableAt[t] = 0;
             coldSpent.get(t).clear();
             outs.get(t).clear();
-            due.set(t, Timetable.NEVER);
+            due.set(t, IndexedTimerQueue.NEVER);
             free.add(t);
         }
 
@@ -182,7 +182,7 @@
         /** When the first of those was sent; far off where there is none. */
         long firstSpent(int t) {
             return coldSpent.get(t).isEmpty()
-                    ? Timetable.NEVER / 2
+                    ? IndexedTimerQueue.NEVER / 2
                     : coldSpent.get(t).peekFirst().at();
         }
     }
@@ -242,7 +242,8 @@
         static final Comparator<Held> INSIDE =
                 (a, b) -> {
                     int byImportance =
-                            Double.compare(b.category.importance(), a.category.importance());
+                            Double.compare(
+                                    b.category.priorityWeight(), a.category.priorityWeight());
                     int byAge =
                             byImportance != 0
                                     ? byImportance
@@ -263,7 +264,7 @@
                     return byTime != 0 ? byTime : Long.compare(a.queued, b.queued);
                 };
 
-        final Event.Access access;
+        final Event.RequestReceived access;
 
         /**
          * Its place in the order of taking, and among all that came to a queue, the latest time it
@@ -272,9 +273,9 @@
         final long taken;
 
         long queued;
-        final Category category;
+        final RequestClass category;
         final Volume volume;
-        Plan plan;
+        ServicePlan plan;
         Node node;
 
         /** Where it waits or last waited; null before. */
@@ -306,7 +307,12 @@
         /** Its relay is out, and presumed lost. */
         boolean lost;
 
-        Held(Event.Access access, long taken, Category category, Volume volume, Plan plan) {
+        Held(
+                Event.RequestReceived access,
+                long taken,
+                RequestClass category,
+                Volume volume,
+                ServicePlan plan) {
             this.access = access;
             this.taken = taken;
             this.category = category;
@@ -320,7 +326,7 @@
 
         /** Through how many hosts its volume comes; each keeps its part of what is limited. */
         double hosts() {
-            return Math.max(1, access.hosts());
+            return Math.max(1, access.initiatorCount());
         }
 
         /** This host's part of its volume's limit, units a second. */
@@ -329,7 +335,7 @@
         }
 
         double reserve() {
-            return plan == null ? 0 : plan.reserve();
+            return plan == null ? 0 : plan.reservationRate();
         }
 
         double weight() {
@@ -384,17 +390,19 @@
             this.name = name;
         }
 
-        Store reserveFor(Event.Access access) {
+        Store reserveFor(Event.RequestReceived access) {
             if (reserve == null) {
                 reserve = new Store(access.plan(), 0);
             }
             return reserve;
         }
 
-        void asks(Event.Access access) {
-            mixed |= plan != null && (!plan.equals(access.plan()) || hosts != access.hosts());
+        void asks(Event.RequestReceived access) {
+            mixed |=
+                    plan != null
+                            && (!plan.equals(access.plan()) || hosts != access.initiatorCount());
             plan = access.plan();
-            hosts = access.hosts();
+            hosts = access.initiatorCount();
         }
     }
 
@@ -583,7 +591,7 @@
                 return;
             }
             unparked(r);
-            if (again != Timetable.NEVER) { // else only what happens can bring it back
+            if (again != IndexedTimerQueue.NEVER) { // else only what happens can bring it back
                 r.lookAt = again;
                 r.isParked = true;
                 parked.add(r);
@@ -730,13 +738,13 @@
             at = time;
         }
 
-        void follow(Event.Access access) {
+        void follow(Event.RequestReceived access) {
             plan = access.plan();
-            hosts = Math.max(1, access.hosts());
+            hosts = Math.max(1, access.initiatorCount());
         }
 
-        boolean follows(Event.Access access) {
-            return access.plan().equals(plan) && hosts == Math.max(1, access.hosts());
+        boolean follows(Event.RequestReceived access) {
+            return access.plan().equals(plan) && hosts == Math.max(1, access.initiatorCount());
         }
     }
 
--- a/core/src/main/java/milletyoke/port/Outcome.java
+++ b/core/src/main/java/milletyoke/scheduler/api/Outcome.java
@@ -1,13 +1,13 @@
-package milletyoke.port;
+package milletyoke.scheduler.api;
 
 /** How a relay or a probe ended. */
 public enum Outcome {
     SUCCEEDED,
     ERROR,
-    FULL,
+    OVERLOADED,
     TIMED_OUT,
     NO_CONNECTION,
     RESET,
     CANCELLED,
-    MOOT
+    NOT_STARTED
 }
--- a/core/src/test/java/milletyoke/DifferentialTest.java
+++ b/core/src/test/java/milletyoke/scheduler/DifferentialTest.java
@@ -1,4 +1,4 @@
-package milletyoke;
+package milletyoke.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -10,12 +10,13 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.SplittableRandom;
+import java.util.stream.Collectors;
 import java.util.stream.IntStream;
-import milletyoke.port.Action;
-import milletyoke.port.Event;
-import milletyoke.port.Outcome;
-import milletyoke.port.Provisioning;
-import milletyoke.port.Provisioning.*;
+import milletyoke.scheduler.api.Action;
+import milletyoke.scheduler.api.Event;
+import milletyoke.scheduler.api.Outcome;
+import milletyoke.scheduler.api.SchedulerSettings;
+import milletyoke.scheduler.api.SchedulerSettings.*;
 import net.jqwik.api.EdgeCasesMode;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.GenerationMode;
@@ -36,7 +37,7 @@
      */
     private static final class World {
         private SplittableRandom chance;
-        final Provisioning given;
+        final SchedulerSettings given;
         final int shards, volumes;
 
         /**
@@ -45,7 +46,7 @@
          */
         final boolean steady, uneven;
 
-        final List<Action.Relay> out = new ArrayList<>();
+        final List<Action.SendAttempt> out = new ArrayList<>();
         final List<String> probes = new ArrayList<>();
         final java.util.Map<String, Integer> relays = new java.util.HashMap<>();
         long now = 1_000_000_000L;
@@ -58,38 +59,57 @@
             boolean cold = chance.nextBoolean();
             steady = chance.nextBoolean();
             uneven = chance.nextInt(3) == 0;
-            List<Category> categories =
+            List<RequestClass> categories =
                     List.of(
-                            new Category("read", Repeats.HARMLESS, Group.ALL, 0, false, 300_000, 2),
-                            new Category(
-                                    "write", Repeats.ONE_SHOT, Group.ALL, 0, false, 500_000, 2),
-                            new Category(
+                            new RequestClass(
+                                    "read",
+                                    Idempotency.IDEMPOTENT,
+                                    DeduplicationScope.ALL,
+                                    0,
+                                    false,
+                                    300_000,
+                                    2),
+                            new RequestClass(
+                                    "write",
+                                    Idempotency.NON_IDEMPOTENT,
+                                    DeduplicationScope.ALL,
+                                    0,
+                                    false,
+                                    500_000,
+                                    2),
+                            new RequestClass(
                                     "save",
-                                    Repeats.STAMPED,
-                                    Group.ZONE,
+                                    Idempotency.IDEMPOTENCY_KEY,
+                                    DeduplicationScope.ZONE,
                                     2_500_000,
                                     chance.nextBoolean(),
                                     500_000,
                                     1),
-                            new Category(
-                                    "bulk", Repeats.HARMLESS, Group.ALL, 0, false, 1_500_000, 1));
-            List<Plan> plans =
+                            new RequestClass(
+                                    "bulk",
+                                    Idempotency.IDEMPOTENT,
+                                    DeduplicationScope.ALL,
+                                    0,
+                                    false,
+                                    1_500_000,
+                                    1));
+            List<ServicePlan> plans =
                     List.of(
-                            new Plan("free", 0, 1, 0, 0, 0),
-                            new Plan("paid", 6, 2, 0, 0, 0),
-                            new Plan("capped", 1, 1, 20, 25, 4));
+                            new ServicePlan("free", 0, 1, 0, 0, 0),
+                            new ServicePlan("paid", 6, 2, 0, 0, 0),
+                            new ServicePlan("capped", 1, 1, 20, 25, 4));
             given =
-                    new Provisioning(
+                    new SchedulerSettings(
                             chance.nextBoolean() ? 3 : 40,
                             categories,
                             plans,
-                            new Allowances(
+                            new Capabilities(
                                     1 + chance.nextInt(3),
                                     chance.nextBoolean(),
                                     chance.nextBoolean(),
                                     chance.nextBoolean(),
                                     500_000),
-                            new Bounds(
+                            new RuleLimits(
                                     chance.nextBoolean() ? 200_000 : 0,
                                     cold ? 5_000_000 : 0,
                                     0.3,
@@ -105,18 +125,18 @@
 
         List<Event> start() {
             List<Event> events = new ArrayList<>();
-            events.add(new Event.Start(chance.nextLong(), given));
-            events.add(list(Event.Scope.RESTORED));
+            events.add(new Event.Started(chance.nextLong(), given));
+            events.add(list(Event.ListScope.RESTORED));
             return events;
         }
 
-        Event list(Event.Scope scope) {
+        Event list(Event.ListScope scope) {
             List<Event.Target> targets = new ArrayList<>();
             for (int s = 0; s < shards; s++) {
-                if (scope != Event.Scope.UPDATE || chance.nextInt(shards) == 0) {
+                if (scope != Event.ListScope.UPDATE || chance.nextInt(shards) == 0) {
                     boolean fresh = chance.nextInt(6) == 0;
                     Event.Health health =
-                            chance.nextInt(8) == 0 ? Event.Health.DRAINING : Event.Health.ON;
+                            chance.nextInt(8) == 0 ? Event.Health.DRAINING : Event.Health.ACTIVE;
                     targets.add(
                             new Event.Target(
                                     s,
@@ -126,7 +146,7 @@
                                     fresh ? now - chance.nextInt(2_000_000) : 0));
                 }
             }
-            return new Event.TargetList(scope, targets);
+            return new Event.EndpointListReceived(scope, targets);
         }
 
         /**
@@ -145,7 +165,7 @@
                 events.add(event());
             }
             if (events.isEmpty()) {
-                events.add(new Event.Alarm());
+                events.add(new Event.WakeUp());
             }
             return events;
         }
@@ -158,42 +178,44 @@
                 return ended();
             } else if (kind < 90 && !probes.isEmpty()) {
                 boolean ok = chance.nextInt(5) > 0;
-                return new Event.Probed(
+                return new Event.ProbeEnded(
                         probes.remove(chance.nextInt(probes.size())),
                         ok ? Outcome.SUCCEEDED : Outcome.TIMED_OUT,
                         1000 + chance.nextInt(90_000),
                         chance.nextInt(3) == 0 ? -1 : chance.nextInt(30));
             } else if (kind == 90) {
-                return list(chance.nextBoolean() ? Event.Scope.UPDATE : Event.Scope.REPLACE);
+                return list(
+                        chance.nextBoolean() ? Event.ListScope.UPDATE : Event.ListScope.REPLACE);
             } else if (kind == 91) {
-                return new Event.TargetList(Event.Scope.UNAVAILABLE, List.of());
+                return new Event.EndpointListReceived(Event.ListScope.UNAVAILABLE, List.of());
             } else if (kind == 92 && next > 0) {
-                return new Event.Over("r" + (next - 1 - chance.nextInt((int) Math.min(next, 30))));
+                return new Event.RequestClosed(
+                        "r" + (next - 1 - chance.nextInt((int) Math.min(next, 30))));
             } else if (kind == 93) {
-                List<Plan> plans = new ArrayList<>(given.plans());
+                List<ServicePlan> plans = new ArrayList<>(given.plans());
                 plans.set(
                         2,
-                        new Plan(
+                        new ServicePlan(
                                 "capped",
                                 1,
                                 1 + chance.nextInt(3),
                                 5 + chance.nextInt(40),
                                 5 + chance.nextInt(30),
                                 2));
-                return new Event.Reprovisioned(
-                        new Provisioning(
-                                given.initiators(),
-                                given.categories(),
+                return new Event.SettingsChanged(
+                        new SchedulerSettings(
+                                given.initiatorCount(),
+                                given.requestClasses(),
                                 plans,
-                                given.allowances(),
-                                given.bounds(),
-                                given.listMustBeAsked()));
+                                given.capabilities(),
+                                given.limits(),
+                                given.mustWatchEndpoints()));
             }
-            return new Event.Alarm();
+            return new Event.WakeUp();
         }
 
         private Event access() {
-            String category = given.categories().get(chance.nextInt(4)).name();
+            String category = given.requestClasses().get(chance.nextInt(4)).name();
             int shard = chance.nextInt(10) == 0 ? -1 : chance.nextInt(shards);
             String extent = chance.nextInt(3) == 0 ? null : "x" + chance.nextInt(12);
             long ttl = chance.nextInt(6) == 0 ? 20_000 + chance.nextInt(300_000) : 2_500_000;
@@ -202,7 +224,7 @@
                     uneven && chance.nextInt(20) == 0
                             ? 1 + chance.nextInt(40)
                             : 1 + chance.nextInt(4);
-            return new Event.Access(
+            return new Event.RequestReceived(
                     "r" + next++,
                     shard,
                     extent,
@@ -215,12 +237,12 @@
         }
 
         private Event ended() {
-            Action.Relay r = out.remove(chance.nextInt(Math.min(out.size(), 6)));
+            Action.SendAttempt r = out.remove(chance.nextInt(Math.min(out.size(), 6)));
             Outcome[] all = Outcome.values();
             Outcome how =
                     chance.nextInt(4) > 0 ? Outcome.SUCCEEDED : all[chance.nextInt(all.length)];
             int relay = relays.get(r.id()) - 1;
-            return new Event.Ended(
+            return new Event.AttemptEnded(
                     r.id(),
                     relay,
                     how == Outcome.SUCCEEDED,
@@ -230,16 +252,43 @@
 
         void did(List<Action> actions) {
             for (Action a : actions) {
-                if (a instanceof Action.Relay r) {
+                if (a instanceof Action.SendAttempt r) {
                     out.add(r);
                     relays.merge(r.id(), 1, Integer::sum);
-                } else if (a instanceof Action.Probe p) {
+                } else if (a instanceof Action.SendProbe p) {
                     probes.add(p.target());
                 }
             }
         }
     }
 
+    /**
+     * The actions as the digests were recorded: the types' names of that time are part of the text.
+     */
+    private static String recordedForm(List<Action> actions) {
+        return actions.stream()
+                .map(DifferentialTest::recordedForm)
+                .collect(Collectors.joining(", ", "[", "]"));
+    }
+
+    private static String recordedForm(Action action) {
+        if (action instanceof Action.SendAttempt a) {
+            return "Relay[id=%s, giveUpAt=%d, target=%s]"
+                    .formatted(a.id(), a.deadlineMicros(), a.target());
+        } else if (action instanceof Action.Reject a) {
+            return "Reject[id=%s, retryIn=%d]".formatted(a.id(), a.retryAfterMicros());
+        } else if (action instanceof Action.Fail a) {
+            return "BreakOff[id=%s]".formatted(a.id());
+        } else if (action instanceof Action.CancelAttempt a) {
+            return "Cancel[id=%s, relay=%d]".formatted(a.id(), a.attemptNumber());
+        } else if (action instanceof Action.SendProbe a) {
+            return "Probe[target=%s]".formatted(a.target());
+        } else if (action instanceof Action.ScheduleWakeUp a) {
+            return "Wake[in=%d]".formatted(a.delayMicros());
+        }
+        return "FollowList[]";
+    }
+
     static IntStream seeds() {
         return IntStream.rangeClosed(1, Integer.getInteger("milletyoke.streams", 24));
     }
@@ -248,8 +297,8 @@
     @MethodSource("seeds")
     void equalActionsCallByCall(int seed) {
         World world = new World(seed);
-        Decide now = new Decide();
-        milletyoke.reference.Decide before = new milletyoke.reference.Decide();
+        RequestScheduler now = new RequestScheduler();
+        milletyoke.scheduler.reference.Decide before = new milletyoke.scheduler.reference.Decide();
         List<Event> events = world.start();
         long relays = 0;
         for (int step = 0; step < 4_000; step++) {
@@ -269,7 +318,7 @@
                                     + " given "
                                     + world.given);
             world.did(told);
-            relays += told.stream().filter(a -> a instanceof Action.Relay).count();
+            relays += told.stream().filter(a -> a instanceof Action.SendAttempt).count();
             events = world.step();
         }
         assertEquals(true, relays > 100, relays + " relays only");
@@ -285,12 +334,12 @@
         List<String> digests = new ArrayList<>();
         for (int seed = 1; seed <= 24; seed++) {
             World world = new World(seed);
-            Decide module = new Decide();
+            RequestScheduler module = new RequestScheduler();
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             List<Event> events = world.start();
             for (int step = 0; step < 4_000; step++) {
                 List<Action> told = module.decide(world.now, events);
-                digest.update(told.toString().getBytes(StandardCharsets.UTF_8));
+                digest.update(recordedForm(told).getBytes(StandardCharsets.UTF_8));
                 world.did(told);
                 events = world.step();
             }
@@ -317,8 +366,8 @@
             @ForAll @Size(min = 1, max = 800)
                     List<@IntRange(max = Integer.MAX_VALUE) Integer> steps) {
         World world = new World(seed);
-        Decide now = new Decide();
-        milletyoke.reference.Decide before = new milletyoke.reference.Decide();
+        RequestScheduler now = new RequestScheduler();
+        milletyoke.scheduler.reference.Decide before = new milletyoke.scheduler.reference.Decide();
         List<Event> events = world.start();
         for (int step : steps) {
             List<Action> expected = before.decide(world.now, events);
--- a/core/src/test/java/milletyoke/ForgettingTest.java
+++ b/core/src/test/java/milletyoke/scheduler/IdleStateEvictionTest.java
@@ -1,4 +1,4 @@
-package milletyoke;
+package milletyoke.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import milletyoke.port.Action;
-import milletyoke.port.Event;
-import milletyoke.port.Outcome;
-import milletyoke.port.Provisioning;
-import milletyoke.port.Provisioning.*;
+import milletyoke.scheduler.api.Action;
+import milletyoke.scheduler.api.Event;
+import milletyoke.scheduler.api.Outcome;
+import milletyoke.scheduler.api.SchedulerSettings;
+import milletyoke.scheduler.api.SchedulerSettings.*;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -21,7 +21,7 @@
  * what is in use.
  */
 @Timeout(300)
-class ForgettingTest {
+class IdleStateEvictionTest {
     private static final long MINUTE = 60_000_000L;
 
     /**
@@ -38,15 +38,15 @@
         private final List<double[]> plans = new ArrayList<>();
         private final List<Long> since = new ArrayList<>();
 
-        Auditor(long startedAt, Plan plan, int volumes) {
+        Auditor(long startedAt, ServicePlan plan, int volumes) {
             levels = new double[volumes];
             at = new long[volumes];
             java.util.Arrays.fill(at, startedAt);
             told(startedAt, plan);
         }
 
-        void told(long at, Plan plan) {
-            plans.add(new double[] {plan.limitRate(), plan.limitDepth() + plan.limitSlack()});
+        void told(long at, ServicePlan plan) {
+            plans.add(new double[] {plan.limitRate(), plan.limitBurst() + plan.limitSlack()});
             since.add(at);
         }
 
@@ -76,44 +76,57 @@
 
     /** A module, its world that answers after five milliseconds, and the auditor. */
     private static final class Service {
-        final Decide decide = new Decide();
-        final Map<String, Event.Access> sent = new HashMap<>();
+        final RequestScheduler decide = new RequestScheduler();
+        final Map<String, Event.RequestReceived> sent = new HashMap<>();
         final List<String> out = new ArrayList<>();
         final Auditor auditor;
         long now = 1_000_000_000_000L;
         long relays, rejects, next;
-        List<Plan> plans;
+        List<ServicePlan> plans;
 
-        Service(Plan capped, int shards) {
+        Service(ServicePlan capped, int shards) {
             this(capped, shards, 100);
         }
 
-        Service(Plan capped, int shards, int volumes) {
+        Service(ServicePlan capped, int shards, int volumes) {
             plans =
                     List.of(
-                            new Plan("free", 0, 1, 0, 0, 0),
-                            new Plan("paid", 6, 2, 0, 0, 0),
+                            new ServicePlan("free", 0, 1, 0, 0, 0),
+                            new ServicePlan("paid", 6, 2, 0, 0, 0),
                             capped);
             auditor = new Auditor(now, capped, volumes);
             List<Event.Target> targets = new ArrayList<>();
             for (int t = 0; t < shards; t++) {
-                targets.add(new Event.Target(t, "t" + t, "z", Event.Health.ON, 0));
+                targets.add(new Event.Target(t, "t" + t, "z", Event.Health.ACTIVE, 0));
             }
             tell(
-                    new Event.Start(1, provisioning()),
-                    new Event.TargetList(Event.Scope.REPLACE, targets));
+                    new Event.Started(1, provisioning()),
+                    new Event.EndpointListReceived(Event.ListScope.REPLACE, targets));
         }
 
-        Provisioning provisioning() {
-            return new Provisioning(
+        SchedulerSettings provisioning() {
+            return new SchedulerSettings(
                     3,
                     List.of(
-                            new Category("read", Repeats.HARMLESS, Group.ALL, 0, false, 300_000, 2),
-                            new Category(
-                                    "write", Repeats.ONE_SHOT, Group.ALL, 0, true, 500_000, 2)),
+                            new RequestClass(
+                                    "read",
+                                    Idempotency.IDEMPOTENT,
+                                    DeduplicationScope.ALL,
+                                    0,
+                                    false,
+                                    300_000,
+                                    2),
+                            new RequestClass(
+                                    "write",
+                                    Idempotency.NON_IDEMPOTENT,
+                                    DeduplicationScope.ALL,
+                                    0,
+                                    true,
+                                    500_000,
+                                    2)),
                     plans,
-                    new Allowances(3, true, true, true, 500_000),
-                    new Bounds(
+                    new Capabilities(3, true, true, true, 500_000),
+                    new RuleLimits(
                             200_000,
                             5_000_000,
                             0.3,
@@ -127,15 +140,15 @@
                     false);
         }
 
-        void plan(Plan capped) {
+        void plan(ServicePlan capped) {
             plans = List.of(plans.get(0), plans.get(1), capped);
             auditor.told(now, capped);
-            tell(new Event.Reprovisioned(provisioning()));
+            tell(new Event.SettingsChanged(provisioning()));
         }
 
         void access(String volume, int shard, String plan, String key, double units) {
-            Event.Access a =
-                    new Event.Access(
+            Event.RequestReceived a =
+                    new Event.RequestReceived(
                             "a" + next++,
                             shard,
                             key,
@@ -151,21 +164,21 @@
 
         void tell(Event... events) {
             for (Action action : decide.decide(now, List.of(events))) {
-                if (action instanceof Action.Relay r) {
+                if (action instanceof Action.SendAttempt r) {
                     relays++;
                     out.add(r.id());
-                    Event.Access a = sent.get(r.id());
+                    Event.RequestReceived a = sent.get(r.id());
                     if (a.plan().equals("capped")) {
                         auditor.sent(a.volume(), now, a.units());
                     }
                 } else if (action instanceof Action.Reject r) {
                     rejects++;
                     sent.remove(r.id());
-                } else if (action instanceof Action.BreakOff b) {
+                } else if (action instanceof Action.Fail b) {
                     sent.remove(b.id());
-                } else if (action instanceof Action.Probe p) {
+                } else if (action instanceof Action.SendProbe p) {
                     now += 1_000;
-                    tell(new Event.Probed(p.target(), Outcome.SUCCEEDED, 1_000, 0));
+                    tell(new Event.ProbeEnded(p.target(), Outcome.SUCCEEDED, 1_000, 0));
                 }
             }
         }
@@ -175,7 +188,7 @@
             while (!out.isEmpty()) {
                 String id = out.remove(out.size() - 1);
                 sent.remove(id);
-                tell(new Event.Ended(id, 0, true, Outcome.SUCCEEDED, 5_000));
+                tell(new Event.AttemptEnded(id, 0, true, Outcome.SUCCEEDED, 5_000));
             }
         }
 
@@ -183,7 +196,7 @@
             for (long until = now + time;
                     now < until;
                     now += Math.max(4_000, Math.min(MINUTE, until - now) / 4)) {
-                tell(new Event.Alarm());
+                tell(new Event.WakeUp());
                 answer();
             }
         }
@@ -195,7 +208,7 @@
 
     @Test
     void whatAVolumeLeavesBehindGoesOnceItsStoreIsFull() {
-        Service service = new Service(new Plan("capped", 0, 1, 0.1, 300, 0), 4);
+        Service service = new Service(new ServicePlan("capped", 0, 1, 0.1, 300, 0), 4);
         service.pass(60 * MINUTE);
         for (int i = 0; i < 30; i++) {
             service.access("v0", 1, "capped", null, 10);
@@ -221,13 +234,13 @@
      */
     @Test
     void aLimitRaisedWhileForgottenFillsAsIfKept() {
-        Service service = new Service(new Plan("capped", 0, 1, 10, 20, 0), 4);
+        Service service = new Service(new ServicePlan("capped", 0, 1, 10, 20, 0), 4);
         service.pass(MINUTE);
         service.access("v0", 1, "capped", null, 20);
         service.answer();
         service.pass(30 * MINUTE);
         assertEquals(null, service.decide.agenda.volume("v0"));
-        service.plan(new Plan("capped", 0, 1, 10, 500, 0));
+        service.plan(new ServicePlan("capped", 0, 1, 10, 500, 0));
         service.now += 10_000_000; // 20 units then, 100 more since
         service.access("v0", 1, "capped", null, 121);
         service.access("v1", 1, "capped", null, 121);
@@ -244,7 +257,7 @@
         int forgotten = 0;
         boolean joined = false;
         for (int round = 0; round < 300; round++) {
-            Service service = new Service(new Plan("capped", 0, 1, 50, 50, 5), 1);
+            Service service = new Service(new ServicePlan("capped", 0, 1, 50, 50, 5), 1);
             Map<String, double[]> before = new HashMap<>();
             for (int i = 0; i < 60; i++) {
                 service.access(
@@ -283,9 +296,9 @@
      */
     @Test
     void atANodeThatIsNeverQuietTagsAheadStay() {
-        Agenda agenda = new Agenda();
-        Forgetting forgetting =
-                new Forgetting(
+        DispatchQueue agenda = new DispatchQueue();
+        IdleStateEviction forgetting =
+                new IdleStateEviction(
                         agenda,
                         new State.Targets(),
                         new HashMap<>(),
@@ -294,23 +307,35 @@
                         s -> 0,
                         s -> 0);
         State.Node node = agenda.node(0);
-        Event.Access access = new Event.Access("a", 0, null, "ahead", 1_000, "free", "read", 1, 1);
+        Event.RequestReceived access =
+                new Event.RequestReceived("a", 0, null, "ahead", 1_000, "free", "read", 1, 1);
         State.Volume ahead = agenda.volume(access, 0);
         State.Reservation tags = agenda.reservation(node, ahead, 0);
         tags.finish = 100;
         ahead.held--;
-        Category read = new Category("read", Repeats.HARMLESS, Group.ALL, 0, false, 300_000, 2);
-        Event.Access other = new Event.Access("b", 0, null, "waits", 1_000, "free", "read", 1, 1);
+        RequestClass read =
+                new RequestClass(
+                        "read",
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0,
+                        false,
+                        300_000,
+                        2);
+        Event.RequestReceived other =
+                new Event.RequestReceived("b", 0, null, "waits", 1_000, "free", "read", 1, 1);
         State.Held waits = new State.Held(other, 0, read, agenda.volume(other, 0), null);
         waits.node = node;
         agenda.queue(waits, agenda.reservation(node, waits.volume, 0));
-        for (long now = 0; now < 5 * Forgetting.AFTER; now += MINUTE) {
+        for (long now = 0; now < 5 * IdleStateEviction.AFTER; now += MINUTE) {
             forgetting.turn(now, 1);
             assertEquals(ahead, agenda.volume("ahead"));
             assertEquals(tags, node.reservations.get(agenda.volume("ahead")));
         }
         agenda.unqueue(waits);
-        for (long now = 5 * Forgetting.AFTER; now < 8 * Forgetting.AFTER; now += MINUTE) {
+        for (long now = 5 * IdleStateEviction.AFTER;
+                now < 8 * IdleStateEviction.AFTER;
+                now += MINUTE) {
             forgetting.turn(now, 1);
         }
         assertEquals(null, agenda.volume("ahead"), "nobody waits any more");
@@ -324,9 +349,9 @@
     @Test
     void aKeyThatKeepsTimingOutHoldsNoOthersBack() {
         Map<String, State.Turns> turns = new HashMap<>();
-        Forgetting forgetting =
-                new Forgetting(
-                        new Agenda(),
+        IdleStateEviction forgetting =
+                new IdleStateEviction(
+                        new DispatchQueue(),
                         new State.Targets(),
                         new HashMap<>(),
                         turns,
@@ -353,13 +378,13 @@
     /** Guards memory: large turns bring more than eight new volumes each. */
     @Test
     void whatLargeTurnsBringGoesAsFastAsItComes() {
-        Service service = new Service(new Plan("capped", 0, 1, 50, 50, 5), 1, 100);
+        Service service = new Service(new ServicePlan("capped", 0, 1, 50, 50, 5), 1, 100);
         int most = 0;
         for (int turn = 0; turn < 400; turn++) {
             List<Event> batch = new ArrayList<>();
             for (int i = 0; i < 100; i++) {
                 batch.add(
-                        new Event.Access(
+                        new Event.RequestReceived(
                                 "b" + turn + "-" + i,
                                 0,
                                 null,
@@ -369,14 +394,17 @@
                                 "read",
                                 1,
                                 1));
-                service.sent.put("b" + turn + "-" + i, (Event.Access) batch.get(i));
+                service.sent.put("b" + turn + "-" + i, (Event.RequestReceived) batch.get(i));
             }
             service.tell(batch.toArray(new Event[0]));
             for (int round = 0; round < 20; round++) { // what was relayed ends in large turns too
                 service.now += 5_000;
                 Event[] ends =
                         service.out.stream()
-                                .map(id -> new Event.Ended(id, 0, true, Outcome.SUCCEEDED, 5_000))
+                                .map(
+                                        id ->
+                                                new Event.AttemptEnded(
+                                                        id, 0, true, Outcome.SUCCEEDED, 5_000))
                                 .toArray(Event[]::new);
                 service.out.clear();
                 service.tell(ends);
@@ -389,17 +417,17 @@
 
     @Test
     void aTargetThatLeftGoesAndItsPlaceIsUsedAgain() {
-        Service service = new Service(new Plan("capped", 0, 1, 50, 50, 5), 3);
+        Service service = new Service(new ServicePlan("capped", 0, 1, 50, 50, 5), 3);
         for (int generation = 0; generation < 40; generation++) {
             service.tell(
-                    new Event.TargetList(
-                            Event.Scope.REPLACE,
+                    new Event.EndpointListReceived(
+                            Event.ListScope.REPLACE,
                             List.of(
                                     new Event.Target(
                                             100 + generation,
                                             "g" + generation,
                                             "z",
-                                            Event.Health.ON,
+                                            Event.Health.ACTIVE,
                                             0))));
             service.access("v" + generation, 100 + generation, "free", "k" + generation, 1);
             service.answer();
@@ -416,7 +444,7 @@
     @Test
     void yearsOfServiceNeedWhatIsInUse() {
         int volumes = Integer.getInteger("milletyoke.soak", 100_000);
-        Service service = new Service(new Plan("capped", 0, 1, 2, 20, 1), 30, volumes);
+        Service service = new Service(new ServicePlan("capped", 0, 1, 2, 20, 1), 30, volumes);
         SplittableRandom chance = new SplittableRandom(9);
         long each = 21L * 24 * 60 * MINUTE / 1_000_000; // a million volumes in three weeks
         int most = 0, mostTargets = 0, mostNodes = 0, generation = 0, replaceEvery = 100;
@@ -444,29 +472,29 @@
             }
             service.answer();
             service.now += chance.nextLong(2 * each);
-            service.tell(new Event.Alarm());
+            service.tell(new Event.WakeUp());
             if (v % replaceEvery == 0) {
                 service.tell(
-                        new Event.TargetList(
-                                Event.Scope.UPDATE,
+                        new Event.EndpointListReceived(
+                                Event.ListScope.UPDATE,
                                 List.of(
                                         new Event.Target(
                                                 1000 + generation,
                                                 "t" + generation,
                                                 "z",
-                                                Event.Health.ON,
+                                                Event.Health.ACTIVE,
                                                 service.now),
                                         new Event.Target(
                                                 1000 + Math.max(0, generation - 60),
                                                 "t" + Math.max(0, generation - 60),
                                                 "z",
-                                                Event.Health.GONE,
+                                                Event.Health.REMOVED,
                                                 0))));
                 generation++;
             }
             if (v % 50_000 == 0) {
                 service.plan(
-                        new Plan(
+                        new ServicePlan(
                                 "capped", 0, 1, 1 + chance.nextInt(5), 10 + chance.nextInt(60), 1));
             }
             most = Math.max(most, service.kept());
--- a/core/src/test/java/milletyoke/TimetableTest.java
+++ b/core/src/test/java/milletyoke/scheduler/IndexedTimerQueueTest.java
@@ -1,4 +1,4 @@
-package milletyoke;
+package milletyoke.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -9,11 +9,11 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-class TimetableTest {
+class IndexedTimerQueueTest {
     @Test
     void saysWhatASortedMapSays() {
         SplittableRandom chance = new SplittableRandom(5);
-        Timetable table = new Timetable();
+        IndexedTimerQueue table = new IndexedTimerQueue();
         TreeMap<Integer, Long> plain = new TreeMap<>();
         for (int step = 0; step < 200_000; step++) {
             int index = chance.nextInt(300);
@@ -27,7 +27,7 @@
                 assertArrayEquals(expected, table.due(now));
                 plain.values().removeIf(at -> at <= now);
             } else if (chance.nextInt(4) == 0) {
-                table.set(index, Timetable.NEVER);
+                table.set(index, IndexedTimerQueue.NEVER);
                 plain.remove(index);
             } else {
                 long at = chance.nextInt(1_000);
@@ -35,9 +35,9 @@
                 plain.put(index, at);
             }
             assertEquals(
-                    plain.values().stream().mapToLong(x -> x).min().orElse(Timetable.NEVER),
+                    plain.values().stream().mapToLong(x -> x).min().orElse(IndexedTimerQueue.NEVER),
                     table.first());
-            assertEquals(plain.getOrDefault(index, Timetable.NEVER), table.of(index));
+            assertEquals(plain.getOrDefault(index, IndexedTimerQueue.NEVER), table.of(index));
         }
     }
 
--- a/core/src/test/java/milletyoke/DrawTest.java
+++ b/core/src/test/java/milletyoke/scheduler/PlacementTest.java
@@ -1,4 +1,4 @@
-package milletyoke;
+package milletyoke.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,16 +7,16 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import milletyoke.port.Action;
-import milletyoke.port.Event;
-import milletyoke.port.Outcome;
-import milletyoke.port.Provisioning;
-import milletyoke.port.Provisioning.Allowances;
-import milletyoke.port.Provisioning.Bounds;
-import milletyoke.port.Provisioning.Category;
-import milletyoke.port.Provisioning.Group;
-import milletyoke.port.Provisioning.Plan;
-import milletyoke.port.Provisioning.Repeats;
+import milletyoke.scheduler.api.Action;
+import milletyoke.scheduler.api.Event;
+import milletyoke.scheduler.api.Outcome;
+import milletyoke.scheduler.api.SchedulerSettings;
+import milletyoke.scheduler.api.SchedulerSettings.Capabilities;
+import milletyoke.scheduler.api.SchedulerSettings.DeduplicationScope;
+import milletyoke.scheduler.api.SchedulerSettings.Idempotency;
+import milletyoke.scheduler.api.SchedulerSettings.RequestClass;
+import milletyoke.scheduler.api.SchedulerSettings.RuleLimits;
+import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -24,8 +24,8 @@
  * Where a new object goes: odds in step with room, by the walk over few nodes and by lots over many
  * alike.
  */
-class DrawTest {
-    private final Decide module = new Decide();
+class PlacementTest {
+    private final RequestScheduler module = new RequestScheduler();
 
     private List<Action> tell(Event... events) {
         return module.decide(
@@ -34,36 +34,46 @@
     }
 
     private Map<String, Integer> drawn(int targets, int draws) {
-        Provisioning given =
-                new Provisioning(
+        SchedulerSettings given =
+                new SchedulerSettings(
                         1,
                         List.of(
-                                new Category(
-                                        "w", Repeats.HARMLESS, Group.ALL, 0, false, 400_000, 1)),
-                        List.of(new Plan("p", 0, 1, 0, 0, 0)),
-                        new Allowances(3, false, false, true, 500_000),
-                        new Bounds(0, 0, 1, 0, 0, 1, 0, 0, 0, 10_000_000),
+                                new RequestClass(
+                                        "w",
+                                        Idempotency.IDEMPOTENT,
+                                        DeduplicationScope.ALL,
+                                        0,
+                                        false,
+                                        400_000,
+                                        1)),
+                        List.of(new ServicePlan("p", 0, 1, 0, 0, 0)),
+                        new Capabilities(3, false, false, true, 500_000),
+                        new RuleLimits(0, 0, 1, 0, 0, 1, 0, 0, 0, 10_000_000),
                         false);
         List<Event.Target> list = new ArrayList<>();
         for (int t = 0; t < targets; t++) {
-            list.add(new Event.Target(t, "t" + t, "z", Event.Health.ON, 0));
+            list.add(new Event.Target(t, "t" + t, "z", Event.Health.ACTIVE, 0));
         }
-        tell(new Event.Start(7, given), new Event.TargetList(Event.Scope.REPLACE, list));
+        tell(
+                new Event.Started(7, given),
+                new Event.EndpointListReceived(Event.ListScope.REPLACE, list));
         // the first half holds three accesses each, so a window of four has a quarter of the room
         // that it has elsewhere
         for (int n = 0; n < targets / 2 * 3; n++) {
             tell(
-                    new Event.Access(
+                    new Event.RequestReceived(
                             "held" + n, n % (targets / 2), null, "v", 60_000_000, "p", "w", 1, 1));
         }
         Map<String, Integer> to = new HashMap<>();
         for (int n = 0; n < draws; n++) {
             for (Action a :
-                    tell(new Event.Access("new" + n, -1, null, "v", 60_000_000, "p", "w", 1, 1))) {
-                if (a instanceof Action.Relay r && r.id().equals("new" + n)) {
+                    tell(
+                            new Event.RequestReceived(
+                                    "new" + n, -1, null, "v", 60_000_000, "p", "w", 1, 1))) {
+                if (a instanceof Action.SendAttempt r && r.id().equals("new" + n)) {
                     to.merge(r.target(), 1, Integer::sum);
                     // not taken by it, so that windows and lags stay as they were
-                    tell(new Event.Ended(r.id(), 0, true, Outcome.CANCELLED, 0));
+                    tell(new Event.AttemptEnded(r.id(), 0, true, Outcome.CANCELLED, 0));
                 }
             }
         }
--- a/core/src/test/java/milletyoke/ScenarioTest.java
+++ b/core/src/test/java/milletyoke/scheduler/ScenarioTest.java
@@ -1,4 +1,4 @@
-package milletyoke;
+package milletyoke.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 import java.util.*;
 import java.util.stream.*;
-import milletyoke.port.*;
+import milletyoke.scheduler.api.*;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
@@ -21,7 +21,7 @@
                     "error",
                     Outcome.ERROR,
                     "full",
-                    Outcome.FULL,
+                    Outcome.OVERLOADED,
                     "timeout",
                     Outcome.TIMED_OUT,
                     "noconn",
@@ -31,12 +31,12 @@
                     "cancelled",
                     Outcome.CANCELLED,
                     "moot",
-                    Outcome.MOOT);
+                    Outcome.NOT_STARTED);
 
     private final Map<String, String> given = new HashMap<>();
-    private final List<Provisioning.Category> categories = new ArrayList<>();
-    private final List<Provisioning.Plan> plans = new ArrayList<>();
-    private final Decide module = new Decide();
+    private final List<SchedulerSettings.RequestClass> categories = new ArrayList<>();
+    private final List<SchedulerSettings.ServicePlan> plans = new ArrayList<>();
+    private final RequestScheduler module = new RequestScheduler();
 
     static Stream<Arguments> scenarios() throws Exception {
         Path folder = Path.of(ScenarioTest.class.getResource("/scenarios").toURI());
@@ -105,14 +105,14 @@
                 batch.isEmpty()
                         ? ""
                         : module.decide(at, batch).stream()
-                                .filter(a -> !(a instanceof Action.Wake))
+                                .filter(a -> !(a instanceof Action.ScheduleWakeUp))
                                 .map(ScenarioTest::told)
                                 .collect(Collectors.joining(", "));
         return told.isEmpty() ? "nothing" : told;
     }
 
-    private static Provisioning.Plan plan(String name, Words w) {
-        return new Provisioning.Plan(
+    private static SchedulerSettings.ServicePlan plan(String name, Words w) {
+        return new SchedulerSettings.ServicePlan(
                 name,
                 w.figure("reserve", 0),
                 w.figure("weight", 1),
@@ -122,16 +122,18 @@
     }
 
     private static String told(Action action) {
-        if (action instanceof Action.Relay a) {
+        if (action instanceof Action.SendAttempt a) {
             return "relay " + a.id() + " " + a.target();
         } else if (action instanceof Action.Reject a) {
-            return "reject " + a.id() + (a.retryIn() > 0 ? " back=" + a.retryIn() / 1000 : "");
-        } else if (action instanceof Action.BreakOff a) {
+            return "reject "
+                    + a.id()
+                    + (a.retryAfterMicros() > 0 ? " back=" + a.retryAfterMicros() / 1000 : "");
+        } else if (action instanceof Action.Fail a) {
             return "break " + a.id();
-        } else if (action instanceof Action.Cancel a) {
-            return "cancel " + a.id() + " " + a.relay();
+        } else if (action instanceof Action.CancelAttempt a) {
+            return "cancel " + a.id() + " " + a.attemptNumber();
         }
-        return action instanceof Action.Probe a ? "probe " + a.target() : "follow";
+        return action instanceof Action.SendProbe a ? "probe " + a.target() : "follow";
     }
 
     /** A start may name the targets that were last known. */
@@ -141,17 +143,17 @@
     }
 
     private static Event list(String scope, Words w) {
-        return new Event.TargetList(
-                Event.Scope.valueOf(scope.toUpperCase()),
+        return new Event.EndpointListReceived(
+                Event.ListScope.valueOf(scope.toUpperCase()),
                 w.words.subList(2, w.words.size()).stream().map(ScenarioTest::target).toList());
     }
 
     private Event event(Words w) {
         return switch (w.word(1)) {
-            case "start" -> new Event.Start(7, provisioning());
-            case "tick" -> new Event.Alarm();
+            case "start" -> new Event.Started(7, provisioning());
+            case "tick" -> new Event.WakeUp();
             case "take" ->
-                    new Event.Access(
+                    new Event.RequestReceived(
                             w.word(2),
                             (int) w.figure("at", 0),
                             w.named.get("x"),
@@ -162,14 +164,14 @@
                             (int) w.figure("hosts", 1),
                             w.figure("units", 1));
             case "end" ->
-                    new Event.Ended(
+                    new Event.AttemptEnded(
                             w.word(2),
                             Integer.parseInt(w.word(3)),
                             w.word(4).equals("ok") || w.words.contains("over"),
                             ENDS.get(w.word(4)),
                             w.ms("lag", 20));
             case "probed" ->
-                    new Event.Probed(
+                    new Event.ProbeEnded(
                             w.word(2),
                             ENDS.get(w.word(3)),
                             w.ms("lag", 1),
@@ -177,9 +179,9 @@
             case "plan" -> {
                 plans.removeIf(p -> p.name().equals(w.word(2)));
                 plans.add(plan(w.word(2), w));
-                yield new Event.Reprovisioned(provisioning());
+                yield new Event.SettingsChanged(provisioning());
             }
-            case "gone" -> new Event.Over(w.word(2));
+            case "gone" -> new Event.RequestClosed(w.word(2));
             default -> list(w.word(1), w);
         };
     }
@@ -196,35 +198,52 @@
                 Integer.parseInt(parts.get('@')),
                 parts.get('i'),
                 parts.getOrDefault('%', "z"),
-                Event.Health.valueOf(parts.getOrDefault('/', "on").toUpperCase()),
+                health(parts.getOrDefault('/', "on")),
                 Long.parseLong(parts.getOrDefault(':', "0")) * 1000);
     }
 
-    private static Provisioning.Category category(Words w) {
-        return new Provisioning.Category(
+    private static Event.Health health(String word) {
+        return switch (word) {
+            case "on" -> Event.Health.ACTIVE;
+            case "draining" -> Event.Health.DRAINING;
+            case "gone" -> Event.Health.REMOVED;
+            default -> throw new IllegalArgumentException("health " + word);
+        };
+    }
+
+    private static SchedulerSettings.Idempotency idempotency(String word) {
+        return Stream.of(SchedulerSettings.Idempotency.values())
+                .filter(i -> i.keyword().equals(word.replace('_', '-')))
+                .findFirst()
+                .orElseThrow(() -> new IllegalArgumentException("idempotency " + word));
+    }
+
+    private static SchedulerSettings.RequestClass category(Words w) {
+        return new SchedulerSettings.RequestClass(
                 w.word(1),
-                Provisioning.Repeats.valueOf(w.word(2).toUpperCase()),
-                Provisioning.Group.valueOf(w.named.getOrDefault("group", "all").toUpperCase()),
+                idempotency(w.word(2)),
+                SchedulerSettings.DeduplicationScope.valueOf(
+                        w.named.getOrDefault("group", "all").toUpperCase()),
                 w.ms("window", 0),
                 w.words.contains("ordered"),
                 w.ms("agreed", 400),
                 w.figure("importance", 2));
     }
 
-    private Provisioning provisioning() {
+    private SchedulerSettings provisioning() {
         Words g = new Words("given");
         g.named.putAll(given);
-        return new Provisioning(
+        return new SchedulerSettings(
                 (int) g.figure("initiators", 1),
                 categories,
                 plans,
-                new Provisioning.Allowances(
+                new SchedulerSettings.Capabilities(
                         (int) g.figure("relays", 3),
                         g.figure("probes", 0) > 0,
                         g.figure("cancels", 0) > 0,
                         g.figure("advice", 0) > 0,
                         g.ms("advice", 0)),
-                new Provisioning.Bounds(
+                new SchedulerSettings.RuleLimits(
                         g.ms("quiet", 0),
                         g.ms("cold", 0),
                         g.figure("coldShare", 0.25),
