--- a/core/src/test/java/milletyoke/ColdFleetTest.java
+++ b/core/src/test/java/milletyoke/scheduler/SlowStartFleetTest.java
@@ -1,4 +1,4 @@
-package milletyoke;
+package milletyoke.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,10 +9,10 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import milletyoke.port.Action;
-import milletyoke.port.Event;
-import milletyoke.port.Outcome;
-import milletyoke.port.Provisioning;
+import milletyoke.scheduler.api.Action;
+import milletyoke.scheduler.api.Event;
+import milletyoke.scheduler.api.Outcome;
+import milletyoke.scheduler.api.SchedulerSettings;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -21,7 +21,7 @@
  * of them restarted meanwhile: in no window of the stated length does it get more than its budget
  * of N and 2 x root of N + 2 beside. No sockets, virtual time.
  */
-class ColdFleetTest {
+class SlowStartFleetTest {
     private static final long STEP = 2_000,
             FALL = 1_000_000,
             COLD = 10_000_000,
@@ -86,25 +86,25 @@
     }
 
     private final class Initiator {
-        final Provisioning given;
+        final SchedulerSettings given;
         final String name;
-        Decide decide;
+        RequestScheduler decide;
         List<Event> events = new ArrayList<>();
         final Map<String, Integer> relays = new HashMap<>();
         int life;
 
-        Initiator(String name, Provisioning given) {
+        Initiator(String name, SchedulerSettings given) {
             this.name = name;
             this.given = given;
         }
 
-        void start(Event.TargetList list) {
-            decide = new Decide();
+        void start(Event.EndpointListReceived list) {
+            decide = new RequestScheduler();
             life++;
             relays.clear();
             events =
                     new ArrayList<>(
-                            List.of(new Event.Start(name.hashCode() * 31L + life, given), list));
+                            List.of(new Event.Started(name.hashCode() * 31L + life, given), list));
             turn();
         }
 
@@ -129,34 +129,34 @@
         }
 
         void carryOut(Action action) {
-            if (action instanceof Action.Relay a) {
+            if (action instanceof Action.SendAttempt a) {
                 int n = relays.merge(a.id(), 1, Integer::sum) - 1;
                 Target t = targets.get(a.target());
                 double units = open.get(a.id())[0];
                 long took = 400 + t.put(units, true);
-                boolean inTime = now + took < a.giveUpAt();
+                boolean inTime = now + took < a.deadlineMicros();
                 later(
-                        inTime ? took : a.giveUpAt() - now,
-                        new Event.Ended(
+                        inTime ? took : a.deadlineMicros() - now,
+                        new Event.AttemptEnded(
                                 a.id(),
                                 n,
                                 inTime,
                                 inTime ? Outcome.SUCCEEDED : Outcome.TIMED_OUT,
                                 took));
-            } else if (action instanceof Action.Probe a) {
+            } else if (action instanceof Action.SendProbe a) {
                 long took =
                         400
                                 + targets.get(a.target())
                                         .put(0.01, false); // it waits in turn, and costs little
                 later(
                         Math.min(took, 250_000),
-                        new Event.Probed(
+                        new Event.ProbeEnded(
                                 a.target(),
                                 took < 250_000 ? Outcome.SUCCEEDED : Outcome.TIMED_OUT,
                                 took,
                                 -1));
-            } else if (action instanceof Action.Wake a) {
-                later(a.in(), new Event.Alarm());
+            } else if (action instanceof Action.ScheduleWakeUp a) {
+                later(a.delayMicros(), new Event.WakeUp());
             }
         }
     }
@@ -167,25 +167,27 @@
     private void ask(Initiator i, int shard, double units) {
         String id = "a" + ids++;
         open.put(id, new double[] {units});
-        i.events.add(new Event.Access(id, shard, "x" + id, "v" + i.name, TTL, "p", "c", 1, units));
+        i.events.add(
+                new Event.RequestReceived(
+                        id, shard, "x" + id, "v" + i.name, TTL, "p", "c", 1, units));
         i.turn();
     }
 
-    private static Provisioning provisioning(int initiators, double bears, boolean probes) {
-        return new Provisioning(
+    private static SchedulerSettings provisioning(int initiators, double bears, boolean probes) {
+        return new SchedulerSettings(
                 initiators,
                 List.of(
-                        new Provisioning.Category(
+                        new SchedulerSettings.RequestClass(
                                 "c",
-                                Provisioning.Repeats.HARMLESS,
-                                Provisioning.Group.CELL,
+                                SchedulerSettings.Idempotency.IDEMPOTENT,
+                                SchedulerSettings.DeduplicationScope.CELL,
                                 0,
                                 false,
                                 AIM,
                                 1)),
-                List.of(new Provisioning.Plan("p", 0, 1, 0, 0, 0)),
-                new Provisioning.Allowances(3, probes, true, true, 500_000),
-                new Provisioning.Bounds(0, COLD, SHARE, bears, FALL, TIP, 0, 0, 0, 0),
+                List.of(new SchedulerSettings.ServicePlan("p", 0, 1, 0, 0, 0)),
+                new SchedulerSettings.Capabilities(3, probes, true, true, 500_000),
+                new SchedulerSettings.RuleLimits(0, COLD, SHARE, bears, FALL, TIP, 0, 0, 0, 0),
                 false);
     }
 
@@ -210,15 +212,15 @@
         Target cold = new Target(full, born);
         targets.put("new", cold);
         List<Initiator> fleet = new ArrayList<>();
-        Event.Target warm = new Event.Target(1, "warm", "z", Event.Health.ON, 0);
-        Event.TargetList before =
-                new Event.TargetList(
-                        Event.Scope.REPLACE,
-                        List.of(new Event.Target(0, "old", "z", Event.Health.ON, 0), warm));
-        Event.TargetList after =
-                new Event.TargetList(
-                        Event.Scope.REPLACE,
-                        List.of(new Event.Target(0, "new", "z", Event.Health.ON, born), warm));
+        Event.Target warm = new Event.Target(1, "warm", "z", Event.Health.ACTIVE, 0);
+        Event.EndpointListReceived before =
+                new Event.EndpointListReceived(
+                        Event.ListScope.REPLACE,
+                        List.of(new Event.Target(0, "old", "z", Event.Health.ACTIVE, 0), warm));
+        Event.EndpointListReceived after =
+                new Event.EndpointListReceived(
+                        Event.ListScope.REPLACE,
+                        List.of(new Event.Target(0, "new", "z", Event.Health.ACTIVE, born), warm));
         for (int i = 0; i < initiators; i++) {
             Initiator one = new Initiator("i" + i, provisioning(initiators, bears, probes));
             fleet.add(one);
--- a/core/src/test/java/milletyoke/StepCostTest.java
+++ b/core/src/test/java/milletyoke/scheduler/StepCostTest.java
@@ -1,15 +1,15 @@
-package milletyoke;
+package milletyoke.scheduler;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.ArrayList;
 import java.util.List;
-import milletyoke.port.Action;
-import milletyoke.port.Decisions;
-import milletyoke.port.Event;
-import milletyoke.port.Outcome;
-import milletyoke.port.Provisioning;
-import milletyoke.port.Provisioning.*;
+import milletyoke.scheduler.api.Action;
+import milletyoke.scheduler.api.Event;
+import milletyoke.scheduler.api.Outcome;
+import milletyoke.scheduler.api.Scheduler;
+import milletyoke.scheduler.api.SchedulerSettings;
+import milletyoke.scheduler.api.SchedulerSettings.*;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -25,8 +25,9 @@
     void besideTheModuleFromBefore() {
         for (int[] size :
                 new int[][] {{100, 100}, {1_000, 2_000}, {5_000, 2_000}, {1_000, 20_000}}) {
-            Decide now = new Decide();
-            milletyoke.reference.Decide before = new milletyoke.reference.Decide();
+            RequestScheduler now = new RequestScheduler();
+            milletyoke.scheduler.reference.Decide before =
+                    new milletyoke.scheduler.reference.Decide();
             long[] relays = new long[2];
             double a = micros(now::decide, size[0], size[1], relays, 0);
             double b = micros(before::decide, size[0], size[1], relays, 1);
@@ -37,34 +38,49 @@
         }
     }
 
-    private static double micros(Decisions module, int held, int volumes, long[] relays, int of) {
-        Category slow =
-                new Category("slow", Repeats.HARMLESS, Group.ALL, 0, false, 600_000_000L, 1);
-        Category read = new Category("read", Repeats.HARMLESS, Group.ALL, 0, false, 400_000, 2);
-        Provisioning given =
-                new Provisioning(
+    private static double micros(Scheduler module, int held, int volumes, long[] relays, int of) {
+        RequestClass slow =
+                new RequestClass(
+                        "slow",
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0,
+                        false,
+                        600_000_000L,
+                        1);
+        RequestClass read =
+                new RequestClass(
+                        "read",
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0,
+                        false,
+                        400_000,
+                        2);
+        SchedulerSettings given =
+                new SchedulerSettings(
                         3,
                         List.of(slow, read),
-                        List.of(new Plan("free", 2, 1, 0, 0, 0)),
-                        new Allowances(3, true, true, true, 500_000),
-                        new Bounds(0, 0, 1, 0, 0, 1, 0, 0, 0, 10_000_000),
+                        List.of(new ServicePlan("free", 2, 1, 0, 0, 0)),
+                        new Capabilities(3, true, true, true, 500_000),
+                        new RuleLimits(0, 0, 1, 0, 0, 1, 0, 0, 0, 10_000_000),
                         false);
-        List<Event> start = new ArrayList<>(List.of(new Event.Start(1, given)));
+        List<Event> start = new ArrayList<>(List.of(new Event.Started(1, given)));
         List<Event.Target> targets = new ArrayList<>();
         for (int t = 0; t < TARGETS; t++) {
-            targets.add(new Event.Target(t, "t" + t, "z", Event.Health.ON, 0));
+            targets.add(new Event.Target(t, "t" + t, "z", Event.Health.ACTIVE, 0));
         }
-        start.add(new Event.TargetList(Event.Scope.REPLACE, targets));
+        start.add(new Event.EndpointListReceived(Event.ListScope.REPLACE, targets));
         long time = 1_000_000_000L;
         List<Action> out = new ArrayList<>(relaysOf(module.decide(time, start)));
         for (int v = 0; v < volumes; v++) { // every volume was here once
             time += 100;
             List<Action> acts =
                     module.decide(time, List.of(access("w" + v, v % TARGETS, v, "read")));
-            for (Action.Relay r : relaysOf(acts)) {
+            for (Action.SendAttempt r : relaysOf(acts)) {
                 module.decide(
                         time + 50,
-                        List.of(new Event.Ended(r.id(), 0, true, Outcome.SUCCEEDED, 50)));
+                        List.of(new Event.AttemptEnded(r.id(), 0, true, Outcome.SUCCEEDED, 50)));
             }
         }
         for (int h = 0;
@@ -88,10 +104,10 @@
             List<Event> events =
                     new ArrayList<>(List.of(access("s" + i, i % TARGETS, i % volumes, "slow")));
             if (!out.isEmpty()) {
-                Action.Relay r = (Action.Relay) out.remove(0);
-                events.add(new Event.Ended(r.id(), attempt, true, Outcome.SUCCEEDED, 3_000));
+                Action.SendAttempt r = (Action.SendAttempt) out.remove(0);
+                events.add(new Event.AttemptEnded(r.id(), attempt, true, Outcome.SUCCEEDED, 3_000));
             }
-            List<Action.Relay> more = relaysOf(module.decide(time, events));
+            List<Action.SendAttempt> more = relaysOf(module.decide(time, events));
             relays[of] += more.size();
             out.addAll(more);
         }
@@ -99,14 +115,14 @@
     }
 
     private static Event access(String id, int shard, int volume, String category) {
-        return new Event.Access(
+        return new Event.RequestReceived(
                 id, shard, null, "v" + volume, 700_000_000L, "free", category, 1, 1);
     }
 
-    private static List<Action.Relay> relaysOf(List<Action> actions) {
+    private static List<Action.SendAttempt> relaysOf(List<Action> actions) {
         return actions.stream()
-                .filter(a -> a instanceof Action.Relay)
-                .map(a -> (Action.Relay) a)
+                .filter(a -> a instanceof Action.SendAttempt)
+                .map(a -> (Action.SendAttempt) a)
                 .toList();
     }
 }
--- a/core/src/test/java/milletyoke/reference/Decide.java
+++ b/core/src/test/java/milletyoke/scheduler/reference/Decide.java
@@ -1,13 +1,13 @@
-package milletyoke.reference;
+package milletyoke.scheduler.reference;
 
 import java.util.*;
 import java.util.stream.IntStream;
-import milletyoke.port.Action;
-import milletyoke.port.Event;
-import milletyoke.port.Outcome;
-import milletyoke.port.Provisioning;
-import milletyoke.port.Provisioning.*;
-import milletyoke.reference.State.*;
+import milletyoke.scheduler.api.Action;
+import milletyoke.scheduler.api.Event;
+import milletyoke.scheduler.api.Outcome;
+import milletyoke.scheduler.api.SchedulerSettings;
+import milletyoke.scheduler.api.SchedulerSettings.*;
+import milletyoke.scheduler.reference.State.*;
 
 /**
  * The module from before its work was put in step with what happens, to be compared with; its
@@ -15,8 +15,8 @@
  *
  * <p>All decisions of one initiator. Its host makes one object for each start, calls {@link
  * #decide} with the time and what happened since, the start first, and carries out what it returns,
- * in that order. The interface is the package milletyoke.port; the design, and each departure, is
- * in docs/design.md.
+ * in that order. The interface is the package milletyoke.scheduler.api; the design, and each
+ * departure, is in docs/design.md.
  */
 public final class Decide {
     // The design's figures.
@@ -74,8 +74,8 @@
     private static final Set<Outcome> MAY_STILL_RUN =
             EnumSet.of(Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED);
 
-    private Provisioning given;
-    private Bounds bounds;
+    private SchedulerSettings given;
+    private RuleLimits bounds;
     private SplittableRandom chance;
     private long startedAt;
     private long shortestAgreed;
@@ -85,8 +85,8 @@
      */
     private boolean crowd;
 
-    private final Map<String, Category> categories = new HashMap<>();
-    private final Map<String, Plan> plans = new HashMap<>();
+    private final Map<String, RequestClass> categories = new HashMap<>();
+    private final Map<String, ServicePlan> plans = new HashMap<>();
 
     private long now;
     private List<Action> todo;
@@ -137,39 +137,42 @@
     }
 
     private void learn(Event event) {
-        if (event instanceof Event.Start e) {
+        if (event instanceof Event.Started e) {
             start(e);
-        } else if (event instanceof Event.Reprovisioned e) {
-            reprovision(e.provisioning());
-        } else if (event instanceof Event.TargetList e) {
+        } else if (event instanceof Event.SettingsChanged e) {
+            reprovision(e.settings());
+        } else if (event instanceof Event.EndpointListReceived e) {
             list(e);
-        } else if (event instanceof Event.Access e) {
+        } else if (event instanceof Event.RequestReceived e) {
             take(e);
-        } else if (event instanceof Event.Ended e) {
+        } else if (event instanceof Event.AttemptEnded e) {
             ended(e);
-        } else if (event instanceof Event.Probed e && indexOf.containsKey(e.target())) {
+        } else if (event instanceof Event.ProbeEnded e && indexOf.containsKey(e.target())) {
             probed(e);
-        } else if (event instanceof Event.Over e && held.containsKey(e.id())) {
+        } else if (event instanceof Event.RequestClosed e && held.containsKey(e.id())) {
             leave(held.get(e.id()));
         }
     }
 
-    private void start(Event.Start e) {
-        bounds = e.provisioning().bounds();
+    private void start(Event.Started e) {
+        bounds = e.settings().limits();
         chance = new SplittableRandom(e.seed());
         startedAt = now;
-        provision(e.provisioning());
-        crowd = given.initiators() * LATE_PART > 2;
-        askAt = given.listMustBeAsked() ? now : Long.MAX_VALUE;
+        provision(e.settings());
+        crowd = given.initiatorCount() * LATE_PART > 2;
+        askAt = given.mustWatchEndpoints() ? now : Long.MAX_VALUE;
     }
 
-    private void provision(Provisioning next) {
+    private void provision(SchedulerSettings next) {
         given = next;
-        given.categories().forEach(c -> categories.put(c.name(), c));
+        given.requestClasses().forEach(c -> categories.put(c.name(), c));
         shortestAgreed =
-                given.categories().stream().mapToLong(Category::agreedTime).min().orElse(0);
+                given.requestClasses().stream()
+                        .mapToLong(RequestClass::latencyObjectiveMicros)
+                        .min()
+                        .orElse(0);
         given.plans().forEach(p -> plans.put(p.name(), p));
-        for (Plan p : given.plans()) {
+        for (ServicePlan p : given.plans()) {
             Store s = unseen.computeIfAbsent(p.name(), n -> new Store());
             s.at = s.plan == null ? now : s.at;
             s.plan = p.name();
@@ -183,7 +186,7 @@
      * and raised again, which would fill it at once, and against past time paid at a higher rate.
      * Harms none but a volume whose limit rises: its store fills as time goes on.
      */
-    private void reprovision(Provisioning next) {
+    private void reprovision(SchedulerSettings next) {
         limits.values().forEach(this::settle);
         unseen.values().forEach(this::settle);
         provision(next);
@@ -199,7 +202,7 @@
     }
 
     private double settled(Store s) {
-        Plan plan = plans.get(s.plan);
+        ServicePlan plan = plans.get(s.plan);
         boolean limited = plan != null && plan.limitRate() > 0;
         return limited ? level(s, plan.limitRate() / s.hosts, limitDepth(plan) / s.hosts) : s.units;
     }
@@ -214,19 +217,19 @@
         long look = held.isEmpty() ? Long.MAX_VALUE : now + (waiting ? LOOK_WAITING : LOOK_IDLE);
         if (Math.min(askAt, look) < wakeAt) {
             wakeAt = Math.min(askAt, look);
-            todo.add(new Action.Wake(Math.max(1, wakeAt - now)));
+            todo.add(new Action.ScheduleWakeUp(Math.max(1, wakeAt - now)));
         }
     }
 
     // ---- The list of targets ----
 
-    private void list(Event.TargetList e) {
-        if (e.scope() == Event.Scope.UNAVAILABLE) {
+    private void list(Event.EndpointListReceived e) {
+        if (e.scope() == Event.ListScope.UNAVAILABLE) {
             askAgain();
             return;
         }
-        askWait = e.scope() == Event.Scope.RESTORED ? askWait : FIRST_ASK;
-        if (e.scope() != Event.Scope.UPDATE) {
+        askWait = e.scope() == Event.ListScope.RESTORED ? askWait : FIRST_ASK;
+        if (e.scope() != Event.ListScope.UPDATE) {
             Arrays.fill(targets.usable, false);
         }
         e.targets().forEach(this::listed);
@@ -238,16 +241,16 @@
      * later.
      */
     private void askAgain() {
-        if (given.listMustBeAsked() && askAt == Long.MAX_VALUE) {
+        if (given.mustWatchEndpoints() && askAt == Long.MAX_VALUE) {
             askAt = now + (long) (askWait * (0.5 + chance.nextDouble()));
-            askWait = Math.max(FIRST_ASK, Math.min(2 * askWait, bounds.mustAskIn() / 2));
+            askWait = Math.max(FIRST_ASK, Math.min(2 * askWait, bounds.watchDeadlineMicros() / 2));
         }
     }
 
     private void followList() {
         if (now >= askAt) {
             askAt = Long.MAX_VALUE;
-            todo.add(new Action.FollowList());
+            todo.add(new Action.WatchEndpoints());
         }
     }
 
@@ -255,9 +258,9 @@
         int t = indexOf.computeIfAbsent(target.id(), targets::add);
         targets.zone[t] = String.valueOf(target.zone());
         targets.shardOf[t] = target.shard();
-        targets.usable[t] = target.health() == Event.Health.ON;
-        if (targets.life[t] == 0 || target.launched() > targets.launched[t]) {
-            targets.launched[t] = target.launched();
+        targets.usable[t] = target.health() == Event.Health.ACTIVE;
+        if (targets.life[t] == 0 || target.startedAtMicros() > targets.launched[t]) {
+            targets.launched[t] = target.startedAtMicros();
             forget(t);
         }
         nodes.computeIfAbsent(target.shard(), s -> new Node());
@@ -284,15 +287,21 @@
 
     // ---- Taking ----
 
-    private void take(Event.Access e) {
-        Category category = categories.get(e.category());
+    private void take(Event.RequestReceived e) {
+        RequestClass category = categories.get(e.requestClass());
         Held h = new Held(e, category, plans.get(e.plan()));
-        h.abandonAt = now + e.ttl();
-        long longest = longestTtl.merge(category.name(), e.ttl(), Math::max);
+        h.abandonAt = now + e.timeLeftMicros();
+        long longest = longestTtl.merge(category.name(), e.timeLeftMicros(), Math::max);
         boolean impatient =
-                e.ttl() < category.agreedTime(); // a repeat that late would hardly be in time
-        h.firstTaken = impatient ? now : now - (longest - e.ttl());
-        h.agreedAt = Math.min(h.firstTaken + category.agreedTime(), h.abandonAt - ANSWER_AHEAD);
+                e.timeLeftMicros()
+                        < category
+                                .latencyObjectiveMicros(); // a repeat that late would hardly be in
+        // time
+        h.firstTaken = impatient ? now : now - (longest - e.timeLeftMicros());
+        h.agreedAt =
+                Math.min(
+                        h.firstTaken + category.latencyObjectiveMicros(),
+                        h.abandonAt - ANSWER_AHEAD);
         held.put(e.id(), h);
         inSpan(taken).addLast(now);
         if (hasLimit(h)) {
@@ -347,7 +356,7 @@
         node.waiting++;
     }
 
-    private static double weight(Plan plan) {
+    private static double weight(ServicePlan plan) {
         return plan == null || plan.weight() <= 0 ? 1 : plan.weight();
     }
 
@@ -356,13 +365,13 @@
      * all.
      */
     private static int placeIn(LinkedList<Held> queue, Held h) {
-        double own = h.category.importance();
+        double own = h.category.priorityWeight();
         return (int)
                 queue.stream()
                         .filter(
                                 o ->
-                                        o.category.importance() > own
-                                                || o.category.importance() == own
+                                        o.category.priorityWeight() > own
+                                                || o.category.priorityWeight() == own
                                                         && o.firstTaken >= h.firstTaken)
                         .count();
     }
@@ -405,11 +414,11 @@
      * work.
      */
     private boolean mustAsk(int t) {
-        boolean answers = given.allowances().probes() && t >= 0 && targets.nextTrial[t] == 0;
+        boolean answers = given.capabilities().canProbe() && t >= 0 && targets.nextTrial[t] == 0;
         boolean suspect = answers && (lateShare >= SUSPECT || isCold(t));
         if (suspect && targets.askedAt[t] == 0 && !isTold(t)) {
             targets.askedAt[t] = now;
-            todo.add(new Action.Probe(targets.id[t]));
+            todo.add(new Action.SendProbe(targets.id[t]));
         }
         return suspect && targets.askedAt[t] > 0;
     }
@@ -518,7 +527,7 @@
     }
 
     private static double reserve(Held h) {
-        return h.plan == null ? 0 : h.plan.reserve();
+        return h.plan == null ? 0 : h.plan.reservationRate();
     }
 
     private double reserveDepth(Held h) {
@@ -592,7 +601,7 @@
         h.outLife = targets.life[t];
         h.sentAt = now;
         targets.out[t]++;
-        todo.add(new Action.Relay(h.access.id(), h.abandonAt, targets.id[t]));
+        todo.add(new Action.SendAttempt(h.access.id(), h.abandonAt, targets.id[t]));
         return true;
     }
 
@@ -609,30 +618,30 @@
     }
 
     private boolean noSecondEffect(Held h, int t) {
-        if (h.outAt >= 0 || h.relays >= given.allowances().maxRelays()) {
+        if (h.outAt >= 0 || h.relays >= given.capabilities().maxAttempts()) {
             return false;
         }
         boolean sameGroup =
                 h.ranAt < 0
-                        || switch (h.category.group()) {
+                        || switch (h.category.deduplicationScope()) {
                             case ALL -> true;
                             case ZONE -> targets.zone[t].equals(targets.zone[h.ranAt]);
                             case CELL -> targets.shardOf[t] == targets.shardOf[h.ranAt];
                         };
-        return mayRunAgain(h) && (sameGroup || h.category.repeats() == Repeats.HARMLESS);
+        return mayRunAgain(h) && (sameGroup || h.category.idempotency() == Idempotency.IDEMPOTENT);
     }
 
     private boolean mayRunAgain(Held h) {
         return h.ranAt < 0
-                || h.category.repeats() == Repeats.HARMLESS
-                || h.category.repeats() == Repeats.STAMPED
-                        && now < h.ranSince + h.category.repeatWindow();
+                || h.category.idempotency() == Idempotency.IDEMPOTENT
+                || h.category.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                        && now < h.ranSince + h.category.deduplicationWindowMicros();
     }
 
     boolean isCold(int t) {
-        return bounds.fall() > 0
+        return bounds.overloadWindowMicros() > 0
                 && targets.launched[t] > 0
-                && now < targets.launched[t] + bounds.cold();
+                && now < targets.launched[t] + bounds.warmUpMicros();
     }
 
     /**
@@ -644,14 +653,14 @@
         if (!isCold(t)) {
             return true;
         }
-        double queue = COLD_QUEUE * (bounds.tipMultiple() - 1) * bounds.fall();
+        double queue = COLD_QUEUE * (bounds.overloadFactor() - 1) * bounds.overloadWindowMicros();
         if (probesTell && isTold(t) && targets.crowd[t] <= queue) {
             return true;
         }
-        if (now < startedAt + bounds.fall() && targets.launched[t] < startedAt) {
+        if (now < startedAt + bounds.overloadWindowMicros() && targets.launched[t] < startedAt) {
             return false;
         }
-        targets.coldSpent.get(t).removeIf(s -> s.at() <= now - bounds.fall());
+        targets.coldSpent.get(t).removeIf(s -> s.at() <= now - bounds.overloadWindowMicros());
         double spent = targets.coldSpent.get(t).stream().mapToDouble(Spent::units).sum();
         return spent + h.access.units() <= coldPart(t);
     }
@@ -661,11 +670,12 @@
      * counts.
      */
     private double coldPart(int t) {
-        double share = bounds.coldShare();
+        double share = bounds.initialFraction();
         double warmed =
-                Math.max(0, now - bounds.fall() - targets.launched[t]) / (double) bounds.cold();
+                Math.max(0, now - bounds.overloadWindowMicros() - targets.launched[t])
+                        / (double) bounds.warmUpMicros();
         double grown = share > 0 ? (share + (1 - share) * warmed) / share : 1;
-        return bounds.coldBears() * grown / Math.max(1, given.initiators());
+        return bounds.warmUpBudgetUnits() * grown / Math.max(1, given.initiatorCount());
     }
 
     private boolean itsTurn(Held h) {
@@ -681,14 +691,13 @@
 
     private boolean withinBudget(Held h) {
         return h.relays == 0
-                || bounds.relayBudgetSpan() == 0
+                || bounds.retryWindowMicros() == 0
                 || inSpan(further).size() + 1
-                        <= bounds.relayBudgetFree()
-                                + bounds.relayBudgetShare() * inSpan(taken).size();
+                        <= bounds.freeRetries() + bounds.retryShare() * inSpan(taken).size();
     }
 
     private ArrayDeque<Long> inSpan(ArrayDeque<Long> times) {
-        while (!times.isEmpty() && times.peekFirst() <= now - bounds.relayBudgetSpan()) {
+        while (!times.isEmpty() && times.peekFirst() <= now - bounds.retryWindowMicros()) {
             times.removeFirst();
         }
         return times;
@@ -745,7 +754,7 @@
     }
 
     private static double hosts(Held h) {
-        return Math.max(1, h.access.hosts());
+        return Math.max(1, h.access.initiatorCount());
     }
 
     private static double limitRate(Held h) {
@@ -756,8 +765,8 @@
         return limitDepth(h.plan) / hosts(h);
     }
 
-    private static double limitDepth(Plan plan) {
-        return plan.limitDepth() + SLACK_USED * plan.limitSlack();
+    private static double limitDepth(ServicePlan plan) {
+        return plan.limitBurst() + SLACK_USED * plan.limitSlack();
     }
 
     /** What a store holds now. It is filled by time alone: to look at it changes nothing. */
@@ -775,9 +784,9 @@
 
     // ---- Outcomes ----
 
-    private void ended(Event.Ended e) {
+    private void ended(Event.AttemptEnded e) {
         Held h = held.get(e.id());
-        if (h == null || h.outAt < 0 || h.relays - 1 != e.relay()) {
+        if (h == null || h.outAt < 0 || h.relays - 1 != e.attemptNumber()) {
             return;
         }
         int t = h.outAt;
@@ -787,7 +796,7 @@
         boolean mayStillRun = MAY_STILL_RUN.contains(e.outcome());
         Turns k = turnsOf(h);
         if (k != null && mayStillRun) {
-            k.restUntil = Math.max(k.restUntil, now + bounds.keyQuiet());
+            k.restUntil = Math.max(k.restUntil, now + bounds.keyQuietMicros());
         }
         if (h.ranAt < 0 && (mayStillRun || e.outcome() == Outcome.ERROR)) {
             h.ranAt = t;
@@ -809,11 +818,11 @@
         targets.out[t] -= !h.lost && h.outLife == targets.life[t] ? 1 : 0;
     }
 
-    private void judge(int t, Held h, Event.Ended e) {
+    private void judge(int t, Held h, Event.AttemptEnded e) {
         switch (e.outcome()) {
-            case SUCCEEDED -> succeeded(t, h, e.lag());
+            case SUCCEEDED -> succeeded(t, h, e.latencyMicros());
             case ERROR -> heard(t);
-            case FULL -> {
+            case OVERLOADED -> {
                 heard(t);
                 late(t, h, shortestAgreed);
             }
@@ -886,9 +895,9 @@
             fallSilent(t);
         } else if (targets.nextTrial[t] > 0 && now >= targets.nextTrial[t]) {
             targets.nextTrial[t] = now + Math.min(quiet, LONGEST_TRIAL * shortestAgreed);
-            targets.mayTry[t] = !given.allowances().probes();
+            targets.mayTry[t] = !given.capabilities().canProbe();
             if (!targets.mayTry[t] && targets.usable[t]) {
-                todo.add(new Action.Probe(targets.id[t]));
+                todo.add(new Action.SendProbe(targets.id[t]));
             }
         }
     }
@@ -905,8 +914,9 @@
         if (overtaken && now - Math.max(resumedAt, h.sentAt) > PATIENCE * targets.lag[t] * size) {
             giveRoom(h, t);
             h.lost = true;
-            if (given.allowances().cancels() && h.category.repeats() != Repeats.ONE_SHOT) {
-                todo.add(new Action.Cancel(h.access.id(), h.relays - 1));
+            if (given.capabilities().canCancel()
+                    && h.category.idempotency() != Idempotency.NON_IDEMPOTENT) {
+                todo.add(new Action.CancelAttempt(h.access.id(), h.relays - 1));
             }
         }
     }
@@ -923,16 +933,17 @@
     }
 
     /** A probe may be answered beside the work, so its success only lets one access try. */
-    private void probed(Event.Probed e) {
+    private void probed(Event.ProbeEnded e) {
         int t = indexOf.get(e.target());
         boolean answered = e.outcome() == Outcome.SUCCEEDED;
         targets.mayTry[t] |= answered;
         targets.askedAt[t] = 0;
-        probesTell |= e.waiting() >= 0 || answered && aloneLag > 0 && e.lag() > aloneLag;
+        probesTell |=
+                e.queueLength() >= 0 || answered && aloneLag > 0 && e.latencyMicros() > aloneLag;
         double unanswered = isCold(t) ? shortestAgreed : 0;
         told(
                 t,
-                answered ? Math.max(e.lag(), e.waiting() * aloneLag) : unanswered,
+                answered ? Math.max(e.latencyMicros(), e.queueLength() * aloneLag) : unanswered,
                 shortestAgreed / 2);
     }
 
@@ -940,7 +951,7 @@
     private boolean worthAnother(Held h, int t) {
         boolean inTime = now + targets.lag[t] < h.agreedAt;
         return mayRunAgain(h)
-                && h.relays < given.allowances().maxRelays()
+                && h.relays < given.capabilities().maxAttempts()
                 && inTime
                 && chance.nextDouble() < Math.max(LEAST_FURTHER, furtherSuccess);
     }
@@ -948,19 +959,23 @@
     // ---- Final answers ----
 
     private void giveUp(Held h) {
-        Repeats kind = h.category.repeats();
-        boolean dropsRepeats = kind == Repeats.STAMPED && h.category.group() == Group.ALL;
-        boolean harmless = h.ranAt < 0 || kind == Repeats.HARMLESS || dropsRepeats;
+        Idempotency kind = h.category.idempotency();
+        boolean dropsRepeats =
+                kind == Idempotency.IDEMPOTENCY_KEY
+                        && h.category.deduplicationScope() == DeduplicationScope.ALL;
+        boolean harmless = h.ranAt < 0 || kind == Idempotency.IDEMPOTENT || dropsRepeats;
         String id = h.access.id();
-        todo.add(harmless ? new Action.Reject(id, advice(h.node.target)) : new Action.BreakOff(id));
+        todo.add(harmless ? new Action.Reject(id, advice(h.node.target)) : new Action.Fail(id));
         leave(h);
     }
 
     private long advice(int t) {
         long trial = t < 0 ? now + shortestAgreed : targets.nextTrial[t];
         long wait = trial > 0 ? trial - now : (long) targets.lag[t];
-        Allowances may = given.allowances();
-        return may.advice() ? Math.max(1, Math.min(may.longestAdvice(), wait)) : 0;
+        Capabilities may = given.capabilities();
+        return may.canSuggestRetryAfter()
+                ? Math.max(1, Math.min(may.maxRetryAfterMicros(), wait))
+                : 0;
     }
 
     private void leave(Held h) {
--- a/core/src/test/java/milletyoke/reference/State.java
+++ b/core/src/test/java/milletyoke/scheduler/reference/State.java
@@ -1,4 +1,4 @@
-package milletyoke.reference;
+package milletyoke.scheduler.reference;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -7,9 +7,9 @@
 import java.util.LinkedList;
 import java.util.List;
 import java.util.Map;
-import milletyoke.port.Event;
-import milletyoke.port.Provisioning.Category;
-import milletyoke.port.Provisioning.Plan;
+import milletyoke.scheduler.api.Event;
+import milletyoke.scheduler.api.SchedulerSettings.RequestClass;
+import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 
 /** What the module keeps, as plain data. */
 final class State {
@@ -98,9 +98,9 @@
 
     /** One access from taking to its final answer, and on until its last relay has an outcome. */
     static final class Held {
-        final Event.Access access;
-        final Category category;
-        Plan plan;
+        final Event.RequestReceived access;
+        final RequestClass category;
+        ServicePlan plan;
         Node node;
         long firstTaken;
         long agreedAt;
@@ -128,7 +128,7 @@
         /** Its relay is out, and presumed lost. */
         boolean lost;
 
-        Held(Event.Access access, Category category, Plan plan) {
+        Held(Event.RequestReceived access, RequestClass category, ServicePlan plan) {
             this.access = access;
             this.category = category;
             this.plan = plan;
--- a/gateway/src/main/java/milletyoke/gateway/Initiator.java
+++ b/gateway/src/main/java/milletyoke/gateway/Initiator.java
@@ -8,87 +8,98 @@
 import java.util.function.Supplier;
 import milletyoke.admission.Admission;
 import milletyoke.config.Fleet;
+import milletyoke.gateway.config.Address;
+import milletyoke.gateway.config.ConfigException;
+import milletyoke.gateway.config.FleetConverter;
+import milletyoke.gateway.config.InitiatorConfig;
 import milletyoke.gateway.console.Console;
-import milletyoke.gateway.discovery.LastList;
-import milletyoke.gateway.discovery.Subscription;
-import milletyoke.gateway.fleet.Following;
-import milletyoke.gateway.ingress.Faults;
-import milletyoke.gateway.ingress.Gate;
-import milletyoke.gateway.ingress.Ingress;
-import milletyoke.gateway.loop.Counts;
-import milletyoke.gateway.loop.Loop;
-import milletyoke.gateway.loop.Told;
-import milletyoke.gateway.setup.Address;
-import milletyoke.gateway.setup.FromFleet;
-import milletyoke.gateway.setup.Setup;
-import milletyoke.gateway.setup.SetupError;
-import milletyoke.port.Decisions;
-import milletyoke.wire.BadFrame;
-import milletyoke.wire.Bounds;
-import milletyoke.wire.Line;
-import milletyoke.wire.Net;
-import milletyoke.wire.Peer;
-import milletyoke.wire.PeerHandler;
-import milletyoke.wire.Sockets;
-import milletyoke.wire.Tap;
-import milletyoke.wire.World;
+import milletyoke.gateway.discovery.DiscoveryWatch;
+import milletyoke.gateway.discovery.EndpointListCache;
+import milletyoke.gateway.ingress.ClientListener;
+import milletyoke.gateway.ingress.ConcurrentAdmission;
+import milletyoke.gateway.ingress.ProtocolViolationLog;
+import milletyoke.gateway.loop.Counters;
+import milletyoke.gateway.loop.EventLoop;
+import milletyoke.gateway.loop.LoopMessage;
+import milletyoke.gateway.reload.ConfigWatcher;
+import milletyoke.scheduler.api.Scheduler;
+import milletyoke.wire.Connection;
+import milletyoke.wire.ExecutionEnvironment;
+import milletyoke.wire.FrameLimits;
+import milletyoke.wire.FrameObserver;
+import milletyoke.wire.MalformedFrameException;
+import milletyoke.wire.Network;
+import milletyoke.wire.PeerConnection;
+import milletyoke.wire.PeerListener;
+import milletyoke.wire.SocketEnvironment;
 import milletyoke.wire.capture.CaptureWriter;
-import milletyoke.wire.proto.Access;
+import milletyoke.wire.proto.EndpointList;
 import milletyoke.wire.proto.Frame;
+import milletyoke.wire.proto.Request;
 import milletyoke.wire.proto.Role;
-import milletyoke.wire.proto.TargetList;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** One initiator on its sockets: puts the parts together, starts them and ends them. */
-public final class Initiator implements Loop.Surroundings {
+public final class Initiator implements EventLoop.LoopEnvironment {
     private static final Logger LOG = LoggerFactory.getLogger(Initiator.class);
 
     /** Milliseconds that clients have to close after their last answer. */
     private static final long LONGEST_GOODBYE = 1_000;
 
-    private final Setup setup;
-    private final Counts counts = new Counts();
-    private final Gate gate;
-    private final World world;
-    private final Net wire;
-    private final Loop loop;
-    private final Faults faults;
-    private final Ingress ingress;
-    private final Net.Listener listener;
-    private final LastList lastList;
-    private final Subscription subscription;
+    private final InitiatorConfig setup;
+    private final Counters counts = new Counters();
+    private final ConcurrentAdmission gate;
+    private final ExecutionEnvironment world;
+    private final Network wire;
+    private final EventLoop loop;
+    private final ProtocolViolationLog faults;
+    private final ClientListener ingress;
+    private final Network.Listener listener;
+    private final EndpointListCache lastList;
+    private final DiscoveryWatch subscription;
     private final ScheduledExecutorService side;
-    private final Bounds toTargets;
-    private final Following following;
+    private final FrameLimits toTargets;
+    private final ConfigWatcher following;
     private Console console;
     private CaptureWriter capture;
 
-    private Initiator(Setup setup, Tap tap, World world, long seed, Supplier<Decisions> instead)
+    private Initiator(
+            InitiatorConfig setup,
+            FrameObserver tap,
+            ExecutionEnvironment world,
+            long seed,
+            Supplier<Scheduler> instead)
             throws IOException {
         this.setup = setup;
         this.world = world;
-        Setup.Room r = setup.room();
+        InitiatorConfig.CapacityLimits r = setup.room();
         gate =
-                new Gate(
-                        new Admission.Room(
+                new ConcurrentAdmission(
+                        new Admission.CapacityLimits(
                                 r.held(),
                                 r.bytes(),
                                 r.connectionPart(),
                                 r.greed(),
-                                setup.deployment().provisioning().allowances().longestAdvice()));
-        lastList = setup.folder() == null ? null : new LastList(setup.folder(), !world.isVirtual());
-        Setup.Transport t = setup.transport();
-        toTargets = new Bounds(t.frameBytes(), t.waitingBytes(), t.partialTime(), 0);
-        wire = world.net(setup.name(), t.threads(), tap);
-        side = world.clockwork(setup.name() + "-side", 1);
-        loop = new Loop(setup, this, world, counts, instead);
-        faults = new Faults(counts, world::micros);
-        ingress = new Ingress(setup, world, loop, counts, gate, faults);
+                                setup.deployment()
+                                        .scheduler()
+                                        .capabilities()
+                                        .maxRetryAfterMicros()));
+        lastList =
+                setup.folder() == null
+                        ? null
+                        : new EndpointListCache(setup.folder(), !world.isVirtual());
+        InitiatorConfig.Transport t = setup.transport();
+        toTargets = new FrameLimits(t.frameBytes(), t.waitingBytes(), t.partialTime(), 0);
+        wire = world.openNetwork(setup.name(), t.threads(), tap);
+        side = world.newTimerExecutor(setup.name() + "-side", 1);
+        loop = new EventLoop(setup, this, world, counts, instead);
+        faults = new ProtocolViolationLog(counts, world::monotonicMicros);
+        ingress = new ClientListener(setup, world, loop, counts, gate, faults);
         following =
                 setup.fleet() == null
                         ? null
-                        : new Following(
+                        : new ConfigWatcher(
                                 setup.fleet().file(),
                                 setup.folder(),
                                 setup.fleet().fleet(),
@@ -97,7 +108,7 @@
         if (setup.fleet() != null) {
             ingress.configure(setup.fleet().fleet());
         }
-        subscription = new Subscription(setup, wire, loop, side, ~seed);
+        subscription = new DiscoveryWatch(setup, wire, loop, side, ~seed);
         try {
             listener =
                     wire.listen(
@@ -105,7 +116,7 @@
                             setup.listen().port(),
                             Role.INITIATOR,
                             ingress,
-                            new Bounds(t.frameBytes(), t.waitingBytes(), t.partialTime(), 0));
+                            new FrameLimits(t.frameBytes(), t.waitingBytes(), t.partialTime(), 0));
         } catch (IOException taken) {
             wire.close();
             side.shutdownNow();
@@ -119,8 +130,10 @@
      * @throws IOException where an address or its folder cannot be had; nothing is left running
      * @throws SetupError where the console's tokens cannot be used; nothing is left running
      */
-    public static Initiator start(Setup setup, Tap tap) throws IOException, SetupError {
-        return start(setup, tap, new Sockets(), ThreadLocalRandom.current().nextLong(), null);
+    public static Initiator start(InitiatorConfig setup, FrameObserver tap)
+            throws IOException, ConfigException {
+        return start(
+                setup, tap, new SocketEnvironment(), ThreadLocalRandom.current().nextLong(), null);
     }
 
     /**
@@ -130,16 +143,20 @@
      * @param instead of the product's decisions, in a lab; null in service
      */
     public static Initiator start(
-            Setup setup, Tap tap, World world, long seed, Supplier<Decisions> instead)
-            throws IOException, SetupError {
+            InitiatorConfig setup,
+            FrameObserver tap,
+            ExecutionEnvironment world,
+            long seed,
+            Supplier<Scheduler> instead)
+            throws IOException, ConfigException {
         Initiator made = new Initiator(setup, tap, world, seed, instead);
-        TargetList restored = made.lastList == null ? null : made.lastList.load();
+        EndpointList restored = made.lastList == null ? null : made.lastList.load();
         made.loop.start(seed, restored);
         if (setup.console() != null) {
             try {
                 made.console =
                         new Console(setup.console(), setup, made.loop, made.counts, made.following);
-            } catch (IOException | SetupError unusable) {
+            } catch (IOException | ConfigException unusable) {
                 made.kill();
                 throw unusable;
             }
@@ -162,8 +179,8 @@
      * one.
      */
     private void follow(Fleet fleet) {
-        loop.tell(new Told.Reprovision(FromFleet.deployment(fleet).provisioning()));
-        loop.tell(new Told.Do(() -> ingress.configure(fleet)));
+        loop.tell(new LoopMessage.ApplySettings(FleetConverter.deployment(fleet).scheduler()));
+        loop.tell(new LoopMessage.RunTask(() -> ingress.configure(fleet)));
     }
 
     public String name() {
@@ -181,7 +198,7 @@
      * @throws IOException where the file cannot be made, or is there already
      */
     public synchronized void capture(Path file) throws IOException {
-        CaptureWriter writer = new CaptureWriter(file, setup.name(), world.micros());
+        CaptureWriter writer = new CaptureWriter(file, setup.name(), world.monotonicMicros());
         capture = writer;
         ingress.capture(writer);
         side.scheduleWithFixedDelay(() -> flush(writer), 500, 500, TimeUnit.MILLISECONDS);
@@ -215,11 +232,11 @@
         return console == null ? 0 : console.port();
     }
 
-    public Counts counts() {
+    public Counters counts() {
         return counts;
     }
 
-    public Loop loop() {
+    public EventLoop loop() {
         return loop;
     }
 
@@ -240,7 +257,7 @@
     private void beginLeaving() {
         ingress.leave();
         listener.stop();
-        loop.tell(new Told.Leave());
+        loop.tell(new LoopMessage.BeginShutdown());
     }
 
     /**
@@ -251,19 +268,19 @@
      */
     public void leaveLater(long millis, Runnable then) {
         beginLeaving();
-        look(world.micros() + millis * 1000, then);
+        look(world.monotonicMicros() + millis * 1000, then);
     }
 
     private void look(long until, Runnable then) {
-        if (!loop.hasEnded() && world.micros() < until) {
+        if (!loop.hasEnded() && world.monotonicMicros() < until) {
             side.schedule(() -> look(until, then), 5, TimeUnit.MILLISECONDS);
         } else {
-            lookForGoodbyes(world.micros() + LONGEST_GOODBYE * 1000, then);
+            lookForGoodbyes(world.monotonicMicros() + LONGEST_GOODBYE * 1000, then);
         }
     }
 
     private void lookForGoodbyes(long until, Runnable then) {
-        if (ingress.owesGoodbyes() && world.micros() < until) {
+        if (ingress.owesGoodbyes() && world.monotonicMicros() < until) {
             side.schedule(() -> lookForGoodbyes(until, then), 5, TimeUnit.MILLISECONDS);
         } else {
             end(loop.hasEnded());
@@ -307,16 +324,16 @@
     // ---- What the loop needs ----
 
     @Override
-    public Dial dial(String target, Address address, long dial) {
-        Net.Attempt attempt =
+    public PendingConnect connect(String target, Address address, long dial) {
+        Network.ConnectAttempt attempt =
                 wire.connect(
                         address.host(),
                         address.port(),
                         Role.INITIATOR,
                         new LinkHandler(target, dial),
                         toTargets,
-                        why -> loop.tell(new Told.DialFailed(target, dial, why)));
-        return attempt::giveUp;
+                        why -> loop.tell(new LoopMessage.ConnectFailed(target, dial, why)));
+        return attempt::cancel;
     }
 
     @Override
@@ -325,19 +342,19 @@
     }
 
     @Override
-    public void listHeld(TargetList whole) {
+    public void listHeld(EndpointList whole) {
         if (lastList != null && lastList.note(whole)) {
             side.execute(lastList::save);
         }
     }
 
     @Override
-    public void provisioned(milletyoke.port.Provisioning provisioning) {
+    public void provisioned(milletyoke.scheduler.api.SchedulerSettings provisioning) {
         ingress.provision(provisioning);
     }
 
     @Override
-    public void freePlace(Line client, Access access, long stay) {
+    public void freePlace(Connection client, Request access, long stay) {
         gate.release(client, access, stay);
     }
 
@@ -352,7 +369,7 @@
     }
 
     /** One connection to a target, from dialling to its end. */
-    private final class LinkHandler implements PeerHandler {
+    private final class LinkHandler implements PeerListener {
         private final String target;
         private final long dial;
         private volatile boolean ready;
@@ -363,34 +380,40 @@
         }
 
         @Override
-        public void ready(Peer peer) {
+        public void onReady(PeerConnection peer) {
             ready = true;
-            loop.tell(new Told.Dialled(target, dial, peer));
+            loop.tell(new LoopMessage.ConnectSucceeded(target, dial, peer));
         }
 
         @Override
-        public void got(Peer peer, Frame frame) throws BadFrame {
+        public void onFrame(PeerConnection peer, Frame frame) throws MalformedFrameException {
             switch (frame.getBodyCase()) {
-                case REPLY -> loop.tell(new Told.Replied(peer, frame.getReply(), world.micros()));
+                case ATTEMPT_REPLY ->
+                        loop.tell(
+                                new LoopMessage.AttemptReplied(
+                                        peer, frame.getAttemptReply(), world.monotonicMicros()));
                 case PROBE_REPLY ->
                         loop.tell(
-                                new Told.ProbeReplied(
+                                new LoopMessage.ProbeReplied(
                                         peer,
                                         frame.getProbeReply().getNumber(),
                                         frame.getProbeReply().getLoad(),
-                                        world.micros()));
-                default -> throw new BadFrame("a target sends replies, not " + frame.getBodyCase());
+                                        world.monotonicMicros()));
+                default ->
+                        throw new MalformedFrameException(
+                                "a target sends replies, not " + frame.getBodyCase());
             }
         }
 
         @Override
-        public void closed(Peer peer, String why) {
+        public void onClosed(PeerConnection peer, String why) {
             LOG.debug("link to {} is gone: {}", target, why);
             faults.closed("target " + target, peer);
             loop.tell(
                     ready
-                            ? new Told.LinkLost(target, peer, why, peer.tookNothing(), 0)
-                            : new Told.DialFailed(target, dial, why));
+                            ? new LoopMessage.ConnectionLost(
+                                    target, peer, why, peer.tookNothing(), 0)
+                            : new LoopMessage.ConnectFailed(target, dial, why));
         }
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/setup/Address.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/Address.java
@@ -1,4 +1,4 @@
-package milletyoke.gateway.setup;
+package milletyoke.gateway.config;
 
 /** Where something listens; port 0 stands for any free one. */
 public record Address(String host, int port) {
--- a/gateway/src/main/java/milletyoke/gateway/setup/SetupError.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/ConfigException.java
@@ -1,13 +1,13 @@
-package milletyoke.gateway.setup;
+package milletyoke.gateway.config;
 
 /**
  * A setup that cannot be used; the message names the file, the line and the field, and what is
  * expected there.
  */
-public final class SetupError extends Exception {
+public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public SetupError(String message) {
+    public ConfigException(String message) {
         super(message);
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/setup/Deployment.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/DeploymentSettings.java
@@ -1,64 +1,65 @@
-package milletyoke.gateway.setup;
+package milletyoke.gateway.config;
 
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import milletyoke.port.Provisioning;
-import milletyoke.port.Provisioning.Allowances;
-import milletyoke.port.Provisioning.Bounds;
-import milletyoke.port.Provisioning.Category;
-import milletyoke.port.Provisioning.Group;
-import milletyoke.port.Provisioning.Plan;
-import milletyoke.port.Provisioning.Repeats;
+import milletyoke.scheduler.api.SchedulerSettings;
+import milletyoke.scheduler.api.SchedulerSettings.Capabilities;
+import milletyoke.scheduler.api.SchedulerSettings.DeduplicationScope;
+import milletyoke.scheduler.api.SchedulerSettings.Idempotency;
+import milletyoke.scheduler.api.SchedulerSettings.RequestClass;
+import milletyoke.scheduler.api.SchedulerSettings.RuleLimits;
+import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 
 /**
  * What all parts of one deployment share: what the decisions are provisioned with, and how long a
  * client waits beyond the time it told.
  *
- * @param answerSlack microseconds beyond the time left that an access told, in which its answer
- *     still counts
- * @param drainGrace microseconds after which nothing new may go to a target that was told to drain
- *     or be gone; the decisions use none of it, the audit judges by it
+ * @param answerSlackMicros microseconds beyond the time left that an access told, in which its
+ *     answer still counts
+ * @param drainGraceMicros microseconds after which nothing new may go to a target that was told to
+ *     drain or be gone; the decisions use none of it, the audit judges by it
  */
-public record Deployment(Provisioning provisioning, long answerSlack, long drainGrace) {
+public record DeploymentSettings(
+        SchedulerSettings scheduler, long answerSlackMicros, long drainGraceMicros) {
 
     /**
      * @throws SetupError that names line and field
      */
-    public static Deployment read(Form f) throws SetupError {
-        List<Category> categories = new ArrayList<>();
-        for (Form c : f.forms("categories", true)) {
+    public static DeploymentSettings read(SettingsReader f) throws ConfigException {
+        List<RequestClass> categories = new ArrayList<>();
+        for (SettingsReader c : f.forms("categories", true)) {
             categories.add(category(c));
         }
         if (categories.isEmpty()) {
             throw f.wrong("categories", "at least one is needed");
         }
-        distinct(f, "categories", categories.stream().map(Category::name).toList());
-        List<Plan> plans = new ArrayList<>();
-        for (Form p : f.forms("plans", true)) {
+        distinct(f, "categories", categories.stream().map(RequestClass::name).toList());
+        List<ServicePlan> plans = new ArrayList<>();
+        for (SettingsReader p : f.forms("plans", true)) {
             plans.add(plan(p));
         }
-        distinct(f, "plans", plans.stream().map(Plan::name).toList());
-        Form a = f.optional("allowances");
-        Allowances allowances =
-                new Allowances(
+        distinct(f, "plans", plans.stream().map(ServicePlan::name).toList());
+        SettingsReader a = f.optional("allowances");
+        Capabilities allowances =
+                new Capabilities(
                         a.whole("maxRelays", 3, 1, 100),
                         a.flag("probes", true),
                         a.flag("cancels", true),
                         a.flag("advice", true),
                         a.time("longestAdvice", "500 ms"));
         a.done();
-        Form b = f.optional("bounds");
-        Bounds bounds = bounds(b);
+        SettingsReader b = f.optional("bounds");
+        RuleLimits bounds = bounds(b);
         long slack = b.time("answerSlack", "50 ms");
         long grace = b.time("drainGrace", "500 ms");
         b.done();
         int initiators = f.whole("initiators", Integer.MIN_VALUE, 1, 100_000);
         boolean asked = f.flag("listMustBeAsked", false);
         f.done();
-        return new Deployment(
-                new Provisioning(
+        return new DeploymentSettings(
+                new SchedulerSettings(
                         initiators,
                         List.copyOf(categories),
                         List.copyOf(plans),
@@ -69,7 +70,8 @@
                 grace);
     }
 
-    private static void distinct(Form f, String field, List<String> names) throws SetupError {
+    private static void distinct(SettingsReader f, String field, List<String> names)
+            throws ConfigException {
         Set<String> seen = new HashSet<>();
         for (String name : names) {
             if (!seen.add(name)) {
@@ -78,21 +80,21 @@
         }
     }
 
-    private static Category category(Form c) throws SetupError {
-        Repeats repeats = c.word("repeats", Repeats.class, null);
-        Category category =
-                new Category(
+    private static RequestClass category(SettingsReader c) throws ConfigException {
+        Idempotency repeats = c.word("repeats", Idempotency.class, null);
+        RequestClass category =
+                new RequestClass(
                         c.text("name", null),
                         repeats,
-                        c.word("group", Group.class, Group.ALL),
+                        c.word("group", DeduplicationScope.class, DeduplicationScope.ALL),
                         c.time("repeatWindow", "0"),
                         c.flag("keyOrdered", false),
                         c.time("agreedTime", null),
                         c.figure("importance", 1, 0, 1e6));
-        if (category.agreedTime() == 0) {
+        if (category.latencyObjectiveMicros() == 0) {
             throw c.wrong("agreedTime", "must be over 0");
         }
-        if (repeats == Repeats.STAMPED && category.repeatWindow() == 0) {
+        if (repeats == Idempotency.IDEMPOTENCY_KEY && category.deduplicationWindowMicros() == 0) {
             throw c.wrong(
                     "repeatWindow",
                     "a stamped category needs the time for which targets know its marks");
@@ -101,24 +103,24 @@
         return category;
     }
 
-    private static Plan plan(Form p) throws SetupError {
-        Plan plan =
-                new Plan(
+    private static ServicePlan plan(SettingsReader p) throws ConfigException {
+        ServicePlan plan =
+                new ServicePlan(
                         p.text("name", null),
                         p.figure("reserve", 0, 0, 1e9),
                         p.figure("weight", 1, 0, 1e6),
                         p.figure("limitRate", 0, 0, 1e9),
                         p.figure("limitDepth", 0, 0, 1e9),
                         p.figure("limitSlack", 0, 0, 1e9));
-        if (plan.limitRate() > 0 && plan.limitDepth() == 0) {
+        if (plan.limitRate() > 0 && plan.limitBurst() == 0) {
             throw p.wrong("limitDepth", "a limit needs the units that its store holds");
         }
         p.done();
         return plan;
     }
 
-    private static Bounds bounds(Form b) throws SetupError {
-        return new Bounds(
+    private static RuleLimits bounds(SettingsReader b) throws ConfigException {
+        return new RuleLimits(
                 b.time("keyQuiet", "0"),
                 b.time("cold", "0"),
                 b.figure("coldShare", 1, 0.001, 1),
--- a/gateway/src/main/java/milletyoke/gateway/setup/FromFleet.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/FleetConverter.java
@@ -1,39 +1,41 @@
-package milletyoke.gateway.setup;
+package milletyoke.gateway.config;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
 import milletyoke.config.Fleet;
-import milletyoke.port.Provisioning;
-import milletyoke.port.Provisioning.Allowances;
-import milletyoke.port.Provisioning.Bounds;
-import milletyoke.port.Provisioning.Category;
-import milletyoke.port.Provisioning.Group;
-import milletyoke.port.Provisioning.Plan;
-import milletyoke.port.Provisioning.Repeats;
+import milletyoke.scheduler.api.Keyword;
+import milletyoke.scheduler.api.SchedulerSettings;
+import milletyoke.scheduler.api.SchedulerSettings.Capabilities;
+import milletyoke.scheduler.api.SchedulerSettings.DeduplicationScope;
+import milletyoke.scheduler.api.SchedulerSettings.Idempotency;
+import milletyoke.scheduler.api.SchedulerSettings.RequestClass;
+import milletyoke.scheduler.api.SchedulerSettings.RuleLimits;
+import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 
 /** Between the configuration language and what an initiator is provisioned with. */
-public final class FromFleet {
-    private FromFleet() {}
+public final class FleetConverter {
+    private FleetConverter() {}
 
     /** What a checked configuration provisions. */
-    public static Deployment deployment(Fleet fleet) {
-        List<Category> categories = new ArrayList<>();
+    public static DeploymentSettings deployment(Fleet fleet) {
+        List<RequestClass> categories = new ArrayList<>();
         for (Fleet.Block c : fleet.of("category")) {
             categories.add(
-                    new Category(
+                    new RequestClass(
                             c.name(),
-                            Repeats.valueOf(upper(c.text("repeats"))),
-                            Group.valueOf(upper(c.text("group"))),
+                            idempotency(c.text("repeats")),
+                            DeduplicationScope.valueOf(upper(c.text("group"))),
                             (long) c.figure("repeat-window"),
                             c.flag("key-ordered"),
                             (long) c.figure("agreed"),
                             c.figure("importance")));
         }
-        List<Plan> plans = new ArrayList<>();
+        List<ServicePlan> plans = new ArrayList<>();
         for (Fleet.Block p : fleet.of("plan")) {
             plans.add(
-                    new Plan(
+                    new ServicePlan(
                             p.name(),
                             p.figure("reserve"),
                             p.figure("weight"),
@@ -44,15 +46,15 @@
         Fleet.Block a = fleet.single("allowances");
         Fleet.Block b = fleet.single("bounds");
         Fleet.Block f = fleet.single("fleet");
-        Allowances allowances =
-                new Allowances(
+        Capabilities allowances =
+                new Capabilities(
                         (int) a.figure("max-relays"),
                         a.flag("probes"),
                         a.flag("cancels"),
                         a.flag("advice"),
                         (long) a.figure("longest-advice"));
-        Bounds bounds =
-                new Bounds(
+        RuleLimits bounds =
+                new RuleLimits(
                         (long) b.figure("key-quiet"),
                         (long) b.figure("cold"),
                         b.figure("cold-share"),
@@ -63,8 +65,8 @@
                         b.figure("relay-budget-share"),
                         (long) b.figure("relay-budget-span"),
                         (long) b.figure("must-ask-in"));
-        return new Deployment(
-                new Provisioning(
+        return new DeploymentSettings(
+                new SchedulerSettings(
                         (int) f.figure("initiators"),
                         List.copyOf(categories),
                         List.copyOf(plans),
@@ -75,65 +77,69 @@
                 (long) b.figure("drain-grace"));
     }
 
+    private static Idempotency idempotency(String keyword) {
+        return Arrays.stream(Idempotency.values())
+                .filter(i -> i.keyword().equals(keyword))
+                .findFirst()
+                .orElseThrow();
+    }
+
     private static String upper(String word) {
         return word.toUpperCase(Locale.ROOT).replace('-', '_');
     }
 
     /** The same in the language: what `config convert` prints. */
-    public static String text(Deployment d) {
-        Provisioning p = d.provisioning();
+    public static String text(DeploymentSettings d) {
+        SchedulerSettings p = d.scheduler();
         StringBuilder out = new StringBuilder();
         out.append("fleet {\n    initiators ")
-                .append(p.initiators())
+                .append(p.initiatorCount())
                 .append(";\n    list ")
-                .append(p.listMustBeAsked() ? "asked" : "pushed")
+                .append(p.mustWatchEndpoints() ? "asked" : "pushed")
                 .append(";\n}\n\n");
-        Bounds b = p.bounds();
+        RuleLimits b = p.limits();
         out.append("bounds {\n")
-                .append(time("answer-slack", d.answerSlack()))
-                .append(time("drain-grace", d.drainGrace()))
-                .append(time("key-quiet", b.keyQuiet()))
-                .append(time("cold", b.cold()))
-                .append(line("cold-share", plain(b.coldShare() * 100) + "%"))
-                .append(line("cold-bears", plain(b.coldBears()) + "u"))
-                .append(time("fall", b.fall()))
-                .append(line("tip-multiple", plain(b.tipMultiple())))
-                .append(line("relay-budget-free", plain(b.relayBudgetFree())))
-                .append(line("relay-budget-share", plain(b.relayBudgetShare() * 100) + "%"))
-                .append(time("relay-budget-span", b.relayBudgetSpan()))
-                .append(time("must-ask-in", b.mustAskIn()))
+                .append(time("answer-slack", d.answerSlackMicros()))
+                .append(time("drain-grace", d.drainGraceMicros()))
+                .append(time("key-quiet", b.keyQuietMicros()))
+                .append(time("cold", b.warmUpMicros()))
+                .append(line("cold-share", plain(b.initialFraction() * 100) + "%"))
+                .append(line("cold-bears", plain(b.warmUpBudgetUnits()) + "u"))
+                .append(time("fall", b.overloadWindowMicros()))
+                .append(line("tip-multiple", plain(b.overloadFactor())))
+                .append(line("relay-budget-free", plain(b.freeRetries())))
+                .append(line("relay-budget-share", plain(b.retryShare() * 100) + "%"))
+                .append(time("relay-budget-span", b.retryWindowMicros()))
+                .append(time("must-ask-in", b.watchDeadlineMicros()))
                 .append("}\n\n");
-        Allowances a = p.allowances();
+        Capabilities a = p.capabilities();
         out.append("allowances {\n")
-                .append(line("max-relays", plain(a.maxRelays())))
-                .append(flag("probes", a.probes()))
-                .append(flag("cancels", a.cancels()))
-                .append(flag("advice", a.advice()))
-                .append(time("longest-advice", a.longestAdvice()))
+                .append(line("max-relays", plain(a.maxAttempts())))
+                .append(flag("probes", a.canProbe()))
+                .append(flag("cancels", a.canCancel()))
+                .append(flag("advice", a.canSuggestRetryAfter()))
+                .append(time("longest-advice", a.maxRetryAfterMicros()))
                 .append("}\n");
-        for (Category c : p.categories()) {
+        for (RequestClass c : p.requestClasses()) {
             out.append("\ncategory ")
                     .append(label(c.name()))
                     .append(" {\n")
-                    .append(
-                            line(
-                                    "repeats",
-                                    c.repeats().name().toLowerCase(Locale.ROOT).replace('_', '-')))
-                    .append(line("group", c.group().name().toLowerCase(Locale.ROOT)))
-                    .append(time("repeat-window", c.repeatWindow()))
+                    .append(line("repeats", Keyword.of(c.idempotency())))
+                    .append(line("group", c.deduplicationScope().name().toLowerCase(Locale.ROOT)))
+                    .append(time("repeat-window", c.deduplicationWindowMicros()))
                     .append(flag("key-ordered", c.keyOrdered()))
-                    .append(time("agreed", c.agreedTime()))
-                    .append(line("importance", plain(c.importance())))
+                    .append(time("agreed", c.latencyObjectiveMicros()))
+                    .append(line("importance", plain(c.priorityWeight())))
                     .append("}\n");
         }
-        for (Plan plan : p.plans()) {
+        for (ServicePlan plan : p.plans()) {
             out.append("\nplan ")
                     .append(label(plan.name()))
                     .append(" {\n")
-                    .append(line("reserve", plain(plan.reserve()) + "u/s"))
+                    .append(line("reserve", plain(plan.reservationRate()) + "u/s"))
                     .append(line("weight", plain(plan.weight())))
                     .append(line("limit-rate", plain(plan.limitRate()) + "u/s"))
-                    .append(line("limit-depth", plain(plan.limitDepth()) + "u"))
+                    .append(line("limit-depth", plain(plan.limitBurst()) + "u"))
                     .append(line("limit-slack", plain(plan.limitSlack()) + "u"))
                     .append("}\n");
         }
--- a/gateway/src/main/java/milletyoke/gateway/setup/Setup.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/InitiatorConfig.java
@@ -1,12 +1,12 @@
-package milletyoke.gateway.setup;
+package milletyoke.gateway.config;
 
 import java.nio.file.Path;
 import java.util.List;
 import milletyoke.config.Checker;
-import milletyoke.config.Finding;
+import milletyoke.config.Diagnostic;
 import milletyoke.config.Fleet;
-import milletyoke.config.Library;
-import milletyoke.config.disk.DiskLibrary;
+import milletyoke.config.SourceProvider;
+import milletyoke.config.disk.FileSourceProvider;
 
 /**
  * What one initiator is started with.
@@ -17,28 +17,28 @@
  * @param fleet the configuration that the deployment was read from; null where it stands in the
  *     setup itself
  */
-public record Setup(
+public record InitiatorConfig(
         String name,
         int number,
         Address listen,
         Address discovery,
         Path folder,
-        Deployment deployment,
+        DeploymentSettings deployment,
         Transport transport,
-        Room room,
+        CapacityLimits room,
         Console console,
         FleetFile fleet) {
 
     /** Without a console. */
-    public Setup(
+    public InitiatorConfig(
             String name,
             int number,
             Address listen,
             Address discovery,
             Path folder,
-            Deployment deployment,
+            DeploymentSettings deployment,
             Transport transport,
-            Room room) {
+            CapacityLimits room) {
         this(name, number, listen, discovery, folder, deployment, transport, room, null, null);
     }
 
@@ -83,7 +83,7 @@
      * @param listAge without a word from discovery for so long the list counts as lost
      *     (microseconds)
      */
-    public record Room(
+    public record CapacityLimits(
             int held,
             int queue,
             int shards,
@@ -96,7 +96,7 @@
             double eased,
             long listAge) {
         /** With the usual figures beside these. */
-        public Room(int held, int queue, int shards, double largest, long longest) {
+        public CapacityLimits(int held, int queue, int shards, double largest, long longest) {
             this(held, queue, shards, largest, longest, 256L << 20, 1, 4, 0.9, 0.7, 10_000_000);
         }
     }
@@ -104,27 +104,27 @@
     /**
      * @throws SetupError that names file, line and field
      */
-    public static Setup read(Path file) throws SetupError {
-        Form f = Form.read(file);
+    public static InitiatorConfig read(Path file) throws ConfigException {
+        SettingsReader f = SettingsReader.read(file);
         return of(f, file.toAbsolutePath().getParent());
     }
 
-    public static Setup of(Form f, Path base) throws SetupError {
+    public static InitiatorConfig of(SettingsReader f, Path base) throws ConfigException {
         String name = f.text("name", null);
         int number = f.whole("number", 1, 1, 100_000);
         Address listen = f.address("listen", null);
         Address discovery = f.address("discovery", null);
         Path folder = f.has("folder") ? base.resolve(f.text("folder", null)) : null;
         FleetFile fleet = f.has("fleet") ? fleet(f, base) : null;
-        Deployment deployment =
+        DeploymentSettings deployment =
                 fleet != null
-                        ? FromFleet.deployment(fleet.fleet())
-                        : Deployment.read(f.form("deployment"));
+                        ? FleetConverter.deployment(fleet.fleet())
+                        : DeploymentSettings.read(f.form("deployment"));
         Transport transport = transport(f.optional("transport"));
-        Room room = room(f.optional("room"));
+        CapacityLimits room = room(f.optional("room"));
         Console console = f.has("console") ? console(f.form("console"), base) : null;
         f.done();
-        return new Setup(
+        return new InitiatorConfig(
                 name,
                 number,
                 listen,
@@ -138,30 +138,31 @@
     }
 
     /** The deployment as the configuration language has it, in a file of its own. */
-    private static FleetFile fleet(Form f, Path base) throws SetupError {
+    private static FleetFile fleet(SettingsReader f, Path base) throws ConfigException {
         if (f.has("deployment")) {
             throw f.wrong(
                     "fleet", "stands beside deployment; one of them says what the deployment is");
         }
         Path file = base.resolve(f.text("fleet", null));
         try {
-            Checker.Result checked = Checker.check(new DiskLibrary(), DiskLibrary.name(file));
+            Checker.Result checked =
+                    Checker.check(new FileSourceProvider(), FileSourceProvider.name(file));
             if (!checked.clean()) {
-                throw new SetupError(
+                throw new ConfigException(
                         checked.findings().stream()
-                                .filter(Finding::error)
+                                .filter(Diagnostic::error)
                                 .findFirst()
                                 .orElseThrow()
                                 .text()
                                 .strip());
             }
             return new FleetFile(checked.files().get(0), checked.fleet(), checked.files());
-        } catch (Library.Unreadable missing) {
+        } catch (SourceProvider.UnreadableSourceException missing) {
             throw f.wrong("fleet", file + ": " + missing.getMessage());
         }
     }
 
-    private static Transport transport(Form t) throws SetupError {
+    private static Transport transport(SettingsReader t) throws ConfigException {
         Transport transport =
                 new Transport(
                         t.time("connectTime", "250 ms"),
@@ -180,7 +181,7 @@
         return transport;
     }
 
-    private static Console console(Form c, Path base) throws SetupError {
+    private static Console console(SettingsReader c, Path base) throws ConfigException {
         Console console =
                 new Console(
                         c.address("listen", null),
@@ -190,9 +191,9 @@
         return console;
     }
 
-    private static Room room(Form r) throws SetupError {
-        Room room =
-                new Room(
+    private static CapacityLimits room(SettingsReader r) throws ConfigException {
+        CapacityLimits room =
+                new CapacityLimits(
                         r.whole("held", 10_000, 1, 10_000_000),
                         r.whole("queue", 1 << 16, 64, 1 << 24),
                         r.whole("shards", 1 << 16, 1, 1 << 24),
--- a/gateway/src/main/java/milletyoke/gateway/setup/Json5.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/Json5.java
@@ -1,4 +1,4 @@
-package milletyoke.gateway.setup;
+package milletyoke.gateway.config;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonFactoryBuilder;
@@ -59,38 +59,38 @@
         this.in = in;
     }
 
-    static Value read(Path file) throws SetupError {
+    static Value read(Path file) throws ConfigException {
         try {
             if (Files.size(file) > LARGEST) {
-                throw new SetupError(file + ": over " + LARGEST + " bytes, not a setup");
+                throw new ConfigException(file + ": over " + LARGEST + " bytes, not a setup");
             }
             return read(file.toString(), Files.readString(file));
         } catch (java.nio.file.NoSuchFileException missing) {
-            throw new SetupError(file + ": there is no such file");
+            throw new ConfigException(file + ": there is no such file");
         } catch (IOException unreadable) {
-            throw new SetupError(file + ": cannot be read: " + unreadable.getMessage());
+            throw new ConfigException(file + ": cannot be read: " + unreadable.getMessage());
         }
     }
 
-    static Value read(String source, String text) throws SetupError {
+    static Value read(String source, String text) throws ConfigException {
         try (JsonParser in = FORM.createParser(text)) {
             Json5 reader = new Json5(source, in);
             in.nextToken();
             if (in.currentToken() == null) {
-                throw new SetupError(source + ":1: empty");
+                throw new ConfigException(source + ":1: empty");
             }
             Value all = reader.value();
             if (in.nextToken() != null) {
-                throw new SetupError(
+                throw new ConfigException(
                         source + ":" + reader.line() + ": something stands behind the end");
             }
             return all;
         } catch (JsonProcessingException bad) {
             int line = bad.getLocation() == null ? 1 : bad.getLocation().getLineNr();
-            throw new SetupError(
+            throw new ConfigException(
                     source + ":" + line + ": " + bad.getOriginalMessage().replaceAll("\\s+", " "));
         } catch (IOException impossible) {
-            throw new SetupError(source + ": " + impossible.getMessage());
+            throw new ConfigException(source + ": " + impossible.getMessage());
         }
     }
 
@@ -98,7 +98,7 @@
         return in.currentTokenLocation().getLineNr();
     }
 
-    private Value value() throws IOException, SetupError {
+    private Value value() throws IOException, ConfigException {
         int line = line();
         return switch (in.currentToken()) {
             case START_OBJECT -> new Value(line, object(), null, null);
@@ -108,11 +108,12 @@
                     new Value(line, null, null, in.getDoubleValue());
             case VALUE_TRUE, VALUE_FALSE -> new Value(line, null, null, in.getBooleanValue());
             case VALUE_NULL -> new Value(line, null, null, null);
-            default -> throw new SetupError(source + ":" + line + ": unexpected " + in.getText());
+            default ->
+                    throw new ConfigException(source + ":" + line + ": unexpected " + in.getText());
         };
     }
 
-    private Map<String, Value> object() throws IOException, SetupError {
+    private Map<String, Value> object() throws IOException, ConfigException {
         Map<String, Value> fields = new LinkedHashMap<>();
         while (in.nextToken() != JsonToken.END_OBJECT) {
             String name = in.currentName();
@@ -122,7 +123,7 @@
         return fields;
     }
 
-    private List<Value> list() throws IOException, SetupError {
+    private List<Value> list() throws IOException, ConfigException {
         List<Value> values = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
             values.add(value());
--- a/gateway/src/main/java/milletyoke/gateway/setup/Form.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/SettingsReader.java
@@ -1,21 +1,21 @@
-package milletyoke.gateway.setup;
+package milletyoke.gateway.config;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import milletyoke.scheduler.api.Keyword;
 
 /**
  * One object of a setup, read field by field: each field is asked for once with its type, bounds
  * and default, and at the end what was never asked for is an error. Times are text with a unit and
  * come out as microseconds.
  */
-public final class Form {
+public final class SettingsReader {
     private static final Pattern TIME = Pattern.compile("([0-9]+(?:\\.[0-9]+)?) ?(us|ms|s|min|h)");
     private static final Map<String, Double> MICROS =
             Map.of("us", 1.0, "ms", 1e3, "s", 1e6, "min", 60e6, "h", 3600e6);
@@ -26,7 +26,7 @@
     private final Json5.Value self;
     private final Set<String> asked = new HashSet<>();
 
-    private Form(String source, String path, Json5.Value self) throws SetupError {
+    private SettingsReader(String source, String path, Json5.Value self) throws ConfigException {
         this.source = source;
         this.path = path;
         this.self = self;
@@ -38,24 +38,24 @@
         }
     }
 
-    public static Form read(Path file) throws SetupError {
-        return new Form(file.toString(), "", Json5.read(file));
+    public static SettingsReader read(Path file) throws ConfigException {
+        return new SettingsReader(file.toString(), "", Json5.read(file));
     }
 
-    public static Form of(String source, String text) throws SetupError {
-        return new Form(source, "", Json5.read(source, text));
+    public static SettingsReader of(String source, String text) throws ConfigException {
+        return new SettingsReader(source, "", Json5.read(source, text));
     }
 
-    private SetupError wrong(Json5.Value at, String field, String what) {
-        return new SetupError(source + ":" + at.line() + ": " + field + ": " + what);
+    private ConfigException wrong(Json5.Value at, String field, String what) {
+        return new ConfigException(source + ":" + at.line() + ": " + field + ": " + what);
     }
 
     /** An error at a field of this object, or at the object where the field is absent. */
-    public SetupError wrong(String field, String what) {
+    public ConfigException wrong(String field, String what) {
         return wrong(self.object().getOrDefault(field, self), path + field, what);
     }
 
-    private Json5.Value ask(String field, boolean needed) throws SetupError {
+    private Json5.Value ask(String field, boolean needed) throws ConfigException {
         asked.add(field);
         Json5.Value value = self.object().get(field);
         if (value == null && needed) {
@@ -71,7 +71,7 @@
     /**
      * @param usual null where the field must be there
      */
-    public String text(String field, String usual) throws SetupError {
+    public String text(String field, String usual) throws ConfigException {
         Json5.Value value = ask(field, usual == null);
         if (value == null) {
             return usual;
@@ -85,7 +85,8 @@
         return text;
     }
 
-    public <E extends Enum<E>> E word(String field, Class<E> words, E usual) throws SetupError {
+    public <E extends Enum<E>> E word(String field, Class<E> words, E usual)
+            throws ConfigException {
         Json5.Value value = ask(field, usual == null);
         if (value == null) {
             return usual;
@@ -93,7 +94,7 @@
         String text = value.scalar() instanceof String s ? s : "";
         List<String> known = new ArrayList<>();
         for (E word : words.getEnumConstants()) {
-            String name = word.name().toLowerCase(Locale.ROOT).replace('_', '-');
+            String name = Keyword.of(word);
             known.add(name);
             if (name.equals(text)) {
                 return word;
@@ -102,7 +103,7 @@
         throw wrong(value, path + field, "one of " + String.join(", ", known) + " is expected");
     }
 
-    public boolean flag(String field, boolean usual) throws SetupError {
+    public boolean flag(String field, boolean usual) throws ConfigException {
         Json5.Value value = ask(field, false);
         if (value == null) {
             return usual;
@@ -116,7 +117,8 @@
     /**
      * @param usual NaN where the field must be there
      */
-    public double figure(String field, double usual, double least, double most) throws SetupError {
+    public double figure(String field, double usual, double least, double most)
+            throws ConfigException {
         Json5.Value value = ask(field, Double.isNaN(usual));
         if (value == null) {
             return usual;
@@ -141,7 +143,7 @@
     /**
      * @param usual Integer.MIN_VALUE where the field must be there
      */
-    public int whole(String field, int usual, int least, int most) throws SetupError {
+    public int whole(String field, int usual, int least, int most) throws ConfigException {
         double figure = figure(field, usual == Integer.MIN_VALUE ? Double.NaN : usual, least, most);
         if (figure != Math.rint(figure)) {
             throw wrong(field, "a whole number is expected, not " + figure);
@@ -153,7 +155,7 @@
      * Microseconds. @param usual null where the field must be there, else a time as it would be
      * written
      */
-    public long time(String field, String usual) throws SetupError {
+    public long time(String field, String usual) throws ConfigException {
         Json5.Value value = ask(field, usual == null);
         String text = value == null ? usual : value.scalar() instanceof String s ? s : "";
         if (text.equals("0")) {
@@ -174,22 +176,22 @@
         return Math.round(micros);
     }
 
-    public Form form(String field) throws SetupError {
-        return new Form(source, path + field + ".", ask(field, true));
+    public SettingsReader form(String field) throws ConfigException {
+        return new SettingsReader(source, path + field + ".", ask(field, true));
     }
 
     /** An object that may be left out: all of its fields then have their defaults. */
-    public Form optional(String field) throws SetupError {
+    public SettingsReader optional(String field) throws ConfigException {
         Json5.Value value = ask(field, false);
-        return new Form(
+        return new SettingsReader(
                 source,
                 path + field + ".",
                 value == null ? new Json5.Value(self.line(), Map.of(), null, null) : value);
     }
 
-    public List<Form> forms(String field, boolean needed) throws SetupError {
+    public List<SettingsReader> forms(String field, boolean needed) throws ConfigException {
         Json5.Value value = ask(field, needed);
-        List<Form> forms = new ArrayList<>();
+        List<SettingsReader> forms = new ArrayList<>();
         if (value == null) {
             return forms;
         }
@@ -197,13 +199,13 @@
             throw wrong(value, path + field, "a list is expected, not " + value.kind());
         }
         for (Json5.Value one : value.list()) {
-            forms.add(new Form(source, path + field + "[" + forms.size() + "].", one));
+            forms.add(new SettingsReader(source, path + field + "[" + forms.size() + "].", one));
         }
         return forms;
     }
 
     /** A socket address as host:port. */
-    public Address address(String field, String usual) throws SetupError {
+    public Address address(String field, String usual) throws ConfigException {
         String text = text(field, usual);
         try {
             return Address.of(text);
@@ -213,7 +215,7 @@
     }
 
     /** To be called last: what was never asked for is not known. */
-    public void done() throws SetupError {
+    public void done() throws ConfigException {
         for (Map.Entry<String, Json5.Value> field : self.object().entrySet()) {
             if (!asked.contains(field.getKey())) {
                 throw wrong(
--- a/gateway/src/main/java/milletyoke/gateway/console/Sight.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/AccessScope.java
@@ -9,7 +9,7 @@
  * @param name of the token, for the journal of actions
  * @param volumes of a tenant: names, or prefixes that end in *
  */
-public record Sight(String name, Role role, List<String> volumes) {
+public record AccessScope(String name, Role role, List<String> volumes) {
     /** Each may do what the one before may, but a tenant, who sees its own only. */
     public enum Role {
         TENANT,
--- a/gateway/src/main/java/milletyoke/gateway/console/Journal.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/AuditLog.java
@@ -19,8 +19,8 @@
  * What operators did through the console: a line of JSON each, appended before the deed; the latest
  * kept in memory.
  */
-final class Journal {
-    private static final Logger LOG = LoggerFactory.getLogger(Journal.class);
+final class AuditLog {
+    private static final Logger LOG = LoggerFactory.getLogger(AuditLog.class);
     private static final int KEPT = 200;
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -33,7 +33,7 @@
     /**
      * @param folder null keeps the journal in memory and the log only
      */
-    Journal(Path folder) {
+    AuditLog(Path folder) {
         file = folder == null ? null : folder.resolve("actions.jsonl");
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/console/Connections.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/ConnectionLimitFilter.java
@@ -12,7 +12,7 @@
  * in. Guards against peers that open many, or send a byte now and then (slow loris). Could harm a
  * viewer on a very slow line.
  */
-final class Connections extends BaseFilter {
+final class ConnectionLimitFilter extends BaseFilter {
     private final int most;
     private final long patience;
     private final Map<Connection<?>, Long> since = new ConcurrentHashMap<>();
@@ -20,7 +20,7 @@
     /**
      * @param patience microseconds
      */
-    Connections(int most, long patience) {
+    ConnectionLimitFilter(int most, long patience) {
         this.most = most;
         this.patience = patience;
     }
@@ -32,7 +32,7 @@
             connection.closeSilently();
             return ctx.getStopAction();
         }
-        since.put(connection, milletyoke.wire.Wire.micros());
+        since.put(connection, milletyoke.wire.SocketNetwork.micros());
         connection.addCloseListener((closed, type) -> since.remove(connection));
         return ctx.getInvokeAction();
     }
@@ -44,7 +44,7 @@
 
     /** The answer has left; the next request may take as long again. */
     void answered(Connection<?> connection) {
-        since.replace(connection, milletyoke.wire.Wire.micros());
+        since.replace(connection, milletyoke.wire.SocketNetwork.micros());
     }
 
     void look(long now) {
--- a/gateway/src/main/java/milletyoke/gateway/console/Console.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Console.java
@@ -17,13 +17,13 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import milletyoke.gateway.fleet.Following;
-import milletyoke.gateway.loop.Counts;
-import milletyoke.gateway.loop.Loop;
-import milletyoke.gateway.loop.Told;
-import milletyoke.gateway.setup.Setup;
-import milletyoke.gateway.setup.SetupError;
-import milletyoke.wire.Wire;
+import milletyoke.gateway.config.ConfigException;
+import milletyoke.gateway.config.InitiatorConfig;
+import milletyoke.gateway.loop.Counters;
+import milletyoke.gateway.loop.EventLoop;
+import milletyoke.gateway.loop.LoopMessage;
+import milletyoke.gateway.reload.ConfigWatcher;
+import milletyoke.wire.SocketNetwork;
 import org.glassfish.grizzly.http.Cookie;
 import org.glassfish.grizzly.http.Method;
 import org.glassfish.grizzly.http.server.HttpHandler;
@@ -56,14 +56,14 @@
 
     private static final String COOKIE = "milletyoke";
 
-    private final Loop loop;
-    private final Views views;
-    private final Journal journal;
+    private final EventLoop loop;
+    private final PageModels views;
+    private final AuditLog journal;
     private final Tokens tokens;
     private final Sessions sessions = new Sessions();
-    private final Rates rates;
-    private final Rates strangers = new Rates(20, 60);
-    private final Connections connections = new Connections(1_024, PATIENCE);
+    private final RateLimiter rates;
+    private final RateLimiter strangers = new RateLimiter(20, 60);
+    private final ConnectionLimitFilter connections = new ConnectionLimitFilter(1_024, PATIENCE);
     private final Set<Stream> streams = ConcurrentHashMap.newKeySet();
     private final ScheduledExecutorService pulse;
     private final HttpServer server = new HttpServer();
@@ -74,10 +74,10 @@
         final Response response;
         final String token;
         final String page;
-        final Views.Ask ask;
-        volatile long lastTaken = Wire.micros();
+        final PageModels.Ask ask;
+        volatile long lastTaken = SocketNetwork.micros();
 
-        Stream(Response response, String token, String page, Views.Ask ask) {
+        Stream(Response response, String token, String page, PageModels.Ask ask) {
             this.response = response;
             this.token = token;
             this.page = page;
@@ -85,8 +85,8 @@
         }
 
         void beat() {
-            Sight sight = tokens.sight(token);
-            if (sight == null || Wire.micros() - lastTaken > PATIENCE) {
+            AccessScope sight = tokens.sight(token);
+            if (sight == null || SocketNetwork.micros() - lastTaken > PATIENCE) {
                 end();
                 return;
             }
@@ -103,7 +103,7 @@
                                                 + "\n\n")
                                         .getBytes(StandardCharsets.UTF_8));
                 response.getNIOOutputStream().flush();
-                lastTaken = Wire.micros();
+                lastTaken = SocketNetwork.micros();
             } catch (IOException | RuntimeException gone) {
                 end();
             }
@@ -126,13 +126,18 @@
      * @throws IOException where its address cannot be had
      * @throws SetupError where its tokens cannot be used
      */
-    public Console(Setup.Console access, Setup setup, Loop loop, Counts counts, Following following)
-            throws IOException, SetupError {
+    public Console(
+            InitiatorConfig.Console access,
+            InitiatorConfig setup,
+            EventLoop loop,
+            Counters counts,
+            ConfigWatcher following)
+            throws IOException, ConfigException {
         this.loop = loop;
         tokens = new Tokens(access.tokens());
-        rates = new Rates(access.rate(), 4 * access.rate());
-        journal = new Journal(setup.folder());
-        views = new Views(setup, loop, journal, counts, following, Wire.micros());
+        rates = new RateLimiter(access.rate(), 4 * access.rate());
+        journal = new AuditLog(setup.folder());
+        views = new PageModels(setup, loop, journal, counts, following, SocketNetwork.micros());
         listener = new NetworkListener("console", access.listen().host(), access.listen().port());
         listener.setMaxHttpHeaderSize(8_192);
         listener.setMaxRequestHeaders(64);
@@ -193,7 +198,7 @@
     private void beat() {
         try {
             streams.forEach(Stream::beat);
-            connections.look(Wire.micros());
+            connections.look(SocketNetwork.micros());
         } catch (RuntimeException unexpected) {
             LOG.error("a stream failed", unexpected);
         }
@@ -214,13 +219,14 @@
         try {
             secure(response);
             route(request, response);
-        } catch (Problem problem) {
+        } catch (HttpProblemException problem) {
             tell(response, problem, machine);
         } catch (Exception unexpected) {
             LOG.error("a request of the console failed", unexpected);
             tell(
                     response,
-                    new Problem(500, "Failed", "This could not be answered; the log says why."),
+                    new HttpProblemException(
+                            500, "Failed", "This could not be answered; the log says why."),
                     machine);
         } finally {
             if (!response.isSuspended()) {
@@ -240,7 +246,8 @@
         r.setHeader("Cache-Control", "no-store");
     }
 
-    private void route(Request request, Response response) throws Problem, IOException {
+    private void route(Request request, Response response)
+            throws HttpProblemException, IOException {
         String path = request.getRequestURI();
         if (path.startsWith("/static/")) {
             only(request, Method.GET);
@@ -253,15 +260,15 @@
             login(request, response);
             return;
         }
-        Sessions.Session session = sessions.of(cookie(request), Wire.micros());
+        Sessions.Session session = sessions.of(cookie(request), SocketNetwork.micros());
         String bearer = bearer(request);
         String token = bearer != null ? bearer : session == null ? null : session.token();
-        Sight sight = token == null ? null : tokens.sight(token);
+        AccessScope sight = token == null ? null : tokens.sight(token);
         if (sight == null) {
             limit(strangers, caller);
             if (path.startsWith("/api/")) {
                 response.setHeader("WWW-Authenticate", "Bearer");
-                throw Problem.who();
+                throw HttpProblemException.who();
             }
             response.setStatus(303);
             response.setHeader("Location", "/login");
@@ -283,11 +290,11 @@
             only(request, Method.GET);
             String page = path.equals("/") ? "overview" : path.substring(1);
             known(page);
-            Views.Ask ask = ask(request, Set.of("find", "page"), "page");
+            PageModels.Ask ask = ask(request, Set.of("find", "page"), "page");
             html(
                     response,
                     200,
-                    Html.page(
+                    HtmlRenderer.page(
                             page,
                             views.of(page, sight, ask),
                             sight,
@@ -296,21 +303,22 @@
         }
     }
 
-    private static void known(String page) throws Problem {
-        if (!Views.PAGES.containsKey(page)) {
-            throw Problem.notFound();
+    private static void known(String page) throws HttpProblemException {
+        if (!PageModels.PAGES.containsKey(page)) {
+            throw HttpProblemException.notFound();
         }
     }
 
-    private static void only(Request request, Method method) throws Problem {
+    private static void only(Request request, Method method) throws HttpProblemException {
         if (!request.getMethod().equals(method)) {
-            throw new Problem(405, "Method not allowed", method + " is what can be done here.");
+            throw new HttpProblemException(
+                    405, "Method not allowed", method + " is what can be done here.");
         }
     }
 
-    private static void limit(Rates rates, String caller) throws Problem {
-        if (!rates.take(caller, Wire.micros())) {
-            throw new Problem(429, "Too many requests", "Come back in a second.");
+    private static void limit(RateLimiter rates, String caller) throws HttpProblemException {
+        if (!rates.take(caller, SocketNetwork.micros())) {
+            throw new HttpProblemException(429, "Too many requests", "Come back in a second.");
         }
     }
 
@@ -333,18 +341,19 @@
         return null;
     }
 
-    private void login(Request request, Response response) throws Problem, IOException {
+    private void login(Request request, Response response)
+            throws HttpProblemException, IOException {
         if (request.getMethod().equals(Method.GET)) {
-            html(response, 200, Html.login(""));
+            html(response, 200, HtmlRenderer.login(""));
             return;
         }
         only(request, Method.POST);
         String token = body(request, Set.of("token")).getOrDefault("token", "");
         if (tokens.sight(token) == null) {
-            html(response, 401, Html.login("That token is not valid."));
+            html(response, 401, HtmlRenderer.login("That token is not valid."));
             return;
         }
-        Sessions.Session session = sessions.begin(token, Wire.micros());
+        Sessions.Session session = sessions.begin(token, SocketNetwork.micros());
         response.setHeader(
                 "Set-Cookie", COOKIE + "=" + session.id() + "; Path=/; HttpOnly; SameSite=Strict");
         response.setStatus(303);
@@ -357,10 +366,10 @@
             Request request,
             Response response,
             String path,
-            Sight sight,
+            AccessScope sight,
             Sessions.Session session,
             boolean byBearer)
-            throws Problem, IOException {
+            throws HttpProblemException, IOException {
         Map<String, String> form = body(request, Set.of("csrf", "what", "whom"));
         boolean own =
                 byBearer
@@ -370,7 +379,7 @@
                                         form.getOrDefault("csrf", "")
                                                 .getBytes(StandardCharsets.UTF_8));
         if (!own) {
-            throw new Problem(
+            throw new HttpProblemException(
                     403,
                     "Forbidden",
                     "This form was not made for this session; open the page again.");
@@ -390,9 +399,10 @@
     }
 
     /** Does what an operator asks for, once it is written down. */
-    private void act(Sight sight, String what, String whom) throws Problem, IOException {
+    private void act(AccessScope sight, String what, String whom)
+            throws HttpProblemException, IOException {
         if (!sight.acts()) {
-            throw Problem.mayNot();
+            throw HttpProblemException.mayNot();
         }
         boolean on = what.startsWith("drain");
         switch (what) {
@@ -400,21 +410,21 @@
                 journal.write(
                         sight.name(),
                         what,
-                        views.of("setup", sight, Views.Ask.FIRST)
+                        views.of("setup", sight, PageModels.Ask.FIRST)
                                 .figures()
                                 .get("initiator")
                                 .toString());
-                loop.tell(new Told.Drain(on, sight.name()));
+                loop.tell(new LoopMessage.DrainInitiator(on, sight.name()));
             }
             case "drain-target", "undrain-target" -> {
                 if (!loop.knows(whom)) {
-                    throw Problem.notFound();
+                    throw HttpProblemException.notFound();
                 }
                 journal.write(sight.name(), what, whom);
-                loop.tell(new Told.DrainTarget(whom, on, sight.name()));
+                loop.tell(new LoopMessage.DrainTarget(whom, on, sight.name()));
             }
             default ->
-                    throw Problem.badRequest(
+                    throw HttpProblemException.badRequest(
                             "drain, undrain, drain-target or undrain-target can be done.");
         }
     }
@@ -425,13 +435,13 @@
             Request request,
             Response response,
             String path,
-            Sight sight,
+            AccessScope sight,
             String token,
             boolean byBearer)
-            throws Problem, IOException {
+            throws HttpProblemException, IOException {
         if (path.isEmpty()) {
             only(request, Method.GET);
-            json(response, 200, Map.of("pages", new ArrayList<>(Views.PAGES.keySet())));
+            json(response, 200, Map.of("pages", new ArrayList<>(PageModels.PAGES.keySet())));
         } else if (path.equals("stream")) {
             only(request, Method.GET);
             stream(request, response, token);
@@ -440,7 +450,7 @@
                 || path.matches("targets/[^/]+/(drain|undrain)")) {
             only(request, Method.POST);
             if (!byBearer) { // a browser's cookie goes with any form; a header does not
-                throw new Problem(
+                throw new HttpProblemException(
                         403, "Forbidden", "Acting by this path needs the token in a header.");
             }
             String[] parts = path.split("/");
@@ -459,12 +469,13 @@
         }
     }
 
-    private void stream(Request request, Response response, String token) throws Problem {
-        Views.Ask ask = ask(request, Set.of("page", "find", "at"), "at");
+    private void stream(Request request, Response response, String token)
+            throws HttpProblemException {
+        PageModels.Ask ask = ask(request, Set.of("page", "find", "at"), "at");
         String page = request.getParameter("page");
         known(page == null ? "" : page);
         if (streams.size() >= MOST_STREAMS) {
-            throw new Problem(
+            throw new HttpProblemException(
                     503,
                     "Too many streams",
                     "There are " + MOST_STREAMS + " at the most; poll instead.");
@@ -478,10 +489,11 @@
         pulse.execute(stream::beat);
     }
 
-    private static Views.Ask ask(Request request, Set<String> may, String number) throws Problem {
+    private static PageModels.Ask ask(Request request, Set<String> may, String number)
+            throws HttpProblemException {
         for (String name : request.getParameterNames()) {
             if (!may.contains(name)) {
-                throw Problem.badRequest(
+                throw HttpProblemException.badRequest(
                         "A parameter that is not known here; known are "
                                 + may.stream().sorted(Comparator.naturalOrder()).toList()
                                 + ".");
@@ -490,27 +502,29 @@
         String find = request.getParameter("find");
         String at = request.getParameter(number);
         if (find != null && find.length() > MOST_FIND) {
-            throw Problem.badRequest("find takes " + MOST_FIND + " characters at the most.");
+            throw HttpProblemException.badRequest(
+                    "find takes " + MOST_FIND + " characters at the most.");
         }
         try {
             int page = at == null || at.isEmpty() ? 0 : Integer.parseInt(at);
             if (page >= 0 && page <= MOST_PAGE) {
-                return new Views.Ask(find == null ? "" : find, page);
+                return new PageModels.Ask(find == null ? "" : find, page);
             }
         } catch (NumberFormatException notANumber) {
             // told below
         }
-        throw Problem.badRequest(number + " takes a whole number from 0 to " + MOST_PAGE + ".");
+        throw HttpProblemException.badRequest(
+                number + " takes a whole number from 0 to " + MOST_PAGE + ".");
     }
 
     private static Map<String, String> body(Request request, Set<String> may)
-            throws Problem, IOException {
+            throws HttpProblemException, IOException {
         if (request.getContentLengthLong() > MOST_BODY) {
-            throw new Problem(413, "Too large", MOST_BODY + " bytes are the most.");
+            throw new HttpProblemException(413, "Too large", MOST_BODY + " bytes are the most.");
         }
         byte[] bytes = request.getInputStream().readNBytes(MOST_BODY + 1);
         if (bytes.length > MOST_BODY) {
-            throw new Problem(413, "Too large", MOST_BODY + " bytes are the most.");
+            throw new HttpProblemException(413, "Too large", MOST_BODY + " bytes are the most.");
         }
         Map<String, String> form = new HashMap<>();
         for (String pair : new String(bytes, StandardCharsets.UTF_8).split("&")) {
@@ -519,31 +533,31 @@
             if (may.contains(name)) {
                 form.put(name, equals < 0 ? "" : decoded(pair.substring(equals + 1)));
             } else if (!pair.isEmpty()) {
-                throw Problem.badRequest("A field that is not known here.");
+                throw HttpProblemException.badRequest("A field that is not known here.");
             }
         }
         return form;
     }
 
-    private static String decoded(String raw) throws Problem {
+    private static String decoded(String raw) throws HttpProblemException {
         try {
             return URLDecoder.decode(raw, StandardCharsets.UTF_8);
         } catch (IllegalArgumentException bad) {
-            throw Problem.badRequest("Text that is not URL-encoded.");
+            throw HttpProblemException.badRequest("Text that is not URL-encoded.");
         }
     }
 
     // ---- Answers ----
 
-    private static void tell(Response response, Problem problem, boolean machine) {
+    private static void tell(Response response, HttpProblemException problem, boolean machine) {
         try {
             if (response.isCommitted()) {
                 return;
             }
             if (machine) {
-                json(response, problem.status, Html.problemBody(problem));
+                json(response, problem.status, HtmlRenderer.problemBody(problem));
             } else {
-                html(response, problem.status, Html.problem(problem));
+                html(response, problem.status, HtmlRenderer.problem(problem));
             }
         } catch (IOException gone) {
             LOG.debug("nobody is there for the answer: {}", gone.getMessage());
@@ -571,12 +585,13 @@
         response.getOutputStream().write(body);
     }
 
-    private static void file(Response response, String name) throws Problem, IOException {
+    private static void file(Response response, String name)
+            throws HttpProblemException, IOException {
         String type =
                 switch (name) {
                     case "console.css" -> "text/css; charset=utf-8";
                     case "console.js" -> "text/javascript; charset=utf-8";
-                    default -> throw Problem.notFound();
+                    default -> throw HttpProblemException.notFound();
                 };
         try (InputStream in = Console.class.getResourceAsStream("/console/" + name)) {
             send(response, 200, type, in.readAllBytes());
--- a/gateway/src/main/java/milletyoke/gateway/console/Html.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/HtmlRenderer.java
@@ -5,15 +5,16 @@
 import java.util.Map;
 
 /** Pages as plain HTML: all of a view without any script; the script only renews it. */
-final class Html {
+final class HtmlRenderer {
     private static final int WIDE = 600, HIGH = 120;
 
-    private Html() {}
+    private HtmlRenderer() {}
 
-    static String page(String page, Views.View view, Sight sight, String csrf, Views.Ask ask) {
+    static String page(
+            String page, PageModels.View view, AccessScope sight, String csrf, PageModels.Ask ask) {
         StringBuilder out = head(view.title());
         out.append("<header><strong>milletyoke</strong><nav aria-label=\"Pages\"><ul>");
-        for (String name : Views.PAGES.keySet()) {
+        for (String name : PageModels.PAGES.keySet()) {
             out.append("<li><a href=\"/")
                     .append(name.equals("overview") ? "" : name)
                     .append('"')
@@ -65,10 +66,10 @@
     private static void body(
             StringBuilder out,
             String page,
-            Views.View view,
-            Sight sight,
+            PageModels.View view,
+            AccessScope sight,
             String csrf,
-            Views.Ask ask) {
+            PageModels.Ask ask) {
         out.append("<dl id=\"figures\">");
         view.figures()
                 .forEach(
@@ -79,10 +80,10 @@
                                         .append(text(String.valueOf(value)))
                                         .append("</dd></div>"));
         out.append("</dl>");
-        for (Views.Chart chart : view.charts()) {
+        for (PageModels.Chart chart : view.charts()) {
             chart(out, chart);
         }
-        for (Views.Table table : view.tables()) {
+        for (PageModels.Table table : view.tables()) {
             table(out, page, table, sight, csrf, ask);
         }
     }
@@ -90,10 +91,10 @@
     private static void table(
             StringBuilder out,
             String page,
-            Views.Table table,
-            Sight sight,
+            PageModels.Table table,
+            AccessScope sight,
             String csrf,
-            Views.Ask ask) {
+            PageModels.Ask ask) {
         boolean acts = sight.acts() && page.equals("targets") && table.name().equals("targets");
         out.append("<div class=\"scroll\" tabindex=\"0\"><table><caption>")
                 .append(text(table.name()))
@@ -133,7 +134,7 @@
             out.append("</tr>");
         }
         out.append("</tbody></table></div>");
-        if (table.total() > Views.ROWS && !table.rows().isEmpty() || table.page() > 0) {
+        if (table.total() > PageModels.ROWS && !table.rows().isEmpty() || table.page() > 0) {
             out.append("<p class=\"pages\">");
             link(out, page, ask, table.page() - 1, "earlier", table.page() > 0);
             link(
@@ -142,13 +143,18 @@
                     ask,
                     table.page() + 1,
                     "further",
-                    (table.page() + 1) * Views.ROWS < table.total());
+                    (table.page() + 1) * PageModels.ROWS < table.total());
             out.append("</p>");
         }
     }
 
     private static void link(
-            StringBuilder out, String page, Views.Ask ask, int to, String word, boolean there) {
+            StringBuilder out,
+            String page,
+            PageModels.Ask ask,
+            int to,
+            String word,
+            boolean there) {
         if (there) {
             out.append("<a href=\"/")
                     .append(page)
@@ -164,7 +170,7 @@
         }
     }
 
-    private static void chart(StringBuilder out, Views.Chart chart) {
+    private static void chart(StringBuilder out, PageModels.Chart chart) {
         double most =
                 chart.lines().stream()
                         .flatMap(l -> l.points().stream())
@@ -187,7 +193,7 @@
                 .append(text(chart.name()))
                 .append("\">");
         int at = 0;
-        for (Views.Line line : chart.lines()) {
+        for (PageModels.Line line : chart.lines()) {
             out.append("<polyline class=\"s").append(at++ % 12).append("\" points=\"");
             int n = Math.max(1, line.points().size() - 1);
             for (int i = 0; i < line.points().size(); i++) {
@@ -205,7 +211,7 @@
         }
         out.append("</svg><ul class=\"legend\">");
         at = 0;
-        for (Views.Line line : chart.lines()) {
+        for (PageModels.Line line : chart.lines()) {
             out.append("<li class=\"s")
                     .append(at++ % 12)
                     .append("\">")
@@ -240,7 +246,7 @@
                 .toString();
     }
 
-    static String problem(Problem problem) {
+    static String problem(HttpProblemException problem) {
         return head(problem.title)
                 .append("<main><h1>")
                 .append(text(problem.title))
@@ -250,7 +256,7 @@
                 .toString();
     }
 
-    static Map<String, Object> problemBody(Problem problem) {
+    static Map<String, Object> problemBody(HttpProblemException problem) {
         Map<String, Object> body = new java.util.LinkedHashMap<>();
         body.put("type", "about:blank");
         body.put("title", problem.title);
--- a/gateway/src/main/java/milletyoke/gateway/console/Views.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/PageModels.java
@@ -7,28 +7,29 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import milletyoke.gateway.fleet.Following;
-import milletyoke.gateway.loop.Count;
-import milletyoke.gateway.loop.Counts;
-import milletyoke.gateway.loop.Loop;
-import milletyoke.gateway.picture.Accounts;
-import milletyoke.gateway.picture.Picture;
-import milletyoke.gateway.picture.Picture.Second;
-import milletyoke.gateway.picture.Picture.Tally;
-import milletyoke.gateway.setup.Setup;
-import milletyoke.lifecycle.Condition;
-import milletyoke.port.Action;
-import milletyoke.port.Provisioning;
+import milletyoke.gateway.config.InitiatorConfig;
+import milletyoke.gateway.loop.Counter;
+import milletyoke.gateway.loop.Counters;
+import milletyoke.gateway.loop.EventLoop;
+import milletyoke.gateway.reload.ConfigWatcher;
+import milletyoke.gateway.status.ServiceStatistics;
+import milletyoke.gateway.status.StatusSnapshot;
+import milletyoke.gateway.status.StatusSnapshot.RequestTally;
+import milletyoke.gateway.status.StatusSnapshot.SecondSummary;
+import milletyoke.lifecycle.LifecycleState;
+import milletyoke.scheduler.api.Action;
+import milletyoke.scheduler.api.Keyword;
+import milletyoke.scheduler.api.SchedulerSettings;
 
 /**
  * What each page shows, as data: the page, its JSON and its stream are all made of this and of
  * nothing else, so what a tenant may not see is left out at one place. A page that is added to
  * {@link #PAGES} is served, streamed and crawled by the tests without being named anywhere else.
  */
-final class Views {
+final class PageModels {
     /** One page. */
     interface Page {
-        View see(Views views, Sight sight, Ask ask);
+        View see(PageModels views, AccessScope sight, Ask ask);
     }
 
     /**
@@ -53,23 +54,23 @@
     static final int ROWS = 50;
     private static final int CHARTED = 120;
 
-    private final Setup setup;
-    private final Loop loop;
-    private final Journal journal;
-    private final Counts counts;
+    private final InitiatorConfig setup;
+    private final EventLoop loop;
+    private final AuditLog journal;
+    private final Counters counts;
 
     /** Null where the deployment stands in the setup. */
-    private final Following following;
+    private final ConfigWatcher following;
 
     private final Instant began = Instant.now();
     private final long beganMicros;
 
-    Views(
-            Setup setup,
-            Loop loop,
-            Journal journal,
-            Counts counts,
-            Following following,
+    PageModels(
+            InitiatorConfig setup,
+            EventLoop loop,
+            AuditLog journal,
+            Counters counts,
+            ConfigWatcher following,
             long nowMicros) {
         this.following = following;
         this.counts = counts;
@@ -81,30 +82,30 @@
 
     private static Map<String, Page> pages() {
         Map<String, Page> all = new LinkedHashMap<>();
-        all.put("overview", Views::overview);
-        all.put("targets", Views::targets);
-        all.put("volumes", Views::volumes);
-        all.put("categories", Views::categories);
-        all.put("events", Views::events);
-        all.put("configuration", Views::configuration);
-        all.put("setup", Views::setup);
+        all.put("overview", PageModels::overview);
+        all.put("targets", PageModels::targets);
+        all.put("volumes", PageModels::volumes);
+        all.put("categories", PageModels::categories);
+        all.put("events", PageModels::events);
+        all.put("configuration", PageModels::configuration);
+        all.put("setup", PageModels::setup);
         return java.util.Collections.unmodifiableMap(all);
     }
 
-    View of(String page, Sight sight, Ask ask) {
+    View of(String page, AccessScope sight, Ask ask) {
         return PAGES.get(page).see(this, sight, ask);
     }
 
     // ---- The pages ----
 
-    private View overview(Sight sight, Ask ask) {
-        Picture p = loop.picture();
+    private View overview(AccessScope sight, Ask ask) {
+        StatusSnapshot p = loop.picture();
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("initiator", p.name());
         figures.put("condition", word(p.condition(), sight));
         figures.put("told", tells(p.condition(), sight));
         if (!sight.all()) {
-            Tally own = own(p, sight);
+            RequestTally own = own(p, sight);
             tally(figures, own);
             return new View("Overview", figures, List.of(), List.of());
         }
@@ -144,22 +145,22 @@
                 List.of(service(sight), lag()));
     }
 
-    private static String word(Condition c, Sight sight) {
+    private static String word(LifecycleState c, AccessScope sight) {
         return sight.all()
                 ? c.name().toLowerCase(Locale.ROOT).replace('_', ' ')
                 : c.admits() ? "in service" : "not taking";
     }
 
     /** A tenant must not read others' load from the condition. */
-    private static String tells(Condition c, Sight sight) {
+    private static String tells(LifecycleState c, AccessScope sight) {
         return sight.all() ? c.tells() : c.admits() ? "takes accesses" : "takes nothing new";
     }
 
-    private static Tally own(Picture p, Sight sight) {
+    private static RequestTally own(StatusSnapshot p, AccessScope sight) {
         long asked = 0, answered = 0, inTime = 0, rejected = 0, brokenOff = 0;
-        for (Picture.Volume v : p.volumes().values()) {
+        for (StatusSnapshot.Volume v : p.volumes().values()) {
             if (sight.sees(v.name())) {
-                Tally t = v.tally();
+                RequestTally t = v.tally();
                 asked += t.asked();
                 answered += t.answered();
                 inTime += t.inTime();
@@ -167,10 +168,10 @@
                 brokenOff += t.brokenOff();
             }
         }
-        return new Tally(asked, answered, inTime, rejected, brokenOff);
+        return new RequestTally(asked, answered, inTime, rejected, brokenOff);
     }
 
-    private static void tally(Map<String, Object> figures, Tally t) {
+    private static void tally(Map<String, Object> figures, RequestTally t) {
         figures.put("asked", t.asked());
         figures.put("answered", t.answered());
         figures.put("in time", percent(t.service()));
@@ -179,23 +180,23 @@
     }
 
     /** What holds accesses up, as far as one initiator can know it: the gravest first. */
-    private List<List<Object>> why(Picture p) {
+    private List<List<Object>> why(StatusSnapshot p) {
         List<List<Object>> rows = new ArrayList<>();
-        if (!p.condition().admits() || p.condition() == Condition.SATURATED) {
+        if (!p.condition().admits() || p.condition() == LifecycleState.SATURATED) {
             rows.add(List.of("this initiator", p.condition().tells(), 0));
         }
         Map<Integer, Integer> waiting = new LinkedHashMap<>();
-        p.nodes().forEach(n -> waiting.put(n.shard(), n.waiting()));
+        p.nodes().forEach(n -> waiting.put(n.shard(), n.pending()));
         p.nodes().stream()
-                .filter(n -> n.target() == null && n.waiting() > 0)
+                .filter(n -> n.target() == null && n.pending() > 0)
                 .forEach(
                         n ->
                                 rows.add(
                                         List.of(
                                                 "shard " + n.shard(),
                                                 "no target in service holds it",
-                                                n.waiting())));
-        for (Picture.Target t : p.targets()) {
+                                                n.pending())));
+        for (StatusSnapshot.Target t : p.targets()) {
             String cause = cause(t.state());
             if (cause != null) {
                 rows.add(List.of(t.look().id(), cause, waiting.getOrDefault(t.look().shard(), 0)));
@@ -204,12 +205,12 @@
         p.volumes().values().stream()
                 .filter(
                         v ->
-                                v.left().limit() >= 0
-                                        && v.left().limit() < 1
-                                        && v.left().waiting() > 0)
+                                v.left().limitUnits() >= 0
+                                        && v.left().limitUnits() < 1
+                                        && v.left().pending() > 0)
                 .sorted(
-                        Comparator.comparing((Picture.Volume v) -> -v.left().waiting())
-                                .thenComparing(Picture.Volume::name))
+                        Comparator.comparing((StatusSnapshot.Volume v) -> -v.left().pending())
+                                .thenComparing(StatusSnapshot.Volume::name))
                 .limit(10)
                 .forEach(
                         v ->
@@ -217,12 +218,12 @@
                                         List.of(
                                                 v.name(),
                                                 "at the limit of its plan " + v.plan(),
-                                                v.left().waiting())));
-        refused(rows, Count.NO_PLACE, "beyond the places of all, of a connection or of a volume");
-        refused(rows, Count.REJECTED_CONDITION, "came while nothing was taken");
+                                                v.left().pending())));
+        refused(rows, Counter.NO_PLACE, "beyond the places of all, of a connection or of a volume");
+        refused(rows, Counter.REJECTED_CONDITION, "came while nothing was taken");
         refused(
                 rows,
-                Count.UNACCEPTABLE,
+                Counter.UNACCEPTABLE,
                 "named no category or plan of ours, or a figure out of range");
         return rows;
     }
@@ -237,7 +238,7 @@
         };
     }
 
-    private void refused(List<List<Object>> rows, Count count, String why) {
+    private void refused(List<List<Object>> rows, Counter count, String why) {
         if (counts.of(count) > 0) {
             rows.add(List.of(counts.of(count) + " accesses since the start", why, 0));
         }
@@ -246,16 +247,16 @@
     private static final List<String> TALLY =
             List.of("name", "asked", "answered", "in time", "rejected", "broken off");
 
-    private static List<Object> row(String name, Tally t) {
+    private static List<Object> row(String name, RequestTally t) {
         return List.of(
                 name, t.asked(), t.answered(), percent(t.service()), t.rejected(), t.brokenOff());
     }
 
-    private View targets(Sight sight, Ask ask) {
-        Picture p = loop.picture();
+    private View targets(AccessScope sight, Ask ask) {
+        StatusSnapshot p = loop.picture();
         List<List<Object>> rows = new ArrayList<>();
         if (!sight.all()) {
-            for (Picture.Target t : p.targets()) {
+            for (StatusSnapshot.Target t : p.targets()) {
                 if (t.look().id().contains(ask.find())) {
                     rows.add(
                             List.of(
@@ -271,7 +272,7 @@
                     List.of(cut("targets", List.of("target", "state"), rows, ask)),
                     List.of());
         }
-        for (Picture.Target t : p.targets()) {
+        for (StatusSnapshot.Target t : p.targets()) {
             var l = t.look();
             if (l.id().contains(ask.find())) {
                 rows.add(
@@ -280,11 +281,11 @@
                                 t.state(),
                                 l.shard(),
                                 l.zone(),
-                                l.out(),
-                                round(l.window()),
-                                micros((long) l.lag()),
-                                l.told() ? micros((long) l.crowd()) : "-",
-                                age(p.at(), l.launched()),
+                                l.inFlight(),
+                                round(l.concurrencyLimit()),
+                                micros((long) l.latencyMicros()),
+                                l.hasLoadReport() ? micros((long) l.queueDelayMicros()) : "-",
+                                age(p.at(), l.startedAtMicros()),
                                 t.tally().asked(),
                                 percent(t.tally().service())));
             }
@@ -298,7 +299,7 @@
                                         List.of(
                                                 n.shard(),
                                                 n.target() == null ? "nobody" : n.target(),
-                                                n.waiting(),
+                                                n.pending(),
                                                 n.volumes())));
         return new View(
                 "Targets",
@@ -328,31 +329,32 @@
                 List.of(lag()));
     }
 
-    private View volumes(Sight sight, Ask ask) {
-        Picture p = loop.picture();
-        List<Picture.Volume> seen =
+    private View volumes(AccessScope sight, Ask ask) {
+        StatusSnapshot p = loop.picture();
+        List<StatusSnapshot.Volume> seen =
                 p.volumes().values().stream()
                         .filter(v -> sight.sees(v.name()) && v.name().contains(ask.find()))
                         .sorted(
-                                Comparator.comparingLong((Picture.Volume v) -> -v.tally().asked())
-                                        .thenComparing(Picture.Volume::name))
+                                Comparator.comparingLong(
+                                                (StatusSnapshot.Volume v) -> -v.tally().asked())
+                                        .thenComparing(StatusSnapshot.Volume::name))
                         .toList();
         List<List<Object>> rows = new ArrayList<>();
-        for (Picture.Volume v : seen.subList(from(seen.size(), ask), to(seen.size(), ask))) {
-            Tally t = v.tally();
+        for (StatusSnapshot.Volume v : seen.subList(from(seen.size(), ask), to(seen.size(), ask))) {
+            RequestTally t = v.tally();
             rows.add(
                     List.of(
                             v.name(),
                             v.plan(),
                             v.held(),
-                            v.left().waiting(),
+                            v.left().pending(),
                             t.asked(),
                             t.answered(),
                             percent(t.service()),
                             t.rejected(),
                             t.brokenOff(),
-                            v.left().limit() < 0 ? "no limit" : round(v.left().limit()),
-                            round(v.left().reserve())));
+                            v.left().limitUnits() < 0 ? "no limit" : round(v.left().limitUnits()),
+                            round(v.left().reservationUnits())));
         }
         Table table =
                 new Table(
@@ -379,25 +381,29 @@
                 List.of(asked(sight)));
     }
 
-    private View categories(Sight sight, Ask ask) {
-        Picture p = loop.picture();
-        Provisioning given = setup.deployment().provisioning();
+    private View categories(AccessScope sight, Ask ask) {
+        StatusSnapshot p = loop.picture();
+        SchedulerSettings given = setup.deployment().scheduler();
         List<List<Object>> rows = new ArrayList<>();
-        for (Provisioning.Category c : given.categories()) {
+        for (SchedulerSettings.RequestClass c : given.requestClasses()) {
             if (sight.all()) {
-                Tally t = p.categories().get(c.name());
+                RequestTally t = p.categories().get(c.name());
                 rows.add(
                         List.of(
                                 c.name(),
-                                words(c.repeats()),
-                                micros(c.agreedTime()),
-                                c.importance(),
+                                words(c.idempotency()),
+                                micros(c.latencyObjectiveMicros()),
+                                c.priorityWeight(),
                                 t.asked(),
                                 percent(t.service()),
                                 t.rejected(),
                                 t.brokenOff()));
             } else {
-                rows.add(List.of(c.name(), words(c.repeats()), micros(c.agreedTime())));
+                rows.add(
+                        List.of(
+                                c.name(),
+                                words(c.idempotency()),
+                                micros(c.latencyObjectiveMicros())));
             }
         }
         List<String> columns =
@@ -425,11 +431,11 @@
                 sight.all() ? List.of(service(sight)) : List.of());
     }
 
-    private View events(Sight sight, Ask ask) {
-        Picture p = loop.picture();
-        List<Picture.Happening> seen = new ArrayList<>();
+    private View events(AccessScope sight, Ask ask) {
+        StatusSnapshot p = loop.picture();
+        List<StatusSnapshot.OperationalEvent> seen = new ArrayList<>();
         for (int i = p.events().size() - 1; i >= 0; i--) {
-            Picture.Happening h = p.events().get(i);
+            StatusSnapshot.OperationalEvent h = p.events().get(i);
             boolean own = h.volume() == null ? sight.all() : sight.sees(h.volume());
             if (own && h.what().contains(ask.find())) {
                 seen.add(h);
@@ -477,7 +483,7 @@
     /**
      * The version in force, what it changed, and what stood in the way of one that was not taken.
      */
-    private View configuration(Sight sight, Ask ask) {
+    private View configuration(AccessScope sight, Ask ask) {
         if (!sight.all() || following == null) {
             return new View(
                     "Configuration",
@@ -485,7 +491,7 @@
                     List.of(),
                     List.of());
         }
-        Following.Standing s = following.standing();
+        ConfigWatcher.Status s = following.standing();
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("version", s.version());
         figures.put("in force since", s.since().toString());
@@ -504,21 +510,21 @@
         return cut(name, List.of("line"), rows, ask);
     }
 
-    private View setup(Sight sight, Ask ask) {
+    private View setup(AccessScope sight, Ask ask) {
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("initiator", setup.name());
         if (!sight.all()) {
             return new View("This initiator", figures, List.of(), List.of());
         }
-        Provisioning given = setup.deployment().provisioning();
+        SchedulerSettings given = setup.deployment().scheduler();
         figures.put("began", began.toString());
         figures.put("number", setup.number());
         figures.put("listens at", setup.listen().toString());
         figures.put("discovery", setup.discovery().toString());
-        figures.put("initiators", given.initiators());
-        figures.put("list must be asked", given.listMustBeAsked());
-        figures.put("allowances", given.allowances().toString());
-        figures.put("bounds", given.bounds().toString());
+        figures.put("initiators", given.initiatorCount());
+        figures.put("list must be asked", given.mustWatchEndpoints());
+        figures.put("allowances", given.capabilities().toString());
+        figures.put("bounds", given.limits().toString());
         figures.put("transport", setup.transport().toString());
         figures.put("room", setup.room().toString());
         List<List<Object>> plans = new ArrayList<>();
@@ -528,10 +534,10 @@
                                 plans.add(
                                         List.of(
                                                 p.name(),
-                                                p.reserve(),
+                                                p.reservationRate(),
                                                 p.weight(),
                                                 p.limitRate(),
-                                                p.limitDepth(),
+                                                p.limitBurst(),
                                                 p.limitSlack())));
         return new View(
                 "This initiator",
@@ -553,7 +559,7 @@
 
     // ---- Charts: from the rows of whole seconds ----
 
-    private Chart service(Sight sight) {
+    private Chart service(AccessScope sight) {
         return chart(
                 "answered in time",
                 "%",
@@ -582,19 +588,19 @@
                 null);
     }
 
-    private Chart asked(Sight sight) {
+    private Chart asked(AccessScope sight) {
         return chart("asked", "/s", "volume:", s -> (double) s.asked(), sight);
     }
 
     private interface Point {
-        Double of(Second second);
+        Double of(SecondSummary second);
     }
 
     /** The twelve series with most in them. @param sight null where the series are of nobody's */
-    private Chart chart(String name, String unit, String kind, Point point, Sight sight) {
-        List<Accounts.Row> rows = loop.rows(CHARTED);
+    private Chart chart(String name, String unit, String kind, Point point, AccessScope sight) {
+        List<ServiceStatistics.Row> rows = loop.rows(CHARTED);
         Map<String, Integer> sums = new LinkedHashMap<>();
-        for (Accounts.Row row : rows) {
+        for (ServiceStatistics.Row row : rows) {
             row.series()
                     .forEach(
                             (key, s) -> {
@@ -624,8 +630,8 @@
         List<Line> lines = new ArrayList<>();
         for (String of : most) {
             List<Double> points = new ArrayList<>();
-            for (Accounts.Row row : rows) {
-                Second s = row.series().get(kind + of);
+            for (ServiceStatistics.Row row : rows) {
+                SecondSummary s = row.series().get(kind + of);
                 points.add(s == null ? null : point.of(s));
             }
             lines.add(new Line(of, points));
@@ -652,22 +658,24 @@
                 ask.page());
     }
 
-    private static String words(Action action, Sight sight) {
-        if (action instanceof Action.Relay a) {
+    private static String words(Action action, AccessScope sight) {
+        if (action instanceof Action.SendAttempt a) {
             return sight.all() ? "relay " + a.id() + " to " + a.target() : "relay";
         } else if (action instanceof Action.Reject a) {
             return (sight.all() ? "reject " + a.id() : "reject")
-                    + (a.retryIn() > 0 ? ", back in " + micros(a.retryIn()) : "");
-        } else if (action instanceof Action.BreakOff a) {
+                    + (a.retryAfterMicros() > 0 ? ", back in " + micros(a.retryAfterMicros()) : "");
+        } else if (action instanceof Action.Fail a) {
             return sight.all() ? "break off " + a.id() : "break off";
-        } else if (action instanceof Action.Cancel a) {
-            return sight.all() ? "cancel relay " + a.relay() + " of " + a.id() : "cancel";
+        } else if (action instanceof Action.CancelAttempt a) {
+            return sight.all() ? "cancel relay " + a.attemptNumber() + " of " + a.id() : "cancel";
         }
-        return action instanceof Action.Probe a ? "probe " + a.target() : String.valueOf(action);
+        return action instanceof Action.SendProbe a
+                ? "probe " + a.target()
+                : String.valueOf(action);
     }
 
     private static String words(Enum<?> value) {
-        return value.name().toLowerCase(Locale.ROOT).replace('_', '-');
+        return Keyword.of(value);
     }
 
     private static String percent(double part) {
--- a/gateway/src/main/java/milletyoke/gateway/console/Rates.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/RateLimiter.java
@@ -7,7 +7,7 @@
  * Requests a second for each caller, as a bucket that fills; remembers the latest callers only.
  * Knows no clock.
  */
-final class Rates {
+final class RateLimiter {
     private static final int MOST = 4096;
 
     private static final class Bucket {
@@ -27,7 +27,7 @@
                 }
             };
 
-    Rates(double perSecond, double burst) {
+    RateLimiter(double perSecond, double burst) {
         this.perSecond = perSecond;
         this.burst = burst;
     }
--- a/gateway/src/main/java/milletyoke/gateway/console/Tokens.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Tokens.java
@@ -14,8 +14,8 @@
 import java.util.Base64;
 import java.util.HexFormat;
 import java.util.List;
-import milletyoke.gateway.setup.Form;
-import milletyoke.gateway.setup.SetupError;
+import milletyoke.gateway.config.ConfigException;
+import milletyoke.gateway.config.SettingsReader;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -28,7 +28,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(Tokens.class);
     private static final long LOOK_EVERY = 500_000_000;
 
-    private record Entry(Sight sight, byte[] hash, Instant until) {}
+    private record Entry(AccessScope sight, byte[] hash, Instant until) {}
 
     private final Path file;
     private volatile List<Entry> entries = List.of();
@@ -38,18 +38,18 @@
     /**
      * @throws SetupError where the file cannot be used: a console without tokens is not started
      */
-    public Tokens(Path file) throws SetupError {
+    public Tokens(Path file) throws ConfigException {
         this.file = file;
         entries = read(file);
         seen = time();
         lookedAt = System.nanoTime();
     }
 
-    private static List<Entry> read(Path file) throws SetupError {
-        Form f = Form.read(file);
+    private static List<Entry> read(Path file) throws ConfigException {
+        SettingsReader f = SettingsReader.read(file);
         List<Entry> all = new ArrayList<>();
-        for (Form t : f.forms("tokens", true)) {
-            Sight.Role role = t.word("role", Sight.Role.class, null);
+        for (SettingsReader t : f.forms("tokens", true)) {
+            AccessScope.Role role = t.word("role", AccessScope.Role.class, null);
             String name = t.text("name", null);
             byte[] hash;
             try {
@@ -67,11 +67,11 @@
                 throw t.wrong("until", "a time as 2027-01-31T00:00:00Z is expected");
             }
             List<String> volumes =
-                    role == Sight.Role.TENANT
+                    role == AccessScope.Role.TENANT
                             ? List.of(t.text("volumes", null).split(",\\s*"))
                             : List.of();
             t.done();
-            all.add(new Entry(new Sight(name, role, volumes), hash, until));
+            all.add(new Entry(new AccessScope(name, role, volumes), hash, until));
         }
         f.done();
         return List.copyOf(all);
@@ -108,7 +108,7 @@
         try {
             entries = read(file);
             LOG.info("{} was read again: {} tokens", file, entries.size());
-        } catch (SetupError bad) {
+        } catch (ConfigException bad) {
             LOG.error("the tokens stay as they were: {}", bad.getMessage());
         }
     }
@@ -117,7 +117,7 @@
      * Whose token it is; null where it is nobody's. Takes as long for any token: every entry is
      * compared in full.
      */
-    public Sight sight(String token) {
+    public AccessScope sight(String token) {
         follow();
         byte[] hash = hash(token);
         Entry found = null;
--- a/gateway/src/main/java/milletyoke/gateway/discovery/Subscription.java
+++ b/gateway/src/main/java/milletyoke/gateway/discovery/DiscoveryWatch.java
@@ -3,18 +3,18 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import milletyoke.gateway.loop.Loop;
-import milletyoke.gateway.loop.Told;
-import milletyoke.gateway.setup.Setup;
-import milletyoke.wire.BadFrame;
-import milletyoke.wire.Bounds;
-import milletyoke.wire.Net;
-import milletyoke.wire.Peer;
-import milletyoke.wire.PeerHandler;
-import milletyoke.wire.proto.Follow;
+import milletyoke.gateway.config.InitiatorConfig;
+import milletyoke.gateway.loop.EventLoop;
+import milletyoke.gateway.loop.LoopMessage;
+import milletyoke.wire.FrameLimits;
+import milletyoke.wire.MalformedFrameException;
+import milletyoke.wire.Network;
+import milletyoke.wire.PeerConnection;
+import milletyoke.wire.PeerListener;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Role;
 import milletyoke.wire.proto.Scope;
+import milletyoke.wire.proto.Watch;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -23,37 +23,41 @@
  * asked for, the decisions say when; where they are pushed, a fresh connection is itself the
  * asking.
  */
-public final class Subscription implements PeerHandler {
-    private static final Logger LOG = LoggerFactory.getLogger(Subscription.class);
+public final class DiscoveryWatch implements PeerListener {
+    private static final Logger LOG = LoggerFactory.getLogger(DiscoveryWatch.class);
 
     /** Waits between tries to connect (milliseconds). */
     private static final long FIRST_WAIT = 50, LONGEST_WAIT = 2_000;
 
-    private final Setup setup;
-    private final Net wire;
-    private final Loop loop;
+    private final InitiatorConfig setup;
+    private final Network wire;
+    private final EventLoop loop;
     private final ScheduledExecutorService side;
     private final SplittableRandom chance;
     private final boolean asked;
-    private Peer peer;
+    private PeerConnection peer;
     private long wait = FIRST_WAIT;
     private boolean stopped;
 
-    public Subscription(
-            Setup setup, Net wire, Loop loop, ScheduledExecutorService side, long seed) {
+    public DiscoveryWatch(
+            InitiatorConfig setup,
+            Network wire,
+            EventLoop loop,
+            ScheduledExecutorService side,
+            long seed) {
         this.setup = setup;
         this.wire = wire;
         this.loop = loop;
         this.side = side;
         chance = new SplittableRandom(seed);
-        asked = setup.deployment().provisioning().listMustBeAsked();
+        asked = setup.deployment().scheduler().mustWatchEndpoints();
     }
 
     public synchronized void connect() {
         if (!stopped) {
             var at = setup.discovery();
-            Bounds bounds =
-                    new Bounds(
+            FrameLimits bounds =
+                    new FrameLimits(
                             Math.max(setup.transport().frameBytes(), 16 << 20),
                             setup.transport().waitingBytes(),
                             setup.transport().partialTime(),
@@ -72,36 +76,36 @@
                 peer != null
                         && peer.send(
                                 Frame.newBuilder()
-                                        .setFollow(Follow.newBuilder().setVersion(version))
+                                        .setWatch(Watch.newBuilder().setRevision(version))
                                         .build());
         if (!sent) {
-            loop.tell(new Told.ListUnavailable("discovery is not connected"));
+            loop.tell(new LoopMessage.DiscoveryUnavailable("discovery is not connected"));
         }
     }
 
     @Override
-    public synchronized void ready(Peer made) {
+    public synchronized void onReady(PeerConnection made) {
         peer = made;
         wait = FIRST_WAIT;
         if (!asked) {
-            made.send(Frame.newBuilder().setFollow(Follow.newBuilder()).build());
+            made.send(Frame.newBuilder().setWatch(Watch.newBuilder()).build());
         }
     }
 
     @Override
-    public void got(Peer from, Frame frame) throws BadFrame {
-        if (frame.getBodyCase() != Frame.BodyCase.LIST) {
-            throw new BadFrame("discovery sends lists, not " + frame.getBodyCase());
+    public void onFrame(PeerConnection from, Frame frame) throws MalformedFrameException {
+        if (frame.getBodyCase() != Frame.BodyCase.ENDPOINT_LIST) {
+            throw new MalformedFrameException("discovery sends lists, not " + frame.getBodyCase());
         }
-        if (frame.getList().getScope() == Scope.UNAVAILABLE) {
-            loop.tell(new Told.ListUnavailable("discovery could not serve"));
+        if (frame.getEndpointList().getScope() == Scope.UNAVAILABLE) {
+            loop.tell(new LoopMessage.DiscoveryUnavailable("discovery could not serve"));
         } else {
-            loop.tell(new Told.Listed(frame.getList()));
+            loop.tell(new LoopMessage.EndpointListReceived(frame.getEndpointList()));
         }
     }
 
     @Override
-    public void closed(Peer gone, String why) {
+    public void onClosed(PeerConnection gone, String why) {
         down(why);
     }
 
@@ -122,7 +126,7 @@
                     "discovery at {} is lost: {}; the list held stays in use",
                     setup.discovery(),
                     why);
-            loop.tell(new Told.ListUnavailable(why));
+            loop.tell(new LoopMessage.DiscoveryUnavailable(why));
         }
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/discovery/LastList.java
+++ b/gateway/src/main/java/milletyoke/gateway/discovery/EndpointListCache.java
@@ -11,7 +11,7 @@
 import java.nio.file.StandardOpenOption;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.zip.CRC32C;
-import milletyoke.wire.proto.TargetList;
+import milletyoke.wire.proto.EndpointList;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -20,15 +20,15 @@
  * and renamed, so that a kill leaves the old one or the new one; one that does not check is not
  * used.
  */
-public final class LastList {
-    private static final Logger LOG = LoggerFactory.getLogger(LastList.class);
+public final class EndpointListCache {
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointListCache.class);
     private static final int PREFIX = Long.BYTES;
 
     private final Path file;
     private final boolean forced;
-    private final AtomicReference<TargetList> newest = new AtomicReference<>();
+    private final AtomicReference<EndpointList> newest = new AtomicReference<>();
 
-    public LastList(Path folder) throws IOException {
+    public EndpointListCache(Path folder) throws IOException {
         this(folder, true);
     }
 
@@ -36,14 +36,14 @@
      * @param forced false where no power can fail, as in a lab: what is written is not forced to
      *     the disk
      */
-    public LastList(Path folder, boolean forced) throws IOException {
+    public EndpointListCache(Path folder, boolean forced) throws IOException {
         this.forced = forced;
         Files.createDirectories(folder);
         file = folder.resolve("targets.list");
     }
 
     /** The list last saved; null where there is none that can be trusted. */
-    public TargetList load() {
+    public EndpointList load() {
         try {
             byte[] all = Files.readAllBytes(file);
             ByteBuffer read = ByteBuffer.wrap(all);
@@ -51,7 +51,7 @@
                 LOG.warn("{} does not check and is not used; the list comes from discovery", file);
                 return null;
             }
-            return TargetList.parseFrom(read);
+            return EndpointList.parseFrom(read);
         } catch (NoSuchFileException first) {
             return null;
         } catch (InvalidProtocolBufferException bad) {
@@ -70,13 +70,13 @@
     }
 
     /** Notes what is to be saved; returns true where no save of an earlier one is due already. */
-    public boolean note(TargetList list) {
+    public boolean note(EndpointList list) {
         return newest.getAndSet(list) == null;
     }
 
     /** Saves the newest noted; not to be called on the loop's thread. */
     public void save() {
-        TargetList list = newest.getAndSet(null);
+        EndpointList list = newest.getAndSet(null);
         if (list == null) {
             return;
         }
--- a/gateway/src/main/java/milletyoke/gateway/link/Links.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/AttemptDispatcher.java
@@ -1,4 +1,4 @@
-package milletyoke.gateway.link;
+package milletyoke.gateway.dispatch;
 
 import com.google.protobuf.ByteString;
 import java.util.ArrayDeque;
@@ -9,18 +9,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
-import milletyoke.gateway.loop.Count;
-import milletyoke.gateway.loop.Counts;
-import milletyoke.gateway.setup.Address;
-import milletyoke.gateway.setup.Setup.Transport;
-import milletyoke.port.Outcome;
-import milletyoke.wire.Line;
-import milletyoke.wire.proto.Cancel;
+import milletyoke.gateway.config.Address;
+import milletyoke.gateway.config.InitiatorConfig.Transport;
+import milletyoke.gateway.loop.Counter;
+import milletyoke.gateway.loop.Counters;
+import milletyoke.scheduler.api.Outcome;
+import milletyoke.wire.Connection;
+import milletyoke.wire.proto.Attempt;
+import milletyoke.wire.proto.AttemptReply;
+import milletyoke.wire.proto.CancelAttempt;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Load;
 import milletyoke.wire.proto.Probe;
-import milletyoke.wire.proto.Relay;
-import milletyoke.wire.proto.Reply;
 
 /**
  * The connections to all targets and what is out on them. Decides nothing on accesses: it carries
@@ -30,7 +30,7 @@
  *
  * <p>Owned by the loop; free of sockets and clocks, so the lab can run it.
  */
-public final class Links {
+public final class AttemptDispatcher {
     /**
      * A connection that carries one relay at a time rests so long behind a reply (microseconds).
      * Guards a relay against a second copy of the reply before its own, which may come some
@@ -40,23 +40,27 @@
      */
     static final long REST = 10_000;
 
-    private final Outbox outbox;
+    private final WriteBatch outbox;
     private final Transport transport;
-    private final Dialler dialler;
-    private final Outcomes outcomes;
-    private final Counts counts;
+    private final Connector dialler;
+    private final AttemptListener outcomes;
+    private final Counters counts;
     private final Map<String, Link> links = new LinkedHashMap<>();
-    private final Map<Line, Conn> conns = new HashMap<>();
-    private final Map<String, Out> relays = new HashMap<>();
-    private final PriorityQueue<Out> byDue =
-            new PriorityQueue<>(Comparator.comparingLong(Out::due));
+    private final Map<Connection, Conn> conns = new HashMap<>();
+    private final Map<String, OutboundAttempt> relays = new HashMap<>();
+    private final PriorityQueue<OutboundAttempt> byDue =
+            new PriorityQueue<>(Comparator.comparingLong(OutboundAttempt::due));
     private long now;
     private long nextNumber = 1;
     private long nextDial = 1;
     private long sweepAt;
 
-    public Links(
-            Transport transport, Dialler dialler, Outcomes outcomes, Counts counts, Outbox outbox) {
+    public AttemptDispatcher(
+            Transport transport,
+            Connector dialler,
+            AttemptListener outcomes,
+            Counters counts,
+            WriteBatch outbox) {
         this.outbox = outbox;
         this.transport = transport;
         this.dialler = dialler;
@@ -71,26 +75,26 @@
         boolean listed;
         final List<Conn> conns = new ArrayList<>();
         final Map<Long, Dialling> dialling = new LinkedHashMap<>();
-        final ArrayDeque<Out> waiting = new ArrayDeque<>();
+        final ArrayDeque<OutboundAttempt> waiting = new ArrayDeque<>();
 
         Link(String id) {
             this.id = id;
         }
     }
 
-    private record Dialling(Dialler.Dial dial, long until) {}
+    private record Dialling(Connector.PendingConnect dial, long until) {}
 
     /** One connection and what is out on it. */
     static final class Conn {
         final String target;
-        final Line line;
-        final Map<Long, Out> outs = new LinkedHashMap<>();
+        final Connection line;
+        final Map<Long, OutboundAttempt> outs = new LinkedHashMap<>();
         long lastUse;
 
         /** A reply came on it. */
         boolean heard;
 
-        Conn(String target, Line line) {
+        Conn(String target, Connection line) {
             this.target = target;
             this.line = line;
         }
@@ -125,7 +129,7 @@
         now = time;
         Link link = links.get(target);
         if (link != null) {
-            List<Out> stranded = new ArrayList<>(link.waiting);
+            List<OutboundAttempt> stranded = new ArrayList<>(link.waiting);
             link.waiting.clear();
             stranded.forEach(out -> end(out, Outcome.NO_CONNECTION, null, null));
         }
@@ -134,19 +138,26 @@
     // ---- Orders ----
 
     public void relay(
-            long time, String target, String id, int attempt, long giveUpAt, Relay.Builder relay) {
+            long time,
+            String target,
+            String id,
+            int attempt,
+            long giveUpAt,
+            Attempt.Builder relay) {
         now = time;
-        Out out = new Out(target, id, attempt, now, giveUpAt, now + transport.connectTime());
+        OutboundAttempt out =
+                new OutboundAttempt(
+                        target, id, attempt, now, giveUpAt, now + transport.connectTime());
         out.number = nextNumber++;
-        out.frame = Frame.newBuilder().setRelay(relay.setNumber(out.number)).build();
+        out.frame = Frame.newBuilder().setAttempt(relay.setNumber(out.number)).build();
         relays.put(key(id, attempt), out);
         order(out);
     }
 
     public void probe(long time, String target) {
         now = time;
-        Out out =
-                new Out(
+        OutboundAttempt out =
+                new OutboundAttempt(
                         target,
                         null,
                         0,
@@ -161,7 +172,7 @@
     /** Stops waiting for a relay; what was never handed over is MOOT, the rest CANCELLED. */
     public void cancel(long time, String id, int attempt) {
         now = time;
-        Out out = relays.get(key(id, attempt));
+        OutboundAttempt out = relays.get(key(id, attempt));
         if (out == null) {
             return;
         }
@@ -170,12 +181,12 @@
                 outbox.post(
                         out.conn.line,
                         Frame.newBuilder()
-                                .setCancel(Cancel.newBuilder().setNumber(out.number))
+                                .setCancelAttempt(CancelAttempt.newBuilder().setNumber(out.number))
                                 .build());
             }
             end(out, Outcome.CANCELLED, null, null);
         } else {
-            end(out, Outcome.MOOT, null, null);
+            end(out, Outcome.NOT_STARTED, null, null);
         }
     }
 
@@ -186,13 +197,13 @@
      */
     public void dropUnsent(long time, String id, int attempt) {
         now = time;
-        Out out = relays.get(key(id, attempt));
+        OutboundAttempt out = relays.get(key(id, attempt));
         if (out != null && !out.sent()) {
-            end(out, Outcome.MOOT, null, null);
+            end(out, Outcome.NOT_STARTED, null, null);
         }
     }
 
-    private void order(Out out) {
+    private void order(OutboundAttempt out) {
         Link link = links.get(out.target);
         if (link == null || link.address == null) {
             end(out, Outcome.NO_CONNECTION, null, null);
@@ -226,7 +237,7 @@
      * one at a time the one that rested longest: a target that sends more than it owes shows it
      * there before the next relay could take it for its reply.
      */
-    private boolean transmit(Link link, Out out) {
+    private boolean transmit(Link link, OutboundAttempt out) {
         Conn least = null;
         for (Conn c : link.conns) {
             boolean room =
@@ -283,17 +294,17 @@
 
     private void dial(Link link) {
         long number = nextDial++;
-        counts.add(Count.CONNECTS);
+        counts.add(Counter.CONNECTS);
         link.dialling.put(
                 number,
                 new Dialling(
-                        dialler.dial(link.id, link.address, number),
+                        dialler.connect(link.id, link.address, number),
                         now + transport.connectTime()));
     }
 
     // ---- What connections tell ----
 
-    public void dialled(long time, String target, long dial, Line line) {
+    public void dialled(long time, String target, long dial, Connection line) {
         now = time;
         Link link = links.get(target);
         if (link == null || link.dialling.remove(dial) == null) {
@@ -309,7 +320,7 @@
 
     private void serveWaiting(Link link) {
         while (!link.waiting.isEmpty()) {
-            Out out = link.waiting.peekFirst();
+            OutboundAttempt out = link.waiting.peekFirst();
             boolean late =
                     now >= out.due(); // the look at the clock that ends it comes later in this turn
             if (!out.over && !late && !transmit(link, out)) {
@@ -327,14 +338,14 @@
         now = time;
         Link link = links.get(target);
         if (link != null && link.dialling.remove(dial) != null) {
-            counts.add(Count.CONNECTS_FAILED);
+            counts.add(Counter.CONNECTS_FAILED);
             failWaiting(link);
         }
     }
 
     private void failWaiting(Link link) {
         if (link.dialling.isEmpty()) {
-            List<Out> failed = new ArrayList<>(link.waiting);
+            List<OutboundAttempt> failed = new ArrayList<>(link.waiting);
             link.waiting.clear();
             failed.forEach(out -> end(out, Outcome.NO_CONNECTION, null, null));
         }
@@ -349,7 +360,7 @@
      *     so that is not believed.
      * @param unwritten the relay whose last byte never left this machine; 0 for none
      */
-    public void lost(long time, String target, Line line, boolean refused, long unwritten) {
+    public void lost(long time, String target, Connection line, boolean refused, long unwritten) {
         now = time;
         Conn conn = conns.remove(line);
         if (conn == null) {
@@ -358,7 +369,7 @@
         Link link = links.get(target);
         link.conns.remove(conn);
         if (!conn.outs.isEmpty()) {
-            counts.add(Count.CONNECTIONS_LOST);
+            counts.add(Counter.CONNECTIONS_LOST);
         }
         Outcome became = refused && !conn.heard ? Outcome.NO_CONNECTION : Outcome.RESET;
         new ArrayList<>(conn.outs.values())
@@ -375,15 +386,15 @@
     }
 
     /** Drops a reply to what is no longer out: given up, cancelled, or answered already. */
-    public void replied(long time, long at, Line line, Reply reply) {
+    public void replied(long time, long at, Connection line, AttemptReply reply) {
         now = time;
         Conn conn = conns.get(line);
-        Out out = conn == null ? null : conn.outs.get(reply.getNumber());
+        OutboundAttempt out = conn == null ? null : conn.outs.get(reply.getNumber());
         if (conn != null) {
             conn.heard = true;
         }
         if (out == null) {
-            counts.add(Count.LATE_REPLIES);
+            counts.add(Counter.LATE_REPLIES);
             return;
         }
         conn.lastUse = now;
@@ -395,24 +406,24 @@
      * A target tells what became of an access; what only this end can know, it cannot tell: that is
      * an error.
      */
-    private static Outcome outcome(Reply reply) {
+    private static Outcome outcome(AttemptReply reply) {
         return switch (reply.getOutcome()) {
             case SUCCEEDED -> Outcome.SUCCEEDED;
-            case FULL -> Outcome.FULL;
-            case MOOT -> Outcome.MOOT;
+            case OVERLOADED -> Outcome.OVERLOADED;
+            case NOT_STARTED -> Outcome.NOT_STARTED;
             default -> Outcome.ERROR;
         };
     }
 
-    public void probeReplied(long time, long at, Line line, long number, Load load) {
+    public void probeReplied(long time, long at, Connection line, long number, Load load) {
         now = time;
         Conn conn = conns.get(line);
-        Out out = conn == null ? null : conn.outs.get(number);
+        OutboundAttempt out = conn == null ? null : conn.outs.get(number);
         if (conn != null) {
             conn.heard = true;
         }
         if (out == null || !out.isProbe()) {
-            counts.add(Count.LATE_REPLIES);
+            counts.add(Counter.LATE_REPLIES);
             return;
         }
         conn.lastUse = now;
@@ -439,10 +450,10 @@
             links.values().stream().filter(l -> !l.waiting.isEmpty()).forEach(this::serveWaiting);
         }
         while (nextOver() != null) {
-            Out out = byDue.poll();
+            OutboundAttempt out = byDue.poll();
             // Not sent by its time to give up: moot. Not sent by the time to connect: no
             // connection.
-            Outcome unsent = now >= out.connectBy ? Outcome.NO_CONNECTION : Outcome.MOOT;
+            Outcome unsent = now >= out.connectBy ? Outcome.NO_CONNECTION : Outcome.NOT_STARTED;
             end(out, out.sent() ? Outcome.TIMED_OUT : unsent, null, null);
         }
         if (now >= sweepAt) {
@@ -452,7 +463,7 @@
         }
     }
 
-    private Out nextOver() {
+    private OutboundAttempt nextOver() {
         while (!byDue.isEmpty() && byDue.peek().over) {
             byDue.poll();
         }
@@ -467,8 +478,8 @@
                         .removeIf(
                                 d -> {
                                     if (now >= d.until()) {
-                                        d.dial().giveUp();
-                                        counts.add(Count.CONNECTS_FAILED);
+                                        d.dial().cancel();
+                                        counts.add(Counter.CONNECTS_FAILED);
                                         return true;
                                     }
                                     return false;
@@ -479,13 +490,13 @@
         if (transport.idle() > 0) {
             for (Conn c : List.copyOf(link.conns)) {
                 if (c.outs.isEmpty() && now - c.lastUse > transport.idle()) {
-                    c.line.bye("idle");
+                    c.line.closeWithReason("idle");
                 }
             }
         }
     }
 
-    private void end(Out out, Outcome outcome, Load load, ByteString payload) {
+    private void end(OutboundAttempt out, Outcome outcome, Load load, ByteString payload) {
         if (out.over) {
             return;
         }
@@ -496,11 +507,11 @@
         }
         long lag = Math.max(0, (out.endedAt > 0 ? out.endedAt : now) - out.orderedAt);
         if (out.isProbe()) {
-            double waiting = load != null && load.hasWaiting() ? load.getWaiting() : -1;
-            outcomes.probeEnded(out.target, outcome, lag, waiting);
+            double waiting = load != null && load.hasQueueLength() ? load.getQueueLength() : -1;
+            outcomes.onProbeEnded(out.target, outcome, lag, waiting);
         } else {
             relays.remove(key(out.id, out.attempt));
-            outcomes.relayEnded(out.id, out.attempt, outcome, lag, load, payload);
+            outcomes.onAttemptEnded(out.id, out.attempt, outcome, lag, load, payload);
         }
         if (exclusive() && out.sent()) {
             freed(out, outcome);
@@ -511,7 +522,7 @@
      * A given-up relay's connection is ended, for its reply may yet come; any other is for what
      * waits, once it has rested.
      */
-    private void freed(Out out, Outcome outcome) {
+    private void freed(OutboundAttempt out, Outcome outcome) {
         if (outcome == Outcome.CANCELLED || outcome == Outcome.TIMED_OUT) {
             out.conn.line.close("what was sent there was given up");
         }
--- a/gateway/src/main/java/milletyoke/gateway/link/Out.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/OutboundAttempt.java
@@ -1,9 +1,9 @@
-package milletyoke.gateway.link;
+package milletyoke.gateway.dispatch;
 
 import milletyoke.wire.proto.Frame;
 
 /** One relay or probe from the order to send it to its outcome. Owned by the loop. */
-final class Out {
+final class OutboundAttempt {
     final String target;
 
     /** The access and its relay; null for a probe. */
@@ -17,14 +17,15 @@
     final long connectBy;
 
     Frame frame;
-    Links.Conn conn;
+    AttemptDispatcher.Conn conn;
     long number;
     boolean over;
 
     /** When its reply came, on the loop's clock; 0 where none did. */
     long endedAt;
 
-    Out(String target, String id, int attempt, long orderedAt, long giveUpAt, long connectBy) {
+    OutboundAttempt(
+            String target, String id, int attempt, long orderedAt, long giveUpAt, long connectBy) {
         this.target = target;
         this.id = id;
         this.attempt = attempt;
@@ -42,7 +43,9 @@
             return frame;
         }
         return frame.toBuilder()
-                .setRelay(frame.getRelay().toBuilder().setTimeLeft(Math.max(0, giveUpAt - now)))
+                .setAttempt(
+                        frame.getAttempt().toBuilder()
+                                .setTimeLeftMicros(Math.max(0, giveUpAt - now)))
                 .build();
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/link/Outbox.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/WriteBatch.java
@@ -1,19 +1,19 @@
-package milletyoke.gateway.link;
+package milletyoke.gateway.dispatch;
 
 import java.util.LinkedHashSet;
 import java.util.Set;
-import milletyoke.wire.Line;
+import milletyoke.wire.Connection;
 import milletyoke.wire.proto.Frame;
 
 /**
  * What the loop sends in one turn: frames for one connection leave in one write. Owned by the loop.
  */
-public final class Outbox {
-    private final Set<Line> lines = new LinkedHashSet<>();
+public final class WriteBatch {
+    private final Set<Connection> lines = new LinkedHashSet<>();
 
-    /** As {@link Line#post}; it leaves at the turn's end. */
-    public boolean post(Line line, Frame frame) {
-        boolean taken = line.post(frame);
+    /** As {@link Connection#enqueue}; it leaves at the turn's end. */
+    public boolean post(Connection line, Frame frame) {
+        boolean taken = line.enqueue(frame);
         if (taken) {
             lines.add(line);
         }
@@ -23,7 +23,7 @@
     /** Lets everything go, in the order in which connections were first written to. */
     public void flush() {
         if (!lines.isEmpty()) {
-            lines.forEach(Line::flush);
+            lines.forEach(Connection::flush);
             lines.clear();
         }
     }
--- a/gateway/src/main/java/milletyoke/gateway/ingress/Ingress.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/ClientListener.java
@@ -3,23 +3,23 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import milletyoke.config.Fleet;
-import milletyoke.gateway.loop.Count;
-import milletyoke.gateway.loop.Counts;
-import milletyoke.gateway.loop.Loop;
-import milletyoke.gateway.loop.Told;
-import milletyoke.gateway.setup.Setup;
-import milletyoke.port.Provisioning;
-import milletyoke.wire.BadFrame;
-import milletyoke.wire.Line;
-import milletyoke.wire.Peer;
-import milletyoke.wire.PeerHandler;
-import milletyoke.wire.World;
+import milletyoke.gateway.config.InitiatorConfig;
+import milletyoke.gateway.loop.Counter;
+import milletyoke.gateway.loop.Counters;
+import milletyoke.gateway.loop.EventLoop;
+import milletyoke.gateway.loop.LoopMessage;
+import milletyoke.scheduler.api.SchedulerSettings;
+import milletyoke.wire.Connection;
+import milletyoke.wire.ExecutionEnvironment;
+import milletyoke.wire.MalformedFrameException;
+import milletyoke.wire.PeerConnection;
+import milletyoke.wire.PeerListener;
 import milletyoke.wire.capture.CaptureWriter;
-import milletyoke.wire.proto.Access;
-import milletyoke.wire.proto.Answer;
-import milletyoke.wire.proto.Final;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Reason;
+import milletyoke.wire.proto.Request;
+import milletyoke.wire.proto.Response;
+import milletyoke.wire.proto.ResponseStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -28,25 +28,31 @@
  * once and with the reason, and never reaches the decisions; all others do. Runs on the threads
  * that serve sockets.
  */
-public final class Ingress implements PeerHandler {
-    private static final Logger LOG = LoggerFactory.getLogger(Ingress.class);
-
-    private final World world;
-    private final Loop loop;
-    private final Counts counts;
-    private final Door door;
-    private final Faults faults;
+public final class ClientListener implements PeerListener {
+    private static final Logger LOG = LoggerFactory.getLogger(ClientListener.class);
+
+    private final ExecutionEnvironment world;
+    private final EventLoop loop;
+    private final Counters counts;
+    private final RequestAdmission door;
+    private final ProtocolViolationLog faults;
     private volatile boolean leaving;
     private volatile Fleet fleet;
     private volatile CaptureWriter capture;
-    private final Set<Peer> clients = ConcurrentHashMap.newKeySet();
-
-    public Ingress(Setup setup, World world, Loop loop, Counts counts, Gate gate, Faults faults) {
+    private final Set<PeerConnection> clients = ConcurrentHashMap.newKeySet();
+
+    public ClientListener(
+            InitiatorConfig setup,
+            ExecutionEnvironment world,
+            EventLoop loop,
+            Counters counts,
+            ConcurrentAdmission gate,
+            ProtocolViolationLog faults) {
         this.faults = faults;
         this.world = world;
         this.loop = loop;
         this.counts = counts;
-        door = new Door(setup, loop, gate);
+        door = new RequestAdmission(setup, loop, gate);
     }
 
     /**
@@ -57,21 +63,21 @@
         this.fleet = fleet;
     }
 
-    private Access configured(Access a) {
+    private Request configured(Request a) {
         Fleet.Block volume = fleet == null ? null : fleet.volume(a.getVolume());
         if (volume == null) {
             return a;
         }
         return a.toBuilder()
                 .setPlan(volume.text("plan"))
-                .setHosts((int) volume.figure("hosts"))
+                .setInitiatorCount((int) volume.figure("hosts"))
                 .build();
     }
 
     /**
      * Accesses may name these categories and plans from now on; the decisions know them already.
      */
-    public void provision(Provisioning given) {
+    public void provision(SchedulerSettings given) {
         door.provision(given);
     }
 
@@ -98,8 +104,8 @@
      * Could hold up the end by {@code millis} where a client does not close.
      */
     public void awaitGoodbyes(long millis) throws InterruptedException {
-        long until = world.micros() + millis * 1000;
-        while (owesGoodbyes() && world.micros() < until) {
+        long until = world.monotonicMicros() + millis * 1000;
+        while (owesGoodbyes() && world.monotonicMicros() < until) {
             world.sleep(1_000);
         }
     }
@@ -110,7 +116,7 @@
     }
 
     @Override
-    public void ready(Peer peer) {
+    public void onReady(PeerConnection peer) {
         LOG.debug("client {} is here", peer);
         clients.add(peer);
         if (leaving) { // it connected while the others were told
@@ -119,49 +125,53 @@
     }
 
     @Override
-    public void got(Peer peer, Frame frame) throws BadFrame {
+    public void onFrame(PeerConnection peer, Frame frame) throws MalformedFrameException {
         switch (frame.getBodyCase()) {
-            case ACCESS -> access(peer, configured(frame.getAccess()));
-            case LEAVE -> loop.tell(new Told.Left(peer, frame.getLeave().getNumber()));
+            case REQUEST -> access(peer, configured(frame.getRequest()));
+            case CANCEL_REQUEST ->
+                    loop.tell(
+                            new LoopMessage.RequestCancelled(
+                                    peer, frame.getCancelRequest().getNumber()));
             default ->
-                    throw new BadFrame(
+                    throw new MalformedFrameException(
                             "a client sends accesses and leaves, not " + frame.getBodyCase());
         }
     }
 
-    private void access(Peer peer, Access a) {
+    private void access(PeerConnection peer, Request a) {
         if (!door.acceptable(a)) {
-            reject(peer, a, Reason.UNACCEPTABLE, Count.UNACCEPTABLE, 0);
+            reject(peer, a, Reason.INVALID, Counter.UNACCEPTABLE, 0);
             return;
         }
         CaptureWriter to = capture;
         if (to != null) {
-            to.came(world.micros(), a);
+            to.came(world.monotonicMicros(), a);
         }
-        Door.Refusal refusal = door.admit(peer, a, world.micros());
+        RequestAdmission.Rejection refusal = door.admit(peer, a, world.monotonicMicros());
         if (refusal != null) {
             reject(peer, a, refusal.reason(), refusal.count(), refusal.retryIn());
         }
     }
 
-    private void reject(Peer peer, Access a, Reason reason, Count count, long retryIn) {
+    private void reject(
+            PeerConnection peer, Request a, Reason reason, Counter count, long retryIn) {
         counts.add(count);
         peer.send(
                 Frame.newBuilder()
-                        .setAnswer(
-                                Answer.newBuilder()
+                        .setResponse(
+                                Response.newBuilder()
                                         .setNumber(a.getNumber())
-                                        .setFinal(Final.REJECTED)
+                                        .setStatus(ResponseStatus.REJECTED)
                                         .setReason(reason)
-                                        .setRetryIn(retryIn))
+                                        .setRetryAfterMicros(retryIn))
                         .build());
     }
 
     @Override
-    public void closed(Peer peer, String why) {
+    public void onClosed(PeerConnection peer, String why) {
         LOG.debug("client {} is gone: {}", peer, why);
         clients.remove(peer);
         faults.closed("client", peer);
-        loop.tell(new Told.ClientGone((Line) peer));
+        loop.tell(new LoopMessage.ClientDisconnected((Connection) peer));
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/ingress/Gate.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/ConcurrentAdmission.java
@@ -1,16 +1,16 @@
 package milletyoke.gateway.ingress;
 
 import milletyoke.admission.Admission;
-import milletyoke.admission.Names;
-import milletyoke.wire.Line;
-import milletyoke.wire.proto.Access;
+import milletyoke.admission.NameTable;
+import milletyoke.wire.Connection;
+import milletyoke.wire.proto.Request;
 
 /**
  * The one {@link Admission} of a daemon behind a lock: sockets' threads ask and the loop gives
  * back, each holding the lock for a few look-ups. An answer at once needs no turn of the loop,
  * which may be the very thing that is behind.
  */
-public final class Gate {
+public final class ConcurrentAdmission {
     /**
      * A volume's state behind the door goes ten to twenty minutes after its last use
      * (microseconds).
@@ -20,27 +20,27 @@
     private static final int MOST_VOLUMES = 1 << 18;
 
     private final Admission admission;
-    private final Names volumes;
+    private final NameTable volumes;
 
-    public Gate(Admission.Room room) {
+    public ConcurrentAdmission(Admission.CapacityLimits room) {
         this(room, MOST_VOLUMES);
     }
 
     /**
      * @param mostVolumes that may be in use, where there is less memory than usual
      */
-    public Gate(Admission.Room room, int mostVolumes) {
+    public ConcurrentAdmission(Admission.CapacityLimits room, int mostVolumes) {
         admission = new Admission(room);
-        volumes = new Names(mostVolumes, KEPT);
+        volumes = new NameTable(mostVolumes, KEPT);
     }
 
     /**
      * A volume counts as named by what gets its place alone: what is turned away costs nothing
      * behind the door.
      */
-    public synchronized Admission.Verdict ask(Line client, Access access, long now) {
+    public synchronized Admission.Verdict ask(Connection client, Request access, long now) {
         if (!volumes.admits(access.getVolume(), now)) {
-            return new Admission.Verdict(Admission.Bound.NAMES, 0);
+            return new Admission.Verdict(Admission.CapacityBound.NAMES, 0);
         }
         Admission.Verdict verdict =
                 admission.ask(client.id(), access.getVolume(), access.getPayload().size());
@@ -53,7 +53,7 @@
     /**
      * @param stay for how long the place was held (microseconds)
      */
-    public synchronized void release(Line client, Access access, long stay) {
+    public synchronized void release(Connection client, Request access, long stay) {
         admission.release(client.id(), access.getVolume(), access.getPayload().size(), stay);
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/ingress/Faults.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/ProtocolViolationLog.java
@@ -1,9 +1,9 @@
 package milletyoke.gateway.ingress;
 
 import java.util.function.LongSupplier;
-import milletyoke.gateway.loop.Count;
-import milletyoke.gateway.loop.Counts;
-import milletyoke.wire.Peer;
+import milletyoke.gateway.loop.Counter;
+import milletyoke.gateway.loop.Counters;
+import milletyoke.wire.PeerConnection;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -12,25 +12,25 @@
  * peer that connects again and again to be closed: so many lines a second, then how many were left
  * out. Could hide a second cause among many of a first; the counts do not.
  */
-public final class Faults {
-    private static final Logger LOG = LoggerFactory.getLogger(Faults.class);
+public final class ProtocolViolationLog {
+    private static final Logger LOG = LoggerFactory.getLogger(ProtocolViolationLog.class);
     private static final int LINES_A_SECOND = 10;
 
-    private final Counts counts;
+    private final Counters counts;
     private final LongSupplier clock;
     private long second;
     private int lines;
     private int leftOut;
 
-    public Faults(Counts counts, LongSupplier clock) {
+    public ProtocolViolationLog(Counters counts, LongSupplier clock) {
         this.counts = counts;
         this.clock = clock;
     }
 
     /** To be told of every connection that ended. */
-    public void closed(String who, Peer peer) {
+    public void closed(String who, PeerConnection peer) {
         if (peer.fault() != null) {
-            counts.add(Count.MALFORMED_PEERS);
+            counts.add(Counter.MALFORMED_PEERS);
             log(who + " " + peer + " was closed: " + peer.fault());
         }
     }
--- a/gateway/src/main/java/milletyoke/gateway/loop/Count.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/Counter.java
@@ -1,7 +1,7 @@
 package milletyoke.gateway.loop;
 
 /** What is counted, for logs and pages. */
-public enum Count {
+public enum Counter {
     ACCESSES,
     ANSWERED,
     REJECTED,
--- a/gateway/src/main/java/milletyoke/gateway/loop/Counts.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/Counters.java
@@ -5,20 +5,20 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /** One initiator's counts since its start; any thread may add and read. */
-public final class Counts {
-    private final Map<Count, LongAdder> all = new EnumMap<>(Count.class);
+public final class Counters {
+    private final Map<Counter, LongAdder> all = new EnumMap<>(Counter.class);
 
-    public Counts() {
-        for (Count count : Count.values()) {
+    public Counters() {
+        for (Counter count : Counter.values()) {
             all.put(count, new LongAdder());
         }
     }
 
-    public void add(Count count) {
+    public void add(Counter count) {
         all.get(count).increment();
     }
 
-    public long of(Count count) {
+    public long of(Counter count) {
         return all.get(count).sum();
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/loop/Roster.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/EndpointRegistry.java
@@ -6,19 +6,19 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import milletyoke.gateway.setup.Address;
-import milletyoke.port.Event;
+import milletyoke.gateway.config.Address;
+import milletyoke.scheduler.api.Event;
+import milletyoke.wire.proto.EndpointList;
 import milletyoke.wire.proto.Health;
 import milletyoke.wire.proto.Scope;
 import milletyoke.wire.proto.Target;
-import milletyoke.wire.proto.TargetList;
 
 /**
  * The list of targets as discovery told it, on this initiator's clock. A target's start is set
  * against discovery's clock once and then kept: a start that moved a little with each list would
  * read as a restart.
  */
-final class Roster {
+final class EndpointRegistry {
     /** More targets than any list of one frame can hold are not remembered. */
     private static final int MOST_STARTS = 1 << 17;
 
@@ -47,7 +47,7 @@
     private long version;
     private long toldNow;
 
-    Roster(Addresses addresses) {
+    EndpointRegistry(Addresses addresses) {
         this.addresses = addresses;
     }
 
@@ -59,14 +59,14 @@
     /**
      * @param now when the list came, on this initiator's clock
      */
-    Event.TargetList listed(long now, TargetList list, boolean restored) {
+    Event.EndpointListReceived listed(long now, EndpointList list, boolean restored) {
         Set<String> leftOut =
                 new TreeSet<>(list.getScope() == Scope.UPDATE ? Set.of() : held.keySet());
         List<Event.Target> targets = new ArrayList<>();
         for (Target t : list.getTargetList()) {
             leftOut.remove(t.getId());
             take(t);
-            boolean here = drainedHere.contains(t.getId()) && t.getHealth() == Health.ON;
+            boolean here = drainedHere.contains(t.getId()) && t.getHealth() == Health.ACTIVE;
             targets.add(
                     new Event.Target(
                             t.getShard(),
@@ -79,25 +79,25 @@
             leftOut.forEach(this::leave);
             starts.keySet().retainAll(held.keySet());
         }
-        version = list.getVersion();
+        version = list.getRevision();
         toldNow = list.getNow();
-        Event.Scope scope =
+        Event.ListScope scope =
                 restored
-                        ? Event.Scope.RESTORED
+                        ? Event.ListScope.RESTORED
                         : list.getScope() == Scope.UPDATE
-                                ? Event.Scope.UPDATE
-                                : Event.Scope.REPLACE;
-        return new Event.TargetList(scope, List.copyOf(targets));
+                                ? Event.ListScope.UPDATE
+                                : Event.ListScope.REPLACE;
+        return new Event.EndpointListReceived(scope, List.copyOf(targets));
     }
 
     private void take(Target t) {
-        if (t.getHealth() == Health.GONE) {
+        if (t.getHealth() == Health.REMOVED) {
             leave(t.getId());
             return;
         }
         held.put(t.getId(), t);
         addresses.listed(t.getId(), new Address(t.getHost(), t.getPort()));
-        if (t.getHealth() != Health.ON) {
+        if (t.getHealth() != Health.ACTIVE) {
             addresses.draining(t.getId());
         }
     }
@@ -108,7 +108,7 @@
     }
 
     /** Null where the target is not listed; else a change as if discovery had told it. */
-    Event.TargetList drain(long now, String target, boolean on) {
+    Event.EndpointListReceived drain(long now, String target, boolean on) {
         if (on
                 ? drainedHere.size() >= MOST_STARTS || !drainedHere.add(target)
                 : !drainedHere.remove(target)) {
@@ -118,10 +118,11 @@
         if (t == null) {
             return null;
         }
-        Event.Health health = on && t.getHealth() == Health.ON ? Event.Health.DRAINING : health(t);
+        Event.Health health =
+                on && t.getHealth() == Health.ACTIVE ? Event.Health.DRAINING : health(t);
         long launched = starts.containsKey(target) ? starts.get(target).local() : 0;
-        return new Event.TargetList(
-                Event.Scope.UPDATE,
+        return new Event.EndpointListReceived(
+                Event.ListScope.UPDATE,
                 List.of(new Event.Target(t.getShard(), target, t.getZone(), health, launched)));
     }
 
@@ -136,21 +137,24 @@
     /** In a word how discovery has it; null where it is not listed. */
     String listedAs(String target) {
         Target t = held.get(target);
-        return t == null ? null : t.getHealth() == Health.ON ? "on" : "draining";
+        return t == null ? null : t.getHealth() == Health.ACTIVE ? "on" : "draining";
     }
 
     /** Targets that may be sent to. */
     int usable() {
         return (int)
                 held.values().stream()
-                        .filter(t -> t.getHealth() == Health.ON && !drainedHere.contains(t.getId()))
+                        .filter(
+                                t ->
+                                        t.getHealth() == Health.ACTIVE
+                                                && !drainedHere.contains(t.getId()))
                         .count();
     }
 
     private static Event.Health health(Target t) {
         return switch (t.getHealth()) {
-            case ON -> Event.Health.ON;
-            case GONE -> Event.Health.GONE;
+            case ACTIVE -> Event.Health.ACTIVE;
+            case REMOVED -> Event.Health.REMOVED;
             default ->
                     Event.Health
                             .DRAINING; // of a state not known here: the side on which no rule can
@@ -158,14 +162,14 @@
         };
     }
 
-    private long start(long now, Target t, TargetList list) {
-        if (t.getLaunched() == 0) {
+    private long start(long now, Target t, EndpointList list) {
+        if (t.getStartedAtMicros() == 0) {
             return 0;
         }
         Start known = starts.get(t.getId());
-        if (known == null || known.told() != t.getLaunched()) {
-            long local = Math.max(1, now - Math.max(0, list.getNow() - t.getLaunched()));
-            known = new Start(t.getLaunched(), local);
+        if (known == null || known.told() != t.getStartedAtMicros()) {
+            long local = Math.max(1, now - Math.max(0, list.getNow() - t.getStartedAtMicros()));
+            known = new Start(t.getStartedAtMicros(), local);
             if (starts.size() < MOST_STARTS) {
                 starts.put(t.getId(), known);
             }
@@ -174,9 +178,9 @@
     }
 
     /** The whole list as held, to be kept over a restart. */
-    TargetList whole() {
-        return TargetList.newBuilder()
-                .setVersion(version)
+    EndpointList whole() {
+        return EndpointList.newBuilder()
+                .setRevision(version)
                 .setScope(Scope.REPLACE)
                 .setNow(toldNow)
                 .addAllTarget(held.values())
