--- a/gateway/src/main/java/milletyoke/gateway/loop/Loop.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
@@ -8,41 +8,41 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import milletyoke.Decide;
-import milletyoke.gateway.link.Dialler;
-import milletyoke.gateway.link.Links;
-import milletyoke.gateway.link.Outbox;
-import milletyoke.gateway.picture.Accounts;
-import milletyoke.gateway.picture.Painter;
-import milletyoke.gateway.picture.Picture;
-import milletyoke.gateway.setup.Address;
-import milletyoke.gateway.setup.Setup;
-import milletyoke.lifecycle.Condition;
-import milletyoke.lifecycle.Fact;
+import milletyoke.gateway.config.Address;
+import milletyoke.gateway.config.InitiatorConfig;
+import milletyoke.gateway.dispatch.AttemptDispatcher;
+import milletyoke.gateway.dispatch.Connector;
+import milletyoke.gateway.dispatch.WriteBatch;
+import milletyoke.gateway.status.ServiceStatistics;
+import milletyoke.gateway.status.SnapshotBuilder;
+import milletyoke.gateway.status.StatusSnapshot;
 import milletyoke.lifecycle.Lifecycle;
-import milletyoke.port.Action;
-import milletyoke.port.Decisions;
-import milletyoke.port.Event;
-import milletyoke.wire.Line;
-import milletyoke.wire.World;
-import milletyoke.wire.proto.Access;
-import milletyoke.wire.proto.Answer;
-import milletyoke.wire.proto.Final;
+import milletyoke.lifecycle.LifecycleEvent;
+import milletyoke.lifecycle.LifecycleState;
+import milletyoke.scheduler.RequestScheduler;
+import milletyoke.scheduler.api.Action;
+import milletyoke.scheduler.api.Event;
+import milletyoke.scheduler.api.Scheduler;
+import milletyoke.wire.Connection;
+import milletyoke.wire.ExecutionEnvironment;
+import milletyoke.wire.proto.Attempt;
+import milletyoke.wire.proto.EndpointList;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Reason;
-import milletyoke.wire.proto.Relay;
-import milletyoke.wire.proto.TargetList;
+import milletyoke.wire.proto.Request;
+import milletyoke.wire.proto.Response;
+import milletyoke.wire.proto.ResponseStatus;
 import org.HdrHistogram.Histogram;
 import org.jctools.queues.MpscArrayQueue;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread that owns {@link Decide} and all that it decides on. Others tell it what happened
- * through a bounded queue without locks; it never waits for a socket or a disk.
+ * The one thread that owns {@link RequestScheduler} and all that it decides on. Others tell it what
+ * happened through a bounded queue without locks; it never waits for a socket or a disk.
  */
-public final class Loop {
-    private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
+public final class EventLoop {
+    private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
     /**
      * Taken from the queue in one turn at most, so that a flood does not keep answers from leaving.
@@ -59,18 +59,18 @@
     private static final long PAINT_EVERY = 250_000;
 
     /** What the loop needs of the rest of the initiator. */
-    public interface Surroundings extends Dialler {
+    public interface LoopEnvironment extends Connector {
         /** Ask discovery to tell every change from this version on. */
         void follow(long version);
 
         /** The list changed; to be kept where a folder lasts, off the loop's thread. */
-        void listHeld(TargetList whole);
+        void listHeld(EndpointList whole);
 
         /** An access no longer takes a place. */
-        void freePlace(Line client, Access access, long stay);
+        void freePlace(Connection client, Request access, long stay);
 
         /** New plans and categories are known to the decisions and may be asked for. */
-        void provisioned(milletyoke.port.Provisioning provisioning);
+        void provisioned(milletyoke.scheduler.api.SchedulerSettings provisioning);
 
         /** The part of room that is taken, 0 to 1. */
         double roomUsed();
@@ -87,36 +87,36 @@
         }
     }
 
-    private final Setup setup;
-    private final Surroundings around;
-    private final World world;
+    private final InitiatorConfig setup;
+    private final LoopEnvironment around;
+    private final ExecutionEnvironment world;
     private final LongSupplier clock;
 
     /** Runs the turns where there is no thread; null in service. */
-    private final World.Drive drive;
+    private final ExecutionEnvironment.LoopDriver drive;
 
-    private final Counts counts;
-    private final MpscArrayQueue<Told> queue;
+    private final Counters counts;
+    private final MpscArrayQueue<LoopMessage> queue;
     private final int roomForAccesses;
-    private final Decide decide = new Decide();
-    private final Decisions decisions;
+    private final RequestScheduler decide = new RequestScheduler();
+    private final Scheduler decisions;
     private final Lifecycle lifecycle;
-    private final Accounts accounts;
-    private final Painter painter;
-    private final Ledger ledger;
-    private final Links links;
-    private final Outbox outbox = new Outbox();
-    private final Roster roster;
+    private final ServiceStatistics accounts;
+    private final SnapshotBuilder painter;
+    private final RequestTracker ledger;
+    private final AttemptDispatcher links;
+    private final WriteBatch outbox = new WriteBatch();
+    private final EndpointRegistry roster;
     private final Histogram turnTimes = new Histogram(60_000_000, 3);
     private final Histogram recent = new Histogram(60_000_000, 2);
     private final Thread thread;
     private final CountDownLatch ended = new CountDownLatch(1);
-    private final java.util.ArrayDeque<Told> own = new java.util.ArrayDeque<>();
+    private final java.util.ArrayDeque<LoopMessage> own = new java.util.ArrayDeque<>();
     private volatile boolean parked;
     private volatile boolean killed;
     private volatile Throwable fault;
-    private volatile Condition condition = Condition.STARTING;
-    private volatile Picture picture;
+    private volatile LifecycleState condition = LifecycleState.STARTING;
+    private volatile StatusSnapshot picture;
     private boolean leaving;
 
     /**
@@ -140,18 +140,18 @@
 
     /**
      * @param world whose clock it goes by, and who may run its turns
-     * @param instead of {@link Decide}, in a lab; null in service
+     * @param instead of {@link RequestScheduler}, in a lab; null in service
      */
-    public Loop(
-            Setup setup,
-            Surroundings around,
-            World world,
-            Counts counts,
-            Supplier<Decisions> instead) {
+    public EventLoop(
+            InitiatorConfig setup,
+            LoopEnvironment around,
+            ExecutionEnvironment world,
+            Counters counts,
+            Supplier<Scheduler> instead) {
         decisions = instead == null ? decide::decide : instead.get();
         this.world = world;
-        clock = world::micros;
-        drive = world.drive(this::advance);
+        clock = world::monotonicMicros;
+        drive = world.newLoopDriver(this::advance);
         this.setup = setup;
         this.around = around;
         this.counts = counts;
@@ -159,26 +159,26 @@
         roomForAccesses = queue.capacity() - queue.capacity() / 4;
         lifecycle =
                 new Lifecycle(
-                        new Lifecycle.Marks(
+                        new Lifecycle.Thresholds(
                                 setup.room().listAge(),
                                 setup.room().full(),
                                 setup.room().eased(),
                                 1_000_000));
-        accounts = new Accounts(setup.deployment().provisioning(), around.isWatched());
-        painter = new Painter(setup.name(), decide, accounts);
+        accounts = new ServiceStatistics(setup.deployment().scheduler(), around.isWatched());
+        painter = new SnapshotBuilder(setup.name(), decide, accounts);
         ledger =
-                new Ledger(
+                new RequestTracker(
                         setup.name() + "." + clock.getAsLong() + ".",
-                        setup.deployment().answerSlack(),
+                        setup.deployment().answerSlackMicros(),
                         counts,
                         around::freePlace,
                         accounts,
                         clock,
                         outbox);
-        links = new Links(setup.transport(), around, ledger, counts, outbox);
+        links = new AttemptDispatcher(setup.transport(), around, ledger, counts, outbox);
         roster =
-                new Roster(
-                        new Roster.Addresses() {
+                new EndpointRegistry(
+                        new EndpointRegistry.Addresses() {
                             @Override
                             public void listed(String target, Address address) {
                                 links.listed(target, address);
@@ -199,10 +199,10 @@
     }
 
     /** What is decided, on its way out. */
-    private final class Outlets implements Ledger.Outlet {
+    private final class Outlets implements RequestTracker.AttemptSender {
         @Override
         public void relay(
-                String target, String id, int attempt, long giveUpAt, Relay.Builder relay) {
+                String target, String id, int attempt, long giveUpAt, Attempt.Builder relay) {
             links.relay(clock.getAsLong(), target, id, attempt, giveUpAt, relay);
         }
 
@@ -237,12 +237,12 @@
      *
      * @param restored the list as last held, null for none
      */
-    public void start(long seed, TargetList restored) {
-        ledger.happened(new Event.Start(seed, setup.deployment().provisioning()));
-        TargetList known = restored == null ? TargetList.getDefaultInstance() : restored;
+    public void start(long seed, EndpointList restored) {
+        ledger.happened(new Event.Started(seed, setup.deployment().scheduler()));
+        EndpointList known = restored == null ? EndpointList.getDefaultInstance() : restored;
         ledger.happened(roster.listed(clock.getAsLong(), known, true));
         if (restored != null) {
-            fact(new Fact.Listed(roster.usable(), true));
+            fact(new LifecycleEvent.EndpointListReceived(roster.usable(), true));
         }
         paint(clock.getAsLong());
         if (drive == null) {
@@ -256,7 +256,7 @@
     // ---- Other threads ----
 
     /** Offers an access; false where the queue has no room for it, and then it was not taken. */
-    public boolean offer(Told.Taken access) {
+    public boolean offer(LoopMessage.RequestReceived access) {
         if (queue.size() > roomForAccesses || !queue.offer(access)) {
             return false;
         }
@@ -276,18 +276,18 @@
         if (killed) {
             return;
         }
-        for (Told told = queue.poll(); told != null; told = queue.poll()) {
-            if (told instanceof Told.Taken t) {
-                counts.add(Count.REJECTED_CONDITION);
-                around.freePlace(t.client(), t.access(), 0);
+        for (LoopMessage told = queue.poll(); told != null; told = queue.poll()) {
+            if (told instanceof LoopMessage.RequestReceived t) {
+                counts.add(Counter.REJECTED_CONDITION);
+                around.freePlace(t.client(), t.request(), 0);
                 t.client()
                         .send(
                                 Frame.newBuilder()
-                                        .setAnswer(
-                                                Answer.newBuilder()
-                                                        .setNumber(t.access().getNumber())
-                                                        .setFinal(Final.REJECTED)
-                                                        .setReason(Reason.LEAVING))
+                                        .setResponse(
+                                                Response.newBuilder()
+                                                        .setNumber(t.request().getNumber())
+                                                        .setStatus(ResponseStatus.REJECTED)
+                                                        .setReason(Reason.SHUTTING_DOWN))
                                         .build());
             }
         }
@@ -298,7 +298,7 @@
      * taken some, and so its peer is held back by its connection; the last quarter is kept free of
      * accesses for this.
      */
-    public void tell(Told told) {
+    public void tell(LoopMessage told) {
         if (drive != null || Thread.currentThread() == thread) {
             own.add(told); // the loop cannot wait for itself
             wakeUp();
@@ -346,7 +346,7 @@
     /** Holds the loop, as a long pause of this process would. @param micros how long */
     public void standStill(long micros, Runnable afterwards) {
         tell(
-                new Told.Do(
+                new LoopMessage.RunTask(
                         () -> {
                             stillUntil = clock.getAsLong() + micros;
                             afterStill = afterwards;
@@ -424,7 +424,7 @@
         // at the count dropped it,
         // so that under a flood one thing told in a thousand was lost, an access or a reply among
         // them.
-        for (Told told; took < MOST_A_TURN && (told = next()) != null; took++) {
+        for (LoopMessage told; took < MOST_A_TURN && (told = next()) != null; took++) {
             learn(told);
             if (stillUntil > 0) {
                 return false;
@@ -443,7 +443,7 @@
             while (nextAlarm() <= now) {
                 alarms.poll();
             }
-            ledger.happened(new Event.Alarm());
+            ledger.happened(new Event.WakeUp());
         }
         if (ledger.hasEvents()) {
             decide(now);
@@ -456,13 +456,13 @@
         return alarms.isEmpty() ? Long.MAX_VALUE : alarms.peek();
     }
 
-    private Told next() {
-        Told told = own.poll();
+    private LoopMessage next() {
+        LoopMessage told = own.poll();
         return told != null ? told : queue.poll();
     }
 
     private void decide(long now) {
-        counts.add(Count.TURNS);
+        counts.add(Counter.TURNS);
         turnAt = now;
         List<Action> actions = decisions.decide(now, ledger.drain());
         ledger.carryOut(now, actions);
@@ -488,75 +488,80 @@
                         now + LONGEST_SLEEP);
     }
 
-    private void learn(Told told) {
+    private void learn(LoopMessage told) {
         long now = clock.getAsLong();
-        if (told instanceof Told.Taken t) {
-            ledger.taken(now, t.at(), t.client(), t.access());
-        } else if (told instanceof Told.Left t) {
+        if (told instanceof LoopMessage.RequestReceived t) {
+            ledger.taken(now, t.receivedAtMicros(), t.client(), t.request());
+        } else if (told instanceof LoopMessage.RequestCancelled t) {
             ledger.left(t.client(), t.number());
-        } else if (told instanceof Told.ClientGone t) {
+        } else if (told instanceof LoopMessage.ClientDisconnected t) {
             ledger.clientGone(t.client());
-        } else if (told instanceof Told.Dialled t) {
-            links.dialled(now, t.target(), t.dial(), t.line());
-        } else if (told instanceof Told.DialFailed t) {
-            links.dialFailed(now, t.target(), t.dial(), t.why());
-        } else if (told instanceof Told.LinkLost t) {
-            links.lost(now, t.target(), t.line(), t.refused(), t.unwritten());
-        } else if (told instanceof Told.Replied t) {
-            links.replied(now, t.at(), t.line(), t.reply());
-        } else if (told instanceof Told.ProbeReplied t) {
-            links.probeReplied(now, t.at(), t.line(), t.number(), t.load());
-        } else if (told instanceof Told.Listed t) {
-            counts.add(Count.LISTS);
+        } else if (told instanceof LoopMessage.ConnectSucceeded t) {
+            links.dialled(now, t.target(), t.connectNumber(), t.connection());
+        } else if (told instanceof LoopMessage.ConnectFailed t) {
+            links.dialFailed(now, t.target(), t.connectNumber(), t.reason());
+        } else if (told instanceof LoopMessage.ConnectionLost t) {
+            links.lost(now, t.target(), t.connection(), t.refused(), t.unwritten());
+        } else if (told instanceof LoopMessage.AttemptReplied t) {
+            links.replied(now, t.receivedAtMicros(), t.connection(), t.reply());
+        } else if (told instanceof LoopMessage.ProbeReplied t) {
+            links.probeReplied(now, t.receivedAtMicros(), t.connection(), t.number(), t.load());
+        } else if (told instanceof LoopMessage.EndpointListReceived t) {
+            counts.add(Counter.LISTS);
             ledger.happened(roster.listed(now, t.list(), false));
             painter.happened(
                     now,
                     "list",
                     "version "
-                            + t.list().getVersion()
+                            + t.list().getRevision()
                             + ", "
                             + t.list().getScope().name().toLowerCase()
                             + " of "
                             + t.list().getTargetCount(),
                     null);
-            fact(new Fact.Listed(roster.usable(), false));
+            fact(new LifecycleEvent.EndpointListReceived(roster.usable(), false));
             around.listHeld(roster.whole());
-        } else if (told instanceof Told.ListUnavailable t) {
-            counts.add(Count.LISTS_UNAVAILABLE);
-            ledger.happened(new Event.TargetList(Event.Scope.UNAVAILABLE, List.of()));
-            painter.happened(now, "list", "unavailable: " + t.why(), null);
-            fact(new Fact.ListUnavailable());
-        } else if (told instanceof Told.Leave) {
+        } else if (told instanceof LoopMessage.DiscoveryUnavailable t) {
+            counts.add(Counter.LISTS_UNAVAILABLE);
+            ledger.happened(new Event.EndpointListReceived(Event.ListScope.UNAVAILABLE, List.of()));
+            painter.happened(now, "list", "unavailable: " + t.reason(), null);
+            fact(new LifecycleEvent.DiscoveryUnavailable());
+        } else if (told instanceof LoopMessage.BeginShutdown) {
             leaving = true;
-            fact(new Fact.Leave());
-        } else if (told instanceof Told.Reprovision t) {
-            accounts.provision(t.provisioning());
-            ledger.happened(new Event.Reprovisioned(t.provisioning()));
+            fact(new LifecycleEvent.ShutdownRequested());
+        } else if (told instanceof LoopMessage.ApplySettings t) {
+            accounts.provision(t.settings());
+            ledger.happened(new Event.SettingsChanged(t.settings()));
             painter.happened(now, "configuration", "a new version holds", null);
-            around.provisioned(t.provisioning());
-        } else if (told instanceof Told.Drain t) {
-            fact(t.on() ? new Fact.Drain(t.who()) : new Fact.Undrain(t.who()));
-        } else if (told instanceof Told.DrainTarget t) {
+            around.provisioned(t.settings());
+        } else if (told instanceof LoopMessage.DrainInitiator t) {
+            fact(
+                    t.drained()
+                            ? new LifecycleEvent.DrainRequested(t.operator())
+                            : new LifecycleEvent.DrainCancelled(t.operator()));
+        } else if (told instanceof LoopMessage.DrainTarget t) {
             drainTarget(now, t);
-        } else if (told instanceof Told.Do t) {
+        } else if (told instanceof LoopMessage.RunTask t) {
             t.task().run();
         }
     }
 
-    private void drainTarget(long now, Told.DrainTarget t) {
-        Event.TargetList change = roster.drain(now, t.target(), t.on());
+    private void drainTarget(long now, LoopMessage.DrainTarget t) {
+        Event.EndpointListReceived change = roster.drain(now, t.target(), t.drained());
         if (change != null) {
             ledger.happened(change);
             painter.happened(
                     now,
                     "operator",
-                    t.target() + (t.on() ? " drained here by " : " put back by ") + t.who(),
+                    t.target()
+                            + (t.drained() ? " drained here by " : " put back by ")
+                            + t.operator(),
                     null);
-            fact(new Fact.Listed(roster.usable(), false));
+            fact(new LifecycleEvent.EndpointListReceived(roster.usable(), false));
         }
     }
 
-    private void fact(Fact fact) {
+    private void fact(LifecycleEvent fact) {
         condition = lifecycle.tell(clock.getAsLong(), fact);
     }
 
@@ -564,8 +569,8 @@
     private void paint(long now) {
         long began = System.nanoTime();
         paintAt = now + PAINT_EVERY;
-        fact(new Fact.Used(around.roomUsed()));
-        fact(new Fact.Tick());
+        fact(new LifecycleEvent.UtilizationMeasured(around.roomUsed()));
+        fact(new LifecycleEvent.Tick());
         if (picture != null && (drive != null || !around.isWatched())) {
             return; // nobody looks in a lab, and a picture costs what the targets and volumes are
             // many
@@ -573,7 +578,7 @@
         picture =
                 painter.paint(
                         now,
-                        new Painter.Loop(
+                        new SnapshotBuilder.Loop(
                                 lifecycle,
                                 around.placesTaken(),
                                 ledger.held(),
@@ -595,17 +600,17 @@
     }
 
     /** What this daemon is now; any thread may ask. */
-    public Condition condition() {
+    public LifecycleState condition() {
         return condition;
     }
 
     /** The latest picture; any thread may ask, and the loop is not disturbed by it. */
-    public Picture picture() {
+    public StatusSnapshot picture() {
         return picture;
     }
 
     /** Rows of the last seconds, oldest first; any thread may ask. */
-    public List<Accounts.Row> rows(int seconds) {
+    public List<ServiceStatistics.Row> rows(int seconds) {
         return accounts.rows(clock.getAsLong(), seconds);
     }
 
@@ -617,7 +622,7 @@
     /** Shows figures of the loop to a reader, on the loop's thread. */
     public void show(Consumer<Figures> reader) {
         tell(
-                new Told.Do(
+                new LoopMessage.RunTask(
                         () ->
                                 reader.accept(
                                         new Figures(
--- a/gateway/src/main/java/milletyoke/gateway/loop/Ledger.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/RequestTracker.java
@@ -6,21 +6,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongSupplier;
-import milletyoke.gateway.link.Outbox;
-import milletyoke.gateway.link.Outcomes;
-import milletyoke.gateway.picture.Accounts;
-import milletyoke.gateway.picture.Picture.Decided;
-import milletyoke.port.Action;
-import milletyoke.port.Event;
-import milletyoke.port.Outcome;
-import milletyoke.wire.Line;
-import milletyoke.wire.proto.Access;
-import milletyoke.wire.proto.Answer;
-import milletyoke.wire.proto.Final;
+import milletyoke.gateway.dispatch.AttemptListener;
+import milletyoke.gateway.dispatch.WriteBatch;
+import milletyoke.gateway.status.ServiceStatistics;
+import milletyoke.gateway.status.StatusSnapshot.DecisionRecord;
+import milletyoke.scheduler.api.Action;
+import milletyoke.scheduler.api.Event;
+import milletyoke.scheduler.api.Outcome;
+import milletyoke.wire.Connection;
+import milletyoke.wire.proto.Attempt;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Load;
 import milletyoke.wire.proto.Reason;
-import milletyoke.wire.proto.Relay;
+import milletyoke.wire.proto.Request;
+import milletyoke.wire.proto.Response;
+import milletyoke.wire.proto.ResponseStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -31,12 +31,12 @@
  *
  * <p>Owned by the loop; free of sockets and clocks.
  */
-final class Ledger implements Outcomes {
-    private static final Logger LOG = LoggerFactory.getLogger(Ledger.class);
+final class RequestTracker implements AttemptListener {
+    private static final Logger LOG = LoggerFactory.getLogger(RequestTracker.class);
 
     /** How relays, cancels and probes leave. */
-    interface Outlet {
-        void relay(String target, String id, int attempt, long giveUpAt, Relay.Builder relay);
+    interface AttemptSender {
+        void relay(String target, String id, int attempt, long giveUpAt, Attempt.Builder relay);
 
         void cancel(String id, int attempt);
 
@@ -51,33 +51,33 @@
     }
 
     /** Told when an access no longer takes a place. */
-    interface Places {
+    interface SlotListener {
         /**
          * @param stay microseconds since the access came in
          */
-        void free(Line client, Access access, long stay);
+        void free(Connection client, Request access, long stay);
     }
 
     private final String mark;
     private final long answerSlack;
-    private final Counts counts;
-    private final Places places;
-    private final Accounts accounts;
+    private final Counters counts;
+    private final SlotListener places;
+    private final ServiceStatistics accounts;
     private final LongSupplier time;
-    private final Outbox outbox;
-    private Outlet outlet;
-    private final Map<String, Entry> entries = new LinkedHashMap<>();
-    private final Map<Line, Map<Long, Entry>> byClient = new LinkedHashMap<>();
+    private final WriteBatch outbox;
+    private AttemptSender outlet;
+    private final Map<String, TrackedRequest> entries = new LinkedHashMap<>();
+    private final Map<Connection, Map<Long, TrackedRequest>> byClient = new LinkedHashMap<>();
 
     /**
      * Entries in the order of their last calls, as near as arrivals give it; looked at from the
      * front.
      */
-    private final java.util.PriorityQueue<Entry> byLastCall =
+    private final java.util.PriorityQueue<TrackedRequest> byLastCall =
             new java.util.PriorityQueue<>(java.util.Comparator.comparingLong(e -> e.lastCall));
 
     private List<Event> events = new ArrayList<>();
-    private final Decided[] latest = new Decided[64];
+    private final DecisionRecord[] latest = new DecisionRecord[64];
     private long noted;
     private int unanswered;
 
@@ -85,14 +85,14 @@
      * @param mark what makes marks of this life unlike any other's, for accesses whose client gave
      *     none
      */
-    Ledger(
+    RequestTracker(
             String mark,
             long answerSlack,
-            Counts counts,
-            Places places,
-            Accounts accounts,
+            Counters counts,
+            SlotListener places,
+            ServiceStatistics accounts,
             LongSupplier time,
-            Outbox outbox) {
+            WriteBatch outbox) {
         this.outbox = outbox;
         this.accounts = accounts;
         this.time = time;
@@ -102,7 +102,7 @@
         this.places = places;
     }
 
-    void connect(Outlet to) {
+    void connect(AttemptSender to) {
         outlet = to;
     }
 
@@ -119,23 +119,23 @@
      *
      * @param at when the access came in
      */
-    void taken(long now, long at, Line client, Access a) {
+    void taken(long now, long at, Connection client, Request a) {
         if (!client.isOpen()) {
             places.free(
                     client, a,
                     now - at); // gone while it waited in the queue: nobody is owed an answer
             return;
         }
-        if (now >= at + a.getTimeLeft()) {
+        if (now >= at + a.getTimeLeftMicros()) {
             places.free(client, a, now - at);
-            counts.add(Count.EXPIRED);
+            counts.add(Counter.EXPIRED);
             outbox.post(
                     client,
                     Frame.newBuilder()
-                            .setAnswer(
-                                    Answer.newBuilder()
+                            .setResponse(
+                                    Response.newBuilder()
                                             .setNumber(a.getNumber())
-                                            .setFinal(Final.REJECTED)
+                                            .setStatus(ResponseStatus.REJECTED)
                                             .setReason(Reason.EXPIRED))
                             .build());
             return;
@@ -144,60 +144,61 @@
         if (entries.containsKey(id)) {
             places.free(client, a, now - at);
             outbox.flush(); // answers of this turn go before the farewell
-            client.bye("access number " + a.getNumber() + " is used twice");
+            client.closeWithReason("access number " + a.getNumber() + " is used twice");
             return;
         }
-        Entry e = new Entry(id, client, a, at, at + a.getTimeLeft() + answerSlack);
+        TrackedRequest e =
+                new TrackedRequest(id, client, a, at, at + a.getTimeLeftMicros() + answerSlack);
         entries.put(id, e);
         byClient.computeIfAbsent(client, c -> new LinkedHashMap<>()).put(a.getNumber(), e);
         byLastCall.add(e);
         unanswered++;
-        counts.add(Count.ACCESSES);
-        accounts.asked(now, a.getCategory(), a.getPlan(), a.getVolume());
-        long timeLeft = a.getTimeLeft() - (now - at);
+        counts.add(Counter.ACCESSES);
+        accounts.asked(now, a.getRequestClass(), a.getPlan(), a.getVolume());
+        long timeLeft = a.getTimeLeftMicros() - (now - at);
         events.add(
-                new Event.Access(
+                new Event.RequestReceived(
                         id,
                         a.hasShard() ? a.getShard() : -1,
                         a.getExtent().isEmpty() ? null : a.getExtent(),
                         a.getVolume(),
                         timeLeft,
                         a.getPlan(),
-                        a.getCategory(),
-                        Math.max(1, a.getHosts()),
+                        a.getRequestClass(),
+                        Math.max(1, a.getInitiatorCount()),
                         a.getUnits()));
     }
 
-    void left(Line client, long number) {
-        Map<Long, Entry> own = byClient.get(client);
-        Entry e = own == null ? null : own.get(number);
+    void left(Connection client, long number) {
+        Map<Long, TrackedRequest> own = byClient.get(client);
+        TrackedRequest e = own == null ? null : own.get(number);
         if (e != null && !e.answered) {
-            counts.add(Count.CLIENTS_LEFT);
+            counts.add(Counter.CLIENTS_LEFT);
             over(e);
         }
     }
 
-    void clientGone(Line client) {
-        Map<Long, Entry> own = byClient.get(client);
+    void clientGone(Connection client) {
+        Map<Long, TrackedRequest> own = byClient.get(client);
         if (own != null) {
             List.copyOf(own.values()).stream().filter(e -> !e.answered).forEach(this::over);
-            counts.add(Count.CLIENTS_LEFT);
+            counts.add(Counter.CLIENTS_LEFT);
         }
     }
 
-    private void over(Entry e) {
-        events.add(new Event.Over(e.id));
-        answered(e, Accounts.End.LEFT);
+    private void over(TrackedRequest e) {
+        events.add(new Event.RequestClosed(e.id));
+        answered(e, ServiceStatistics.End.LEFT);
         if (e.out) {
             outlet.dropUnsent(e.id, e.relays - 1);
         }
     }
 
-    private void answered(Entry e, Accounts.End how) {
+    private void answered(TrackedRequest e, ServiceStatistics.End how) {
         long now = time.getAsLong();
         accounts.ended(
                 now,
-                e.access.getCategory(),
+                e.access.getRequestClass(),
                 e.access.getPlan(),
                 e.access.getVolume(),
                 how,
@@ -207,9 +208,9 @@
         forgetIfDone(e);
     }
 
-    private void forgetIfDone(Entry e) {
+    private void forgetIfDone(TrackedRequest e) {
         if (e.answered && !e.out && entries.remove(e.id) != null) {
-            Map<Long, Entry> own = byClient.get(e.client);
+            Map<Long, TrackedRequest> own = byClient.get(e.client);
             own.remove(e.access.getNumber());
             if (own.isEmpty()) {
                 byClient.remove(e.client);
@@ -219,9 +220,9 @@
     }
 
     @Override
-    public void relayEnded(
+    public void onAttemptEnded(
             String id, int attempt, Outcome outcome, long lag, Load load, ByteString payload) {
-        Entry e = entries.get(id);
+        TrackedRequest e = entries.get(id);
         if (e == null || !e.out || e.relays - 1 != attempt) {
             return; // its access is over and forgotten
         }
@@ -230,24 +231,24 @@
                 time.getAsLong(),
                 e.target,
                 outcome == Outcome.SUCCEEDED
-                        ? Accounts.End.ANSWERED
-                        : outcome == Outcome.FULL
-                                        || outcome == Outcome.MOOT
+                        ? ServiceStatistics.End.ANSWERED
+                        : outcome == Outcome.OVERLOADED
+                                        || outcome == Outcome.NOT_STARTED
                                         || outcome == Outcome.NO_CONNECTION
-                                ? Accounts.End.REJECTED
-                                : Accounts.End.BROKEN_OFF,
+                                ? ServiceStatistics.End.REJECTED
+                                : ServiceStatistics.End.BROKEN_OFF,
                 lag);
         if (outcome == Outcome.SUCCEEDED && !e.answered) {
-            answer(e, Final.ANSWERED, 0, payload);
-            counts.add(Count.ANSWERED);
+            answer(e, ResponseStatus.ANSWERED, 0, payload);
+            counts.add(Counter.ANSWERED);
         }
-        events.add(new Event.Ended(id, attempt, e.answered, outcome, lag));
+        events.add(new Event.AttemptEnded(id, attempt, e.answered, outcome, lag));
         forgetIfDone(e);
     }
 
     @Override
-    public void probeEnded(String target, Outcome outcome, long lag, double waiting) {
-        events.add(new Event.Probed(target, outcome, lag, waiting));
+    public void onProbeEnded(String target, Outcome outcome, long lag, double waiting) {
+        events.add(new Event.ProbeEnded(target, outcome, lag, waiting));
     }
 
     /**
@@ -258,9 +259,9 @@
     void endOverdue(long now) {
         while (!byLastCall.isEmpty()
                 && (byLastCall.peek().answered || byLastCall.peek().lastCall < now)) {
-            Entry e = byLastCall.poll();
+            TrackedRequest e = byLastCall.poll();
             if (!e.answered) {
-                counts.add(Count.OVERDUE);
+                counts.add(Counter.OVERDUE);
                 LOG.error(
                         "no answer was decided for access {} of {} in its time: {} relays, {}",
                         e.id,
@@ -287,21 +288,21 @@
     void carryOut(long now, List<Action> actions) {
         for (Action action : actions) {
             note(now, action);
-            if (action instanceof Action.Relay a) {
+            if (action instanceof Action.SendAttempt a) {
                 relay(now, a);
             } else if (action instanceof Action.Reject a) {
-                close(a.id(), Final.REJECTED, a.retryIn(), Count.REJECTED);
-            } else if (action instanceof Action.BreakOff a) {
-                close(a.id(), Final.BROKEN_OFF, 0, Count.BROKEN_OFF);
-            } else if (action instanceof Action.Cancel a) {
-                counts.add(Count.CANCELS);
-                outlet.cancel(a.id(), a.relay());
-            } else if (action instanceof Action.Probe a) {
-                counts.add(Count.PROBES);
+                close(a.id(), ResponseStatus.REJECTED, a.retryAfterMicros(), Counter.REJECTED);
+            } else if (action instanceof Action.Fail a) {
+                close(a.id(), ResponseStatus.FAILED, 0, Counter.BROKEN_OFF);
+            } else if (action instanceof Action.CancelAttempt a) {
+                counts.add(Counter.CANCELS);
+                outlet.cancel(a.id(), a.attemptNumber());
+            } else if (action instanceof Action.SendProbe a) {
+                counts.add(Counter.PROBES);
                 outlet.probe(a.target());
-            } else if (action instanceof Action.Wake a) {
-                outlet.wake(a.in());
-            } else if (action instanceof Action.FollowList) {
+            } else if (action instanceof Action.ScheduleWakeUp a) {
+                outlet.wake(a.delayMicros());
+            } else if (action instanceof Action.WatchEndpoints) {
                 outlet.follow();
             }
         }
@@ -313,89 +314,94 @@
      */
     private void note(long now, Action action) {
         String id =
-                action instanceof Action.Relay a
+                action instanceof Action.SendAttempt a
                         ? a.id()
                         : action instanceof Action.Reject a
                                 ? a.id()
-                                : action instanceof Action.BreakOff a
+                                : action instanceof Action.Fail a
                                         ? a.id()
-                                        : action instanceof Action.Cancel a ? a.id() : null;
-        if (id != null || action instanceof Action.Probe) {
-            Entry e = id == null ? null : entries.get(id);
+                                        : action instanceof Action.CancelAttempt a ? a.id() : null;
+        if (id != null || action instanceof Action.SendProbe) {
+            TrackedRequest e = id == null ? null : entries.get(id);
             latest[(int) (noted++ % latest.length)] =
-                    new Decided(now, action, e == null ? null : e.access.getVolume());
+                    new DecisionRecord(now, action, e == null ? null : e.access.getVolume());
         }
     }
 
     /** The latest decisions, the newest first. */
-    List<Decided> latest() {
-        List<Decided> all = new ArrayList<>();
+    List<DecisionRecord> latest() {
+        List<DecisionRecord> all = new ArrayList<>();
         for (long i = noted - 1; i >= Math.max(0, noted - latest.length); i--) {
             all.add(latest[(int) (i % latest.length)]);
         }
         return all;
     }
 
-    private void relay(long now, Action.Relay a) {
-        Entry e = entries.get(a.id());
+    private void relay(long now, Action.SendAttempt a) {
+        TrackedRequest e = entries.get(a.id());
         if (e == null || e.answered) {
             throw new IllegalStateException(
                     "a relay was decided for " + a.id() + ", which is over");
         }
-        Access x = e.access;
+        Request x = e.access;
         int attempt = e.relays++;
         e.out = true;
         e.target = a.target();
         accounts.relayed(now, a.target());
-        counts.add(attempt == 0 ? Count.RELAYS : Count.RELAYS_FURTHER);
-        Relay.Builder relay =
-                Relay.newBuilder()
-                        .setId(e.id)
-                        .setAttempt(attempt)
+        counts.add(attempt == 0 ? Counter.RELAYS : Counter.RELAYS_FURTHER);
+        Attempt.Builder relay =
+                Attempt.newBuilder()
+                        .setRequestId(e.id)
+                        .setAttemptNumber(attempt)
                         .setExtent(x.getExtent())
                         .setVolume(x.getVolume())
-                        .setCategory(x.getCategory())
+                        .setRequestClass(x.getRequestClass())
                         .setUnits(x.getUnits())
-                        .setTimeLeft(Math.max(0, a.giveUpAt() - now))
+                        .setTimeLeftMicros(Math.max(0, a.deadlineMicros() - now))
                         .setWrite(x.getWrite())
                         .setPayload(x.getPayload())
-                        .setMark(x.getMark().isEmpty() ? mark + e.id : x.getMark());
+                        .setIdempotencyKey(
+                                x.getIdempotencyKey().isEmpty()
+                                        ? mark + e.id
+                                        : x.getIdempotencyKey());
         if (x.hasShard()) {
             relay.setShard(x.getShard());
         }
-        outlet.relay(a.target(), e.id, attempt, a.giveUpAt(), relay);
+        outlet.relay(a.target(), e.id, attempt, a.deadlineMicros(), relay);
     }
 
-    private void close(String id, Final how, long retryIn, Count count) {
-        Entry e = entries.get(id);
+    private void close(String id, ResponseStatus how, long retryIn, Counter count) {
+        TrackedRequest e = entries.get(id);
         if (e != null && !e.answered) {
             counts.add(count);
             answer(e, how, retryIn, null);
         }
     }
 
-    private void answer(Entry e, Final how, long retryIn, ByteString payload) {
-        Answer.Builder answer =
-                Answer.newBuilder()
+    private void answer(TrackedRequest e, ResponseStatus how, long retryIn, ByteString payload) {
+        Response.Builder answer =
+                Response.newBuilder()
                         .setNumber(e.access.getNumber())
-                        .setFinal(how)
-                        .setRetryIn(retryIn)
-                        .setReason(Reason.DECIDED);
+                        .setStatus(how)
+                        .setRetryAfterMicros(retryIn)
+                        .setReason(Reason.SCHEDULER);
         if (payload != null) {
             answer.setPayload(payload);
         }
-        outbox.post(e.client, Frame.newBuilder().setAnswer(answer).build());
+        outbox.post(e.client, Frame.newBuilder().setResponse(answer).build());
         answered(
                 e,
-                how == Final.ANSWERED
-                        ? Accounts.End.ANSWERED
-                        : how == Final.REJECTED ? Accounts.End.REJECTED : Accounts.End.BROKEN_OFF);
+                how == ResponseStatus.ANSWERED
+                        ? ServiceStatistics.End.ANSWERED
+                        : how == ResponseStatus.REJECTED
+                                ? ServiceStatistics.End.REJECTED
+                                : ServiceStatistics.End.BROKEN_OFF);
     }
 
     /** For a fault of the decisions: everything held is broken off, which promises nothing. */
     void breakOffAll() {
-        for (Entry e : List.copyOf(entries.values())) {
-            close(e.id, Final.BROKEN_OFF, 0, Count.BROKEN_OFF);
+        for (TrackedRequest e : List.copyOf(entries.values())) {
+            close(e.id, ResponseStatus.FAILED, 0, Counter.BROKEN_OFF);
         }
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/loop/Entry.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/TrackedRequest.java
@@ -1,13 +1,13 @@
 package milletyoke.gateway.loop;
 
-import milletyoke.wire.Line;
-import milletyoke.wire.proto.Access;
+import milletyoke.wire.Connection;
+import milletyoke.wire.proto.Request;
 
 /** One access that this initiator has taken: to whom it owes the answer, and what is out for it. */
-final class Entry {
+final class TrackedRequest {
     final String id;
-    final Line client;
-    final Access access;
+    final Connection client;
+    final Request access;
 
     /** When it came in (microseconds). */
     final long cameAt;
@@ -23,7 +23,7 @@
     boolean out;
     boolean answered;
 
-    Entry(String id, Line client, Access access, long cameAt, long lastCall) {
+    TrackedRequest(String id, Connection client, Request access, long cameAt, long lastCall) {
         this.id = id;
         this.client = client;
         this.access = access;
--- a/gateway/src/main/java/milletyoke/gateway/fleet/Change.java
+++ b/gateway/src/main/java/milletyoke/gateway/reload/ConfigUpdate.java
@@ -1,27 +1,27 @@
-package milletyoke.gateway.fleet;
+package milletyoke.gateway.reload;
 
 import java.util.ArrayList;
 import java.util.List;
-import milletyoke.config.Difference;
 import milletyoke.config.Fleet;
+import milletyoke.config.FleetDiff;
 
 /**
  * Decides what becomes of a new version of the configuration: all of it is applied, or nothing.
  * Free of I/O and clocks.
  */
-public sealed interface Change {
+public sealed interface ConfigUpdate {
     /** It means the same as the one in force. */
-    record Same() implements Change {}
+    record Unchanged() implements ConfigUpdate {}
 
-    record Apply(Fleet fleet, List<Difference.Change> changes) implements Change {}
+    record Apply(Fleet fleet, List<FleetDiff.Change> changes) implements ConfigUpdate {}
 
     /** Nothing of it is applied; {@code why} says each change that stands in the way. */
-    record Refuse(List<Difference.Change> changes, List<String> why) implements Change {}
+    record Rejected(List<FleetDiff.Change> changes, List<String> why) implements ConfigUpdate {}
 
-    static Change judge(Fleet inForce, Fleet next) {
-        List<Difference.Change> changes = Difference.between(inForce, next);
+    static ConfigUpdate judge(Fleet inForce, Fleet next) {
+        List<FleetDiff.Change> changes = FleetDiff.between(inForce, next);
         List<String> why = new ArrayList<>();
-        for (Difference.Change c : changes) {
+        for (FleetDiff.Change c : changes) {
             switch (c.taken()) {
                 case RESTART -> why.add(c.text() + ": needs a restart");
                 case REFUSED -> why.add(c.text() + ": accesses of it may be held");
@@ -29,7 +29,7 @@
             }
         }
         return changes.isEmpty()
-                ? new Same()
-                : why.isEmpty() ? new Apply(next, changes) : new Refuse(changes, why);
+                ? new Unchanged()
+                : why.isEmpty() ? new Apply(next, changes) : new Rejected(changes, why);
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/fleet/Following.java
+++ b/gateway/src/main/java/milletyoke/gateway/reload/ConfigWatcher.java
@@ -1,4 +1,4 @@
-package milletyoke.gateway.fleet;
+package milletyoke.gateway.reload;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -13,11 +13,11 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import milletyoke.config.Checker;
-import milletyoke.config.Difference;
-import milletyoke.config.Finding;
+import milletyoke.config.Diagnostic;
 import milletyoke.config.Fleet;
-import milletyoke.config.Library;
-import milletyoke.config.disk.DiskLibrary;
+import milletyoke.config.FleetDiff;
+import milletyoke.config.SourceProvider;
+import milletyoke.config.disk.FileSourceProvider;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -26,8 +26,8 @@
  * checks the new version whole, and hands it on or leaves everything as it was. Runs on the side
  * thread, never on the loop.
  */
-public final class Following {
-    private static final Logger LOG = LoggerFactory.getLogger(Following.class);
+public final class ConfigWatcher {
+    private static final Logger LOG = LoggerFactory.getLogger(ConfigWatcher.class);
     private static final int TOLD = 20;
 
     /**
@@ -38,7 +38,7 @@
      * @param refused what stood in the way of the last version that was not taken; empty where it
      *     was
      */
-    public record Standing(
+    public record Status(
             Fleet fleet,
             int version,
             Instant since,
@@ -51,26 +51,26 @@
     private final Path kept;
     private final Consumer<Fleet> apply;
     private Map<String, FileTime> seen = new HashMap<>(); // by name, in no order that matters
-    private volatile Standing standing;
+    private volatile Status standing;
 
     /**
      * @param file as the library names it
      * @param folder where the version in force is kept, null for nowhere
      * @param apply hands a version on; it holds soon after
      */
-    public Following(
+    public ConfigWatcher(
             String file, Path folder, Fleet fleet, List<String> files, Consumer<Fleet> apply) {
         this.file = file;
         this.kept = folder == null ? null : folder.resolve("fleet.in-force");
         this.apply = apply;
-        standing = new Standing(fleet, 1, Instant.now(), List.of(), List.of(), List.of(), null);
+        standing = new Status(fleet, 1, Instant.now(), List.of(), List.of(), List.of(), null);
         // Guards against a change between the reading and now: the first look checks anew whatever
         // the times are.
         files.forEach(f -> seen.put(f, FileTime.fromMillis(0)));
         keep(fleet);
     }
 
-    public Standing standing() {
+    public Status standing() {
         return standing;
     }
 
@@ -92,7 +92,7 @@
         if (now.equals(seen)) {
             return;
         }
-        Checker.Result checked = Checker.check(new DiskLibrary(), file);
+        Checker.Result checked = Checker.check(new FileSourceProvider(), file);
         Map<String, FileTime> read =
                 times(checked.files().isEmpty() ? List.copyOf(seen.keySet()) : checked.files());
         now.keySet().retainAll(read.keySet());
@@ -100,20 +100,23 @@
         seen = read;
         if (!checked.clean()) {
             refuse(
-                    checked.findings().stream().filter(Finding::error).map(Finding::text).toList(),
+                    checked.findings().stream()
+                            .filter(Diagnostic::error)
+                            .map(Diagnostic::text)
+                            .toList(),
                     List.of());
             return;
         }
-        Change change = Change.judge(standing.fleet(), checked.fleet());
-        if (change instanceof Change.Refuse r) {
+        ConfigUpdate change = ConfigUpdate.judge(standing.fleet(), checked.fleet());
+        if (change instanceof ConfigUpdate.Rejected r) {
             refuse(r.why(), r.changes());
-        } else if (change instanceof Change.Apply a) {
+        } else if (change instanceof ConfigUpdate.Apply a) {
             List<String> told =
-                    a.changes().stream().map(Difference.Change::text).limit(TOLD).toList();
+                    a.changes().stream().map(FleetDiff.Change::text).limit(TOLD).toList();
             apply.accept(a.fleet());
             keep(a.fleet());
             standing =
-                    new Standing(
+                    new Status(
                             a.fleet(),
                             standing.version() + 1,
                             Instant.now(),
@@ -123,9 +126,9 @@
                             null);
             LOG.info("version {} of {} holds: {}", standing.version(), file, told);
         } else if (!standing.refused().isEmpty()) {
-            Standing s = standing;
+            Status s = standing;
             standing =
-                    new Standing(
+                    new Status(
                             s.fleet(),
                             s.version(),
                             s.since(),
@@ -136,17 +139,17 @@
         }
     }
 
-    private void refuse(List<String> why, List<Difference.Change> changes) {
+    private void refuse(List<String> why, List<FleetDiff.Change> changes) {
         List<String> told = new ArrayList<>(why.subList(0, Math.min(TOLD, why.size())));
-        Standing s = standing;
+        Status s = standing;
         standing =
-                new Standing(
+                new Status(
                         s.fleet(),
                         s.version(),
                         s.since(),
                         s.applied(),
                         List.copyOf(told),
-                        changes.stream().map(Difference.Change::text).limit(TOLD).toList(),
+                        changes.stream().map(FleetDiff.Change::text).limit(TOLD).toList(),
                         Instant.now());
         LOG.error(
                 "a new version of {} is refused, version {} stays in force: {}",
@@ -177,8 +180,8 @@
     /** The name that stands for a file. @throws IOException where there is none */
     public static String name(Path path) throws IOException {
         try {
-            return DiskLibrary.name(path);
-        } catch (Library.Unreadable missing) {
+            return FileSourceProvider.name(path);
+        } catch (SourceProvider.UnreadableSourceException missing) {
             throw new IOException(path + ": " + missing.getMessage());
         }
     }
--- a/gateway/src/main/java/milletyoke/gateway/picture/Accounts.java
+++ b/gateway/src/main/java/milletyoke/gateway/status/ServiceStatistics.java
@@ -1,4 +1,4 @@
-package milletyoke.gateway.picture;
+package milletyoke.gateway.status;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,9 +9,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.concurrent.atomic.AtomicReferenceArray;
-import milletyoke.gateway.picture.Picture.Second;
-import milletyoke.gateway.picture.Picture.Tally;
-import milletyoke.port.Provisioning;
+import milletyoke.gateway.status.StatusSnapshot.RequestTally;
+import milletyoke.gateway.status.StatusSnapshot.SecondSummary;
+import milletyoke.scheduler.api.SchedulerSettings;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -23,20 +23,20 @@
  * asked make room; {@value #MOST_SERIES} volumes and as many targets have a series, those of a
  * second that come beyond are counted under {@code others}.
  */
-public final class Accounts {
+public final class ServiceStatistics {
     public static final int SECONDS = 900;
     static final int MOST_VOLUMES = 10_000, MOST_SERIES = 128;
     private static final long LONGEST = 60_000_000;
 
     /** One second of all series; keys are category:, plan:, volume: and target: with a name. */
-    public record Row(long second, Map<String, Second> series) {}
+    public record Row(long second, Map<String, SecondSummary> series) {}
 
     /** Sums that grow, and the second in the making. */
     private static final class Account {
         long asked, answered, inTime, rejected, brokenOff;
 
-        Tally tally() {
-            return new Tally(asked, answered, inTime, rejected, brokenOff);
+        RequestTally tally() {
+            return new RequestTally(asked, answered, inTime, rejected, brokenOff);
         }
     }
 
@@ -79,10 +79,10 @@
             return some == 0 ? 0 : few[Math.max(0, (some * percent + 99) / 100 - 1)];
         }
 
-        Second close() {
+        SecondSummary close() {
             java.util.Arrays.sort(few, 0, some);
-            Second s =
-                    new Second(
+            SecondSummary s =
+                    new SecondSummary(
                             asked,
                             answered,
                             inTime,
@@ -133,7 +133,7 @@
          * Puts what happened into a row; a series that had nothing in its second gives its slot
          * back.
          */
-        void close(Map<String, Second> row) {
+        void close(Map<String, SecondSummary> row) {
             named.forEach(
                     (name, s) -> {
                         if (!s.isEmpty()) {
@@ -158,7 +158,7 @@
             this.plan = plan;
         }
 
-        Tally tally() {
+        RequestTally tally() {
             return account.tally();
         }
     }
@@ -180,24 +180,24 @@
     private final boolean kept;
     private long second = -1;
 
-    public Accounts(Provisioning given) {
+    public ServiceStatistics(SchedulerSettings given) {
         this(given, true);
     }
 
     /**
      * @param kept false where nobody will ever look: then nothing is counted and nothing grows
      */
-    public Accounts(Provisioning given, boolean kept) {
+    public ServiceStatistics(SchedulerSettings given, boolean kept) {
         this.kept = kept;
         provision(given);
     }
 
     /** Takes new categories and plans; those there are keep their sums. */
-    public void provision(Provisioning given) {
-        given.categories()
+    public void provision(SchedulerSettings given) {
+        given.requestClasses()
                 .forEach(
                         c -> {
-                            agreed.put(c.name(), c.agreedTime());
+                            agreed.put(c.name(), c.latencyObjectiveMicros());
                             categories.putIfAbsent(c.name(), new Account());
                         });
         given.plans().forEach(p -> plans.putIfAbsent(p.name(), new Account()));
@@ -318,7 +318,7 @@
             return;
         }
         if (second >= 0) {
-            Map<String, Second> row = new TreeMap<>();
+            Map<String, SecondSummary> row = new TreeMap<>();
             for (Kind kind : kinds) {
                 kind.close(row);
             }
@@ -345,23 +345,23 @@
         return rows;
     }
 
-    Map<String, Tally> categories() {
+    Map<String, RequestTally> categories() {
         return tallies(categories);
     }
 
-    Map<String, Tally> plans() {
+    Map<String, RequestTally> plans() {
         return tallies(plans);
     }
 
-    private static Map<String, Tally> tallies(Map<String, Account> accounts) {
-        Map<String, Tally> all = new LinkedHashMap<>();
+    private static Map<String, RequestTally> tallies(Map<String, Account> accounts) {
+        Map<String, RequestTally> all = new LinkedHashMap<>();
         accounts.forEach((name, a) -> all.put(name, a.tally()));
         return java.util.Collections.unmodifiableMap(all);
     }
 
-    Tally target(String id) {
+    RequestTally target(String id) {
         Account a = targets.get(id);
-        return a == null ? Tally.NONE : a.tally();
+        return a == null ? RequestTally.NONE : a.tally();
     }
 
     /** Forgets a target that is listed no longer. */
--- a/gateway/src/main/java/milletyoke/gateway/picture/Painter.java
+++ b/gateway/src/main/java/milletyoke/gateway/status/SnapshotBuilder.java
@@ -1,15 +1,15 @@
-package milletyoke.gateway.picture;
+package milletyoke.gateway.status;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Function;
-import milletyoke.Decide;
-import milletyoke.Look;
-import milletyoke.gateway.picture.Picture.Happening;
-import milletyoke.gateway.picture.Picture.Volume;
+import milletyoke.gateway.status.StatusSnapshot.OperationalEvent;
+import milletyoke.gateway.status.StatusSnapshot.Volume;
 import milletyoke.lifecycle.Lifecycle;
+import milletyoke.scheduler.RequestScheduler;
+import milletyoke.scheduler.SchedulerView;
 import org.HdrHistogram.Histogram;
 import org.pcollections.HashTreePMap;
 import org.pcollections.PMap;
@@ -21,19 +21,19 @@
  * #VOLUMES_A_PICTURE} that changed, so that a picture costs the same however many there are. What
  * differs from the last picture becomes an event.
  */
-public final class Painter {
+public final class SnapshotBuilder {
     static final int VOLUMES_A_PICTURE = 256;
     private static final int EVENTS = 2_000;
 
     private final String name;
-    private final Decide decide;
-    private final Accounts accounts;
+    private final RequestScheduler decide;
+    private final ServiceStatistics accounts;
     private PMap<String, Volume> volumes = HashTreePMap.empty();
-    private PVector<Happening> events = TreePVector.empty();
+    private PVector<OperationalEvent> events = TreePVector.empty();
     private Map<String, String> states = new HashMap<>();
     private Lifecycle.Transition lastTransition;
 
-    public Painter(String name, Decide decide, Accounts accounts) {
+    public SnapshotBuilder(String name, RequestScheduler decide, ServiceStatistics accounts) {
         this.name = name;
         this.decide = decide;
         this.accounts = accounts;
@@ -49,26 +49,26 @@
             long version,
             Histogram turns,
             double costs,
-            List<Picture.Decided> decided,
+            List<StatusSnapshot.DecisionRecord> decided,
             Function<String, String> listedAs,
             Function<String, Boolean> drainedHere) {}
 
     /** Notes something that no picture shows by itself. @param volume whose it is alone, or null */
     public void happened(long now, String kind, String what, String volume) {
-        events = events.plus(new Happening(now, kind, what, volume));
+        events = events.plus(new OperationalEvent(now, kind, what, volume));
         if (events.size() > EVENTS) {
             events = events.minus(0);
         }
     }
 
-    public Picture paint(long now, Loop loop) {
+    public StatusSnapshot paint(long now, Loop loop) {
         accounts.turn(now);
-        List<Picture.Target> targets = new ArrayList<>();
-        for (Look.TargetLook look : Look.targets(decide)) {
+        List<StatusSnapshot.Target> targets = new ArrayList<>();
+        for (SchedulerView.TargetView look : SchedulerView.targets(decide)) {
             String listed = loop.listedAs().apply(look.id());
-            if (listed != null || look.out() > 0) {
+            if (listed != null || look.inFlight() > 0) {
                 targets.add(
-                        new Picture.Target(
+                        new StatusSnapshot.Target(
                                 look,
                                 loop.drainedHere().apply(look.id()),
                                 listed == null ? "gone" : listed,
@@ -80,7 +80,7 @@
         tellChanges(now, targets, loop.lifecycle());
         accounts.takeForgotten().forEach(v -> volumes = volumes.minus(v));
         for (String v : accounts.takeDirty(VOLUMES_A_PICTURE)) {
-            Accounts.OfVolume of = accounts.volume(v);
+            ServiceStatistics.OfVolume of = accounts.volume(v);
             if (of != null) {
                 volumes =
                         volumes.plus(
@@ -89,12 +89,12 @@
                                         v,
                                         of.plan,
                                         of.tally(),
-                                        Look.volume(decide, v),
+                                        SchedulerView.volume(decide, v),
                                         of.lastAsked,
                                         of.held));
             }
         }
-        return new Picture(
+        return new StatusSnapshot(
                 now,
                 name,
                 loop.lifecycle().condition(),
@@ -104,12 +104,12 @@
                 loop.out(),
                 loop.used(),
                 loop.version(),
-                Look.lateShare(decide),
-                Look.furtherSuccess(decide),
+                SchedulerView.lateShare(decide),
+                SchedulerView.retrySuccessShare(decide),
                 loop.turns().getValueAtPercentile(50),
                 loop.turns().getValueAtPercentile(99),
                 List.copyOf(targets),
-                List.copyOf(Look.nodes(decide)),
+                List.copyOf(SchedulerView.shards(decide)),
                 volumes,
                 accounts.dirty(),
                 events,
@@ -119,9 +119,9 @@
                 loop.decided());
     }
 
-    private void tellChanges(long now, List<Picture.Target> targets, Lifecycle lifecycle) {
+    private void tellChanges(long now, List<StatusSnapshot.Target> targets, Lifecycle lifecycle) {
         Map<String, String> next = new HashMap<>();
-        for (Picture.Target t : targets) {
+        for (StatusSnapshot.Target t : targets) {
             String state = t.state();
             String before = states.get(t.look().id());
             next.put(t.look().id(), state);
--- a/gateway/src/main/java/milletyoke/gateway/picture/Picture.java
+++ b/gateway/src/main/java/milletyoke/gateway/status/StatusSnapshot.java
@@ -1,11 +1,11 @@
-package milletyoke.gateway.picture;
+package milletyoke.gateway.status;
 
 import java.util.List;
 import java.util.Map;
-import milletyoke.Look;
-import milletyoke.lifecycle.Condition;
 import milletyoke.lifecycle.Lifecycle;
-import milletyoke.port.Action;
+import milletyoke.lifecycle.LifecycleState;
+import milletyoke.scheduler.SchedulerView;
+import milletyoke.scheduler.api.Action;
 import org.pcollections.PMap;
 import org.pcollections.PVector;
 
@@ -18,10 +18,10 @@
  * @param decided the latest decisions, the newest first
  * @param costs part of the loop's time that pictures and accounts took, of late
  */
-public record Picture(
+public record StatusSnapshot(
         long at,
         String name,
-        Condition condition,
+        LifecycleState condition,
         List<Lifecycle.Transition> transitions,
         int places,
         int held,
@@ -33,28 +33,31 @@
         long turnP50,
         long turnP99,
         List<Target> targets,
-        List<Look.NodeLook> nodes,
+        List<SchedulerView.ShardView> nodes,
         PMap<String, Volume> volumes,
         int behind,
-        PVector<Happening> events,
-        Map<String, Tally> categories,
-        Map<String, Tally> plans,
+        PVector<OperationalEvent> events,
+        Map<String, RequestTally> categories,
+        Map<String, RequestTally> plans,
         double costs,
-        List<Decided> decided) {
+        List<DecisionRecord> decided) {
 
     /**
      * @param drainedHere taken out of service by an operator of this initiator alone
      */
-    public record Target(Look.TargetLook look, boolean drainedHere, String listed, Tally tally) {
+    public record Target(
+            SchedulerView.TargetView look, boolean drainedHere, String listed, RequestTally tally) {
         /** One word for people, the gravest first. */
         public String state() {
             return drainedHere
                     ? "drained here"
                     : !look.usable()
                             ? listed
-                            : look.silentSince() > 0
+                            : look.nextTrialAtMicros() > 0
                                     ? "silent"
-                                    : look.cold() ? "cold" : look.resting() ? "resting" : "on";
+                                    : look.warmingUp()
+                                            ? "cold"
+                                            : look.backingOff() ? "resting" : "on";
         }
     }
 
@@ -65,8 +68,8 @@
     public record Volume(
             String name,
             String plan,
-            Tally tally,
-            Look.VolumeLook left,
+            RequestTally tally,
+            SchedulerView.VolumeView left,
             long lastAsked,
             int held) {}
 
@@ -75,8 +78,9 @@
      *
      * @param inTime answered within the agreed time of their category
      */
-    public record Tally(long asked, long answered, long inTime, long rejected, long brokenOff) {
-        public static final Tally NONE = new Tally(0, 0, 0, 0, 0);
+    public record RequestTally(
+            long asked, long answered, long inTime, long rejected, long brokenOff) {
+        public static final RequestTally NONE = new RequestTally(0, 0, 0, 0, 0);
 
         /** The part of what was asked that was answered in time; 1 where nothing was. */
         public double service() {
@@ -89,12 +93,12 @@
      *
      * @param volume whose it is alone; null for what concerns the initiator or a target
      */
-    public record Happening(long at, String kind, String what, String volume) {}
+    public record OperationalEvent(long at, String kind, String what, String volume) {}
 
     /** One decision as it was made. @param volume whose access it was about, or null */
-    public record Decided(long at, Action action, String volume) {}
+    public record DecisionRecord(long at, Action action, String volume) {}
 
     /** Figures of one second of one series; times are of answers, in microseconds. */
-    public record Second(
+    public record SecondSummary(
             int asked, int answered, int inTime, int rejected, int brokenOff, int p50, int p99) {}
 }
--- a/gateway/src/test/java/milletyoke/gateway/setup/CheckSpeedTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/config/CheckSpeedTest.java
@@ -1,4 +1,4 @@
-package milletyoke.gateway.setup;
+package milletyoke.gateway.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,7 +9,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import milletyoke.config.Checker;
-import milletyoke.config.disk.DiskLibrary;
+import milletyoke.config.disk.FileSourceProvider;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -53,7 +53,7 @@
         double best = Double.MAX_VALUE, bare = Double.MAX_VALUE;
         for (int round = 0; round < 5; round++) {
             long began = System.nanoTime();
-            Checker.Result r = Checker.check(new DiskLibrary(), a.toRealPath().toString());
+            Checker.Result r = Checker.check(new FileSourceProvider(), a.toRealPath().toString());
             best = Math.min(best, (System.nanoTime() - began) / 1e6);
             assertTrue(
                     r.clean(),
--- a/gateway/src/test/java/milletyoke/gateway/setup/SetupTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/config/InitiatorConfigTest.java
@@ -1,4 +1,4 @@
-package milletyoke.gateway.setup;
+package milletyoke.gateway.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A setup is taken whole or refused with file, line and field. */
-class SetupTest {
+class InitiatorConfigTest {
     private static final String GOOD =
             """
             { // remarks may stand anywhere
@@ -25,15 +25,17 @@
             }
             """;
 
-    private static Setup read(String text) throws SetupError {
-        return Setup.of(Form.of("i.json5", text), Path.of("/base"));
+    private static InitiatorConfig read(String text) throws ConfigException {
+        return InitiatorConfig.of(SettingsReader.of("i.json5", text), Path.of("/base"));
     }
 
     @Test
-    void takesJson5WithRemarksAndUnits() throws SetupError {
-        Setup setup = read(GOOD);
-        assertEquals(400_000, setup.deployment().provisioning().categories().get(0).agreedTime());
-        assertEquals(17_000_000, setup.deployment().provisioning().bounds().cold());
+    void takesJson5WithRemarksAndUnits() throws ConfigException {
+        InitiatorConfig setup = read(GOOD);
+        assertEquals(
+                400_000,
+                setup.deployment().scheduler().requestClasses().get(0).latencyObjectiveMicros());
+        assertEquals(17_000_000, setup.deployment().scheduler().limits().warmUpMicros());
         assertEquals(Path.of("/base/state"), setup.folder());
         assertEquals(250_000, setup.transport().connectTime());
     }
@@ -57,16 +59,19 @@
                 "coldBears: 11,            | coldBears: 11             | i.json5:7: ",
             })
     void refusesWithLineAndField(String good, String bad, String says) {
-        SetupError error =
+        ConfigException error =
                 assertThrows(
-                        SetupError.class, () -> read(GOOD.replace(good, bad == null ? "" : bad)));
+                        ConfigException.class,
+                        () -> read(GOOD.replace(good, bad == null ? "" : bad)));
         assertTrue(error.getMessage().startsWith(says), error.getMessage());
     }
 
     @Test
     void refusesWhatIsNotThere() {
-        SetupError error =
-                assertThrows(SetupError.class, () -> Setup.read(Path.of("no-such-file.json5")));
+        ConfigException error =
+                assertThrows(
+                        ConfigException.class,
+                        () -> InitiatorConfig.read(Path.of("no-such-file.json5")));
         assertEquals("no-such-file.json5: there is no such file", error.getMessage());
     }
 }
--- a/gateway/src/test/java/milletyoke/gateway/link/LinksTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/dispatch/AttemptDispatcherTest.java
@@ -1,4 +1,4 @@
-package milletyoke.gateway.link;
+package milletyoke.gateway.dispatch;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,15 +10,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import milletyoke.gateway.loop.Counts;
-import milletyoke.gateway.setup.Address;
-import milletyoke.gateway.setup.Setup.Transport;
-import milletyoke.port.Outcome;
-import milletyoke.wire.Line;
+import milletyoke.gateway.config.Address;
+import milletyoke.gateway.config.InitiatorConfig.Transport;
+import milletyoke.gateway.loop.Counters;
+import milletyoke.scheduler.api.Outcome;
+import milletyoke.wire.Connection;
+import milletyoke.wire.proto.Attempt;
+import milletyoke.wire.proto.AttemptReply;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Load;
-import milletyoke.wire.proto.Relay;
-import milletyoke.wire.proto.Reply;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -27,23 +27,23 @@
  * Each relay gets the one outcome that is true of it, whatever the connections do; no sockets and
  * no clock.
  */
-class LinksTest implements Outcomes, Dialler {
+class AttemptDispatcherTest implements AttemptListener, Connector {
     private static final long CONNECT = 1000, IDLE = 100_000, PROBE = 5000;
 
     private final Map<String, Outcome> ended = new LinkedHashMap<>();
     private final List<String> probes = new ArrayList<>();
     private final Map<Long, String> dials = new LinkedHashMap<>();
     private final List<Fake> lines = new ArrayList<>();
-    private final Links links =
-            new Links(
+    private final AttemptDispatcher links =
+            new AttemptDispatcher(
                     new Transport(CONNECT, IDLE, 2, 3, PROBE, 1 << 20, 1 << 20, 1, 1),
                     this,
                     this,
-                    new Counts(),
-                    new Outbox());
+                    new Counters(),
+                    new WriteBatch());
 
     /** A connection that keeps what was sent on it. */
-    private static final class Fake implements Line {
+    private static final class Fake implements Connection {
         final int id;
         final String target;
         final List<Frame> sent = new ArrayList<>();
@@ -74,7 +74,7 @@
         }
 
         @Override
-        public void bye(String why) {
+        public void closeWithReason(String why) {
             open = false;
         }
 
@@ -85,20 +85,20 @@
     }
 
     @Override
-    public Dial dial(String target, Address address, long dial) {
+    public PendingConnect connect(String target, Address address, long dial) {
         dials.put(dial, target);
         return () -> {};
     }
 
     @Override
-    public void relayEnded(
+    public void onAttemptEnded(
             String id, int attempt, Outcome outcome, long lag, Load load, ByteString payload) {
         Outcome before = ended.put(id, outcome);
         assertEquals(null, before, id + " ended twice");
     }
 
     @Override
-    public void probeEnded(String target, Outcome outcome, long lag, double waiting) {
+    public void onProbeEnded(String target, Outcome outcome, long lag, double waiting) {
         probes.add(target + " " + outcome + " " + waiting);
     }
 
@@ -114,7 +114,7 @@
     }
 
     private void relay(long now, String id) {
-        links.relay(now, "a", id, 0, now + 10_000, Relay.newBuilder().setId(id));
+        links.relay(now, "a", id, 0, now + 10_000, Attempt.newBuilder().setRequestId(id));
     }
 
     private void reply(long now, Fake line, int sent, milletyoke.wire.proto.Outcome outcome) {
@@ -122,8 +122,8 @@
                 now,
                 now,
                 line,
-                Reply.newBuilder()
-                        .setNumber(line.sent.get(sent).getRelay().getNumber())
+                AttemptReply.newBuilder()
+                        .setNumber(line.sent.get(sent).getAttempt().getNumber())
                         .setOutcome(outcome)
                         .build());
     }
@@ -159,13 +159,13 @@
     @Test
     void timeUpBeforeItCouldBeSentIsMootAndAfterwardsTimedOut() {
         links.listed("a", new Address("h", 1));
-        links.relay(0, "a", "moot", 0, 500, Relay.newBuilder());
+        links.relay(0, "a", "moot", 0, 500, Attempt.newBuilder());
         links.look(500);
         relay(600, "late");
         Fake line = up(700, lastDial());
         links.look(10_600);
         reply(10_700, line, 0, milletyoke.wire.proto.Outcome.SUCCEEDED);
-        assertEquals(Map.of("moot", Outcome.MOOT, "late", Outcome.TIMED_OUT), ended);
+        assertEquals(Map.of("moot", Outcome.NOT_STARTED, "late", Outcome.TIMED_OUT), ended);
     }
 
     @Test
@@ -176,11 +176,11 @@
         relay(2, "sent");
         Fake line = up(10, lastDial());
         links.cancel(20, "sent", 0);
-        assertEquals(Map.of("unsent", Outcome.MOOT, "sent", Outcome.CANCELLED), ended);
-        assertTrue(line.sent.get(1).hasCancel());
+        assertEquals(Map.of("unsent", Outcome.NOT_STARTED, "sent", Outcome.CANCELLED), ended);
+        assertTrue(line.sent.get(1).hasCancelAttempt());
         assertEquals(
                 1,
-                line.sent.stream().filter(Frame::hasRelay).count(),
+                line.sent.stream().filter(Frame::hasAttempt).count(),
                 "what was cancelled is never sent");
     }
 
@@ -194,7 +194,7 @@
         links.lost(20, "a", line, false, 0);
         assertEquals(Map.of("sent", Outcome.RESET), ended);
         up(30, lastDial());
-        assertEquals("unsent", lines.get(1).sent.get(0).getRelay().getId());
+        assertEquals("unsent", lines.get(1).sent.get(0).getAttempt().getRequestId());
     }
 
     /**
@@ -216,8 +216,8 @@
                 50,
                 50,
                 other,
-                Reply.newBuilder()
-                        .setNumber(other.sent.get(0).getRelay().getNumber())
+                AttemptReply.newBuilder()
+                        .setNumber(other.sent.get(0).getAttempt().getNumber())
                         .setOutcome(milletyoke.wire.proto.Outcome.SUCCEEDED)
                         .build());
         links.lost(60, "a", other, true, 0);
@@ -246,7 +246,7 @@
         links.listed("a", new Address("h", 1));
         relay(0, "r");
         Fake line = up(1, lastDial());
-        links.relay(2, "a", "long", 0, 10 * IDLE, Relay.newBuilder());
+        links.relay(2, "a", "long", 0, 10 * IDLE, Attempt.newBuilder());
         reply(3, line, 0, milletyoke.wire.proto.Outcome.SUCCEEDED);
         links.look(2 * IDLE);
         assertTrue(line.open);
@@ -265,7 +265,7 @@
                 5,
                 line,
                 line.sent.get(0).getProbe().getNumber(),
-                Load.newBuilder().setWaiting(7).build());
+                Load.newBuilder().setQueueLength(7).build());
         links.probe(10, "a");
         links.look(10 + PROBE);
         links.probe(20_000, "b");
@@ -301,7 +301,7 @@
                             id,
                             0,
                             now + 1 + chance.nextInt(4000),
-                            Relay.newBuilder().setId(id));
+                            Attempt.newBuilder().setRequestId(id));
                 }
                 case 3 -> {
                     if (!dials.isEmpty()) {
@@ -325,8 +325,8 @@
                                 now,
                                 now,
                                 line,
-                                Reply.newBuilder()
-                                        .setNumber(frame.getRelay().getNumber())
+                                AttemptReply.newBuilder()
+                                        .setNumber(frame.getAttempt().getNumber())
                                         .setOutcomeValue(1 + chance.nextInt(8))
                                         .build());
                     }
@@ -347,7 +347,8 @@
         assertEquals(ordered.keySet(), ended.keySet());
         for (Fake line : lines) {
             for (Frame frame : line.sent) {
-                Outcome told = frame.hasRelay() ? ended.get(frame.getRelay().getId()) : null;
+                Outcome told =
+                        frame.hasAttempt() ? ended.get(frame.getAttempt().getRequestId()) : null;
                 assertTrue(told != Outcome.NO_CONNECTION, "it was on a line");
             }
         }
@@ -355,13 +356,13 @@
 
     // ---- One relay at a time on a connection ----
 
-    private final Links single =
-            new Links(
+    private final AttemptDispatcher single =
+            new AttemptDispatcher(
                     new Transport(30 * CONNECT, IDLE, 2, 1, PROBE, 1 << 20, 1 << 20, 1, 1),
                     this,
                     this,
-                    new Counts(),
-                    new Outbox());
+                    new Counters(),
+                    new WriteBatch());
 
     private Fake upSingle(long now, long dial) {
         Fake line = new Fake(100 + lines.size(), dials.remove(dial));
@@ -371,7 +372,7 @@
     }
 
     private void relaySingle(long now, String id, long giveUpAt) {
-        single.relay(now, "a", id, 0, giveUpAt, Relay.newBuilder().setId(id));
+        single.relay(now, "a", id, 0, giveUpAt, Attempt.newBuilder().setRequestId(id));
     }
 
     /** As many connections as there may be, a relay on each. */
@@ -388,8 +389,8 @@
                 now,
                 now,
                 line,
-                Reply.newBuilder()
-                        .setNumber(line.sent.get(sent).getRelay().getNumber())
+                AttemptReply.newBuilder()
+                        .setNumber(line.sent.get(sent).getAttempt().getNumber())
                         .setOutcome(milletyoke.wire.proto.Outcome.SUCCEEDED)
                         .build());
     }
@@ -425,10 +426,10 @@
         assertEquals(1, two.sent.size(), "a second copy of that reply may be right behind it");
         single.look(21);
         assertEquals(1, two.sent.size());
-        assertEquals(20 + Links.REST, single.nextDue());
-        single.look(20 + Links.REST);
+        assertEquals(20 + AttemptDispatcher.REST, single.nextDue());
+        single.look(20 + AttemptDispatcher.REST);
         assertEquals(2, two.sent.size());
-        assertEquals("z", two.sent.get(1).getRelay().getId());
+        assertEquals("z", two.sent.get(1).getAttempt().getRequestId());
         single.look(10 + 30 * CONNECT);
         assertEquals(Outcome.NO_CONNECTION, ended.get("late"));
         assertEquals(1, one.sent.size());
@@ -444,7 +445,7 @@
         Fake one = both[0], two = both[1];
         replySingle(20, two, 0);
         replySingle(30, one, 0);
-        relaySingle(30 + Links.REST, "z", 90_000);
+        relaySingle(30 + AttemptDispatcher.REST, "z", 90_000);
         assertEquals(2, two.sent.size());
     }
 
@@ -459,8 +460,8 @@
         assertTrue(dials.isEmpty());
         relaySingle(31, "z", 90_000);
         assertEquals(1, dials.size(), "the second finds none that rests for it");
-        single.look(20 + Links.REST);
-        assertEquals("y", line.sent.get(1).getRelay().getId());
+        single.look(20 + AttemptDispatcher.REST);
+        assertEquals("y", line.sent.get(1).getAttempt().getRequestId());
     }
 
     /**
@@ -473,7 +474,7 @@
         relaySingle(0, "x", 50_000);
         long dial = lastDial();
         single.dropUnsent(10, "x", 0);
-        assertEquals(Outcome.MOOT, ended.get("x"));
+        assertEquals(Outcome.NOT_STARTED, ended.get("x"));
         Fake line = upSingle(20, dial);
         assertEquals(List.of(), line.sent);
         relaySingle(30, "y", 50_000);
@@ -484,8 +485,14 @@
     @Test
     void whatWaitedTellsWhatIsLeftOfItsTime() {
         single.listed("a", new Address("127.0.0.1", 1));
-        single.relay(0, "a", "x", 0, 5_000, Relay.newBuilder().setId("x").setTimeLeft(50_000));
-        assertEquals(4_300, upSingle(700, lastDial()).sent.get(0).getRelay().getTimeLeft());
+        single.relay(
+                0,
+                "a",
+                "x",
+                0,
+                5_000,
+                Attempt.newBuilder().setRequestId("x").setTimeLeftMicros(50_000));
+        assertEquals(4_300, upSingle(700, lastDial()).sent.get(0).getAttempt().getTimeLeftMicros());
     }
 
     @Test
@@ -493,7 +500,7 @@
         single.listed("a", new Address("127.0.0.1", 1));
         relaySingle(0, "x", 50_000);
         Fake line = upSingle(1, lastDial());
-        single.lost(10, "a", line, false, line.sent.get(0).getRelay().getNumber());
+        single.lost(10, "a", line, false, line.sent.get(0).getAttempt().getNumber());
         assertEquals(Outcome.NO_CONNECTION, ended.get("x"));
         relaySingle(20, "y", 50_000);
         Fake other = upSingle(21, lastDial());
@@ -507,13 +514,13 @@
     @Test
     void theLagIsUpToWhenTheReplyWasRead() {
         List<Long> lags = new ArrayList<>();
-        Links timed =
-                new Links(
+        AttemptDispatcher timed =
+                new AttemptDispatcher(
                         new Transport(CONNECT, IDLE, 2, 1, PROBE, 1 << 20, 1 << 20, 1, 1),
                         this,
-                        new Outcomes() {
+                        new AttemptListener() {
                             @Override
-                            public void relayEnded(
+                            public void onAttemptEnded(
                                     String id,
                                     int attempt,
                                     Outcome outcome,
@@ -524,21 +531,21 @@
                             }
 
                             @Override
-                            public void probeEnded(
+                            public void onProbeEnded(
                                     String target, Outcome outcome, long lag, double waiting) {}
                         },
-                        new Counts(),
-                        new Outbox());
+                        new Counters(),
+                        new WriteBatch());
         timed.listed("a", new Address("127.0.0.1", 1));
-        timed.relay(0, "a", "x", 0, 50_000, Relay.newBuilder().setId("x"));
+        timed.relay(0, "a", "x", 0, 50_000, Attempt.newBuilder().setRequestId("x"));
         Fake line = new Fake(1, "a");
         timed.dialled(10, "a", lastDial(), line);
         timed.replied(
                 40_000,
                 700,
                 line,
-                Reply.newBuilder()
-                        .setNumber(line.sent.get(0).getRelay().getNumber())
+                AttemptReply.newBuilder()
+                        .setNumber(line.sent.get(0).getAttempt().getNumber())
                         .setOutcome(milletyoke.wire.proto.Outcome.SUCCEEDED)
                         .build());
         assertEquals(List.of(700L), lags);
@@ -590,7 +597,8 @@
         relay(500, "y");
         Fake late = up(CONNECT, dials.keySet().iterator().next());
         links.look(CONNECT);
-        assertEquals(List.of("y"), late.sent.stream().map(f -> f.getRelay().getId()).toList());
+        assertEquals(
+                List.of("y"), late.sent.stream().map(f -> f.getAttempt().getRequestId()).toList());
         assertEquals(Map.of("x", Outcome.NO_CONNECTION), ended);
     }
 }
--- a/gateway/src/test/java/milletyoke/gateway/loop/RosterTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/loop/EndpointRegistryTest.java
@@ -4,20 +4,20 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import milletyoke.gateway.setup.Address;
+import milletyoke.gateway.config.Address;
+import milletyoke.wire.proto.EndpointList;
 import milletyoke.wire.proto.Health;
 import milletyoke.wire.proto.Scope;
 import milletyoke.wire.proto.Target;
-import milletyoke.wire.proto.TargetList;
 import org.junit.jupiter.api.Test;
 
 /**
  * What a list tells of addresses: who drains or is left out takes nothing new, who stays is not
  * disturbed.
  */
-class RosterTest implements Roster.Addresses {
+class EndpointRegistryTest implements EndpointRegistry.Addresses {
     private final List<String> told = new ArrayList<>();
-    private final Roster roster = new Roster(this);
+    private final EndpointRegistry roster = new EndpointRegistry(this);
 
     @Override
     public void listed(String target, Address address) {
@@ -35,7 +35,7 @@
     }
 
     private void list(Scope scope, String... targets) {
-        TargetList.Builder list = TargetList.newBuilder().setScope(scope);
+        EndpointList.Builder list = EndpointList.newBuilder().setScope(scope);
         for (String t : targets) {
             String[] parts = t.split(" ");
             list.addTarget(
--- a/gateway/src/test/java/milletyoke/gateway/loop/LedgerTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/loop/RequestTrackerTest.java
@@ -4,34 +4,35 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import milletyoke.gateway.link.Outbox;
-import milletyoke.gateway.picture.Accounts;
-import milletyoke.port.Action;
-import milletyoke.port.Outcome;
-import milletyoke.port.Provisioning;
-import milletyoke.wire.Line;
-import milletyoke.wire.proto.Access;
+import milletyoke.gateway.dispatch.WriteBatch;
+import milletyoke.gateway.status.ServiceStatistics;
+import milletyoke.scheduler.api.Action;
+import milletyoke.scheduler.api.Outcome;
+import milletyoke.scheduler.api.SchedulerSettings;
+import milletyoke.wire.Connection;
+import milletyoke.wire.proto.Attempt;
 import milletyoke.wire.proto.Frame;
-import milletyoke.wire.proto.Relay;
+import milletyoke.wire.proto.Request;
 import org.junit.jupiter.api.Test;
 
 /** What the ledger tells when a client leaves; no sockets and no clock. */
-class LedgerTest implements Ledger.Outlet {
+class RequestTrackerTest implements RequestTracker.AttemptSender {
     private final List<String> told = new ArrayList<>();
     private int freed;
-    private final Ledger ledger =
-            new Ledger(
+    private final RequestTracker ledger =
+            new RequestTracker(
                     "m",
                     50_000,
-                    new Counts(),
+                    new Counters(),
                     (client, access, stay) -> freed++,
-                    new Accounts(
-                            new Provisioning(1, List.of(), List.of(), null, null, false), false),
+                    new ServiceStatistics(
+                            new SchedulerSettings(1, List.of(), List.of(), null, null, false),
+                            false),
                     () -> 0,
-                    new Outbox());
+                    new WriteBatch());
 
-    private final Line client =
-            new Line() {
+    private final Connection client =
+            new Connection() {
                 @Override
                 public int id() {
                     return 7;
@@ -48,14 +49,14 @@
                 }
 
                 @Override
-                public void bye(String why) {}
+                public void closeWithReason(String why) {}
 
                 @Override
                 public void close(String why) {}
             };
 
     @Override
-    public void relay(String target, String id, int attempt, long giveUpAt, Relay.Builder relay) {
+    public void relay(String target, String id, int attempt, long giveUpAt, Attempt.Builder relay) {
         told.add("relay " + id + "/" + attempt);
     }
 
@@ -67,10 +68,10 @@
     @Override
     public void dropUnsent(String id, int attempt) {
         told.add("drop " + id + "/" + attempt);
-        ledger.relayEnded(
+        ledger.onAttemptEnded(
                 id,
                 attempt,
-                Outcome.MOOT,
+                Outcome.NOT_STARTED,
                 0,
                 null,
                 null); // as Links does where it had not been sent
@@ -92,9 +93,17 @@
     @Test
     void whatIsOutForAClientThatLeftIsDroppedWhereUnsent() {
         ledger.connect(this);
-        ledger.taken(0, 0, client, Access.newBuilder().setNumber(1).setTimeLeft(1_000_000).build());
-        ledger.taken(0, 0, client, Access.newBuilder().setNumber(2).setTimeLeft(1_000_000).build());
-        ledger.carryOut(0, List.of(new Action.Relay("7-1", 1_000_000, "t")));
+        ledger.taken(
+                0,
+                0,
+                client,
+                Request.newBuilder().setNumber(1).setTimeLeftMicros(1_000_000).build());
+        ledger.taken(
+                0,
+                0,
+                client,
+                Request.newBuilder().setNumber(2).setTimeLeftMicros(1_000_000).build());
+        ledger.carryOut(0, List.of(new Action.SendAttempt("7-1", 1_000_000, "t")));
         ledger.clientGone(client);
         assertEquals(List.of("relay 7-1/0", "drop 7-1/0"), told);
         assertEquals(2, freed);
--- a/gateway/src/test/java/milletyoke/gateway/fleet/FollowingTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/reload/ConfigWatcherTest.java
@@ -1,4 +1,4 @@
-package milletyoke.gateway.fleet;
+package milletyoke.gateway.reload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,35 +9,35 @@
 import java.util.List;
 import milletyoke.config.Checker;
 import milletyoke.config.Fleet;
-import milletyoke.config.disk.DiskLibrary;
-import milletyoke.gateway.setup.Address;
-import milletyoke.gateway.setup.Deployment;
-import milletyoke.gateway.setup.Form;
-import milletyoke.gateway.setup.FromFleet;
-import milletyoke.gateway.setup.Setup;
-import milletyoke.gateway.setup.SetupError;
+import milletyoke.config.disk.FileSourceProvider;
+import milletyoke.gateway.config.Address;
+import milletyoke.gateway.config.ConfigException;
+import milletyoke.gateway.config.DeploymentSettings;
+import milletyoke.gateway.config.FleetConverter;
+import milletyoke.gateway.config.InitiatorConfig;
+import milletyoke.gateway.config.SettingsReader;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** A version is taken whole or not at all, and what is not taken changes nothing. */
-class FollowingTest {
+class ConfigWatcherTest {
     private static final String FIRST =
             "fleet { initiators 3; }\ninclude \"plans.fleet\";\n"
                     + "category read { repeats harmless; agreed 400ms; }\ncategory write { repeats one-shot; agreed 500ms; }\n";
 
     @TempDir Path folder;
     private final List<Fleet> applied = new ArrayList<>();
-    private Following following;
+    private ConfigWatcher following;
 
     @BeforeEach
     void start() throws Exception {
         write("plans.fleet", "plan basic { limit-rate 40u/s; limit-depth 40u; }\n");
         Path main = write("main.fleet", FIRST);
-        String name = Following.name(main);
-        Checker.Result checked = Checker.check(new DiskLibrary(), name);
+        String name = ConfigWatcher.name(main);
+        Checker.Result checked = Checker.check(new FileSourceProvider(), name);
         following =
-                new Following(
+                new ConfigWatcher(
                         name,
                         folder.resolve("state"),
                         checked.fleet(),
@@ -57,8 +57,8 @@
     }
 
     private double rate() {
-        return FromFleet.deployment(following.standing().fleet())
-                .provisioning()
+        return FleetConverter.deployment(following.standing().fleet())
+                .scheduler()
                 .plans()
                 .get(0)
                 .limitRate();
@@ -147,33 +147,33 @@
 
     @Test
     void whatIsConvertedMeansTheSame() throws Exception {
-        Deployment d =
-                Deployment.read(
-                        Form.of(
+        DeploymentSettings d =
+                DeploymentSettings.read(
+                        SettingsReader.of(
                                 "t",
                                 "{initiators: 5, listMustBeAsked: true, categories: [{name: \"a b\","
                                         + " repeats: \"stamped\", group: \"zone\", repeatWindow: \"2500 ms\", keyOrdered: true, agreedTime: \"1.5 s\","
                                         + " importance: 0.7}], plans: [{name: \"p\", reserve: 9.6, weight: 2.5, limitRate: 31, limitDepth: 36,"
                                         + " limitSlack: 6}], bounds: {cold: \"17 s\", coldShare: 0.29, coldBears: 11, fall: \"1 s\", tipMultiple: 2,"
                                         + " relayBudgetFree: 10, relayBudgetShare: 0.1, relayBudgetSpan: \"2 s\"}}"));
-        Path file = write("converted.fleet", FromFleet.text(d));
-        Checker.Result checked = Checker.check(new DiskLibrary(), Following.name(file));
+        Path file = write("converted.fleet", FleetConverter.text(d));
+        Checker.Result checked = Checker.check(new FileSourceProvider(), ConfigWatcher.name(file));
         assertTrue(checked.clean(), checked.findings().toString());
-        assertEquals(d, FromFleet.deployment(checked.fleet()));
+        assertEquals(d, FleetConverter.deployment(checked.fleet()));
     }
 
     @Test
     void aSetupNamesItsFile() throws Exception {
         String text =
                 "{name: 'i', listen: '127.0.0.1:0', discovery: '127.0.0.1:1', fleet: 'main.fleet'}";
-        Setup setup = Setup.of(Form.of("i.json5", text), folder);
+        InitiatorConfig setup = InitiatorConfig.of(SettingsReader.of("i.json5", text), folder);
         assertEquals(new Address("127.0.0.1", 0), setup.listen());
         assertEquals(2, setup.fleet().files().size());
         write("plans.fleet", "plan basic { weight 0; }\n");
         try {
-            Setup.of(Form.of("i.json5", text), folder);
+            InitiatorConfig.of(SettingsReader.of("i.json5", text), folder);
             throw new AssertionError("it was taken");
-        } catch (SetupError told) {
+        } catch (ConfigException told) {
             assertTrue(
                     told.getMessage().contains("plans.fleet:1:21: error [range]"),
                     told.getMessage());
--- a/gateway/src/test/java/milletyoke/gateway/picture/AccountsTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/status/ServiceStatisticsTest.java
@@ -1,4 +1,4 @@
-package milletyoke.gateway.picture;
+package milletyoke.gateway.status;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,21 +6,27 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import milletyoke.port.Provisioning;
-import milletyoke.port.Provisioning.*;
+import milletyoke.scheduler.api.SchedulerSettings;
+import milletyoke.scheduler.api.SchedulerSettings.*;
 import org.junit.jupiter.api.Test;
 
-class AccountsTest {
-    private static Accounts accounts() {
-        return new Accounts(
-                new Provisioning(
+class ServiceStatisticsTest {
+    private static ServiceStatistics accounts() {
+        return new ServiceStatistics(
+                new SchedulerSettings(
                         1,
                         List.of(
-                                new Category(
-                                        "read", Repeats.HARMLESS, Group.ALL, 0, false, 100_000, 1)),
-                        List.of(new Plan("free", 0, 1, 0, 0, 0)),
-                        new Allowances(1, false, false, false, 0),
-                        new Bounds(0, 0, 1, 0, 0, 1, 0, 0, 0, 0),
+                                new RequestClass(
+                                        "read",
+                                        Idempotency.IDEMPOTENT,
+                                        DeduplicationScope.ALL,
+                                        0,
+                                        false,
+                                        100_000,
+                                        1)),
+                        List.of(new ServicePlan("free", 0, 1, 0, 0, 0)),
+                        new Capabilities(1, false, false, false, 0),
+                        new RuleLimits(0, 0, 1, 0, 0, 1, 0, 0, 0, 0),
                         false));
     }
 
@@ -28,7 +34,7 @@
     @Test
     void percentilesOfASecondWhetherFewOrMany() {
         SplittableRandom chance = new SplittableRandom(4);
-        Accounts accounts = accounts();
+        ServiceStatistics accounts = accounts();
         int second = 1;
         for (int count : new int[] {1, 2, 3, 10, 63, 64, 65, 100, 5_000, 7}) {
             int[] times = new int[count];
@@ -36,12 +42,17 @@
                 times[i] = 100 + chance.nextInt(200_000);
                 accounts.asked(second * 1_000_000L, "read", "free", "v");
                 accounts.ended(
-                        second * 1_000_000L, "read", "free", "v", Accounts.End.ANSWERED, times[i]);
+                        second * 1_000_000L,
+                        "read",
+                        "free",
+                        "v",
+                        ServiceStatistics.End.ANSWERED,
+                        times[i]);
             }
             Arrays.sort(times);
             accounts.turn((second + 1) * 1_000_000L);
             for (String series : List.of("category:read", "plan:free", "volume:v")) {
-                Picture.Second told =
+                StatusSnapshot.SecondSummary told =
                         accounts.rows((second + 1) * 1_000_000L, 1).get(0).series().get(series);
                 assertEquals(count, told.answered());
                 assertNear(times[Math.max(0, (count * 50 + 99) / 100 - 1)], told.p50());
@@ -61,16 +72,17 @@
      */
     @Test
     void seriesAreBoundedAndSlotsComeFree() {
-        Accounts accounts = accounts();
+        ServiceStatistics accounts = accounts();
         for (int v = 0; v < 1_000; v++) {
             accounts.asked(1_000_000, "read", "free", "v" + v);
         }
         accounts.asked(2_000_000, "read", "free", "v999");
         accounts.turn(3_000_000);
-        List<Accounts.Row> rows = accounts.rows(3_000_000, 2);
+        List<ServiceStatistics.Row> rows = accounts.rows(3_000_000, 2);
         assertEquals(
-                1_000 - Accounts.MOST_SERIES, rows.get(0).series().get("volume:others").asked());
-        assertEquals(Accounts.MOST_SERIES + 3, rows.get(0).series().size());
+                1_000 - ServiceStatistics.MOST_SERIES,
+                rows.get(0).series().get("volume:others").asked());
+        assertEquals(ServiceStatistics.MOST_SERIES + 3, rows.get(0).series().size());
         accounts.asked(3_000_000, "read", "free", "v999");
         accounts.turn(4_000_000);
         assertEquals(
--- a/http/src/main/java/milletyoke/http/Heads.java
+++ b/http/src/main/java/milletyoke/http/HeaderWriter.java
@@ -4,19 +4,19 @@
 import java.nio.charset.StandardCharsets;
 
 /** The head of a message on its way out; the body is written behind it as it is. */
-public final class Heads {
+public final class HeaderWriter {
     private final StringBuilder head = new StringBuilder(256);
 
-    private Heads(String start) {
+    private HeaderWriter(String start) {
         head.append(start).append("\r\n");
     }
 
-    public static Heads request(String method, String target) {
-        return new Heads(method + " " + target + " HTTP/1.1");
+    public static HeaderWriter request(String method, String target) {
+        return new HeaderWriter(method + " " + target + " HTTP/1.1");
     }
 
-    public static Heads answer(int status) {
-        return new Heads("HTTP/1.1 " + status + " " + reason(status));
+    public static HeaderWriter answer(int status) {
+        return new HeaderWriter("HTTP/1.1 " + status + " " + reason(status));
     }
 
     private static String reason(int status) {
@@ -40,8 +40,8 @@
         };
     }
 
-    /** The value must be free of line ends: what came through {@link Decoder} is. */
-    public Heads with(String name, String value) {
+    /** The value must be free of line ends: what came through {@link HttpMessageDecoder} is. */
+    public HeaderWriter with(String name, String value) {
         head.append(name).append(": ").append(value).append("\r\n");
         return this;
     }
@@ -50,20 +50,20 @@
      * Seconds with three decimals, rounded down; below one millisecond what is left of it is told
      * as one.
      */
-    public Heads withSeconds(String name, long micros) {
+    public HeaderWriter withSeconds(String name, long micros) {
         long millis = Math.max(1, micros / 1000);
         String part = Long.toString(millis % 1000 + 1000);
         return with(name, millis / 1000 + "." + part.substring(1));
     }
 
     /** Fields that are lines already, each ended. */
-    public Heads lines(String lines) {
+    public HeaderWriter lines(String lines) {
         head.append(lines);
         return this;
     }
 
     /** Says how long the body is that is written behind the head. */
-    public Heads withLength(int bytes) {
+    public HeaderWriter withLength(int bytes) {
         return with("Content-Length", Integer.toString(bytes));
     }
 
--- a/http/src/main/java/milletyoke/http/HttpConn.java
+++ b/http/src/main/java/milletyoke/http/HttpConnection.java
@@ -20,9 +20,9 @@
  * closing gracefully (its output is shut behind the last write, what still comes in is dropped),
  * then closed. Each step is taken once and never back.
  */
-public final class HttpConn {
+public final class HttpConnection {
     /** How a write ended. */
-    public interface Written {
+    public interface WriteListener {
         /** Its last byte was handed to the system. */
         void written();
 
@@ -38,7 +38,7 @@
 
     private final int id;
     private final Connection<SocketAddress> connection;
-    private final HttpNet.Handler handler;
+    private final HttpTransport.Handler handler;
     private final AtomicBoolean closed = new AtomicBoolean(), outputShut = new AtomicBoolean();
 
     /** Writes that the system has not taken whole. */
@@ -53,7 +53,7 @@
     private int drained;
 
     @SuppressWarnings("unchecked") // a TCP connection's addresses are socket addresses
-    HttpConn(int id, Connection<?> connection, HttpNet.Handler handler) {
+    HttpConnection(int id, Connection<?> connection, HttpTransport.Handler handler) {
         this.id = id;
         this.connection = (Connection<SocketAddress>) connection;
         this.handler = handler;
@@ -63,7 +63,7 @@
         return id;
     }
 
-    HttpNet.Handler handler() {
+    HttpTransport.Handler handler() {
         return handler;
     }
 
@@ -96,12 +96,12 @@
         peerGone = true;
     }
 
-    public void write(ByteBuffer bytes, Written then) {
+    public void write(ByteBuffer bytes, WriteListener then) {
         write(Buffers.wrap(MemoryManager.DEFAULT_MEMORY_MANAGER, bytes), then);
     }
 
     /** Both, one behind the other, without a copy of the second. */
-    public void write(ByteBuffer head, ByteBuffer body, Written then) {
+    public void write(ByteBuffer head, ByteBuffer body, WriteListener then) {
         if (!body.hasRemaining()) {
             write(head, then);
             return;
@@ -113,7 +113,7 @@
                 then);
     }
 
-    private void write(Buffer bytes, Written then) {
+    private void write(Buffer bytes, WriteListener then) {
         writing.incrementAndGet();
         connection.write(
                 bytes,
--- a/http/src/main/java/milletyoke/http/Message.java
+++ b/http/src/main/java/milletyoke/http/HttpMessage.java
@@ -11,7 +11,8 @@
  * @param status 0 for a request
  * @param fields in the order in which they came
  */
-public record Message(String method, String target, int status, List<Field> fields, byte[] body) {
+public record HttpMessage(
+        String method, String target, int status, List<HeaderField> fields, byte[] body) {
     /**
      * What holds between two neighbours alone and is never passed on (RFC 9110 section 7.6.1),
      * beside what Connection names.
@@ -34,12 +35,12 @@
     /**
      * @param name in lower case @param sent the name as it came
      */
-    public record Field(String name, String value, String sent) {}
+    public record HeaderField(String name, String value, String sent) {}
 
     /** Fields from end to end but those named (in lower case), each as a line, as they came. */
     public String endToEnd(Set<String> but) {
         StringBuilder lines = new StringBuilder();
-        for (Field f : fields) {
+        for (HeaderField f : fields) {
             if (!HOP_BY_HOP.contains(f.name()) && !but.contains(f.name()) && !isOption(f.name())) {
                 lines.append(f.sent()).append(": ").append(f.value()).append("\r\n");
             }
@@ -53,7 +54,7 @@
      */
     public String only(String name) {
         String found = null;
-        for (Field f : fields) {
+        for (HeaderField f : fields) {
             if (f.name().equals(name)) {
                 if (found != null) {
                     return null;
@@ -67,7 +68,7 @@
     /** How often a field stands there. */
     public int count(String name) {
         int times = 0;
-        for (Field f : fields) {
+        for (HeaderField f : fields) {
             times += f.name().equals(name) ? 1 : 0;
         }
         return times;
@@ -80,7 +81,7 @@
 
     /** Whether Connection names it. */
     private boolean isOption(String name) {
-        for (Field f : fields) {
+        for (HeaderField f : fields) {
             if (f.name().equals("connection")) {
                 for (String option : f.value().split(",")) {
                     if (option.strip().equalsIgnoreCase(name)) {
--- a/http/src/main/java/milletyoke/http/Decoder.java
+++ b/http/src/main/java/milletyoke/http/HttpMessageDecoder.java
@@ -14,7 +14,7 @@
  * ends, and a start that cannot be right at its first wrong byte. Keeps no more than a head, and of
  * a body what has come of it.
  */
-public final class Decoder {
+public final class HttpMessageDecoder {
     /** Whose messages are read. */
     public enum Side {
         REQUESTS,
@@ -68,7 +68,7 @@
     private boolean blankSeen;
     private String method = "", target = "";
     private int status;
-    private List<Message.Field> fields = new ArrayList<>();
+    private List<HttpMessage.HeaderField> fields = new ArrayList<>();
     private byte[] body = EMPTY;
     private int bodyLength;
 
@@ -82,18 +82,18 @@
      * What bodies take of together beyond {@link #ALONE} each; null where they may be as long as
      * the limits say.
      */
-    private final Allowance allowance;
+    private final SharedByteBudget allowance;
 
     private int taken;
 
-    public Decoder(Side side, Limits limits) {
+    public HttpMessageDecoder(Side side, Limits limits) {
         this(side, limits, null);
     }
 
     /**
      * @param allowance for the room of bodies beyond the first 2 KiB; {@link #drop} gives it back
      */
-    public Decoder(Side side, Limits limits, Allowance allowance) {
+    public HttpMessageDecoder(Side side, Limits limits, SharedByteBudget allowance) {
         this.side = side;
         this.limits = limits;
         this.allowance = allowance;
@@ -127,16 +127,16 @@
      * @return null where more must come
      * @throws Malformed where the connection is of no further use; nothing more may be fed
      */
-    public Message take(ByteBuffer in) throws Malformed {
+    public HttpMessage take(ByteBuffer in) throws HttpParseException {
         try {
             return next(in);
-        } catch (Malformed bad) {
+        } catch (HttpParseException bad) {
             malformed = true;
             throw bad;
         }
     }
 
-    private Message next(ByteBuffer in) throws Malformed {
+    private HttpMessage next(ByteBuffer in) throws HttpParseException {
         while (in.hasRemaining()) {
             if (at == At.UNTIL_END) {
                 untilEnd(in);
@@ -162,18 +162,18 @@
      *
      * @return the answer that was to last until then; null where there is none, or it is not whole
      */
-    public Message ended() {
+    public HttpMessage ended() {
         return at == At.UNTIL_END && !malformed ? finished() : null;
     }
 
     /** Adds one byte to the line; true where it ended the line. */
-    private boolean byteOfLine(byte b) throws Malformed {
+    private boolean byteOfLine(byte b) throws HttpParseException {
         if (++headBytes > limits.head()) {
-            throw new Malformed(431, "a head of over " + limits.head() + " bytes");
+            throw new HttpParseException(431, "a head of over " + limits.head() + " bytes");
         }
         if (afterReturn) {
             if (b != '\n') {
-                throw new Malformed(400, "a carriage return alone");
+                throw new HttpParseException(400, "a carriage return alone");
             }
             afterReturn = false;
             return true;
@@ -183,7 +183,7 @@
             return false;
         }
         if (b >= 0 && b < ' ' && b != '\t' || b == 0x7f) {
-            throw new Malformed(400, "a control character in a head");
+            throw new HttpParseException(400, "a control character in a head");
         }
         if (length == line.length) {
             line = Arrays.copyOf(line, 2 * line.length);
@@ -194,20 +194,21 @@
     }
 
     /** Noise shows at its first byte: who sends it and then nothing is not waited for. */
-    private void checkStart(byte b) throws Malformed {
+    private void checkStart(byte b) throws HttpParseException {
         if (at != At.START) {
             return;
         }
         if (side == Side.ANSWERS) {
             if (length <= VERSION.length && b != VERSION[length - 1]) {
-                throw new Malformed(400, "no answer of HTTP/1.1");
+                throw new HttpParseException(400, "no answer of HTTP/1.1");
             }
         } else if (b < 0 || b == '\t') {
-            throw new Malformed(400, "a request line holds visible characters of ASCII alone");
+            throw new HttpParseException(
+                    400, "a request line holds visible characters of ASCII alone");
         } else if (length <= LONGEST_METHOD + 1 && !isToken(b) && spaces() == 0) {
-            throw new Malformed(400, "no method");
+            throw new HttpParseException(400, "no method");
         } else if (length == LONGEST_METHOD + 1 && spaces() == 0) {
-            throw new Malformed(501, "a method of over " + LONGEST_METHOD + " characters");
+            throw new HttpParseException(501, "a method of over " + LONGEST_METHOD + " characters");
         }
     }
 
@@ -220,7 +221,7 @@
     }
 
     /** Acts on a whole line; true where the message is complete. */
-    private boolean endOfLine() throws Malformed {
+    private boolean endOfLine() throws HttpParseException {
         int end = length;
         length = 0;
         switch (at) {
@@ -240,7 +241,7 @@
             case CHUNK_SIZE -> chunkSize(end);
             case CHUNK_END -> {
                 if (end != 0) {
-                    throw new Malformed(400, "a chunk that is longer than it says");
+                    throw new HttpParseException(400, "a chunk that is longer than it says");
                 }
                 at = At.CHUNK_SIZE;
             }
@@ -253,26 +254,27 @@
     }
 
     /** One empty line ahead of a request is borne (RFC 9112 section 2.2). */
-    private void blankLine() throws Malformed {
+    private void blankLine() throws HttpParseException {
         if (side == Side.ANSWERS || blankSeen) {
-            throw new Malformed(400, "an empty line in place of a start line");
+            throw new HttpParseException(400, "an empty line in place of a start line");
         }
         blankSeen = true;
         headBytes = 0;
     }
 
-    private void requestLine(String text) throws Malformed {
+    private void requestLine(String text) throws HttpParseException {
         int first = text.indexOf(' ');
         int last = text.lastIndexOf(' ');
         if (first < 1
                 || last == first
                 || text.indexOf(' ', first + 1) != last
                 || last == first + 1) {
-            throw new Malformed(400, "a request line that is not method, target and version");
+            throw new HttpParseException(
+                    400, "a request line that is not method, target and version");
         }
         String version = text.substring(last + 1);
         if (!version.equals("HTTP/1.1")) {
-            throw new Malformed(
+            throw new HttpParseException(
                     version.matches("HTTP/[0-9]\\.[0-9]") ? 505 : 400, "HTTP/1.1 is spoken here");
         }
         method = text.substring(0, first);
@@ -280,7 +282,7 @@
         at = At.FIELDS;
     }
 
-    private void statusLine(String text) throws Malformed {
+    private void statusLine(String text) throws HttpParseException {
         int from = VERSION.length;
         boolean shaped =
                 text.length() >= from + 3
@@ -290,29 +292,29 @@
         }
         status = shaped ? Integer.parseInt(text.substring(from, from + 3)) : 0;
         if (status < 100 || status > 599 || status == 101) {
-            throw new Malformed(400, "a status line without a status that can be meant");
+            throw new HttpParseException(400, "a status line without a status that can be meant");
         }
         at = At.FIELDS;
     }
 
-    private boolean field(int end) throws Malformed {
+    private boolean field(int end) throws HttpParseException {
         fields.add(readField(end));
         if (fields.size() > limits.fields()) {
-            throw new Malformed(431, "over " + limits.fields() + " fields");
+            throw new HttpParseException(431, "over " + limits.fields() + " fields");
         }
         return false;
     }
 
-    private Message.Field readField(int end) throws Malformed {
+    private HttpMessage.HeaderField readField(int end) throws HttpParseException {
         int colon = 0;
         while (colon < end && line[colon] != ':') {
             if (!isToken(line[colon])) {
-                throw new Malformed(400, "a field name with a character that none has");
+                throw new HttpParseException(400, "a field name with a character that none has");
             }
             colon++;
         }
         if (colon == 0 || colon == end) {
-            throw new Malformed(400, "a line that is no field");
+            throw new HttpParseException(400, "a line that is no field");
         }
         int from = colon + 1;
         int to = end;
@@ -323,29 +325,30 @@
             to--;
         }
         String sent = text(0, colon);
-        return new Message.Field(sent.toLowerCase(Locale.ROOT), text(from, to), sent);
+        return new HttpMessage.HeaderField(sent.toLowerCase(Locale.ROOT), text(from, to), sent);
     }
 
     /** How the body is framed (RFC 9112 section 6.3), without its last resorts. */
-    private boolean headEnded() throws Malformed {
-        Message head = new Message(method, target, status, fields, EMPTY);
+    private boolean headEnded() throws HttpParseException {
+        HttpMessage head = new HttpMessage(method, target, status, fields, EMPTY);
         if (side == Side.ANSWERS && status < 200) {
             return nextAnswer();
         }
         if (side == Side.REQUESTS && head.count("host") != 1) {
-            throw new Malformed(400, "a request names its host once (RFC 9112 section 3.2)");
+            throw new HttpParseException(
+                    400, "a request names its host once (RFC 9112 section 3.2)");
         }
         int lengths = head.count("content-length");
         int codings = head.count("transfer-encoding");
         if (lengths > 0 && codings > 0) {
-            throw new Malformed(400, "both Content-Length and Transfer-Encoding");
+            throw new HttpParseException(400, "both Content-Length and Transfer-Encoding");
         }
         if (lengths > 1 || codings > 1) {
-            throw new Malformed(400, "its framing is told twice");
+            throw new HttpParseException(400, "its framing is told twice");
         }
         if (codings == 1) {
             if (!head.only("transfer-encoding").equalsIgnoreCase("chunked")) {
-                throw new Malformed(501, "chunked is the only transfer coding taken");
+                throw new HttpParseException(501, "chunked is the only transfer coding taken");
             }
             at = At.CHUNK_SIZE;
         } else if (lengths == 1) {
@@ -357,7 +360,7 @@
         }
         boolean bare = side == Side.ANSWERS && (status == 204 || status == 304);
         if (bare && (codings > 0 || left > 0)) {
-            throw new Malformed(400, "a body where none can be");
+            throw new HttpParseException(400, "a body where none can be");
         }
         String expects = head.only("expect");
         continueOwed =
@@ -368,9 +371,9 @@
     }
 
     /** An interim answer is skipped (RFC 9110 section 15.2); so many and no more. */
-    private boolean nextAnswer() throws Malformed {
+    private boolean nextAnswer() throws HttpParseException {
         if (++interim > MOST_INTERIM) {
-            throw new Malformed(400, "over " + MOST_INTERIM + " interim answers");
+            throw new HttpParseException(400, "over " + MOST_INTERIM + " interim answers");
         }
         fields = new ArrayList<>();
         headBytes = 0;
@@ -378,60 +381,61 @@
         return false;
     }
 
-    private int length(String text) throws Malformed {
+    private int length(String text) throws HttpParseException {
         boolean digits = !text.isEmpty();
         for (int i = 0; i < text.length(); i++) {
             digits &= text.charAt(i) >= '0' && text.charAt(i) <= '9';
         }
         if (!digits) {
-            throw new Malformed(400, "a length that is no number");
+            throw new HttpParseException(400, "a length that is no number");
         }
         if (text.length() > 9 || Integer.parseInt(text) > limits.body()) {
             String told = text.length() > 20 ? text.substring(0, 20) + "..." : text;
-            throw new Malformed(
+            throw new HttpParseException(
                     413, "a body of " + told + " bytes, " + limits.body() + " are the most");
         }
         return Integer.parseInt(text);
     }
 
-    private void chunkSize(int end) throws Malformed {
+    private void chunkSize(int end) throws HttpParseException {
         int digits = 0;
         int size = 0;
         while (digits < end && Character.digit(line[digits], 16) >= 0) {
             if (++digits > LONGEST_SIZE) {
-                throw new Malformed(400, "a chunk's size of over " + LONGEST_SIZE + " digits");
+                throw new HttpParseException(
+                        400, "a chunk's size of over " + LONGEST_SIZE + " digits");
             }
             long next = 16L * size + Character.digit(line[digits - 1], 16);
             if (next > limits.body()) {
-                throw new Malformed(413, "a body of over " + limits.body() + " bytes");
+                throw new HttpParseException(413, "a body of over " + limits.body() + " bytes");
             }
             size = (int) next;
         }
         if (digits == 0 || digits < end) { // an extension means nothing here, and hides much
-            throw new Malformed(400, "a chunk's size that is no number");
+            throw new HttpParseException(400, "a chunk's size that is no number");
         }
         if (bodyLength + size > limits.body()) {
-            throw new Malformed(413, "a body of over " + limits.body() + " bytes");
+            throw new HttpParseException(413, "a body of over " + limits.body() + " bytes");
         }
         left = size;
         at = size == 0 ? At.TRAILER : At.CHUNK;
     }
 
-    private boolean trailer(int end) throws Malformed {
+    private boolean trailer(int end) throws HttpParseException {
         readField(end);
         return false;
     }
 
-    private void untilEnd(ByteBuffer in) throws Malformed {
+    private void untilEnd(ByteBuffer in) throws HttpParseException {
         if (bodyLength + in.remaining() > limits.body()) {
-            throw new Malformed(413, "a body of over " + limits.body() + " bytes");
+            throw new HttpParseException(413, "a body of over " + limits.body() + " bytes");
         }
         left = in.remaining();
         body(in);
     }
 
     /** Room grows with what came, not with what was announced. */
-    private void body(ByteBuffer in) throws Malformed {
+    private void body(ByteBuffer in) throws HttpParseException {
         int some = Math.min(left, in.remaining());
         if (bodyLength + some > body.length) {
             int whole =
@@ -441,7 +445,7 @@
             int room = Math.min(whole, Math.max(bodyLength + some, 2 * body.length));
             int beyond = allowance == null ? 0 : Math.max(0, room - ALONE) - taken;
             if (beyond > 0 && !allowance.take(beyond)) {
-                throw new Malformed(
+                throw new HttpParseException(
                         503,
                         "no room for a body of "
                                 + (bodyLength + left)
@@ -455,9 +459,9 @@
         left -= some;
     }
 
-    private Message finished() {
+    private HttpMessage finished() {
         byte[] whole = bodyLength == body.length ? body : Arrays.copyOf(body, bodyLength);
-        Message message = new Message(method, target, status, fields, whole);
+        HttpMessage message = new HttpMessage(method, target, status, fields, whole);
         at = At.START;
         headBytes = 0;
         interim = 0;
--- a/http/src/main/java/milletyoke/http/Malformed.java
+++ b/http/src/main/java/milletyoke/http/HttpParseException.java
@@ -6,7 +6,7 @@
  * What came is no message that is taken here; the connection is of no further use, for its framing
  * is lost.
  */
-public final class Malformed extends IOException {
+public final class HttpParseException extends IOException {
     private static final long serialVersionUID = 1L;
 
     private final int status;
@@ -14,7 +14,7 @@
     /**
      * @param status what a server answers (RFC 9110 section 15.5)
      */
-    public Malformed(int status, String what) {
+    public HttpParseException(int status, String what) {
         super(what, null);
         this.status = status;
     }
--- a/http/src/main/java/milletyoke/http/HttpNet.java
+++ b/http/src/main/java/milletyoke/http/HttpTransport.java
@@ -29,22 +29,22 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /** Sockets that carry bytes both ways, served by one thread. */
-public final class HttpNet implements AutoCloseable {
+public final class HttpTransport implements AutoCloseable {
     private static final int READ_AT_ONCE = 16 * 1024, BACKLOG = 1024;
-    private static final Attribute<HttpConn> CONN =
+    private static final Attribute<HttpConnection> CONN =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("milletyoke.http");
 
     /**
      * One end of one connection. All but {@code closed} are called on the thread of the sockets.
      */
     public interface Handler {
-        void opened(HttpConn conn);
+        void opened(HttpConnection conn);
 
         /** Bytes came; what is not taken is lost, and the buffer is another's afterwards. */
-        void read(HttpConn conn, ByteBuffer in);
+        void read(HttpConnection conn, ByteBuffer in);
 
         /** Called once, on any thread; nothing comes after it. */
-        void closed(HttpConn conn, String why);
+        void closed(HttpConnection conn, String why);
     }
 
     /** A bound address. */
@@ -61,7 +61,7 @@
     }
 
     /** A connection in the making, which can be given up. */
-    public interface Attempt {
+    public interface ConnectAttempt {
         void giveUp();
     }
 
@@ -69,7 +69,7 @@
     private final TCPNIOTransport transport;
     private final ByteBuffer in = ByteBuffer.allocateDirect(READ_AT_ONCE);
 
-    public HttpNet(String name) throws IOException {
+    public HttpTransport(String name) throws IOException {
         TCPNIOTransportBuilder builder =
                 TCPNIOTransportBuilder.newInstance()
                         .setIOStrategy(SameThreadIOStrategy.getInstance())
@@ -115,12 +115,12 @@
 
         @Override
         public void hold() {
-            HttpConn.quietly(() -> server.disableIOEvent(IOEvent.SERVER_ACCEPT));
+            HttpConnection.quietly(() -> server.disableIOEvent(IOEvent.SERVER_ACCEPT));
         }
 
         @Override
         public void goOn() {
-            HttpConn.quietly(() -> server.enableIOEvent(IOEvent.SERVER_ACCEPT));
+            HttpConnection.quietly(() -> server.enableIOEvent(IOEvent.SERVER_ACCEPT));
         }
 
         @Override
@@ -133,7 +133,7 @@
      * Connects without waiting; the handler's opened tells of success, {@code failed} of the reason
      * why not.
      */
-    public Attempt connect(String host, int port, Handler handler, Consumer<String> failed) {
+    public ConnectAttempt connect(String host, int port, Handler handler, Consumer<String> failed) {
         var connector =
                 TCPNIOConnectorHandler.builder(transport).processor(chain(() -> handler)).build();
         GrizzlyFuture<Connection> made = connector.connect(new InetSocketAddress(host, port));
@@ -168,7 +168,7 @@
     private final class Reading extends TransportFilter {
         @Override
         public NextAction handleRead(FilterChainContext ctx) {
-            HttpConn conn = CONN.get(ctx.getConnection());
+            HttpConnection conn = CONN.get(ctx.getConnection());
             if (conn == null
                     || !(((NIOConnection) ctx.getConnection()).getChannel()
                             instanceof SocketChannel channel)) {
@@ -221,7 +221,8 @@
         }
 
         private void opened(Connection<?> connection) {
-            HttpConn conn = new HttpConn(ids.incrementAndGet(), connection, handlers.get());
+            HttpConnection conn =
+                    new HttpConnection(ids.incrementAndGet(), connection, handlers.get());
             CONN.set(connection, conn);
             connection.addCloseListener(
                     (closeable, type) -> conn.ended("closed (" + type + ")", false));
@@ -230,7 +231,7 @@
 
         @Override
         public void exceptionOccurred(FilterChainContext ctx, Throwable error) {
-            HttpConn conn = CONN.get(ctx.getConnection());
+            HttpConnection conn = CONN.get(ctx.getConnection());
             if (conn != null) {
                 conn.close("reading failed: " + error);
             }
--- a/http/src/main/java/milletyoke/http/Allowance.java
+++ b/http/src/main/java/milletyoke/http/SharedByteBudget.java
@@ -6,14 +6,14 @@
  * Bytes that many connections share, so that each may need much while all together stay bounded.
  * Any thread may ask.
  */
-public final class Allowance {
+public final class SharedByteBudget {
     private final long most;
     private final AtomicLong taken = new AtomicLong();
 
     /**
      * @param most bytes
      */
-    public Allowance(long most) {
+    public SharedByteBudget(long most) {
         this.most = most;
     }
 
--- a/http/src/test/java/milletyoke/http/DecoderTest.java
+++ b/http/src/test/java/milletyoke/http/HttpMessageDecoderTest.java
@@ -20,9 +20,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The parser: what it takes, what it refuses, and that no cut of its input makes a difference. */
-class DecoderTest {
+class HttpMessageDecoderTest {
     private static final String HEAD = "PUT /api?a=b HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\n";
-    private static final Decoder.Limits SMALL = new Decoder.Limits(512, 16, 64);
+    private static final HttpMessageDecoder.Limits SMALL =
+            new HttpMessageDecoder.Limits(512, 16, 64);
 
     private static final List<String> REQUESTS =
             List.of(
@@ -50,14 +51,14 @@
                     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n");
 
     /** All that comes of the input, fed in pieces that end at {@code cuts}. */
-    private static String fed(Decoder decoder, byte[] input, int... cuts) {
+    private static String fed(HttpMessageDecoder decoder, byte[] input, int... cuts) {
         StringBuilder all = new StringBuilder();
         int from = 0;
         try {
             for (int i = 0; i <= cuts.length; i++) {
                 int to = i < cuts.length ? cuts[i] : input.length;
                 ByteBuffer piece = ByteBuffer.wrap(input, from, to - from);
-                for (Message m = decoder.take(piece); m != null; m = decoder.take(piece)) {
+                for (HttpMessage m = decoder.take(piece); m != null; m = decoder.take(piece)) {
                     all.append(m.method())
                             .append(m.target())
                             .append(m.status())
@@ -67,11 +68,11 @@
                 }
                 from = to;
             }
-        } catch (Malformed bad) {
+        } catch (HttpParseException bad) {
             all.append(bad.status()).append(bad.getMessage());
         }
         boolean partial = decoder.isPartial();
-        Message last = partial ? decoder.ended() : null;
+        HttpMessage last = partial ? decoder.ended() : null;
         return all.append(partial ? " partial" : "")
                 .append(
                         last == null
@@ -89,22 +90,22 @@
     @Test
     void everyCutOfEverySampleGivesTheSame() {
         int compared = 0;
-        for (Decoder.Side side : Decoder.Side.values()) {
-            for (String sample : side == Decoder.Side.REQUESTS ? REQUESTS : ANSWERS) {
+        for (HttpMessageDecoder.Side side : HttpMessageDecoder.Side.values()) {
+            for (String sample : side == HttpMessageDecoder.Side.REQUESTS ? REQUESTS : ANSWERS) {
                 byte[] input = bytes(sample);
-                String whole = fed(new Decoder(side, SMALL), input);
+                String whole = fed(new HttpMessageDecoder(side, SMALL), input);
                 int[] each = new int[input.length - 1];
                 for (int i = 0; i < each.length; i++) {
                     each[i] = i + 1;
                     assertEquals(
                             whole,
-                            fed(new Decoder(side, SMALL), input, i + 1),
+                            fed(new HttpMessageDecoder(side, SMALL), input, i + 1),
                             sample + " cut at " + (i + 1));
                     compared++;
                 }
                 assertEquals(
                         whole,
-                        fed(new Decoder(side, SMALL), input, each),
+                        fed(new HttpMessageDecoder(side, SMALL), input, each),
                         sample + " byte by byte");
             }
         }
@@ -113,14 +114,17 @@
 
     /**
      * Mutated samples: the same for any two cuts, never anything but a message or {@link
-     * Malformed}.
+     * HttpParseException}.
      */
     @Property(tries = 3000, seed = "20261201")
     void mutatedInputNeverSurprises(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int changes) {
         SplittableRandom chance = new SplittableRandom(seed);
-        Decoder.Side side = chance.nextBoolean() ? Decoder.Side.REQUESTS : Decoder.Side.ANSWERS;
-        List<String> samples = side == Decoder.Side.REQUESTS ? REQUESTS : ANSWERS;
+        HttpMessageDecoder.Side side =
+                chance.nextBoolean()
+                        ? HttpMessageDecoder.Side.REQUESTS
+                        : HttpMessageDecoder.Side.ANSWERS;
+        List<String> samples = side == HttpMessageDecoder.Side.REQUESTS ? REQUESTS : ANSWERS;
         byte[] input =
                 bytes(
                         samples.get(chance.nextInt(samples.size()))
@@ -135,7 +139,8 @@
         int a = chance.nextInt(input.length);
         int b = a + chance.nextInt(input.length - a);
         assertEquals(
-                fed(new Decoder(side, SMALL), input), fed(new Decoder(side, SMALL), input, a, b));
+                fed(new HttpMessageDecoder(side, SMALL), input),
+                fed(new HttpMessageDecoder(side, SMALL), input, a, b));
     }
 
     /**
@@ -144,7 +149,7 @@
      */
     @Test
     void anAnswerWithoutALengthLastsUntilItsConnectionEnds() throws Exception {
-        Decoder decoder = new Decoder(Decoder.Side.ANSWERS, SMALL);
+        HttpMessageDecoder decoder = new HttpMessageDecoder(HttpMessageDecoder.Side.ANSWERS, SMALL);
         assertNull(decoder.take(ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\n\r\nhalf"))));
         assertTrue(decoder.isPartial());
         assertNull(decoder.take(ByteBuffer.wrap(bytes(" and whole"))));
@@ -157,14 +162,15 @@
                         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhalf",
                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
                         "HTTP/1.1 103 Early\r\n\r\n")) {
-            Decoder other = new Decoder(Decoder.Side.ANSWERS, SMALL);
+            HttpMessageDecoder other =
+                    new HttpMessageDecoder(HttpMessageDecoder.Side.ANSWERS, SMALL);
             assertNull(other.take(ByteBuffer.wrap(bytes(unfinished))));
             assertNull(other.ended(), "not whole: " + unfinished);
         }
-        Decoder endless = new Decoder(Decoder.Side.ANSWERS, SMALL);
+        HttpMessageDecoder endless = new HttpMessageDecoder(HttpMessageDecoder.Side.ANSWERS, SMALL);
         assertNull(
                 endless.take(ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(64)))));
-        assertThrows(Malformed.class, () -> endless.take(ByteBuffer.wrap(bytes("x"))));
+        assertThrows(HttpParseException.class, () -> endless.take(ByteBuffer.wrap(bytes("x"))));
     }
 
     static Stream<String> ambiguous() {
@@ -197,19 +203,25 @@
     @MethodSource("ambiguous")
     void whatTwoReadersCouldReadDifferentlyIsRefused(String rest) {
         String told =
-                fed(new Decoder(Decoder.Side.REQUESTS, Decoder.Limits.USUAL), bytes(HEAD + rest));
+                fed(
+                        new HttpMessageDecoder(
+                                HttpMessageDecoder.Side.REQUESTS, HttpMessageDecoder.Limits.USUAL),
+                        bytes(HEAD + rest));
         assertTrue(told.matches("(?s)(400|413|501).*"), told);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"\u0016\u0003\u0001", "HTTQ", "HTTP/1.0 200 OK", "\n", "200 OK"})
     void noiseInPlaceOfAnAnswerShowsAtItsFirstWrongByte(String noise) {
-        assertTrue(fed(new Decoder(Decoder.Side.ANSWERS, SMALL), bytes(noise)).startsWith("400"));
+        assertTrue(
+                fed(new HttpMessageDecoder(HttpMessageDecoder.Side.ANSWERS, SMALL), bytes(noise))
+                        .startsWith("400"));
     }
 
     @Test
-    void aHeadWithoutEndIsRefusedAtItsBound() throws Malformed {
-        Decoder decoder = new Decoder(Decoder.Side.REQUESTS, SMALL);
+    void aHeadWithoutEndIsRefusedAtItsBound() throws HttpParseException {
+        HttpMessageDecoder decoder =
+                new HttpMessageDecoder(HttpMessageDecoder.Side.REQUESTS, SMALL);
         int status = 0;
         assertNull(decoder.take(ByteBuffer.wrap(bytes(HEAD))));
         for (int i = 0; i < 600 && status == 0; i++) {
@@ -227,7 +239,7 @@
                                                                         : i % 50 == 49
                                                                                 ? "\n"
                                                                                 : "y"))));
-            } catch (Malformed bad) {
+            } catch (HttpParseException bad) {
                 status = bad.status();
             }
         }
@@ -239,10 +251,14 @@
         String interim = "HTTP/1.1 100 Continue\r\n\r\n";
         String end = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
         assertTrue(
-                fed(new Decoder(Decoder.Side.ANSWERS, SMALL), bytes(interim.repeat(16) + end))
+                fed(
+                                new HttpMessageDecoder(HttpMessageDecoder.Side.ANSWERS, SMALL),
+                                bytes(interim.repeat(16) + end))
                         .startsWith("200"));
         assertTrue(
-                fed(new Decoder(Decoder.Side.ANSWERS, SMALL), bytes(interim.repeat(17) + end))
+                fed(
+                                new HttpMessageDecoder(HttpMessageDecoder.Side.ANSWERS, SMALL),
+                                bytes(interim.repeat(17) + end))
                         .startsWith("400"));
     }
 
@@ -250,7 +266,8 @@
     void aHugeBodyIsRefusedAtItsHead() {
         String told =
                 fed(
-                        new Decoder(Decoder.Side.REQUESTS, Decoder.Limits.USUAL),
+                        new HttpMessageDecoder(
+                                HttpMessageDecoder.Side.REQUESTS, HttpMessageDecoder.Limits.USUAL),
                         bytes(HEAD + "Content-Length: 62914560\r\n\r\n"));
         assertTrue(told.startsWith("413"), told);
     }
@@ -260,29 +277,34 @@
      * more.
      */
     @Test
-    void bodiesThatDoNotEndShareTheirRoom() throws Malformed {
-        Allowance allowance = new Allowance(200 * 1024);
+    void bodiesThatDoNotEndShareTheirRoom() throws HttpParseException {
+        SharedByteBudget allowance = new SharedByteBudget(200 * 1024);
         byte[] most = bytes(HEAD + "Content-Length: 65536\r\n\r\n" + "x".repeat(60 * 1024));
-        List<Decoder> stopped = new ArrayList<>();
+        List<HttpMessageDecoder> stopped = new ArrayList<>();
         int refused = 0;
         for (int i = 0; i < 100; i++) {
-            Decoder decoder = new Decoder(Decoder.Side.REQUESTS, Decoder.Limits.USUAL, allowance);
+            HttpMessageDecoder decoder =
+                    new HttpMessageDecoder(
+                            HttpMessageDecoder.Side.REQUESTS,
+                            HttpMessageDecoder.Limits.USUAL,
+                            allowance);
             stopped.add(decoder);
             try {
                 assertNull(decoder.take(ByteBuffer.wrap(most)));
-            } catch (Malformed full) {
+            } catch (HttpParseException full) {
                 assertEquals(503, full.status(), "trying again is harmless: it was never taken");
                 refused++;
             }
         }
         assertEquals(97, refused);
-        stopped.forEach(Decoder::drop);
+        stopped.forEach(HttpMessageDecoder::drop);
         assertTrue(allowance.take(200 * 1024), "all of it came back");
     }
 
     @Test
-    void whoWaitsToBeToldToGoOnIsKnownOnce() throws Malformed {
-        Decoder decoder = new Decoder(Decoder.Side.REQUESTS, SMALL);
+    void whoWaitsToBeToldToGoOnIsKnownOnce() throws HttpParseException {
+        HttpMessageDecoder decoder =
+                new HttpMessageDecoder(HttpMessageDecoder.Side.REQUESTS, SMALL);
         assertNull(
                 decoder.take(
                         ByteBuffer.wrap(
--- a/http/src/test/java/milletyoke/http/HttpNetTest.java
+++ b/http/src/test/java/milletyoke/http/HttpTransportTest.java
@@ -27,26 +27,26 @@
  * up is released.
  */
 @Timeout(60)
-class HttpNetTest {
-    private static final class Ear implements HttpNet.Handler {
-        final CompletableFuture<HttpConn> opened = new CompletableFuture<>();
+class HttpTransportTest {
+    private static final class Ear implements HttpTransport.Handler {
+        final CompletableFuture<HttpConnection> opened = new CompletableFuture<>();
         final CompletableFuture<String> closed = new CompletableFuture<>();
 
         @Override
-        public void opened(HttpConn conn) {
+        public void opened(HttpConnection conn) {
             opened.complete(conn);
         }
 
         @Override
-        public void read(HttpConn conn, ByteBuffer in) {}
+        public void read(HttpConnection conn, ByteBuffer in) {}
 
         @Override
-        public void closed(HttpConn conn, String why) {
+        public void closed(HttpConnection conn, String why) {
             closed.complete(why);
         }
     }
 
-    private static final class Fate implements HttpConn.Written {
+    private static final class Fate implements HttpConnection.WriteListener {
         final CompletableFuture<Boolean> whole = new CompletableFuture<>();
 
         @Override
@@ -84,7 +84,7 @@
     void whatIsGivenUpWhileItConnectsIsReleased() throws Exception {
         assumeTrue(Files.isDirectory(Path.of("/proc/self/fd")));
         List<Socket> filling = new ArrayList<>();
-        try (HttpNet net = new HttpNet("test");
+        try (HttpTransport net = new HttpTransport("test");
                 ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             try {
                 for (int i = 0; i < 20; i++) {
@@ -96,14 +96,14 @@
                 // its queue is full now
             }
             long before = sockets();
-            List<HttpNet.Attempt> attempts = new ArrayList<>();
+            List<HttpTransport.ConnectAttempt> attempts = new ArrayList<>();
             CompletableFuture<String> failed = new CompletableFuture<>();
             for (int i = 0; i < 10; i++) {
                 attempts.add(
                         net.connect("127.0.0.1", full.getLocalPort(), new Ear(), failed::complete));
             }
             assertEquals(before + 10, sockets());
-            attempts.forEach(HttpNet.Attempt::giveUp);
+            attempts.forEach(HttpTransport.ConnectAttempt::giveUp);
             failed.get();
             while (sockets() > before) {
                 TimeUnit.MILLISECONDS.sleep(5);
@@ -117,12 +117,12 @@
 
     @Test
     void aWriteThatCannotLeaveWholeIsToldSo() throws Exception {
-        try (HttpNet net = new HttpNet("test");
+        try (HttpTransport net = new HttpTransport("test");
                 ServerSocket server = new ServerSocket(0)) {
             Ear ear = new Ear();
             net.connect("127.0.0.1", server.getLocalPort(), ear, why -> {});
             Socket peer = server.accept();
-            HttpConn conn = ear.opened.get();
+            HttpConnection conn = ear.opened.get();
             Fate small = new Fate();
             conn.write(ByteBuffer.allocate(100), small);
             assertTrue(small.whole.get(), "the system took it");
@@ -145,7 +145,7 @@
         try (ServerSocket gone = new ServerSocket(0)) {
             port = gone.getLocalPort();
         }
-        try (HttpNet net = new HttpNet("test")) {
+        try (HttpTransport net = new HttpTransport("test")) {
             CompletableFuture<String> failed = new CompletableFuture<>();
             net.connect("127.0.0.1", port, new Ear(), failed::complete);
             failed.get();
@@ -156,30 +156,31 @@
      * Accepts one connection, and does with it on its first bytes what is asked for; keeps what
      * else it was told.
      */
-    private static final class Accepted implements HttpNet.Handler {
-        final java.util.function.Consumer<HttpConn> first;
+    private static final class Accepted implements HttpTransport.Handler {
+        final java.util.function.Consumer<HttpConnection> first;
         final AtomicInteger reads = new AtomicInteger();
         final CompletableFuture<String> closed = new CompletableFuture<>();
         Socket peer;
 
-        Accepted(HttpNet net, java.util.function.Consumer<HttpConn> first) throws IOException {
+        Accepted(HttpTransport net, java.util.function.Consumer<HttpConnection> first)
+                throws IOException {
             this.first = first;
             peer = new Socket("127.0.0.1", net.listen("127.0.0.1", 0, () -> this).port());
             peer.setSoTimeout(30_000);
         }
 
         @Override
-        public void opened(HttpConn conn) {}
+        public void opened(HttpConnection conn) {}
 
         @Override
-        public void read(HttpConn conn, ByteBuffer in) {
+        public void read(HttpConnection conn, ByteBuffer in) {
             if (reads.incrementAndGet() == 1) {
                 first.accept(conn);
             }
         }
 
         @Override
-        public void closed(HttpConn conn, String why) {
+        public void closed(HttpConnection conn, String why) {
             closed.complete(why);
         }
     }
@@ -190,7 +191,7 @@
      */
     @Test
     void aGracefulCloseOverUnreadBytesResetsNothing() throws Exception {
-        try (HttpNet net = new HttpNet("test")) {
+        try (HttpTransport net = new HttpTransport("test")) {
             Accepted accepted =
                     new Accepted(
                             net,
@@ -214,7 +215,7 @@
     @Test
     void aGracefulCloseWaitsForWhatWasWritten() throws Exception {
         int size = 32 << 20;
-        try (HttpNet net = new HttpNet("test")) {
+        try (HttpTransport net = new HttpTransport("test")) {
             Socket peer =
                     new Accepted(
                                     net,
@@ -238,8 +239,8 @@
 
     @Test
     void whoNeverStopsSendingIsResetInTheEnd() throws Exception {
-        try (HttpNet net = new HttpNet("test")) {
-            Socket peer = new Accepted(net, HttpConn::closeGracefully).peer;
+        try (HttpTransport net = new HttpTransport("test")) {
+            Socket peer = new Accepted(net, HttpConnection::closeGracefully).peer;
             assertThrows(
                     IOException.class,
                     () -> {
@@ -253,13 +254,13 @@
     /** An answer without a length rests on this. */
     @Test
     void anEndIsToldFromAReset() throws Exception {
-        try (HttpNet net = new HttpNet("test");
+        try (HttpTransport net = new HttpTransport("test");
                 ServerSocket server = new ServerSocket(0)) {
             for (boolean reset : new boolean[] {false, true}) {
                 Ear ear = new Ear();
                 net.connect("127.0.0.1", server.getLocalPort(), ear, why -> {});
                 Socket peer = server.accept();
-                HttpConn conn = ear.opened.get();
+                HttpConnection conn = ear.opened.get();
                 peer.getOutputStream().write(1);
                 if (reset) {
                     peer.setSoLinger(true, 0);
--- a/lifecycle/src/main/java/milletyoke/admission/Admission.java
+++ b/lifecycle/src/main/java/milletyoke/admission/Admission.java
@@ -24,9 +24,9 @@
      * @param greed how many times the free room one volume may hold
      * @param longestAdvice microseconds
      */
-    public record Room(
+    public record CapacityLimits(
             int places, long bytes, double connectionPart, double greed, long longestAdvice) {
-        public Room {
+        public CapacityLimits {
             if (places < 1
                     || bytes < 1
                     || !(connectionPart > 0 && connectionPart <= 1)
@@ -49,7 +49,7 @@
     }
 
     /** Why there was no place. */
-    public enum Bound {
+    public enum CapacityBound {
         NONE,
         DAEMON_PLACES,
         DAEMON_BYTES,
@@ -64,11 +64,11 @@
      * @param bound NONE where it got its place
      * @param retryIn microseconds after which a place is likely, 0 where there is a place
      */
-    public record Verdict(Bound bound, long retryIn) {
-        private static final Verdict ADMITTED = new Verdict(Bound.NONE, 0);
+    public record Verdict(CapacityBound bound, long retryIn) {
+        private static final Verdict ADMITTED = new Verdict(CapacityBound.NONE, 0);
 
         public boolean admitted() {
-            return bound == Bound.NONE;
+            return bound == CapacityBound.NONE;
         }
     }
 
@@ -77,20 +77,20 @@
         long bytes;
     }
 
-    private final Room room;
+    private final CapacityLimits room;
     private final Held all = new Held();
     private final Map<Integer, Held> byConnection = new HashMap<>();
     private final Map<String, Held> byVolume = new HashMap<>();
     private double meanStay;
 
-    public Admission(Room room) {
+    public Admission(CapacityLimits room) {
         this.room = room;
     }
 
     /** Takes a place where there is one. */
     public Verdict ask(int connection, String volume, long bytes) {
-        Bound bound = bound(connection, volume, bytes);
-        if (bound != Bound.NONE) {
+        CapacityBound bound = bound(connection, volume, bytes);
+        if (bound != CapacityBound.NONE) {
             return new Verdict(bound, advice());
         }
         add(all, 1, bytes);
@@ -99,26 +99,26 @@
         return Verdict.ADMITTED;
     }
 
-    private Bound bound(int connection, String volume, long bytes) {
+    private CapacityBound bound(int connection, String volume, long bytes) {
         if (all.places >= room.places()) {
-            return Bound.DAEMON_PLACES;
+            return CapacityBound.DAEMON_PLACES;
         }
         if (all.bytes + bytes > room.bytes()) {
-            return Bound.DAEMON_BYTES;
+            return CapacityBound.DAEMON_BYTES;
         }
         Held c = byConnection.get(connection);
         if (c != null
                 && (c.places >= Math.max(1, room.connectionPart() * room.places())
                         || c.bytes + bytes > room.connectionPart() * room.bytes())) {
-            return Bound.CONNECTION;
+            return CapacityBound.CONNECTION;
         }
         Held v = byVolume.get(volume);
         if (v != null
                 && (v.places >= room.greed() * (room.places() - all.places)
                         || v.bytes + bytes > room.greed() * (room.bytes() - all.bytes))) {
-            return Bound.VOLUME;
+            return CapacityBound.VOLUME;
         }
-        return Bound.NONE;
+        return CapacityBound.NONE;
     }
 
     private static void add(Held held, int places, long bytes) {
--- a/lifecycle/src/main/java/milletyoke/admission/Names.java
+++ b/lifecycle/src/main/java/milletyoke/admission/NameTable.java
@@ -10,7 +10,7 @@
  * deployment of more volumes than the bound, which must be set over them; and a peer that fills it
  * keeps names out that were not used lately. Knows no clock; one owner at a time may call it.
  */
-public final class Names {
+public final class NameTable {
     private final int most;
     private final long kept;
 
@@ -21,7 +21,7 @@
      * @param most names in use at once
      * @param kept microseconds for which something is remembered of a name after its last use
      */
-    public Names(int most, long kept) {
+    public NameTable(int most, long kept) {
         if (most < 1 || kept < 0) {
             throw new IllegalArgumentException(
                     "at least one name, kept for 0 or more, is expected, not "
--- a/lifecycle/src/main/java/milletyoke/lifecycle/Lifecycle.java
+++ b/lifecycle/src/main/java/milletyoke/lifecycle/Lifecycle.java
@@ -22,10 +22,10 @@
      * @param eased and below this part no more; a gap keeps it from flapping
      * @param settled a daemon stays saturated for at least so long (microseconds)
      */
-    public record Marks(long listAge, double full, double eased, long settled) {
-        public static final Marks USUAL = new Marks(10_000_000, 0.9, 0.7, 1_000_000);
+    public record Thresholds(long listAge, double full, double eased, long settled) {
+        public static final Thresholds USUAL = new Thresholds(10_000_000, 0.9, 0.7, 1_000_000);
 
-        public Marks {
+        public Thresholds {
             if (!(full > eased && eased >= 0 && full <= 1)) {
                 throw new IllegalArgumentException(
                         "full must be over eased, both within 0 and 1, not " + full + ", " + eased);
@@ -34,11 +34,11 @@
     }
 
     /** One change of condition; {@code why} is in words. */
-    public record Transition(long at, Condition from, Condition to, String why) {}
+    public record Transition(long at, LifecycleState from, LifecycleState to, String why) {}
 
-    private final Marks marks;
+    private final Thresholds marks;
     private final ArrayDeque<Transition> past = new ArrayDeque<>();
-    private Condition condition = Condition.STARTING;
+    private LifecycleState condition = LifecycleState.STARTING;
     private boolean heardList;
     private int usable;
     private long listLostAt = -1;
@@ -47,11 +47,11 @@
     private String drainedBy;
     private boolean leaving;
 
-    public Lifecycle(Marks marks) {
+    public Lifecycle(Thresholds marks) {
         this.marks = marks;
     }
 
-    public Condition condition() {
+    public LifecycleState condition() {
         return condition;
     }
 
@@ -61,9 +61,9 @@
     }
 
     /** Takes a fact and returns the condition after it. */
-    public Condition tell(long now, Fact fact) {
+    public LifecycleState tell(long now, LifecycleEvent fact) {
         String why = learn(now, fact);
-        Condition next = judge(now);
+        LifecycleState next = judge(now);
         if (next != condition) {
             past.addLast(new Transition(now, condition, next, why));
             if (past.size() > REMEMBERED) {
@@ -74,8 +74,8 @@
         return condition;
     }
 
-    private String learn(long now, Fact fact) {
-        if (fact instanceof Fact.Listed f) {
+    private String learn(long now, LifecycleEvent fact) {
+        if (fact instanceof LifecycleEvent.EndpointListReceived f) {
             heardList |= !f.restored() || f.usable() > 0;
             usable = f.usable();
             listLostAt =
@@ -83,18 +83,18 @@
             return f.usable()
                     + " targets may be sent to"
                     + (f.restored() ? ", as known before the start" : "");
-        } else if (fact instanceof Fact.ListUnavailable) {
+        } else if (fact instanceof LifecycleEvent.DiscoveryUnavailable) {
             listLostAt = listLostAt < 0 ? now : listLostAt;
             return "discovery is lost";
-        } else if (fact instanceof Fact.Used f) {
-            return used(now, f.part());
-        } else if (fact instanceof Fact.Drain f) {
+        } else if (fact instanceof LifecycleEvent.UtilizationMeasured f) {
+            return used(now, f.utilization());
+        } else if (fact instanceof LifecycleEvent.DrainRequested f) {
             drainedBy = f.who();
             return "drained by " + f.who();
-        } else if (fact instanceof Fact.Undrain f) {
+        } else if (fact instanceof LifecycleEvent.DrainCancelled f) {
             drainedBy = null;
             return "put back by " + f.who();
-        } else if (fact instanceof Fact.Leave) {
+        } else if (fact instanceof LifecycleEvent.ShutdownRequested) {
             leaving = true;
             return "asked to end";
         }
@@ -111,26 +111,26 @@
         return Math.round(100 * part) + "% of the room is used";
     }
 
-    private Condition judge(long now) {
+    private LifecycleState judge(long now) {
         if (leaving) {
-            return Condition.LEAVING;
+            return LifecycleState.LEAVING;
         }
         if (drainedBy != null) {
-            return Condition.DRAINING;
+            return LifecycleState.DRAINING;
         }
         if (!heardList) {
             return listLostAt >= 0 && now - listLostAt >= marks.listAge()
-                    ? Condition.WITHOUT_LIST
-                    : Condition.STARTING;
+                    ? LifecycleState.WITHOUT_LIST
+                    : LifecycleState.STARTING;
         }
         if (usable == 0) {
-            return Condition.WITHOUT_LIST;
+            return LifecycleState.WITHOUT_LIST;
         }
         if (saturated) {
-            return Condition.SATURATED;
+            return LifecycleState.SATURATED;
         }
         return listLostAt >= 0 && now - listLostAt >= marks.listAge()
-                ? Condition.LIST_LOST
-                : Condition.READY;
+                ? LifecycleState.LIST_LOST
+                : LifecycleState.READY;
     }
 }
--- a/lifecycle/src/main/java/milletyoke/lifecycle/Condition.java
+++ b/lifecycle/src/main/java/milletyoke/lifecycle/LifecycleState.java
@@ -4,7 +4,7 @@
  * What a daemon is at one moment, in the order in which one outweighs the other: a later one hides
  * an earlier one.
  */
-public enum Condition {
+public enum LifecycleState {
     /** Knows its targets and has room. */
     READY(true, true, "takes accesses"),
     /**
@@ -26,7 +26,7 @@
     private final boolean fit;
     private final String tells;
 
-    Condition(boolean admits, boolean fit, String tells) {
+    LifecycleState(boolean admits, boolean fit, String tells) {
         this.admits = admits;
         this.fit = fit;
         this.tells = tells;
--- a/lifecycle/src/test/java/milletyoke/admission/AdmissionTest.java
+++ b/lifecycle/src/test/java/milletyoke/admission/AdmissionTest.java
@@ -21,7 +21,8 @@
 class AdmissionTest {
     private static final int PLACES = 24;
     private static final long BYTES = 2_000;
-    private static final Admission.Room ROOM = new Admission.Room(PLACES, BYTES, 0.75, 1, 500_000);
+    private static final Admission.CapacityLimits ROOM =
+            new Admission.CapacityLimits(PLACES, BYTES, 0.75, 1, 500_000);
 
     private record Place(int connection, String volume, long bytes) {}
 
@@ -144,7 +145,7 @@
      */
     @Property(tries = 100, seed = "20261201")
     void floodsLeaveRoomForOthers(@ForAll @IntRange(min = 1, max = 20) int floods) {
-        Admission admission = new Admission(new Admission.Room(1000, 1 << 30, 1, 1, 0));
+        Admission admission = new Admission(new Admission.CapacityLimits(1000, 1 << 30, 1, 1, 0));
         for (int round = 0; round < 1000; round++) {
             for (int f = 0; f < floods; f++) {
                 admission.ask(f, "flood-" + f, 1);
--- a/lifecycle/src/test/java/milletyoke/admission/NamesTest.java
+++ b/lifecycle/src/test/java/milletyoke/admission/NameTableTest.java
@@ -7,8 +7,8 @@
 import java.util.SplittableRandom;
 import net.jqwik.api.Example;
 
-class NamesTest {
-    private static boolean used(Names names, String name, long now) {
+class NameTableTest {
+    private static boolean used(NameTable names, String name, long now) {
         boolean admitted = names.admits(name, now);
         if (admitted) {
             names.use(name, now);
@@ -18,7 +18,7 @@
 
     @Example
     void aFloodOfNewNamesStopsAtTheBoundAndThoseInUseGoOn() {
-        Names names = new Names(100, 1_000);
+        NameTable names = new NameTable(100, 1_000);
         SplittableRandom chance = new SplittableRandom(3);
         int refused = 0;
         for (long now = 0; now < 200_000; now++) {
@@ -33,7 +33,7 @@
 
     @Example
     void aNameUnusedForLongEnoughMakesRoom() {
-        Names names = new Names(2, 1_000);
+        NameTable names = new NameTable(2, 1_000);
         assertTrue(used(names, "a", 0) && used(names, "b", 10) && used(names, "a", 500));
         assertFalse(used(names, "c", 1_009), "b was used less than its time ago");
         assertTrue(used(names, "c", 1_010));
--- a/lifecycle/src/test/java/milletyoke/lifecycle/LifecycleTest.java
+++ b/lifecycle/src/test/java/milletyoke/lifecycle/LifecycleTest.java
@@ -14,76 +14,92 @@
 /** What a daemon is after any order of facts. */
 class LifecycleTest {
     private static final long SECOND = 1_000_000;
-    private final Lifecycle life = new Lifecycle(Lifecycle.Marks.USUAL);
+    private final Lifecycle life = new Lifecycle(Lifecycle.Thresholds.USUAL);
     private long now = 100 * SECOND;
 
-    private Condition after(long seconds, Fact fact) {
+    private LifecycleState after(long seconds, LifecycleEvent fact) {
         now += seconds * SECOND;
         return life.tell(now, fact);
     }
 
     @Example
     void takesNothingUntilItKnowsATarget() {
-        assertEquals(Condition.STARTING, life.condition());
-        assertEquals(Condition.STARTING, after(0, new Fact.ListUnavailable()));
-        assertEquals(Condition.WITHOUT_LIST, after(10, new Fact.Tick()));
-        assertEquals(Condition.WITHOUT_LIST, after(1, new Fact.Listed(0, false)));
-        assertEquals(Condition.READY, after(1, new Fact.Listed(3, false)));
+        assertEquals(LifecycleState.STARTING, life.condition());
+        assertEquals(LifecycleState.STARTING, after(0, new LifecycleEvent.DiscoveryUnavailable()));
+        assertEquals(LifecycleState.WITHOUT_LIST, after(10, new LifecycleEvent.Tick()));
+        assertEquals(
+                LifecycleState.WITHOUT_LIST,
+                after(1, new LifecycleEvent.EndpointListReceived(0, false)));
+        assertEquals(
+                LifecycleState.READY, after(1, new LifecycleEvent.EndpointListReceived(3, false)));
     }
 
     @Example
     void aRestoredListIsUsedAndToldToBeOld() {
-        assertEquals(Condition.READY, after(0, new Fact.Listed(3, true)));
-        assertEquals(Condition.LIST_LOST, after(10, new Fact.Tick()));
-        assertEquals(Condition.READY, after(1, new Fact.Listed(3, false)));
+        assertEquals(
+                LifecycleState.READY, after(0, new LifecycleEvent.EndpointListReceived(3, true)));
+        assertEquals(LifecycleState.LIST_LOST, after(10, new LifecycleEvent.Tick()));
+        assertEquals(
+                LifecycleState.READY, after(1, new LifecycleEvent.EndpointListReceived(3, false)));
     }
 
     @Example
     void anEmptyRestoredListIsNone() {
-        assertEquals(Condition.STARTING, after(0, new Fact.Listed(0, true)));
+        assertEquals(
+                LifecycleState.STARTING,
+                after(0, new LifecycleEvent.EndpointListReceived(0, true)));
     }
 
     @Example
     void losingTheListWhileTargetsAreKnownIsAConditionOfItsOwn() {
-        after(0, new Fact.Listed(3, false));
-        assertEquals(Condition.READY, after(1, new Fact.ListUnavailable()));
-        assertEquals(Condition.READY, after(9, new Fact.ListUnavailable()));
-        assertEquals(Condition.LIST_LOST, after(1, new Fact.Tick()));
+        after(0, new LifecycleEvent.EndpointListReceived(3, false));
+        assertEquals(LifecycleState.READY, after(1, new LifecycleEvent.DiscoveryUnavailable()));
+        assertEquals(LifecycleState.READY, after(9, new LifecycleEvent.DiscoveryUnavailable()));
+        assertEquals(LifecycleState.LIST_LOST, after(1, new LifecycleEvent.Tick()));
         assertTrue(life.condition().admits());
     }
 
     @Example
     void saturationHasAGapAndATime() {
-        after(0, new Fact.Listed(3, false));
-        assertEquals(Condition.SATURATED, after(1, new Fact.Used(0.95)));
-        assertEquals(Condition.SATURATED, after(0, new Fact.Used(0.1)));
-        assertEquals(Condition.SATURATED, after(5, new Fact.Used(0.8)));
-        assertEquals(Condition.READY, after(1, new Fact.Used(0.5)));
-        assertEquals(Condition.READY, after(1, new Fact.Used(0.8)));
+        after(0, new LifecycleEvent.EndpointListReceived(3, false));
+        assertEquals(
+                LifecycleState.SATURATED, after(1, new LifecycleEvent.UtilizationMeasured(0.95)));
+        assertEquals(
+                LifecycleState.SATURATED, after(0, new LifecycleEvent.UtilizationMeasured(0.1)));
+        assertEquals(
+                LifecycleState.SATURATED, after(5, new LifecycleEvent.UtilizationMeasured(0.8)));
+        assertEquals(LifecycleState.READY, after(1, new LifecycleEvent.UtilizationMeasured(0.5)));
+        assertEquals(LifecycleState.READY, after(1, new LifecycleEvent.UtilizationMeasured(0.8)));
     }
 
     @Example
     void drainIsTakenBackAndLeavingIsNot() {
-        after(0, new Fact.Listed(3, false));
-        assertEquals(Condition.DRAINING, after(1, new Fact.Drain("ann")));
-        assertEquals(Condition.READY, after(1, new Fact.Undrain("ann")));
-        assertEquals(Condition.LEAVING, after(1, new Fact.Leave()));
-        assertEquals(Condition.LEAVING, after(1, new Fact.Undrain("ann")));
+        after(0, new LifecycleEvent.EndpointListReceived(3, false));
+        assertEquals(LifecycleState.DRAINING, after(1, new LifecycleEvent.DrainRequested("ann")));
+        assertEquals(LifecycleState.READY, after(1, new LifecycleEvent.DrainCancelled("ann")));
+        assertEquals(LifecycleState.LEAVING, after(1, new LifecycleEvent.ShutdownRequested()));
+        assertEquals(LifecycleState.LEAVING, after(1, new LifecycleEvent.DrainCancelled("ann")));
         assertEquals("drained by ann", life.past().get(1).why());
     }
 
     @Provide
-    Arbitrary<List<Fact>> facts() {
-        Arbitrary<Fact> any =
+    Arbitrary<List<LifecycleEvent>> facts() {
+        Arbitrary<LifecycleEvent> any =
                 Arbitraries.oneOf(
-                        Arbitraries.integers().between(0, 3).map(n -> new Fact.Listed(n, false)),
-                        Arbitraries.integers().between(0, 3).map(n -> new Fact.Listed(n, true)),
-                        Arbitraries.just(new Fact.ListUnavailable()),
-                        Arbitraries.just(new Fact.Tick()),
-                        Arbitraries.doubles().between(0, 1).map(Fact.Used::new),
-                        Arbitraries.just(new Fact.Drain("x")),
-                        Arbitraries.just(new Fact.Undrain("x")),
-                        Arbitraries.just(new Fact.Leave()));
+                        Arbitraries.integers()
+                                .between(0, 3)
+                                .map(n -> new LifecycleEvent.EndpointListReceived(n, false)),
+                        Arbitraries.integers()
+                                .between(0, 3)
+                                .map(n -> new LifecycleEvent.EndpointListReceived(n, true)),
+                        Arbitraries.just(new LifecycleEvent.DiscoveryUnavailable()),
+                        Arbitraries.just(new LifecycleEvent.Tick()),
+                        Arbitraries.doubles()
+                                .between(0, 1)
+                                .map(LifecycleEvent.UtilizationMeasured::new),
+                        Arbitraries.just(new LifecycleEvent.DrainRequested("x")),
+                        Arbitraries.just(new LifecycleEvent.DrainCancelled("x")),
+                        Arbitraries.just(new LifecycleEvent.ShutdownRequested()));
         return any.list().ofMaxSize(200);
     }
 
@@ -92,17 +108,17 @@
      * remembered in order.
      */
     @Property(tries = 500, seed = "20261201")
-    void whatAlwaysHolds(@ForAll("facts") List<Fact> facts) {
-        Lifecycle any = new Lifecycle(Lifecycle.Marks.USUAL);
+    void whatAlwaysHolds(@ForAll("facts") List<LifecycleEvent> facts) {
+        Lifecycle any = new Lifecycle(Lifecycle.Thresholds.USUAL);
         int usable = 0;
         boolean left = false;
-        Condition before = any.condition();
-        for (Fact fact : facts) {
+        LifecycleState before = any.condition();
+        for (LifecycleEvent fact : facts) {
             now += SECOND / 3;
-            usable = fact instanceof Fact.Listed l ? l.usable() : usable;
-            left |= fact instanceof Fact.Leave;
-            Condition after = any.tell(now, fact);
-            assertTrue(!left || after == Condition.LEAVING);
+            usable = fact instanceof LifecycleEvent.EndpointListReceived l ? l.usable() : usable;
+            left |= fact instanceof LifecycleEvent.ShutdownRequested;
+            LifecycleState after = any.tell(now, fact);
+            assertTrue(!left || after == LifecycleState.LEAVING);
             assertTrue(usable > 0 || !after.admits());
             if (after != before) {
                 var last = any.past().get(any.past().size() - 1);
--- a/rehearsal/src/main/java/milletyoke/rehearsal/Trace.java
+++ b/scenario/src/main/java/milletyoke/scenario/CapturedLoad.java
@@ -1,4 +1,4 @@
-package milletyoke.rehearsal;
+package milletyoke.scenario;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -7,17 +7,17 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import milletyoke.rehearsal.script.BadDay;
-import milletyoke.standins.Demand;
-import milletyoke.wire.capture.Traffic;
+import milletyoke.scenario.script.Scenario;
+import milletyoke.standins.LoadProfile;
+import milletyoke.wire.capture.CapturedTraffic;
 
 /**
  * Captured traffic as a day's demand: every access when it came, through the initiator that its
  * capture stands for (the first file for the first, and so on round), with its own volume, units
  * and time. The day says what its categories and plans are.
  */
-final class Trace {
-    private Trace() {}
+final class CapturedLoad {
+    private CapturedLoad() {}
 
     /**
      * Reads the day's captures.
@@ -26,17 +26,21 @@
      * @throws IOException where a capture cannot be read, or names what the day does not have; with
      *     the place
      */
-    static List<Demand.Traced> of(
-            BadDay day, List<Demand.Kind> kinds, List<Demand.Volume> all, List<String> names)
+    static List<LoadProfile.Traced> of(
+            Scenario day,
+            List<LoadProfile.RequestClass> kinds,
+            List<LoadProfile.Volume> all,
+            List<String> names)
             throws IOException {
-        Map<String, Demand.Volume> volumes = new LinkedHashMap<>();
-        List<Demand.Traced> trace = new ArrayList<>();
+        Map<String, LoadProfile.Volume> volumes = new LinkedHashMap<>();
+        List<LoadProfile.Traced> trace = new ArrayList<>();
         List<Path> files = day.load().traffic();
         for (int f = 0; f < files.size(); f++) {
             int n = 0;
-            for (Traffic.One one : Traffic.read(files.get(f)).accesses()) {
+            for (CapturedTraffic.CapturedRequest one :
+                    CapturedTraffic.read(files.get(f)).requests()) {
                 String place = files.get(f) + ": access " + ++n;
-                Demand.Kind kind =
+                LoadProfile.RequestClass kind =
                         kinds.stream()
                                 .filter(k -> k.name().equals(one.category()))
                                 .findFirst()
@@ -61,12 +65,12 @@
                                     + " targets, numbered from 0");
                 }
                 int[] through = new int[Math.max(1, Math.min(one.hosts(), day.initiators()))];
-                Demand.Volume volume =
+                LoadProfile.Volume volume =
                         volumes.computeIfAbsent(
                                 one.volume(),
-                                v -> new Demand.Volume(v, one.plan(), 0, new int[0], through));
+                                v -> new LoadProfile.Volume(v, one.plan(), 0, new int[0], through));
                 trace.add(
-                        new Demand.Traced(
+                        new LoadProfile.Traced(
                                 (long) (one.at() / day.load().speed()),
                                 kind,
                                 volume,
@@ -77,13 +81,13 @@
                                 one.timeLeft()));
             }
         }
-        trace.sort(Comparator.comparingLong(Demand.Traced::at));
+        trace.sort(Comparator.comparingLong(LoadProfile.Traced::at));
         if (!trace.isEmpty()) { // what came first comes at once; files that began together stay in
             // step
             long first = trace.get(0).at();
             trace.replaceAll(
                     t ->
-                            new Demand.Traced(
+                            new LoadProfile.Traced(
                                     t.at() - first,
                                     t.kind(),
                                     t.volume(),
--- a/rehearsal/src/main/java/milletyoke/rehearsal/Onlookers.java
+++ b/scenario/src/main/java/milletyoke/scenario/ConsoleViewers.java
@@ -1,4 +1,4 @@
-package milletyoke.rehearsal;
+package milletyoke.scenario;
 
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -14,7 +14,7 @@
 import org.HdrHistogram.ConcurrentHistogram;
 
 /** Viewers of one console: so many poll pages and JSON in turn, as many keep a stream open. */
-public final class Onlookers implements AutoCloseable {
+public final class ConsoleViewers implements AutoCloseable {
     private static final List<String> PATHS =
             List.of(
                     "/",
@@ -40,7 +40,7 @@
     /**
      * @param every milliseconds between two pages of one viewer
      */
-    public Onlookers(int port, String token, int viewers, long every) {
+    public ConsoleViewers(int port, String token, int viewers, long every) {
         List<HttpClient> clients = new ArrayList<>();
         for (int i = 0; i < viewers; i++) {
             HttpClient client =
