--- a/rehearsal/src/main/java/milletyoke/rehearsal/Stage.java
+++ b/scenario/src/main/java/milletyoke/scenario/ScenarioRunner.java
@@ -1,4 +1,4 @@
-package milletyoke.rehearsal;
+package milletyoke.scenario;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -27,35 +27,35 @@
 import java.util.function.Supplier;
 import java.util.stream.Stream;
 import milletyoke.config.Checker;
-import milletyoke.config.disk.DiskLibrary;
+import milletyoke.config.disk.FileSourceProvider;
 import milletyoke.gateway.Initiator;
-import milletyoke.gateway.fleet.Following;
-import milletyoke.gateway.setup.Address;
-import milletyoke.gateway.setup.Deployment;
-import milletyoke.gateway.setup.FromFleet;
-import milletyoke.gateway.setup.Setup;
-import milletyoke.gateway.setup.SetupError;
-import milletyoke.port.Decisions;
-import milletyoke.port.Provisioning;
-import milletyoke.port.Provisioning.Category;
-import milletyoke.port.Provisioning.Group;
-import milletyoke.port.Provisioning.Plan;
-import milletyoke.port.Provisioning.Repeats;
-import milletyoke.rehearsal.script.BadDay;
-import milletyoke.rehearsal.script.BadDay.Trouble;
-import milletyoke.standins.Clients;
-import milletyoke.standins.Demand;
+import milletyoke.gateway.config.Address;
+import milletyoke.gateway.config.ConfigException;
+import milletyoke.gateway.config.DeploymentSettings;
+import milletyoke.gateway.config.FleetConverter;
+import milletyoke.gateway.config.InitiatorConfig;
+import milletyoke.gateway.reload.ConfigWatcher;
+import milletyoke.scenario.script.Scenario;
+import milletyoke.scenario.script.Scenario.Fault;
+import milletyoke.scheduler.api.Scheduler;
+import milletyoke.scheduler.api.SchedulerSettings;
+import milletyoke.scheduler.api.SchedulerSettings.DeduplicationScope;
+import milletyoke.scheduler.api.SchedulerSettings.Idempotency;
+import milletyoke.scheduler.api.SchedulerSettings.RequestClass;
+import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
+import milletyoke.standins.DeduplicationCache;
 import milletyoke.standins.Discovery;
-import milletyoke.standins.Marks;
-import milletyoke.standins.Nature;
-import milletyoke.standins.Service;
+import milletyoke.standins.LoadGenerator;
+import milletyoke.standins.LoadProfile;
+import milletyoke.standins.ServiceLevelRecorder;
 import milletyoke.standins.Target;
-import milletyoke.wire.Sockets;
-import milletyoke.wire.Tap;
-import milletyoke.wire.World;
+import milletyoke.standins.TargetBehavior;
+import milletyoke.wire.ExecutionEnvironment;
+import milletyoke.wire.FrameObserver;
+import milletyoke.wire.SocketEnvironment;
 import milletyoke.wire.proto.Health;
 import milletyoke.wire.proto.Note;
-import milletyoke.wire.record.Recorder;
+import milletyoke.wire.recording.Recorder;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -63,22 +63,22 @@
  * Plays one bad day on loopback sockets: real initiators between stand-ins for clients, targets and
  * discovery, all in this process, and every trouble of the script at its time.
  */
-public final class Stage implements AutoCloseable {
-    private static final Logger LOG = LoggerFactory.getLogger(Stage.class);
+public final class ScenarioRunner implements AutoCloseable {
+    private static final Logger LOG = LoggerFactory.getLogger(ScenarioRunner.class);
 
     /** The machine stood still where a short sleep took this much longer (microseconds). */
     private static final long NAP = 5_000, STOOD = 15_000;
 
-    private final BadDay day;
-    private final World world;
-    private final Supplier<Decisions> instead;
+    private final Scenario day;
+    private final ExecutionEnvironment world;
+    private final Supplier<Scheduler> instead;
     private final boolean straight;
     private final Path consoleTokens;
 
     /** Plans as they are now; where their limits change, initiators follow a file. */
-    private final List<Plan> plans = new ArrayList<>();
+    private final List<ServicePlan> plans = new ArrayList<>();
 
-    private volatile Setup.FleetFile fleetFile;
+    private volatile InitiatorConfig.FleetFile fleetFile;
     private final Recorder recorder;
     private final Path folder;
     private final ScheduledExecutorService clockwork;
@@ -90,11 +90,11 @@
 
     private final List<Target> replaced = new ArrayList<>();
     private final Map<String, Long> launched = new ConcurrentHashMap<>();
-    private final Map<String, Marks> marks = new HashMap<>();
+    private final Map<String, DeduplicationCache> marks = new HashMap<>();
     private final Initiator[] initiators;
     private final int[] ports;
     private final boolean[] running;
-    private final Clients clients;
+    private final LoadGenerator clients;
     private final List<String> volumes = new ArrayList<>();
     private volatile boolean over;
 
@@ -105,8 +105,8 @@
      * @param cpuMicros of this process, for each access asked
      * @param coldUsed the largest part of what a cold target bears that any was sent
      */
-    public record Played(
-            Service service,
+    public record ScenarioResult(
+            ServiceLevelRecorder service,
             long unfinished,
             double cpuMicros,
             List<String> counts,
@@ -120,46 +120,46 @@
      * @param straight clients go straight to the targets, for comparison; there are no initiators
      *     then
      */
-    public Stage(BadDay day, Path recording, boolean straight) throws IOException {
+    public ScenarioRunner(Scenario day, Path recording, boolean straight) throws IOException {
         this(day, recording, straight, null);
     }
 
     /**
      * @param consoleTokens who may look at the initiators' consoles, null for no consoles
      */
-    public Stage(BadDay day, Path recording, boolean straight, Path consoleTokens)
+    public ScenarioRunner(Scenario day, Path recording, boolean straight, Path consoleTokens)
             throws IOException {
-        this(day, recording, straight, consoleTokens, new Sockets(), null);
+        this(day, recording, straight, consoleTokens, new SocketEnvironment(), null);
     }
 
     /**
      * @param world that the day is played in; where it is virtual, nobody looks at consoles
      * @param instead of the product's decisions, for comparison; null for these
      */
-    public Stage(
-            BadDay day,
+    public ScenarioRunner(
+            Scenario day,
             Path recording,
             boolean straight,
             Path consoleTokens,
-            World world,
-            Supplier<Decisions> instead)
+            ExecutionEnvironment world,
+            Supplier<Scheduler> instead)
             throws IOException {
         this.instead = instead;
         this.world = world;
         refuseWhatSocketsCannot(day);
-        clockwork = world.clockwork("clockwork", 3);
+        clockwork = world.newTimerExecutor("clockwork", 3);
         this.consoleTokens = consoleTokens;
         this.day = day;
         this.straight = straight;
         chance = new SplittableRandom(day.seed());
-        recorder = recording == null ? null : new Recorder(recording, world::micros);
+        recorder = recording == null ? null : new Recorder(recording, world::monotonicMicros);
         folder = Files.createTempDirectory("milletyoke-rehearsal");
-        plans.addAll(day.plans().stream().map(BadDay.PlanOf::plan).toList());
+        plans.addAll(day.plans().stream().map(Scenario.PlanOf::plan).toList());
         fleetFile =
-                day.troubles().stream().anyMatch(t -> t.sort() == BadDay.Sort.LIMIT)
+                day.troubles().stream().anyMatch(t -> t.sort() == Scenario.FaultType.LIMIT)
                         ? writeFleet()
                         : null;
-        note("stage", Note.Kind.BOUNDS, rules(), 0);
+        note("stage", Note.Kind.RULES, rules(), 0);
         initiators = new Initiator[straight ? 0 : day.initiators()];
         ports = new int[initiators.length];
         running = new boolean[initiators.length];
@@ -169,13 +169,14 @@
             Target target = target("t" + (shard + 1), shard);
             target.start(false);
             targets.add(target);
-            discovery.learn(entry(target, Health.ON));
+            discovery.learn(entry(target, Health.ACTIVE));
         }
         for (int i = 0; i < initiators.length; i++) {
             startInitiator(i);
         }
         clients =
-                new Clients(demand(), straight, chance.nextLong(), clockwork, tap("client"), world);
+                new LoadGenerator(
+                        demand(), straight, chance.nextLong(), clockwork, tap("client"), world);
         for (int i = 0; i < initiators.length; i++) {
             clients.addDoor(initiators[i].name(), "127.0.0.1", ports[i]);
         }
@@ -189,9 +190,9 @@
         }
     }
 
-    private void refuseWhatSocketsCannot(BadDay day) throws IOException {
+    private void refuseWhatSocketsCannot(Scenario day) throws IOException {
         if (!world.isVirtual()) {
-            for (Trouble t : day.troubles()) {
+            for (Fault t : day.troubles()) {
                 if (t.sort().virtual()) {
                     throw new IOException(
                             day.name()
@@ -214,8 +215,8 @@
         }
     }
 
-    private Tap tap(String witness) {
-        return recorder == null ? Tap.NONE : recorder.tap(witness);
+    private FrameObserver tap(String witness) {
+        return recorder == null ? FrameObserver.NONE : recorder.tap(witness);
     }
 
     private void note(String who, Note.Kind kind, String text, double figure) {
@@ -225,12 +226,12 @@
     }
 
     private void watchForStandstill() {
-        long last = world.micros();
+        long last = world.monotonicMicros();
         while (!over) {
             LockSupport.parkNanos(NAP * 1000);
-            long now = world.micros();
+            long now = world.monotonicMicros();
             if (now - last > NAP + STOOD) {
-                note("machine", Note.Kind.STOOD_STILL, "", now - last);
+                note("machine", Note.Kind.STALLED, "", now - last);
             }
             last = now;
         }
@@ -243,11 +244,11 @@
     }
 
     private Target target(String id, int shard) {
-        BadDay.Fleet f = day.fleet();
+        Scenario.Fleet f = day.fleet();
         double speed = f.speeds()[0] + chance.nextDouble() * (f.speeds()[1] - f.speeds()[0]);
-        BadDay.BoundsOf b = day.bounds();
-        Nature nature =
-                new Nature(
+        Scenario.BoundsOf b = day.bounds();
+        TargetBehavior nature =
+                new TargetBehavior(
                         f.cores(),
                         speed,
                         f.unit(),
@@ -285,15 +286,18 @@
      * The marks that the target of a shard shares with its group; null where repeats are not
      * dropped.
      */
-    private synchronized Marks marks(String category, int shard) {
-        for (Category c : day.categories()) {
-            if (c.name().equals(category) && c.repeats() == Repeats.STAMPED) {
+    private synchronized DeduplicationCache marks(String category, int shard) {
+        for (RequestClass c : day.categories()) {
+            if (c.name().equals(category) && c.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
                 String group =
-                        c.group() == Group.ALL
+                        c.deduplicationScope() == DeduplicationScope.ALL
                                 ? "all"
-                                : c.group() == Group.ZONE ? zone(shard) : "cell" + shard;
+                                : c.deduplicationScope() == DeduplicationScope.ZONE
+                                        ? zone(shard)
+                                        : "cell" + shard;
                 return marks.computeIfAbsent(
-                        category + " " + group, g -> new Marks(c.repeatWindow()));
+                        category + " " + group,
+                        g -> new DeduplicationCache(c.deduplicationWindowMicros()));
             }
         }
         return null;
@@ -306,8 +310,8 @@
 
     private void startInitiator(int i) throws IOException {
         String name = "initiator-" + (i + 1);
-        Setup setup =
-                new Setup(
+        InitiatorConfig setup =
+                new InitiatorConfig(
                         name,
                         i + 1,
                         new Address("127.0.0.1", ports[i]),
@@ -315,8 +319,8 @@
                         folder.resolve(name),
                         fleetFile == null
                                 ? day.deployment()
-                                : FromFleet.deployment(fleetFile.fleet()),
-                        new Setup.Transport(
+                                : FleetConverter.deployment(fleetFile.fleet()),
+                        new InitiatorConfig.Transport(
                                 250_000,
                                 30_000_000,
                                 4,
@@ -326,7 +330,7 @@
                                 8L << 20,
                                 5_000_000,
                                 2),
-                        new Setup.Room(
+                        new InitiatorConfig.CapacityLimits(
                                 day.held(),
                                 world.isVirtual() ? 1 << 12 : 1 << 16,
                                 1 << 16,
@@ -334,13 +338,13 @@
                                 3_600_000_000L),
                         consoleTokens == null
                                 ? null
-                                : new Setup.Console(
+                                : new InitiatorConfig.Console(
                                         new Address("127.0.0.1", 0), consoleTokens, 1000),
                         fleetFile);
-        note(name, Note.Kind.UP, "initiator", 0);
+        note(name, Note.Kind.STARTED, "initiator", 0);
         try {
             initiators[i] = Initiator.start(setup, tap(name), world, draw(), instead);
-        } catch (SetupError bad) {
+        } catch (ConfigException bad) {
             throw new IOException(bad.getMessage(), bad);
         }
         ports[i] = initiators[i].port();
@@ -351,36 +355,37 @@
      * Volumes of each plan, with data on one to four targets and a leading initiator each, drawn
      * from the seed.
      */
-    private Demand demand() throws IOException {
+    private LoadProfile demand() throws IOException {
         SplittableRandom draw = new SplittableRandom(day.seed());
-        List<Demand.Kind> kinds = new ArrayList<>();
-        double shares = day.kinds().stream().mapToDouble(BadDay.Kind::share).sum();
+        List<LoadProfile.RequestClass> kinds = new ArrayList<>();
+        double shares = day.kinds().stream().mapToDouble(Scenario.Kind::share).sum();
         for (int k = 0; k < day.kinds().size(); k++) {
-            BadDay.Kind kind = day.kinds().get(k);
-            Category c = day.categories().get(k);
+            Scenario.Kind kind = day.kinds().get(k);
+            RequestClass c = day.categories().get(k);
             kinds.add(
-                    new Demand.Kind(
+                    new LoadProfile.RequestClass(
                             c.name(),
                             kind.share() / shares,
                             kind.leastUnits(),
                             kind.mostUnits(),
                             kind.write(),
                             c.keyOrdered(),
-                            BadDay.repeats(c),
-                            c.repeats() == Repeats.STAMPED && c.group() == Group.ALL,
-                            c.agreedTime(),
+                            Scenario.repeats(c),
+                            c.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                                    && c.deduplicationScope() == DeduplicationScope.ALL,
+                            c.latencyObjectiveMicros(),
                             kind.abandon(),
-                            c.importance(),
+                            c.priorityWeight(),
                             kind.anywhere()));
         }
-        List<Demand.Volume> all = new ArrayList<>();
-        double parts = day.plans().stream().mapToDouble(BadDay.PlanOf::share).sum();
-        for (BadDay.PlanOf plan : day.plans()) {
+        List<LoadProfile.Volume> all = new ArrayList<>();
+        double parts = day.plans().stream().mapToDouble(Scenario.PlanOf::share).sum();
+        for (Scenario.PlanOf plan : day.plans()) {
             for (int v = 0; v < plan.volumes(); v++) {
                 String name = plan.plan().name() + "-" + (v + 1);
                 volumes.add(name);
                 all.add(
-                        new Demand.Volume(
+                        new LoadProfile.Volume(
                                 name,
                                 plan.plan().name(),
                                 plan.share() / parts / plan.volumes(),
@@ -388,10 +393,10 @@
                                 some(draw, day.initiators(), plan.hosts())));
             }
         }
-        BadDay.Load l = day.load();
-        List<Demand.Traced> trace =
-                l.traffic().isEmpty() ? List.of() : Trace.of(day, kinds, all, volumes);
-        return new Demand(
+        Scenario.Load l = day.load();
+        List<LoadProfile.Traced> trace =
+                l.traffic().isEmpty() ? List.of() : CapturedLoad.of(day, kinds, all, volumes);
+        return new LoadProfile(
                 l.rate(),
                 kinds,
                 all,
@@ -427,17 +432,17 @@
 
     private String rules() {
         List<Map<String, Object>> categories = new ArrayList<>();
-        for (Category c : day.categories()) {
+        for (RequestClass c : day.categories()) {
             categories.add(
                     Map.of(
                             "name",
                             c.name(),
                             "repeats",
-                            c.repeats().name().toLowerCase(Locale.ROOT),
+                            c.idempotency().keyword().replace('-', '_'),
                             "group",
-                            c.group().name().toLowerCase(Locale.ROOT),
+                            c.deduplicationScope().name().toLowerCase(Locale.ROOT),
                             "window",
-                            c.repeatWindow(),
+                            c.deduplicationWindowMicros(),
                             "ordered",
                             c.keyOrdered()));
         }
@@ -451,14 +456,14 @@
                                         "rate",
                                         p.limitRate(),
                                         "depth",
-                                        p.limitDepth(),
+                                        p.limitBurst(),
                                         "slack",
                                         p.limitSlack())));
-        BadDay.BoundsOf b = day.bounds();
+        Scenario.BoundsOf b = day.bounds();
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("categories", categories);
         all.put("plans", plans);
-        all.put("maxRelays", day.allowances().maxRelays());
+        all.put("maxRelays", day.allowances().maxAttempts());
         all.put("answerSlack", b.answerSlack());
         all.put("drainGrace", b.drainGrace());
         all.put("keyQuiet", b.keyQuiet());
@@ -497,7 +502,7 @@
     /**
      * Plays the day to its end. @param live hears a line of service every second; may do nothing
      */
-    public Played play(Consumer<String> live) throws IOException, InterruptedException {
+    public ScenarioResult play(Consumer<String> live) throws IOException, InterruptedException {
         int[] second = new int[1];
         return play(s -> live.accept(String.format("%3d s  %s", ++second[0], s.brief())), () -> {});
     }
@@ -508,7 +513,7 @@
      * @param each sees the service so far after every second
      * @param before is run when clients have stopped asking, before the initiators leave
      */
-    public Played play(Consumer<Service> each, Runnable before)
+    public ScenarioResult play(Consumer<ServiceLevelRecorder> each, Runnable before)
             throws IOException, InterruptedException {
         if (!clients.awaitDoors(10_000)) {
             throw new IOException("the clients found no way in within 10 s");
@@ -517,14 +522,14 @@
         long cpu = cpu();
         day.troubles().forEach(this::arrange);
         clients.start();
-        long start = world.micros();
-        for (long second = 1; world.micros() < start + day.lasts(); second++) {
+        long start = world.monotonicMicros();
+        for (long second = 1; world.monotonicMicros() < start + day.lasts(); second++) {
             long until = Math.min(start + second * 1_000_000, start + day.lasts());
-            world.sleep(until - world.micros());
+            world.sleep(until - world.monotonicMicros());
             each.accept(clients.service());
         }
         before.run();
-        long longest = day.kinds().stream().mapToLong(BadDay.Kind::abandon).max().orElse(0);
+        long longest = day.kinds().stream().mapToLong(Scenario.Kind::abandon).max().orElse(0);
         int unfinished = clients.stop((longest + day.bounds().answerSlack()) / 1000 + 1_000);
         double cpuEach = (cpu() - cpu) / 1e3 / Math.max(1, clients.service().askedInAll());
         List<String> counts = new ArrayList<>();
@@ -540,7 +545,7 @@
                                 i.name(), i.counts(), p.turnP50(), p.turnP99(), 100 * p.costs()));
             }
         }
-        return new Played(
+        return new ScenarioResult(
                 clients.service(),
                 unfinished,
                 cpuEach,
@@ -558,7 +563,7 @@
                 .getProcessCpuTime();
     }
 
-    private void arrange(Trouble t) {
+    private void arrange(Fault t) {
         if (t.under() > 0) {
             after(t.at(), () -> await(t, clients.service().sums()));
             return;
@@ -574,7 +579,7 @@
     }
 
     /** Looks ten times a second whether service of the last second is under the trouble's part. */
-    private void await(Trouble t, double[]... seconds) {
+    private void await(Fault t, double[]... seconds) {
         after(
                 100_000,
                 () -> {
@@ -622,7 +627,7 @@
                 TimeUnit.MICROSECONDS);
     }
 
-    private List<Integer> struck(BadDay.Selection whom, int of) {
+    private List<Integer> struck(Scenario.Selection whom, int of) {
         if (whom.number() > 0) {
             return List.of(whom.number() - 1);
         }
@@ -638,13 +643,13 @@
         return chance.nextLong();
     }
 
-    private List<Target> struckTargets(Trouble t) {
+    private List<Target> struckTargets(Fault t) {
         synchronized (targets) {
             return struck(t.whom(), targets.size()).stream().map(targets::get).toList();
         }
     }
 
-    private void strike(Trouble t) throws Exception {
+    private void strike(Fault t) throws Exception {
         switch (t.sort()) {
             case HANG -> span(t, x -> x.hang(true), x -> x.hang(false));
             case UNREACHABLE ->
@@ -675,7 +680,7 @@
                     span(
                             t,
                             x -> discovery.change(entry(x, Health.DRAINING)),
-                            x -> discovery.change(entry(x, Health.ON)));
+                            x -> discovery.change(entry(x, Health.ACTIVE)));
             case AGE -> age(t);
             case LIST_LATE -> {
                 discovery.lag(t.range()[0], t.range()[1]);
@@ -694,7 +699,7 @@
             }
             case LIST_FLAP -> flap(t);
             case PARTITION -> partition(t);
-            case CLOCK -> world.stepClock(t.span());
+            case CLOCK -> world.adjustWallClock(t.span());
             case KILL -> struckInitiators(t).forEach(i -> kill(i, between(t.range())));
             case LEAVE -> struckInitiators(t).forEach(i -> leave(i, between(t.range())));
             case STILL ->
@@ -706,12 +711,12 @@
                                                     () ->
                                                             note(
                                                                     "initiator-" + (i + 1),
-                                                                    Note.Kind.STOOD_STILL,
+                                                                    Note.Kind.STALLED,
                                                                     "",
                                                                     t.span())));
             case SURGE -> {
                 Set<String> whom = new LinkedHashSet<>();
-                struck(new BadDay.Selection(1, 0), volumes.size()).stream()
+                struck(new Scenario.Selection(1, 0), volumes.size()).stream()
                         .limit(t.count())
                         .forEach(v -> whom.add(volumes.get(v)));
                 clients.surge(whom, t.figure());
@@ -733,14 +738,14 @@
         return range[0] + (range[1] > range[0] ? Math.floorMod(draw(), range[1] - range[0]) : 0);
     }
 
-    private List<Integer> struckInitiators(Trouble t) {
+    private List<Integer> struckInitiators(Fault t) {
         return struck(t.whom(), initiators.length).stream()
                 .filter(i -> initiators.length > 0)
                 .toList();
     }
 
     /** Shown and hidden in turn, shown at the end. */
-    private void flap(Trouble t) {
+    private void flap(Fault t) {
         Set<String> some = new LinkedHashSet<>();
         struckTargets(t).forEach(x -> some.add(x.id()));
         boolean hide = true;
@@ -752,16 +757,17 @@
         after(t.span(), () -> discovery.hide(Set.of()));
     }
 
-    private void partition(Trouble t) {
-        List<Integer> shards = struck(new BadDay.Selection(t.figure(), t.count()), targets.size());
+    private void partition(Fault t) {
+        List<Integer> shards =
+                struck(new Scenario.Selection(t.figure(), t.count()), targets.size());
         for (int i : struckInitiators(t)) {
             String one = "initiator-" + (i + 1);
             for (int shard : shards) {
                 String other = targets.get(shard).id();
-                boolean work = (t.every() & BadDay.GREY) != 0;
-                world.cut(one, other, work, t.span());
-                if ((t.every() & BadDay.ONE_WAY) == 0) {
-                    world.cut(other, one, work, t.span());
+                boolean work = (t.every() & Scenario.GREY) != 0;
+                world.partition(one, other, work, t.span());
+                if ((t.every() & Scenario.ONE_WAY) == 0) {
+                    world.partition(other, one, work, t.span());
                 }
             }
         }
@@ -773,49 +779,49 @@
      * The deployment in the configuration language, written aside and renamed as a careful operator
      * would.
      */
-    private Setup.FleetFile writeFleet() throws IOException {
-        Provisioning p = day.deployment().provisioning();
-        Deployment now =
-                new Deployment(
-                        new Provisioning(
-                                p.initiators(),
-                                p.categories(),
+    private InitiatorConfig.FleetFile writeFleet() throws IOException {
+        SchedulerSettings p = day.deployment().scheduler();
+        DeploymentSettings now =
+                new DeploymentSettings(
+                        new SchedulerSettings(
+                                p.initiatorCount(),
+                                p.requestClasses(),
                                 List.copyOf(plans),
-                                p.allowances(),
-                                p.bounds(),
-                                p.listMustBeAsked()),
-                        day.deployment().answerSlack(),
-                        day.deployment().drainGrace());
+                                p.capabilities(),
+                                p.limits(),
+                                p.mustWatchEndpoints()),
+                        day.deployment().answerSlackMicros(),
+                        day.deployment().drainGraceMicros());
         Path file = folder.resolve("main.fleet");
         Path aside = folder.resolve("main.fleet.new");
-        Files.writeString(aside, FromFleet.text(now));
+        Files.writeString(aside, FleetConverter.text(now));
         Files.move(
                 aside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-        String name = Following.name(file);
-        Checker.Result checked = Checker.check(new DiskLibrary(), name);
+        String name = ConfigWatcher.name(file);
+        Checker.Result checked = Checker.check(new FileSourceProvider(), name);
         if (!checked.clean()) {
             throw new IOException("the day cannot be told in the language: " + checked.findings());
         }
-        return new Setup.FleetFile(name, checked.fleet(), checked.files());
+        return new InitiatorConfig.FleetFile(name, checked.fleet(), checked.files());
     }
 
-    private synchronized void changeLimit(Trouble t) throws IOException {
+    private synchronized void changeLimit(Fault t) throws IOException {
         plans.replaceAll(
                 p ->
                         p.name().equals(t.name())
-                                ? new Plan(
+                                ? new ServicePlan(
                                         p.name(),
-                                        p.reserve(),
+                                        p.reservationRate(),
                                         p.weight(),
                                         t.figure(),
                                         t.range()[0],
                                         t.range()[1])
                                 : p);
         fleetFile = writeFleet(); // who starts from now on reads this one
-        note("stage", Note.Kind.BOUNDS, rules(), 0);
+        note("stage", Note.Kind.RULES, rules(), 0);
     }
 
-    private void span(Trouble t, Consumer<Target> begins, Consumer<Target> ends) {
+    private void span(Fault t, Consumer<Target> begins, Consumer<Target> ends) {
         List<Target> whom = struckTargets(t);
         whom.forEach(begins);
         after(t.span(), () -> whom.forEach(ends));
@@ -823,13 +829,13 @@
 
     private void restart(Target target, long down) {
         target.kill();
-        discovery.change(entry(target, Health.GONE));
+        discovery.change(entry(target, Health.REMOVED));
         after(
                 down,
                 () -> {
                     launched.put(target.id(), discovery.now());
                     target.start(true);
-                    discovery.change(entry(target, Health.ON));
+                    discovery.change(entry(target, Health.ACTIVE));
                 });
     }
 
@@ -837,7 +843,7 @@
      * One after another is told to drain, its successor under a new id starts cold, and then it
      * goes.
      */
-    private void roll(Trouble t) {
+    private void roll(Fault t) {
         List<Target> whom = struckTargets(t);
         for (int i = 0; i < whom.size(); i++) {
             Target old = whom.get(i);
@@ -848,7 +854,7 @@
                         Target next = target(old.id() + "n", old.shard());
                         launched.put(next.id(), discovery.now());
                         next.start(true);
-                        discovery.change(entry(next, Health.ON));
+                        discovery.change(entry(next, Health.ACTIVE));
                         synchronized (targets) {
                             targets.set(old.shard(), next);
                             replaced.add(old);
@@ -860,14 +866,14 @@
                                 t.down() + day.fleet().listLag()[1],
                                 () -> {
                                     old.kill();
-                                    discovery.change(entry(old, Health.GONE));
+                                    discovery.change(entry(old, Health.REMOVED));
                                 });
                     });
         }
     }
 
     /** Grows slower in ten steps, then is gone and comes back cold. */
-    private void age(Trouble t) {
+    private void age(Fault t) {
         List<Target> whom = struckTargets(t);
         for (int step = 1; step <= 10; step++) {
             double factor = 1 + (t.figure() - 1) * step / 10;
@@ -898,7 +904,7 @@
             return;
         }
         running[i] = false;
-        note("initiator-" + (i + 1), Note.Kind.LEAVING, "", 0);
+        note("initiator-" + (i + 1), Note.Kind.SHUTTING_DOWN, "", 0);
         initiators[i].leaveLater(30_000, () -> after(down, () -> startInitiator(i)));
     }
 
--- a/rehearsal/src/main/java/milletyoke/rehearsal/audit/Audit.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/Audit.java
@@ -1,4 +1,4 @@
-package milletyoke.rehearsal.audit;
+package milletyoke.scenario.audit;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -9,13 +9,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import milletyoke.wire.proto.Access;
 import milletyoke.wire.proto.Direction;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Note;
 import milletyoke.wire.proto.Outcome;
 import milletyoke.wire.proto.Record;
-import milletyoke.wire.record.Recorder;
+import milletyoke.wire.proto.Request;
+import milletyoke.wire.recording.Recorder;
 
 /**
  * Judges a recording by the seven rules. Rebuilds from the frames what each initiator knew and did,
@@ -23,23 +23,23 @@
  */
 public final class Audit {
     private final List<Record> records;
-    private final List<Check> checks =
+    private final List<RuleCheck> checks =
             List.of(
-                    new Answers(),
-                    new Effects(),
-                    new Drains(),
-                    new ColdStarts(),
-                    new KeyOrder(),
-                    new Budget(),
-                    new Limits());
-    private final Map<String, Life> lives = new HashMap<>();
+                    new FinalAnswerRule(),
+                    new SingleExecutionRule(),
+                    new DrainRule(),
+                    new SlowStartRule(),
+                    new KeyOrderRule(),
+                    new RetryBudgetRule(),
+                    new RateLimitRule());
+    private final Map<String, Incarnation> lives = new HashMap<>();
     private final Set<String> initiators = new HashSet<>();
 
     private Audit(List<Record> all) {
         records = new ArrayList<>(all);
         records.sort(
                 Comparator.comparingLong(
-                        Record::getAt)); // stable: what one thread told keeps its order
+                        Record::getAtMicros)); // stable: what one thread told keeps its order
     }
 
     /** The findings of one audit. */
@@ -105,34 +105,34 @@
     private Report judge() {
         Record rules =
                 records.stream()
-                        .filter(r -> r.hasNote() && r.getNote().getKind() == Note.Kind.BOUNDS)
+                        .filter(r -> r.hasNote() && r.getNote().getKind() == Note.Kind.RULES)
                         .findFirst()
                         .orElseThrow(
                                 () ->
                                         new IllegalArgumentException(
                                                 "the recording does not tell the rules' figures"));
-        RuleBook book = RuleBook.read(rules.getNote().getText());
+        RuleSettings book = RuleSettings.read(rules.getNote().getText());
         checks.forEach(c -> c.book = book);
         for (Record r : records) {
             if (r.hasNote()
-                    && r.getNote().getKind() == Note.Kind.UP
+                    && r.getNote().getKind() == Note.Kind.STARTED
                     && r.getNote().getText().equals("initiator")) {
-                initiators.add(r.getWitness());
+                initiators.add(r.getObserver());
             }
         }
         for (int i = 0; i < records.size(); i++) {
             Record r = records.get(i);
             if (r.hasNote()) {
                 noted(r, i);
-            } else if (initiators.contains(r.getWitness())) {
+            } else if (initiators.contains(r.getObserver())) {
                 atInitiator(r, i);
             } else {
-                for (Check c : checks) {
+                for (RuleCheck c : checks) {
                     c.elsewhere(r, i);
                 }
             }
         }
-        long end = records.get(records.size() - 1).getAt();
+        long end = records.get(records.size() - 1).getAtMicros();
         lives.values().forEach(l -> checks.forEach(c -> c.lifeEnded(l, l.killedAt >= 0)));
         checks.forEach(c -> c.finish(end));
         return new Report(checks.stream().map(this::verdict).toList(), records.size());
@@ -140,22 +140,22 @@
 
     private void noted(Record r, int frame) {
         Note note = r.getNote();
-        if (initiators.contains(r.getWitness())) {
-            Life before = lives.get(r.getWitness());
-            if (note.getKind() == Note.Kind.UP) {
+        if (initiators.contains(r.getObserver())) {
+            Incarnation before = lives.get(r.getObserver());
+            if (note.getKind() == Note.Kind.STARTED) {
                 if (before != null) {
                     checks.forEach(c -> c.lifeEnded(before, before.killedAt >= 0));
                 }
-                lives.put(r.getWitness(), new Life(r.getWitness(), r.getAt()));
+                lives.put(r.getObserver(), new Incarnation(r.getObserver(), r.getAtMicros()));
             } else if (note.getKind() == Note.Kind.KILLED && before != null) {
-                before.killedAt = r.getAt();
+                before.killedAt = r.getAtMicros();
             }
         }
-        checks.forEach(c -> c.noted(r.getWitness(), note, r.getAt(), frame));
+        checks.forEach(c -> c.noted(r.getObserver(), note, r.getAtMicros(), frame));
     }
 
     private void atInitiator(Record r, int frame) {
-        Life life = lives.get(r.getWitness());
+        Incarnation life = lives.get(r.getObserver());
         if (life == null || life.killedAt >= 0) {
             return; // its sockets' last words
         }
@@ -166,44 +166,49 @@
         }
         boolean got = r.getDirection() == Direction.GOT;
         switch (f.getBodyCase()) {
-            case ACCESS -> taken(life, r, f.getAccess(), frame);
-            case ANSWER -> answered(life, r, frame);
-            case LEAVE -> left(life, r.getConnection(), f.getLeave().getNumber(), r.getAt());
-            case RELAY -> relayed(life, r, frame);
-            case REPLY ->
+            case REQUEST -> taken(life, r, f.getRequest(), frame);
+            case RESPONSE -> answered(life, r, frame);
+            case CANCEL_REQUEST ->
+                    left(
+                            life,
+                            r.getConnection(),
+                            f.getCancelRequest().getNumber(),
+                            r.getAtMicros());
+            case ATTEMPT -> relayed(life, r, frame);
+            case ATTEMPT_REPLY ->
                     ended(
                             life,
                             r.getConnection(),
-                            f.getReply().getNumber(),
-                            f.getReply().getOutcome(),
-                            r.getAt(),
+                            f.getAttemptReply().getNumber(),
+                            f.getAttemptReply().getOutcome(),
+                            r.getAtMicros(),
                             frame);
-            case CANCEL ->
+            case CANCEL_ATTEMPT ->
                     ended(
                             life,
                             r.getConnection(),
-                            f.getCancel().getNumber(),
+                            f.getCancelAttempt().getNumber(),
                             Outcome.CANCELLED,
-                            r.getAt(),
+                            r.getAtMicros(),
                             frame);
-            case BYE -> {
-                if (got && f.getBye().getNothingTaken()) {
+            case CLOSE -> {
+                if (got && f.getClose().getNothingProcessed()) {
                     refused(life, r, frame);
                 }
             }
-            case LIST -> {
+            case ENDPOINT_LIST -> {
                 if (got) {
-                    life.told(f.getList(), r.getAt(), frame);
-                    checks.forEach(c -> c.listed(life, r.getAt()));
+                    life.told(f.getEndpointList(), r.getAtMicros(), frame);
+                    checks.forEach(c -> c.listed(life, r.getAtMicros()));
                 }
             }
             default -> {}
         }
     }
 
-    private void taken(Life life, Record r, Access access, int frame) {
+    private void taken(Incarnation life, Record r, Request access, int frame) {
         String id = r.getConnection() + "-" + access.getNumber();
-        Seen seen = new Seen(life, id, access, frame, r.getAt());
+        ObservedAttempts seen = new ObservedAttempts(life, id, access, frame, r.getAtMicros());
         life.accesses.put(id, seen);
         life.byClient
                 .computeIfAbsent(r.getConnection(), c -> new HashMap<>())
@@ -211,42 +216,46 @@
         checks.forEach(c -> c.taken(seen));
     }
 
-    private void answered(Life life, Record r, int frame) {
-        Seen seen =
+    private void answered(Incarnation life, Record r, int frame) {
+        ObservedAttempts seen =
                 life.byClient
                         .getOrDefault(r.getConnection(), Map.of())
-                        .get(r.getFrame().getAnswer().getNumber());
+                        .get(r.getFrame().getResponse().getNumber());
         if (seen == null) {
             return;
         }
         seen.answers++;
-        checks.forEach(c -> c.answered(seen, r.getFrame().getAnswer(), r.getAt(), frame));
+        checks.forEach(c -> c.answered(seen, r.getFrame().getResponse(), r.getAtMicros(), frame));
         seen.answerFrame = seen.answerFrame < 0 ? frame : seen.answerFrame;
-        seen.overAt = Math.min(seen.overAt, r.getAt());
+        seen.overAt = Math.min(seen.overAt, r.getAtMicros());
     }
 
-    private void left(Life life, int connection, long number, long at) {
-        Seen seen = life.byClient.getOrDefault(connection, Map.of()).get(number);
+    private void left(Incarnation life, int connection, long number, long at) {
+        ObservedAttempts seen = life.byClient.getOrDefault(connection, Map.of()).get(number);
         if (seen != null && !seen.isOver()) {
             seen.leftAt = at;
         }
     }
 
-    private void relayed(Life life, Record r, int frame) {
-        Seen seen = life.accesses.get(r.getFrame().getRelay().getId());
+    private void relayed(Incarnation life, Record r, int frame) {
+        ObservedAttempts seen = life.accesses.get(r.getFrame().getAttempt().getRequestId());
         if (seen == null) {
             checks.get(0)
                     .breach(
                             life.initiator
                                     + " relayed "
-                                    + r.getFrame().getRelay().getId()
+                                    + r.getFrame().getAttempt().getRequestId()
                                     + ", which it never took in this life",
                             frame);
             return;
         }
-        Seen.Sent sent =
-                new Seen.Sent(
-                        r.getFrame().getRelay(), r.getPeer(), r.getConnection(), frame, r.getAt());
+        ObservedAttempts.Sent sent =
+                new ObservedAttempts.Sent(
+                        r.getFrame().getAttempt(),
+                        r.getPeer(),
+                        r.getConnection(),
+                        frame,
+                        r.getAtMicros());
         seen.relays.add(sent);
         life.out
                 .computeIfAbsent(r.getConnection(), c -> new HashMap<>())
@@ -255,11 +264,11 @@
     }
 
     private void ended(
-            Life life, int connection, long number, Outcome outcome, long at, int frame) {
-        Seen.Sent sent = life.out.getOrDefault(connection, Map.of()).get(number);
+            Incarnation life, int connection, long number, Outcome outcome, long at, int frame) {
+        ObservedAttempts.Sent sent = life.out.getOrDefault(connection, Map.of()).get(number);
         if (sent != null && sent.outcome == null) {
             sent.end(outcome, at, frame);
-            Seen seen = life.accesses.get(sent.relay.getId());
+            ObservedAttempts seen = life.accesses.get(sent.relay.getRequestId());
             checks.forEach(c -> c.relayEnded(seen, sent));
         }
     }
@@ -268,8 +277,8 @@
      * What was sent there never ran, by the target's word; one that has answered there before is
      * not believed.
      */
-    private void refused(Life life, Record r, int frame) {
-        Map<Long, Seen.Sent> out = life.out.getOrDefault(r.getConnection(), Map.of());
+    private void refused(Incarnation life, Record r, int frame) {
+        Map<Long, ObservedAttempts.Sent> out = life.out.getOrDefault(r.getConnection(), Map.of());
         if (out.values().stream()
                 .allMatch(s -> s.outcome == null || s.outcome == Outcome.CANCELLED)) {
             List.copyOf(out.keySet())
@@ -280,24 +289,25 @@
                                             r.getConnection(),
                                             n,
                                             Outcome.NO_CONNECTION,
-                                            r.getAt(),
+                                            r.getAtMicros(),
                                             frame));
         }
     }
 
-    private void closed(Life life, Record r, int frame) {
+    private void closed(Incarnation life, Record r, int frame) {
         List<Long> numbers =
                 List.copyOf(life.out.getOrDefault(r.getConnection(), Map.of()).keySet());
-        numbers.forEach(n -> ended(life, r.getConnection(), n, Outcome.RESET, r.getAt(), frame));
+        numbers.forEach(
+                n -> ended(life, r.getConnection(), n, Outcome.RESET, r.getAtMicros(), frame));
         life.byClient
                 .getOrDefault(r.getConnection(), Map.of())
                 .keySet()
-                .forEach(n -> left(life, r.getConnection(), n, r.getAt()));
+                .forEach(n -> left(life, r.getConnection(), n, r.getAtMicros()));
     }
 
-    private Verdict verdict(Check c) {
+    private Verdict verdict(RuleCheck c) {
         List<String> shown = new ArrayList<>();
-        for (Check.Breach b : c.kept.subList(0, Math.min(10, c.kept.size()))) {
+        for (RuleCheck.Violation b : c.kept.subList(0, Math.min(10, c.kept.size()))) {
             shown.add("breach: " + b.what());
             for (int frame : b.frames()) {
                 shown.add("  " + brief(frame));
@@ -318,8 +328,8 @@
         return String.format(
                 "#%d %d us %s %s %s/%d %s",
                 at,
-                r.getAt(),
-                r.getWitness(),
+                r.getAtMicros(),
+                r.getObserver(),
                 r.getDirection(),
                 r.getPeer(),
                 r.getConnection(),
--- a/rehearsal/src/main/java/milletyoke/rehearsal/audit/Drains.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/DrainRule.java
@@ -1,24 +1,24 @@
-package milletyoke.rehearsal.audit;
+package milletyoke.scenario.audit;
 
 /**
  * Rule 3: nothing new to a target after the grace, once the initiator was told that it drains or is
  * gone.
  */
-final class Drains extends Check {
+final class DrainRule extends RuleCheck {
     private long latest = -1;
 
-    Drains() {
+    DrainRule() {
         super(3, "drains kept: nothing new to a draining or gone target after the grace");
     }
 
     @Override
-    void listed(Life life, long at) {
+    void listed(Incarnation life, long at) {
         tested += life.list.values().stream().filter(l -> l.barredAt == at).count();
     }
 
     @Override
-    void relayed(Seen seen, Seen.Sent sent) {
-        Life.Listed listed = seen.life.list.get(sent.target);
+    void relayed(ObservedAttempts seen, ObservedAttempts.Sent sent) {
+        Incarnation.Listed listed = seen.life.list.get(sent.target);
         if (listed != null && listed.barredAt >= 0) {
             long after = sent.at - listed.barredAt;
             latest = Math.max(latest, after);
--- a/rehearsal/src/main/java/milletyoke/rehearsal/audit/Answers.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/FinalAnswerRule.java
@@ -1,24 +1,24 @@
-package milletyoke.rehearsal.audit;
+package milletyoke.scenario.audit;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import milletyoke.wire.proto.Access;
-import milletyoke.wire.proto.Answer;
 import milletyoke.wire.proto.Direction;
-import milletyoke.wire.proto.Final;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Note;
 import milletyoke.wire.proto.Outcome;
 import milletyoke.wire.proto.Record;
+import milletyoke.wire.proto.Request;
+import milletyoke.wire.proto.Response;
+import milletyoke.wire.proto.ResponseStatus;
 
 /**
  * Rule 1, at both ends: the client has one answer in its time, and the initiator sends nothing
  * after it.
  */
-final class Answers extends Check {
+final class FinalAnswerRule extends RuleCheck {
     /**
      * How near in time a kill, or the clients' own closing, must stand to the end of a connection
      * to explain it.
@@ -28,7 +28,7 @@
     /** A loop learns a little after its sockets that a client left (microseconds). */
     private static final long LEAVE_TRAVELS = 100_000;
 
-    private record Asked(Access access, int frame, long at, String initiator) {}
+    private record Asked(Request access, int frame, long at, String initiator) {}
 
     private record Span(long from, long to, String whose) {}
 
@@ -43,12 +43,12 @@
     private final List<Late> cut = new ArrayList<>();
     private long least = Long.MAX_VALUE;
 
-    Answers() {
+    FinalAnswerRule() {
         super(1, "no access lost: one final answer in time, nothing after it");
     }
 
     @Override
-    void relayed(Seen seen, Seen.Sent sent) {
+    void relayed(ObservedAttempts seen, ObservedAttempts.Sent sent) {
         if (seen.answers > 0) {
             breach(
                     "a relay of "
@@ -71,7 +71,7 @@
     }
 
     @Override
-    void answered(Seen seen, Answer answer, long at, int frame) {
+    void answered(ObservedAttempts seen, Response answer, long at, int frame) {
         if (seen.answers > 1) {
             breach(
                     seen.life.initiator + " answered " + seen.id + " twice",
@@ -79,7 +79,7 @@
                     frame);
         }
         boolean succeeded = seen.relays.stream().anyMatch(s -> s.outcome == Outcome.SUCCEEDED);
-        if (answer.getFinal() == Final.ANSWERED && !succeeded) {
+        if (answer.getStatus() == ResponseStatus.ANSWERED && !succeeded) {
             breach(
                     seen.life.initiator
                             + " said that "
@@ -90,7 +90,7 @@
     }
 
     @Override
-    void lifeEnded(Life life, boolean killed) {
+    void lifeEnded(Incarnation life, boolean killed) {
         if (!killed) {
             life.accesses.values().stream()
                     .filter(s -> !s.isOver())
@@ -106,27 +106,28 @@
 
     @Override
     void elsewhere(Record r, int frame) {
-        if (!r.getWitness().equals("client")) {
+        if (!r.getObserver().equals("client")) {
             return;
         }
         Frame f = r.getFrame();
         Map<Long, Asked> own = open.computeIfAbsent(r.getConnection(), c -> new LinkedHashMap<>());
-        if (r.getDirection() == Direction.SENT && f.hasAccess()) {
+        if (r.getDirection() == Direction.SENT && f.hasRequest()) {
             tested++;
             own.put(
-                    f.getAccess().getNumber(),
-                    new Asked(f.getAccess(), frame, r.getAt(), r.getPeer()));
-        } else if (r.getDirection() == Direction.SENT && f.hasLeave()) {
-            own.remove(f.getLeave().getNumber());
-            seal(r.getConnection(), f.getLeave().getNumber(), -1);
-        } else if (r.getDirection() == Direction.GOT && f.hasAnswer()) {
-            got(r, own, f.getAnswer(), frame);
+                    f.getRequest().getNumber(),
+                    new Asked(f.getRequest(), frame, r.getAtMicros(), r.getPeer()));
+        } else if (r.getDirection() == Direction.SENT && f.hasCancelRequest()) {
+            own.remove(f.getCancelRequest().getNumber());
+            seal(r.getConnection(), f.getCancelRequest().getNumber(), -1);
+        } else if (r.getDirection() == Direction.GOT && f.hasResponse()) {
+            got(r, own, f.getResponse(), frame);
         } else if (r.getDirection() == Direction.CLOSED) {
             for (Asked a : own.values()) {
-                if (r.getAt() > until(a)) { // its time was up before: the closing explains nothing
+                if (r.getAtMicros()
+                        > until(a)) { // its time was up before: the closing explains nothing
                     late.add(new Late(a, until(a), a.frame(), "it never had an answer"));
                 } else {
-                    cut.add(new Late(a, r.getAt(), frame, "its connection closed"));
+                    cut.add(new Late(a, r.getAtMicros(), frame, "its connection closed"));
                 }
             }
             own.clear();
@@ -137,19 +138,19 @@
         closedNumbers.computeIfAbsent(connection, c -> new HashMap<>()).put(number, frame);
     }
 
-    private void got(Record r, Map<Long, Asked> own, Answer answer, int frame) {
+    private void got(Record r, Map<Long, Asked> own, Response answer, int frame) {
         Asked asked = own.remove(answer.getNumber());
         if (asked != null) {
             seal(r.getConnection(), answer.getNumber(), frame);
             long until = until(asked);
-            least = Math.min(least, until - r.getAt());
-            if (r.getAt() > until) {
+            least = Math.min(least, until - r.getAtMicros());
+            if (r.getAtMicros() > until) {
                 late.add(
                         new Late(
                                 asked,
                                 until,
                                 frame,
-                                "its answer came " + millis(r.getAt() - until) + " late"));
+                                "its answer came " + millis(r.getAtMicros() - until) + " late"));
             }
             return;
         }
@@ -167,13 +168,13 @@
     }
 
     private long until(Asked asked) {
-        return asked.at() + asked.access().getTimeLeft() + book.answerSlack();
+        return asked.at() + asked.access().getTimeLeftMicros() + book.answerSlack();
     }
 
     @Override
     void noted(String witness, Note note, long at, int frame) {
         switch (note.getKind()) {
-            case STOOD_STILL -> still.add(new Span(at - (long) note.getFigure(), at, witness));
+            case STALLED -> still.add(new Span(at - (long) note.getFigure(), at, witness));
             case KILLED -> kills.computeIfAbsent(witness, w -> new ArrayList<>()).add(at);
             case OTHER -> {
                 if (note.getText().equals("clients reconnect")) {
--- a/rehearsal/src/main/java/milletyoke/rehearsal/audit/Life.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/Incarnation.java
@@ -1,23 +1,23 @@
-package milletyoke.rehearsal.audit;
+package milletyoke.scenario.audit;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import milletyoke.wire.proto.EndpointList;
 import milletyoke.wire.proto.Health;
 import milletyoke.wire.proto.Scope;
 import milletyoke.wire.proto.Target;
-import milletyoke.wire.proto.TargetList;
 
 /** One life of an initiator: what it was told and what it holds. */
-final class Life {
+final class Incarnation {
     final String initiator;
     final long since;
-    final Map<String, Seen> accesses = new LinkedHashMap<>();
-    final Map<Integer, Map<Long, Seen.Sent>> out = new HashMap<>();
-    final Map<Integer, Map<Long, Seen>> byClient = new HashMap<>();
+    final Map<String, ObservedAttempts> accesses = new LinkedHashMap<>();
+    final Map<Integer, Map<Long, ObservedAttempts.Sent>> out = new HashMap<>();
+    final Map<Integer, Map<Long, ObservedAttempts>> byClient = new HashMap<>();
     final Map<String, Listed> list = new HashMap<>();
-    final Map<String, ArrayDeque<Seen>> keys = new HashMap<>();
+    final Map<String, ArrayDeque<ObservedAttempts>> keys = new HashMap<>();
     final Map<String, Long> keyUnsure = new HashMap<>();
     final ArrayDeque<Long> taken = new ArrayDeque<>();
     final ArrayDeque<Long> further = new ArrayDeque<>();
@@ -36,12 +36,12 @@
         final Map<Long, Long> startToldAt = new HashMap<>();
     }
 
-    Life(String initiator, long since) {
+    Incarnation(String initiator, long since) {
         this.initiator = initiator;
         this.since = since;
     }
 
-    void told(TargetList told, long at, int frame) {
+    void told(EndpointList told, long at, int frame) {
         if (told.getScope() == Scope.UNAVAILABLE) {
             return;
         }
@@ -57,8 +57,8 @@
         for (Target t : told.getTargetList()) {
             Listed listed = list.computeIfAbsent(t.getId(), id -> new Listed());
             listed.entry = t;
-            listed.startToldAt.putIfAbsent(t.getLaunched(), at);
-            if (t.getHealth() == Health.ON) {
+            listed.startToldAt.putIfAbsent(t.getStartedAtMicros(), at);
+            if (t.getHealth() == Health.ACTIVE) {
                 listed.barredAt = -1;
             } else {
                 bar(listed, at, frame);
--- a/rehearsal/src/main/java/milletyoke/rehearsal/audit/KeyOrder.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/KeyOrderRule.java
@@ -1,4 +1,4 @@
-package milletyoke.rehearsal.audit;
+package milletyoke.scenario.audit;
 
 import java.util.ArrayDeque;
 
@@ -6,15 +6,15 @@
  * Rule 5: accesses of one key run one at a time, in the order taken, with a rest after what may
  * still run.
  */
-final class KeyOrder extends Check {
+final class KeyOrderRule extends RuleCheck {
     private long least = Long.MAX_VALUE;
 
-    KeyOrder() {
+    KeyOrderRule() {
         super(5, "order per key, with rest after time-out, reset and cancel");
     }
 
     @Override
-    void taken(Seen seen) {
+    void taken(ObservedAttempts seen) {
         if (applies(seen)) {
             seen.life
                     .keys
@@ -23,24 +23,24 @@
         }
     }
 
-    private boolean applies(Seen seen) {
-        RuleBook.Category c = book.categories().get(seen.access.getCategory());
+    private boolean applies(ObservedAttempts seen) {
+        RuleSettings.Category c = book.categories().get(seen.access.getRequestClass());
         return c != null && c.ordered() && !seen.access.getExtent().isEmpty();
     }
 
     @Override
-    void relayed(Seen seen, Seen.Sent sent) {
+    void relayed(ObservedAttempts seen, ObservedAttempts.Sent sent) {
         if (!applies(seen)) {
             return;
         }
-        ArrayDeque<Seen> turn = seen.life.keys.get(seen.access.getExtent());
+        ArrayDeque<ObservedAttempts> turn = seen.life.keys.get(seen.access.getExtent());
         String key = seen.access.getExtent();
         // Guards against one that is sent though its turn is long over and nobody of its key is
         // left: rule 1 names that.
         while (!turn.isEmpty() && turn.peekFirst() != seen && isDone(turn.peekFirst(), sent.at)) {
             rest(turn.removeFirst(), key, sent.at);
         }
-        for (Seen before : turn) {
+        for (ObservedAttempts before : turn) {
             if (before == seen) {
                 break;
             }
@@ -66,12 +66,12 @@
         }
     }
 
-    private static boolean isDone(Seen seen, long now) {
+    private static boolean isDone(ObservedAttempts seen, long now) {
         return seen.isOver() && seen.relays.stream().allMatch(s -> s.hasEnded(now));
     }
 
-    private static void rest(Seen seen, String key, long now) {
-        for (Seen.Sent s : seen.relays) {
+    private static void rest(ObservedAttempts seen, String key, long now) {
+        for (ObservedAttempts.Sent s : seen.relays) {
             long since = s.unsureSince(now);
             if (since >= 0) {
                 seen.life.keyUnsure.merge(key, since, Math::max);
--- a/rehearsal/src/main/java/milletyoke/rehearsal/audit/Seen.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/ObservedAttempts.java
@@ -1,16 +1,16 @@
-package milletyoke.rehearsal.audit;
+package milletyoke.scenario.audit;
 
 import java.util.ArrayList;
 import java.util.List;
-import milletyoke.wire.proto.Access;
+import milletyoke.wire.proto.Attempt;
 import milletyoke.wire.proto.Outcome;
-import milletyoke.wire.proto.Relay;
+import milletyoke.wire.proto.Request;
 
 /** One access as its initiator's sockets show it. */
-final class Seen {
-    final Life life;
+final class ObservedAttempts {
+    final Incarnation life;
     final String id;
-    final Access access;
+    final Request access;
     final int frame;
     final long at;
     final List<Sent> relays = new ArrayList<>();
@@ -23,7 +23,7 @@
 
     boolean drawn;
 
-    Seen(Life life, String id, Access access, int frame, long at) {
+    ObservedAttempts(Incarnation life, String id, Request access, int frame, long at) {
         this.life = life;
         this.id = id;
         this.access = access;
@@ -45,7 +45,7 @@
 
     /** One relay, from the frame that carried it to its outcome. */
     static final class Sent {
-        final Relay relay;
+        final Attempt relay;
         final String target;
         final int connection;
         final int frame;
@@ -60,7 +60,7 @@
         long endedAt;
         int endFrame = -1;
 
-        Sent(Relay relay, String target, int connection, int frame, long at) {
+        Sent(Attempt relay, String target, int connection, int frame, long at) {
             this.relay = relay;
             this.target = target;
             this.connection = connection;
@@ -69,7 +69,7 @@
         }
 
         long givenUpAt() {
-            return at + relay.getTimeLeft();
+            return at + relay.getTimeLeftMicros();
         }
 
         boolean hasEnded(long now) {
@@ -78,8 +78,8 @@
 
         boolean mayHaveRun(long now) {
             return !hasEnded(now)
-                    || outcome != Outcome.FULL
-                            && outcome != Outcome.MOOT
+                    || outcome != Outcome.OVERLOADED
+                            && outcome != Outcome.NOT_STARTED
                             && outcome != Outcome.NO_CONNECTION;
         }
 
--- a/rehearsal/src/main/java/milletyoke/rehearsal/audit/Limits.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/RateLimitRule.java
@@ -1,10 +1,10 @@
-package milletyoke.rehearsal.audit;
+package milletyoke.scenario.audit;
 
 import java.util.HashMap;
 import java.util.Map;
 
 /** Rule 7: what all initiators together send for a volume stays within its plan's limit. */
-final class Limits extends Check {
+final class RateLimitRule extends RuleCheck {
     private static final class Store {
         String plan;
         double units;
@@ -19,24 +19,24 @@
     private static final long HOLDS_AFTER = 2_000_000;
 
     /** Limits stated later, and from when each must hold; until then the wider of both counts. */
-    private record Stated(long from, Map<String, RuleBook.Plan> plans) {}
+    private record Stated(long from, Map<String, RuleSettings.Plan> plans) {}
 
     private final java.util.ArrayDeque<Stated> stated = new java.util.ArrayDeque<>();
-    private Map<String, RuleBook.Plan> inForce;
+    private Map<String, RuleSettings.Plan> inForce;
     private long changes;
     private double deepest;
     private String deepestOf = "";
 
-    Limits() {
+    RateLimitRule() {
         super(7, "limits kept, all initiators together");
     }
 
     @Override
     void noted(String witness, milletyoke.wire.proto.Note note, long at, int frame) {
-        if (note.getKind() == milletyoke.wire.proto.Note.Kind.BOUNDS && inForce == null) {
+        if (note.getKind() == milletyoke.wire.proto.Note.Kind.RULES && inForce == null) {
             inForce = book.plans();
-        } else if (note.getKind() == milletyoke.wire.proto.Note.Kind.BOUNDS) {
-            stated.addLast(new Stated(at + HOLDS_AFTER, RuleBook.read(note.getText()).plans()));
+        } else if (note.getKind() == milletyoke.wire.proto.Note.Kind.RULES) {
+            stated.addLast(new Stated(at + HOLDS_AFTER, RuleSettings.read(note.getText()).plans()));
             changes++;
         }
     }
@@ -46,22 +46,22 @@
             inForce = stated.removeFirst().plans();
             stores.forEach(
                     (volume, s) -> {
-                        RuleBook.Plan plan = inForce.get(s.plan);
+                        RuleSettings.Plan plan = inForce.get(s.plan);
                         s.units = Math.min(s.units, plan.depth());
                         s.asked = Math.min(s.asked, plan.depth());
                     });
         }
     }
 
-    private RuleBook.Plan plan(Seen seen, long now) {
+    private RuleSettings.Plan plan(ObservedAttempts seen, long now) {
         advance(now);
-        RuleBook.Plan plan = inForce.get(seen.access.getPlan());
+        RuleSettings.Plan plan = inForce.get(seen.access.getPlan());
         for (Stated s : stated) {
-            RuleBook.Plan next = s.plans().get(seen.access.getPlan());
+            RuleSettings.Plan next = s.plans().get(seen.access.getPlan());
             plan =
                     plan == null || next == null
                             ? null
-                            : new RuleBook.Plan(
+                            : new RuleSettings.Plan(
                                     Math.max(plan.rate(), next.rate()),
                                     Math.max(plan.depth(), next.depth()),
                                     Math.max(plan.slack(), next.slack()));
@@ -69,7 +69,7 @@
         return plan == null || plan.rate() <= 0 ? null : plan;
     }
 
-    private Store store(Seen seen, RuleBook.Plan plan, long at) {
+    private Store store(ObservedAttempts seen, RuleSettings.Plan plan, long at) {
         return stores.computeIfAbsent(
                 seen.access.getVolume(),
                 v -> {
@@ -85,8 +85,8 @@
 
     /** A limit is put to the test when more is asked than it lets through. */
     @Override
-    void taken(Seen seen) {
-        RuleBook.Plan plan = plan(seen, seen.at);
+    void taken(ObservedAttempts seen) {
+        RuleSettings.Plan plan = plan(seen, seen.at);
         if (plan != null) {
             Store s = store(seen, plan, seen.at);
             s.asked = Math.min(plan.depth(), s.asked + plan.rate() * (seen.at - s.askedAt) / 1e6);
@@ -100,8 +100,8 @@
     }
 
     @Override
-    void relayed(Seen seen, Seen.Sent sent) {
-        RuleBook.Plan plan = plan(seen, sent.at);
+    void relayed(ObservedAttempts seen, ObservedAttempts.Sent sent) {
+        RuleSettings.Plan plan = plan(seen, sent.at);
         if (plan == null || seen.drawn) {
             return;
         }
--- a/rehearsal/src/main/java/milletyoke/rehearsal/audit/Budget.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/RetryBudgetRule.java
@@ -1,26 +1,26 @@
-package milletyoke.rehearsal.audit;
+package milletyoke.scenario.audit;
 
 import java.util.ArrayDeque;
 
 /** Rule 6: relays beyond each access's first stay within the budget of any span. */
-final class Budget extends Check {
+final class RetryBudgetRule extends RuleCheck {
     /** Sockets and loop tell the same moment a little apart (microseconds). */
     private static final long APART = 20_000;
 
     private double highest;
 
-    Budget() {
+    RetryBudgetRule() {
         super(6, "relay budget kept");
     }
 
     @Override
-    void taken(Seen seen) {
+    void taken(ObservedAttempts seen) {
         seen.life.taken.addLast(seen.at);
     }
 
     @Override
-    void relayed(Seen seen, Seen.Sent sent) {
-        if (book.budgetSpan() == 0 || sent.relay.getAttempt() == 0) {
+    void relayed(ObservedAttempts seen, ObservedAttempts.Sent sent) {
+        if (book.budgetSpan() == 0 || sent.relay.getAttemptNumber() == 0) {
             return;
         }
         tested++;
--- a/rehearsal/src/main/java/milletyoke/rehearsal/audit/Check.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/RuleCheck.java
@@ -1,34 +1,34 @@
-package milletyoke.rehearsal.audit;
+package milletyoke.scenario.audit;
 
 import java.util.ArrayList;
 import java.util.List;
-import milletyoke.wire.proto.Answer;
 import milletyoke.wire.proto.Note;
 import milletyoke.wire.proto.Record;
+import milletyoke.wire.proto.Response;
 
 /**
  * The check of one rule: is told what the sockets showed, in order, and remembers how near it came.
  */
-abstract class Check {
+abstract class RuleCheck {
     private static final int MOST_KEPT = 100;
 
     final int number;
     final String rule;
-    RuleBook book;
+    RuleSettings book;
 
     /** How often the recording put the rule to the test. */
     long tested;
 
     long breaches;
     long excused;
-    final List<Breach> kept = new ArrayList<>();
+    final List<Violation> kept = new ArrayList<>();
 
     /**
      * @param frames places in the recording, counted from 0
      */
-    record Breach(String what, int... frames) {}
+    record Violation(String what, int... frames) {}
 
-    Check(int number, String rule) {
+    RuleCheck(int number, String rule) {
         this.number = number;
         this.rule = rule;
     }
@@ -36,22 +36,22 @@
     final void breach(String what, int... frames) {
         breaches++;
         if (kept.size() < MOST_KEPT) {
-            kept.add(new Breach(what, frames));
+            kept.add(new Violation(what, frames));
         }
     }
 
-    void taken(Seen seen) {}
+    void taken(ObservedAttempts seen) {}
 
     /** The last of the access's relays was just sent. */
-    void relayed(Seen seen, Seen.Sent sent) {}
+    void relayed(ObservedAttempts seen, ObservedAttempts.Sent sent) {}
 
-    void answered(Seen seen, Answer answer, long at, int frame) {}
+    void answered(ObservedAttempts seen, Response answer, long at, int frame) {}
 
-    void relayEnded(Seen seen, Seen.Sent sent) {}
+    void relayEnded(ObservedAttempts seen, ObservedAttempts.Sent sent) {}
 
-    void listed(Life life, long at) {}
+    void listed(Incarnation life, long at) {}
 
-    void lifeEnded(Life life, boolean killed) {}
+    void lifeEnded(Incarnation life, boolean killed) {}
 
     /** A record of no initiator: what clients and targets saw, and notes. */
     void elsewhere(Record record, int frame) {}
--- a/rehearsal/src/main/java/milletyoke/rehearsal/audit/RuleBook.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/RuleSettings.java
@@ -1,4 +1,4 @@
-package milletyoke.rehearsal.audit;
+package milletyoke.scenario.audit;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -10,7 +10,7 @@
  * The rules' figures as the recording tells them. Written here from the rules' text alone: the
  * audit shares no code with the decisions that it judges. Times are microseconds.
  */
-public record RuleBook(
+public record RuleSettings(
         Map<String, Category> categories,
         Map<String, Plan> plans,
         int maxRelays,
@@ -39,7 +39,7 @@
     /**
      * @throws IllegalArgumentException where a figure is missing
      */
-    public static RuleBook read(String json) {
+    public static RuleSettings read(String json) {
         JsonNode all;
         try {
             all = new ObjectMapper().readTree(json);
@@ -66,7 +66,7 @@
                             need(p, "depth").asDouble(),
                             need(p, "slack").asDouble()));
         }
-        return new RuleBook(
+        return new RuleSettings(
                 categories,
                 plans,
                 need(all, "maxRelays").asInt(),
--- a/rehearsal/src/main/java/milletyoke/rehearsal/audit/Effects.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/SingleExecutionRule.java
@@ -1,47 +1,47 @@
-package milletyoke.rehearsal.audit;
+package milletyoke.scenario.audit;
 
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import milletyoke.wire.proto.Answer;
-import milletyoke.wire.proto.Final;
 import milletyoke.wire.proto.Note;
 import milletyoke.wire.proto.Outcome;
+import milletyoke.wire.proto.Response;
+import milletyoke.wire.proto.ResponseStatus;
 
 /** Rule 2: nothing has its effect twice, and no two relays of one access are out together. */
-final class Effects extends Check {
+final class SingleExecutionRule extends RuleCheck {
     private record Ran(String where, int frame) {}
 
     private final Map<String, Ran> ran = new HashMap<>();
     private double windowUsed;
     private long unsure;
 
-    Effects() {
+    SingleExecutionRule() {
         super(2, "no effect twice: repeats only as the category allows, one relay out at a time");
     }
 
-    private RuleBook.Category category(Seen seen) {
-        RuleBook.Category known = book.categories().get(seen.access.getCategory());
+    private RuleSettings.Category category(ObservedAttempts seen) {
+        RuleSettings.Category known = book.categories().get(seen.access.getRequestClass());
         if (known == null && seen.relays.isEmpty()) {
-            return new RuleBook.Category(
+            return new RuleSettings.Category(
                     "harmless", "all", 0, false); // never taken: it named no category of ours
         }
         if (known == null) {
             throw new IllegalArgumentException(
                     "a relay of category "
-                            + seen.access.getCategory()
+                            + seen.access.getRequestClass()
                             + ", of which the recording's rules know nothing");
         }
         return known;
     }
 
     @Override
-    void relayed(Seen seen, Seen.Sent sent) {
+    void relayed(ObservedAttempts seen, ObservedAttempts.Sent sent) {
         int k = seen.relays.size() - 1;
-        if (sent.relay.getAttempt() >= book.maxRelays()) {
+        if (sent.relay.getAttemptNumber() >= book.maxRelays()) {
             breach(
                     "relay "
-                            + sent.relay.getAttempt()
+                            + sent.relay.getAttemptNumber()
                             + " of "
                             + seen.id
                             + ", "
@@ -49,7 +49,7 @@
                             + " are the most",
                     sent.frame);
         }
-        for (Seen.Sent before : seen.relays.subList(0, k)) {
+        for (ObservedAttempts.Sent before : seen.relays.subList(0, k)) {
             if (!before.hasEnded(sent.at)) {
                 breach("two relays of " + seen.id + " out together", before.frame, sent.frame);
             }
@@ -57,8 +57,8 @@
         if (!seen.mayHaveRun(k, sent.at)) {
             return;
         }
-        RuleBook.Category category = category(seen);
-        Seen.Sent first =
+        RuleSettings.Category category = category(seen);
+        ObservedAttempts.Sent first =
                 seen.relays.stream().filter(s -> s.mayHaveRun(sent.at)).findFirst().orElseThrow();
         if (category.repeats().equals("one_shot")) {
             breach(
@@ -92,8 +92,8 @@
     }
 
     private static boolean sameGroup(
-            Life life, RuleBook.Category category, String one, String other) {
-        Life.Listed a = life.list.get(one), b = life.list.get(other);
+            Incarnation life, RuleSettings.Category category, String one, String other) {
+        Incarnation.Listed a = life.list.get(one), b = life.list.get(other);
         if (category.group().equals("all") || one.equals(other)) {
             return true;
         }
@@ -106,15 +106,17 @@
     }
 
     @Override
-    void answered(Seen seen, Answer answer, long at, int frame) {
-        for (Seen.Sent s : category(seen).harmless() ? List.<Seen.Sent>of() : seen.relays) {
+    void answered(ObservedAttempts seen, Response answer, long at, int frame) {
+        for (ObservedAttempts.Sent s :
+                category(seen).harmless() ? List.<ObservedAttempts.Sent>of() : seen.relays) {
             tested += s.outcome == Outcome.SUCCEEDED ? 0 : 1;
             unsure += s.outcome != Outcome.SUCCEEDED && s.mayHaveRun(at) ? 1 : 0;
         }
-        if (answer.getFinal() != Final.REJECTED || !seen.mayHaveRun(seen.relays.size(), at)) {
+        if (answer.getStatus() != ResponseStatus.REJECTED
+                || !seen.mayHaveRun(seen.relays.size(), at)) {
             return;
         }
-        RuleBook.Category category = category(seen);
+        RuleSettings.Category category = category(seen);
         boolean repeatsDropped =
                 category.repeats().equals("stamped") && category.group().equals("all");
         if (!category.harmless() && !repeatsDropped) {
@@ -127,11 +129,11 @@
     /** The targets' own word: each run of an access, by its mark. */
     @Override
     void noted(String witness, Note note, long at, int frame) {
-        if (note.getKind() != Note.Kind.RAN) {
+        if (note.getKind() != Note.Kind.EXECUTED) {
             return;
         }
         int blank = note.getText().lastIndexOf(' ');
-        RuleBook.Category category = book.categories().get(note.getText().substring(blank + 1));
+        RuleSettings.Category category = book.categories().get(note.getText().substring(blank + 1));
         if (category != null && category.repeats().equals("one_shot")) {
             Ran before = ran.put(note.getText().substring(0, blank), new Ran(witness, frame));
             if (before != null) {
--- a/rehearsal/src/main/java/milletyoke/rehearsal/audit/ColdStarts.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/SlowStartRule.java
@@ -1,4 +1,4 @@
-package milletyoke.rehearsal.audit;
+package milletyoke.scenario.audit;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -10,7 +10,7 @@
 /**
  * Rule 4, at the targets' end: what all initiators together send a cold one within the fall time.
  */
-final class ColdStarts extends Check {
+final class SlowStartRule extends RuleCheck {
     private record Came(long at, double units, boolean told) {}
 
     private static final class Warming {
@@ -25,20 +25,20 @@
     private double highest;
     private String highestAt = "";
 
-    ColdStarts() {
+    SlowStartRule() {
         super(4, "no cold target pushed over");
     }
 
     @Override
     void noted(String witness, Note note, long at, int frame) {
-        if (note.getKind() == Note.Kind.UP && note.getText().equals("cold")) {
+        if (note.getKind() == Note.Kind.STARTED && note.getText().equals("cold")) {
             Warming w = new Warming();
             w.since = at;
             w.capacity = note.getFigure();
             warming.put(witness, w);
-        } else if (note.getKind() == Note.Kind.KILLED || note.getKind() == Note.Kind.UP) {
+        } else if (note.getKind() == Note.Kind.KILLED || note.getKind() == Note.Kind.STARTED) {
             warming.remove(witness);
-        } else if (note.getKind() == Note.Kind.FELL) {
+        } else if (note.getKind() == Note.Kind.OVERLOAD_COLLAPSE) {
             breach(
                     witness
                             + " fell over, sent "
@@ -49,7 +49,7 @@
     }
 
     @Override
-    void listed(Life life, long at) {
+    void listed(Incarnation life, long at) {
         life.list.forEach(
                 (target, listed) ->
                         toldOf.computeIfAbsent(life.initiator, i -> new HashMap<>())
@@ -64,38 +64,38 @@
 
     @Override
     void elsewhere(Record r, int frame) {
-        Warming w = warming.get(r.getWitness());
+        Warming w = warming.get(r.getObserver());
         if (w == null
                 || r.getDirection() != Direction.GOT
-                || !r.getFrame().hasRelay()
+                || !r.getFrame().hasAttempt()
                 || book.fall() == 0) {
             return;
         }
-        if (r.getAt() > w.since + book.cold()) {
-            warming.remove(r.getWitness());
+        if (r.getAtMicros() > w.since + book.cold()) {
+            warming.remove(r.getObserver());
             return;
         }
         tested++;
-        double units = r.getFrame().getRelay().getUnits();
+        double units = r.getFrame().getAttempt().getUnits();
         boolean told =
-                toldOf.getOrDefault(r.getPeer(), Map.of()).getOrDefault(r.getWitness(), 0L)
+                toldOf.getOrDefault(r.getPeer(), Map.of()).getOrDefault(r.getObserver(), 0L)
                         >= w.since;
-        w.window.addLast(new Came(r.getAt(), units, told));
+        w.window.addLast(new Came(r.getAtMicros(), units, told));
         w.units += units;
-        while (w.window.peekFirst().at() <= r.getAt() - book.fall()) {
+        while (w.window.peekFirst().at() <= r.getAtMicros() - book.fall()) {
             w.units -= w.window.removeFirst().units();
         }
-        double bears = book.tip() * w.capacity * warmth(w, r.getAt()) * book.fall() / 1e6;
+        double bears = book.tip() * w.capacity * warmth(w, r.getAtMicros()) * book.fall() / 1e6;
         if (w.units / bears > highest) {
             highest = w.units / bears;
-            highestAt = r.getWitness();
+            highestAt = r.getObserver();
         }
         double byTold = w.window.stream().filter(Came::told).mapToDouble(Came::units).sum();
         if (w.units > bears && byTold >= w.units * 2 / 3) {
             breach(
                     String.format(
                             "%s was sent %.1f units within %s while cold, it bears %.1f",
-                            r.getWitness(), w.units, millis(book.fall()), bears),
+                            r.getObserver(), w.units, millis(book.fall()), bears),
                     frame);
         }
     }
--- a/rehearsal/src/main/java/milletyoke/rehearsal/script/BadDay.java
+++ b/scenario/src/main/java/milletyoke/scenario/script/Scenario.java
@@ -1,10 +1,10 @@
-package milletyoke.rehearsal.script;
+package milletyoke.scenario.script;
 
 import java.nio.file.Path;
 import java.util.List;
-import milletyoke.gateway.setup.Deployment;
-import milletyoke.port.Provisioning;
-import milletyoke.standins.Demand;
+import milletyoke.gateway.config.DeploymentSettings;
+import milletyoke.scheduler.api.SchedulerSettings;
+import milletyoke.standins.LoadProfile;
 import milletyoke.standins.Work;
 
 /**
@@ -16,22 +16,22 @@
  * @param unit work of one unit at a core of speed 1
  * @param speeds of cores, least and most; each target draws one
  */
-public record BadDay(
+public record Scenario(
         String name,
         long seed,
         long lasts,
         int initiators,
         int held,
         Fleet fleet,
-        List<Provisioning.Category> categories,
+        List<SchedulerSettings.RequestClass> categories,
         List<Kind> kinds,
         List<PlanOf> plans,
-        Provisioning.Allowances allowances,
+        SchedulerSettings.Capabilities allowances,
         BoundsOf bounds,
         boolean listAsked,
         Load load,
         Network network,
-        List<Trouble> troubles) {
+        List<Fault> troubles) {
 
     /**
      * What the lab's network and machines are like; sockets have what they have.
@@ -42,12 +42,12 @@
     public record Network(long[] travel, long turn) {}
 
     /**
-     * How a partition cuts, added up in {@link Trouble#every}: towards the targets alone; work
-     * alone, not probes.
+     * How a partition cuts, added up in {@link Fault#every}: towards the targets alone; work alone,
+     * not probes.
      */
     public static final long ONE_WAY = 1, GREY = 2;
 
-    /** The targets; see {@link milletyoke.standins.Nature}. */
+    /** The targets; see {@link milletyoke.standins.TargetBehavior}. */
     public record Fleet(
             int targets,
             int zones,
@@ -80,7 +80,8 @@
             long abandon) {}
 
     /** A plan, the part of demand on it and how many volumes have it. */
-    public record PlanOf(Provisioning.Plan plan, double share, int volumes, int hosts) {}
+    public record PlanOf(
+            SchedulerSettings.ServicePlan plan, double share, int volumes, int hosts) {}
 
     /** The rules' figures; what a cold target bears follows from the fleet. */
     public record BoundsOf(
@@ -120,10 +121,10 @@
      * @param under 0, or from {@code at} on it comes when service of the last second is under this
      *     part, once
      */
-    public record Trouble(
+    public record Fault(
             long at,
             int line,
-            Sort sort,
+            FaultType sort,
             Selection whom,
             long span,
             double figure,
@@ -135,10 +136,10 @@
             double under) {
 
         /** One at its time, whatever service is. */
-        public Trouble(
+        public Fault(
                 long at,
                 int line,
-                Sort sort,
+                FaultType sort,
                 Selection whom,
                 long span,
                 double figure,
@@ -151,8 +152,8 @@
         }
 
         /** The same, once service of the last second is under a part. */
-        Trouble under(double part) {
-            return new Trouble(
+        Fault under(double part) {
+            return new Fault(
                     at, line, sort, whom, span, figure, range, every, count, down, name, part);
         }
     }
@@ -160,7 +161,7 @@
     /** Which targets or initiators: a part of them drawn from the seed, or one by number from 1. */
     public record Selection(double part, int number) {}
 
-    public enum Sort {
+    public enum FaultType {
         HANG,
         SLOW,
         PAUSES,
@@ -200,15 +201,15 @@
     }
 
     /** What its initiators are provisioned with. */
-    public Deployment deployment() {
+    public DeploymentSettings deployment() {
         var b = bounds;
-        return new Deployment(
-                new Provisioning(
+        return new DeploymentSettings(
+                new SchedulerSettings(
                         initiators,
                         categories,
                         plans.stream().map(PlanOf::plan).toList(),
                         allowances,
-                        new Provisioning.Bounds(
+                        new SchedulerSettings.RuleLimits(
                                 b.keyQuiet(),
                                 b.cold(),
                                 b.coldShare(),
@@ -225,8 +226,8 @@
     }
 
     /** The same day with other troubles, under another name and seed. */
-    public BadDay with(String called, long otherSeed, List<Trouble> others) {
-        return new BadDay(
+    public Scenario with(String called, long otherSeed, List<Fault> others) {
+        return new Scenario(
                 called,
                 otherSeed,
                 lasts,
@@ -245,7 +246,7 @@
     }
 
     /** The same day with another number of accesses a second. */
-    public BadDay at(double rate) {
+    public Scenario at(double rate) {
         Load other =
                 new Load(
                         rate,
@@ -258,7 +259,7 @@
                         load.think(),
                         load.traffic(),
                         load.speed());
-        return new BadDay(
+        return new Scenario(
                 name,
                 seed,
                 lasts,
@@ -277,7 +278,7 @@
     }
 
     /** How clients know the repeats of a category. */
-    public static Demand.Repeats repeats(Provisioning.Category c) {
-        return Demand.Repeats.valueOf(c.repeats().name());
+    public static LoadProfile.Idempotency repeats(SchedulerSettings.RequestClass c) {
+        return LoadProfile.Idempotency.valueOf(c.idempotency().name());
     }
 }
--- a/rehearsal/src/main/java/milletyoke/rehearsal/script/ScriptError.java
+++ b/scenario/src/main/java/milletyoke/scenario/script/ScenarioFormatException.java
@@ -1,10 +1,10 @@
-package milletyoke.rehearsal.script;
+package milletyoke.scenario.script;
 
 /** A script that cannot be played; the message names file, line and word. */
-public final class ScriptError extends Exception {
+public final class ScenarioFormatException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public ScriptError(String message) {
+    public ScenarioFormatException(String message) {
         super(message);
     }
 }
--- a/rehearsal/src/main/java/milletyoke/rehearsal/script/Script.java
+++ b/scenario/src/main/java/milletyoke/scenario/script/ScenarioParser.java
@@ -1,4 +1,4 @@
-package milletyoke.rehearsal.script;
+package milletyoke.scenario.script;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -6,44 +6,45 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
-import milletyoke.port.Provisioning.Allowances;
-import milletyoke.port.Provisioning.Category;
-import milletyoke.port.Provisioning.Group;
-import milletyoke.port.Provisioning.Plan;
-import milletyoke.port.Provisioning.Repeats;
-import milletyoke.rehearsal.script.BadDay.Selection;
-import milletyoke.rehearsal.script.BadDay.Sort;
-import milletyoke.rehearsal.script.BadDay.Trouble;
+import milletyoke.scenario.script.Scenario.Fault;
+import milletyoke.scenario.script.Scenario.FaultType;
+import milletyoke.scenario.script.Scenario.Selection;
+import milletyoke.scheduler.api.Keyword;
+import milletyoke.scheduler.api.SchedulerSettings.Capabilities;
+import milletyoke.scheduler.api.SchedulerSettings.DeduplicationScope;
+import milletyoke.scheduler.api.SchedulerSettings.Idempotency;
+import milletyoke.scheduler.api.SchedulerSettings.RequestClass;
+import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 import milletyoke.standins.Work;
 
 /**
  * Reads the notation of bad days, one statement a line, # before a remark; docs/rehearsal.md has
  * every statement.
  */
-public final class Script {
+public final class ScenarioParser {
     private final String file;
     private final String name;
-    private final Map<String, Words> single = new HashMap<>();
-    private final List<Words> categories = new ArrayList<>();
-    private final List<Words> plans = new ArrayList<>();
-    private final List<Trouble> troubles = new ArrayList<>();
+    private final Map<String, Tokenizer> single = new HashMap<>();
+    private final List<Tokenizer> categories = new ArrayList<>();
+    private final List<Tokenizer> plans = new ArrayList<>();
+    private final List<Fault> troubles = new ArrayList<>();
     private boolean listAsked;
 
-    private Script(String file, String name) {
+    private ScenarioParser(String file, String name) {
         this.file = file;
         this.name = name;
     }
 
-    public static BadDay read(Path path) throws ScriptError {
+    public static Scenario read(Path path) throws ScenarioFormatException {
         String text;
         try {
             text = Files.readString(path);
         } catch (java.nio.file.NoSuchFileException missing) {
-            throw new ScriptError(path + ": there is no such file");
+            throw new ScenarioFormatException(path + ": there is no such file");
         } catch (IOException unreadable) {
-            throw new ScriptError(path + ": cannot be read: " + unreadable.getMessage());
+            throw new ScenarioFormatException(
+                    path + ": cannot be read: " + unreadable.getMessage());
         }
         return read(
                 path.toString(),
@@ -52,8 +53,8 @@
     }
 
     /** All of them, so that none is played where one cannot be read. */
-    public static List<BadDay> readAll(List<Path> paths) throws ScriptError {
-        List<BadDay> days = new ArrayList<>();
+    public static List<Scenario> readAll(List<Path> paths) throws ScenarioFormatException {
+        List<Scenario> days = new ArrayList<>();
         for (Path path : paths) {
             days.add(read(path));
         }
@@ -63,20 +64,21 @@
     /**
      * @param file what messages call it
      */
-    public static BadDay read(String file, String name, String text) throws ScriptError {
-        Script script = new Script(file, name);
+    public static Scenario read(String file, String name, String text)
+            throws ScenarioFormatException {
+        ScenarioParser script = new ScenarioParser(file, name);
         int line = 0;
         for (String one : text.split("\n", -1)) {
             line++;
             String bare = one.replaceAll("#.*", "").trim();
             if (!bare.isEmpty()) {
-                script.statement(new Words(file, line, bare), line);
+                script.statement(new Tokenizer(file, line, bare), line);
             }
         }
         return script.day();
     }
 
-    private void statement(Words w, int line) throws ScriptError {
+    private void statement(Tokenizer w, int line) throws ScenarioFormatException {
         String verb = w.next("a statement");
         switch (verb) {
             case "seed",
@@ -123,23 +125,23 @@
         }
     }
 
-    private Words single(String verb) throws ScriptError {
-        Words w = single.get(verb);
-        return w == null ? new Words(file, 0, "") : w;
+    private Tokenizer single(String verb) throws ScenarioFormatException {
+        Tokenizer w = single.get(verb);
+        return w == null ? new Tokenizer(file, 0, "") : w;
     }
 
     // ---- Who is there and what is asked ----
 
-    private BadDay day() throws ScriptError {
-        Words seed = single("seed");
+    private Scenario day() throws ScenarioFormatException {
+        Tokenizer seed = single("seed");
         String seedText = seed.next();
         long seedValue = seedText == null ? 1 : (long) seed.figure("seed", seedText, "");
         seed.done();
-        Words lasts = single("lasts");
+        Tokenizer lasts = single("lasts");
         String lastsText = lasts.next();
         long lastsValue = lastsText == null ? 10_000_000 : lasts.time("lasts", lastsText, false);
         lasts.done();
-        Words ini = single("initiators");
+        Tokenizer ini = single("initiators");
         String count = ini.next();
         int initiators = count == null ? 3 : (int) ini.figure("initiators", count, "");
         int held = ini.whole("held", "10000");
@@ -147,52 +149,52 @@
         if (initiators < 1 || initiators > 10_000) {
             throw ini.wrong("1 to 10000 initiators can be played, not " + initiators);
         }
-        BadDay.Fleet fleet = fleet(single("targets"), single("list"));
-        List<Category> provisioned = new ArrayList<>();
-        List<BadDay.Kind> kinds = new ArrayList<>();
-        for (Words w : categories) {
+        Scenario.Fleet fleet = fleet(single("targets"), single("list"));
+        List<RequestClass> provisioned = new ArrayList<>();
+        List<Scenario.Kind> kinds = new ArrayList<>();
+        for (Tokenizer w : categories) {
             category(w, provisioned, kinds);
         }
         if (provisioned.isEmpty()) {
-            throw new ScriptError(file + ": no category is given");
+            throw new ScenarioFormatException(file + ": no category is given");
         }
-        List<BadDay.PlanOf> planned = new ArrayList<>();
-        for (Words w : plans) {
+        List<Scenario.PlanOf> planned = new ArrayList<>();
+        for (Tokenizer w : plans) {
             planned.add(plan(w));
         }
         if (planned.isEmpty()) {
-            throw new ScriptError(file + ": no plan is given");
+            throw new ScenarioFormatException(file + ": no plan is given");
         }
-        BadDay.BoundsOf bounds = bounds(single("bounds"));
-        Words a = single("allowances");
-        Allowances allowances =
-                new Allowances(
+        Scenario.BoundsOf bounds = bounds(single("bounds"));
+        Tokenizer a = single("allowances");
+        Capabilities allowances =
+                new Capabilities(
                         Math.max(1, a.whole("relays", "3")),
                         !a.flag("noprobes"),
                         !a.flag("nocancels"),
                         !a.flag("noadvice"),
                         a.time("advice", "500ms"));
         a.done();
-        BadDay.Load load = load(single("load"), file);
-        for (Trouble t : troubles) {
+        Scenario.Load load = load(single("load"), file);
+        for (Fault t : troubles) {
             boolean known =
                     planned.stream()
                             .anyMatch(
                                     p ->
                                             p.plan().name().equals(t.name())
                                                     && p.plan().limitRate() > 0);
-            if (t.sort() == Sort.LIMIT && !known) {
-                throw new ScriptError(
+            if (t.sort() == FaultType.LIMIT && !known) {
+                throw new ScenarioFormatException(
                         file + ":" + t.line() + ": no plan with a limit is called " + t.name());
             }
             boolean initiator =
-                    t.sort() == Sort.KILL
-                            || t.sort() == Sort.STILL
-                            || t.sort() == Sort.LEAVE
-                            || t.sort() == Sort.PARTITION;
+                    t.sort() == FaultType.KILL
+                            || t.sort() == FaultType.STILL
+                            || t.sort() == FaultType.LEAVE
+                            || t.sort() == FaultType.PARTITION;
             int most = initiator ? initiators : fleet.targets();
-            if (t.sort() == Sort.PARTITION && t.count() > fleet.targets()) {
-                throw new ScriptError(
+            if (t.sort() == FaultType.PARTITION && t.count() > fleet.targets()) {
+                throw new ScenarioFormatException(
                         file
                                 + ":"
                                 + t.line()
@@ -202,7 +204,7 @@
                                 + t.count());
             }
             if (t.whom().number() > most) {
-                throw new ScriptError(
+                throw new ScenarioFormatException(
                         file
                                 + ":"
                                 + t.line()
@@ -212,7 +214,7 @@
                                 + t.whom().number());
             }
         }
-        return new BadDay(
+        return new Scenario(
                 name,
                 seedValue,
                 lastsValue,
@@ -230,7 +232,7 @@
                 List.copyOf(troubles));
     }
 
-    private BadDay.Fleet fleet(Words w, Words list) throws ScriptError {
+    private Scenario.Fleet fleet(Tokenizer w, Tokenizer list) throws ScenarioFormatException {
         String count = w.next();
         int targets = count == null ? 8 : (int) w.figure("targets", count, "");
         if (targets < 1 || targets > 10_000) {
@@ -239,8 +241,8 @@
         listAsked = list.flag("asked");
         long[] lag = list.times("lag", "100ms..300ms");
         list.done();
-        BadDay.Fleet fleet =
-                new BadDay.Fleet(
+        Scenario.Fleet fleet =
+                new Scenario.Fleet(
                         targets,
                         Math.max(1, w.whole("zones", "1")),
                         Math.max(1, w.whole("cores", "2")),
@@ -268,9 +270,9 @@
         return fleet;
     }
 
-    private static BadDay.Network network(Words w) throws ScriptError {
-        BadDay.Network network =
-                new BadDay.Network(w.times("travel", "30us..90us"), w.time("turn", "30us"));
+    private static Scenario.Network network(Tokenizer w) throws ScenarioFormatException {
+        Scenario.Network network =
+                new Scenario.Network(w.times("travel", "30us..90us"), w.time("turn", "30us"));
         w.done();
         if (network.travel()[0] < 1) {
             throw w.wrong("travel must be over 0");
@@ -278,7 +280,7 @@
         return network;
     }
 
-    private static Work work(Words w) throws ScriptError {
+    private static Work work(Tokenizer w) throws ScenarioFormatException {
         try {
             return Work.of(w.text("work", "even"));
         } catch (IllegalArgumentException wrong) {
@@ -286,18 +288,18 @@
         }
     }
 
-    private void category(Words w, List<Category> provisioned, List<BadDay.Kind> kinds)
-            throws ScriptError {
+    private void category(Tokenizer w, List<RequestClass> provisioned, List<Scenario.Kind> kinds)
+            throws ScenarioFormatException {
         String called = w.next("the category's name");
         double share = w.part("share", null);
-        Repeats repeats = word(w, "repeats", Repeats.class, "harmless");
-        Group group = word(w, "group", Group.class, "all");
+        Idempotency repeats = word(w, "repeats", Idempotency.class, "harmless");
+        DeduplicationScope group = word(w, "group", DeduplicationScope.class, "all");
         double[] units = w.figures("units", "1..4");
         boolean ordered = w.flag("ordered");
         boolean write = w.flag("write");
         boolean anywhere = w.flag("anywhere");
-        Category category =
-                new Category(
+        RequestClass category =
+                new RequestClass(
                         called,
                         repeats,
                         group,
@@ -306,7 +308,7 @@
                         w.time("agreed", null),
                         w.figure("importance", "1"));
         kinds.add(
-                new BadDay.Kind(
+                new Scenario.Kind(
                         share,
                         (int) units[0],
                         (int) units[1],
@@ -317,29 +319,29 @@
         w.done();
     }
 
-    private static <E extends Enum<E>> E word(Words w, String name, Class<E> words, String usual)
-            throws ScriptError {
+    private static <E extends Enum<E>> E word(
+            Tokenizer w, String name, Class<E> words, String usual) throws ScenarioFormatException {
         String text = w.text(name, usual);
         for (E one : words.getEnumConstants()) {
-            if (one.name().toLowerCase(Locale.ROOT).replace('_', '-').equals(text)) {
+            if (Keyword.of(one).equals(text)) {
                 return one;
             }
         }
         throw w.wrong(name + ": \"" + text + "\" is not known");
     }
 
-    private static BadDay.PlanOf plan(Words w) throws ScriptError {
+    private static Scenario.PlanOf plan(Tokenizer w) throws ScenarioFormatException {
         String called = w.next("the plan's name");
-        Plan plan =
-                new Plan(
+        ServicePlan plan =
+                new ServicePlan(
                         called,
                         w.figure("reserve", "0"),
                         w.figure("weight", "1"),
                         w.figure("limit", "0"),
                         w.figure("depth", "0"),
                         w.figure("slack", "0"));
-        BadDay.PlanOf of =
-                new BadDay.PlanOf(
+        Scenario.PlanOf of =
+                new Scenario.PlanOf(
                         plan,
                         w.part("share", null),
                         Math.max(1, w.whole("volumes", "8")),
@@ -348,9 +350,9 @@
         return of;
     }
 
-    private static BadDay.BoundsOf bounds(Words w) throws ScriptError {
-        BadDay.BoundsOf bounds =
-                new BadDay.BoundsOf(
+    private static Scenario.BoundsOf bounds(Tokenizer w) throws ScenarioFormatException {
+        Scenario.BoundsOf bounds =
+                new Scenario.BoundsOf(
                         w.time("slack", "100ms"),
                         w.time("grace", "500ms"),
                         w.time("keyquiet", "0"),
@@ -367,7 +369,7 @@
     }
 
     /** Files of captured traffic, with commas between; from the script's folder on. */
-    private static List<Path> traffic(Words w, String file) throws ScriptError {
+    private static List<Path> traffic(Tokenizer w, String file) throws ScenarioFormatException {
         String text = w.text("traffic", "");
         Path folder = Path.of(file).toAbsolutePath().getParent();
         return text.isEmpty()
@@ -375,10 +377,10 @@
                 : java.util.Arrays.stream(text.split(",")).map(folder::resolve).toList();
     }
 
-    private static BadDay.Load load(Words w, String file) throws ScriptError {
+    private static Scenario.Load load(Tokenizer w, String file) throws ScenarioFormatException {
         String rate = w.next();
-        BadDay.Load load =
-                new BadDay.Load(
+        Scenario.Load load =
+                new Scenario.Load(
                         rate == null ? 400 : w.figure("load", rate, "/s"),
                         w.whole("retries", "1"),
                         w.time("wait", "100ms"),
@@ -398,7 +400,7 @@
 
     // ---- What goes wrong ----
 
-    private static Trouble trouble(Words w, long at, int line) throws ScriptError {
+    private static Fault trouble(Tokenizer w, long at, int line) throws ScenarioFormatException {
         String verb = w.next("what happens");
         Selection whom = new Selection(0, 0);
         long span = 0, every = 0, down = 0;
@@ -406,56 +408,56 @@
         double figure = 0;
         int count = 0;
         String name = "";
-        Sort sort;
+        FaultType sort;
         switch (verb) {
             case "hang", "unreachable" -> {
-                sort = verb.equals("hang") ? Sort.HANG : Sort.UNREACHABLE;
+                sort = verb.equals("hang") ? FaultType.HANG : FaultType.UNREACHABLE;
                 whom = whom(w);
                 span = w.time("for", null);
             }
             case "slow" -> {
-                sort = Sort.SLOW;
+                sort = FaultType.SLOW;
                 whom = whom(w);
                 figure = w.figure("by", null);
                 span = w.time("for", null);
             }
             case "pauses" -> {
-                sort = Sort.PAUSES;
+                sort = FaultType.PAUSES;
                 whom = whom(w);
                 range = w.times("of", null);
                 every = w.time("every", "2s");
                 span = w.time("for", null);
             }
             case "errors", "lost" -> {
-                sort = verb.equals("errors") ? Sort.ERRORS : Sort.LOST;
+                sort = verb.equals("errors") ? FaultType.ERRORS : FaultType.LOST;
                 whom = whom(w);
                 figure = w.part("part", "60%");
                 span = w.time("for", null);
             }
             case "resets" -> {
-                sort = Sort.RESETS;
+                sort = FaultType.RESETS;
                 whom = whom(w);
                 every = w.time("every", "200ms");
                 span = w.time("for", null);
             }
             case "restart" -> {
-                sort = Sort.RESTART;
+                sort = FaultType.RESTART;
                 whom = whom(w);
                 range = w.times("down", "500ms");
             }
             case "roll" -> {
-                sort = Sort.ROLL;
+                sort = FaultType.ROLL;
                 whom = whom(w);
                 span = w.time("over", null);
                 down = w.time("down", "300ms");
             }
             case "drain" -> {
-                sort = Sort.DRAIN;
+                sort = FaultType.DRAIN;
                 whom = whom(w);
                 span = w.time("for", null);
             }
             case "age" -> {
-                sort = Sort.AGE;
+                sort = FaultType.AGE;
                 whom = whom(w);
                 figure = w.figure("to", "6");
                 span = w.time("over", null);
@@ -465,63 +467,63 @@
                 String how = w.next("late, partial or unavailable");
                 sort =
                         switch (how) {
-                            case "late" -> Sort.LIST_LATE;
-                            case "partial" -> Sort.LIST_PARTIAL;
-                            case "unavailable" -> Sort.LIST_UNAVAILABLE;
-                            case "flap" -> Sort.LIST_FLAP;
+                            case "late" -> FaultType.LIST_LATE;
+                            case "partial" -> FaultType.LIST_PARTIAL;
+                            case "unavailable" -> FaultType.LIST_UNAVAILABLE;
+                            case "flap" -> FaultType.LIST_FLAP;
                             default ->
                                     throw w.wrong(
                                             "a list is late, partial, unavailable or flaps, not \""
                                                     + how
                                                     + "\"");
                         };
-                if (sort == Sort.LIST_LATE) {
+                if (sort == FaultType.LIST_LATE) {
                     range = w.times("by", null);
-                } else if (sort == Sort.LIST_PARTIAL || sort == Sort.LIST_FLAP) {
+                } else if (sort == FaultType.LIST_PARTIAL || sort == FaultType.LIST_FLAP) {
                     whom = whom(w);
-                    every = sort == Sort.LIST_FLAP ? w.time("every", "200ms") : 0;
+                    every = sort == FaultType.LIST_FLAP ? w.time("every", "200ms") : 0;
                 }
                 span = w.time("for", null);
             }
             case "kill", "leave" -> {
-                sort = verb.equals("kill") ? Sort.KILL : Sort.LEAVE;
+                sort = verb.equals("kill") ? FaultType.KILL : FaultType.LEAVE;
                 whom = whom(w);
                 range = w.times("down", "1s");
             }
             case "still" -> {
-                sort = Sort.STILL;
+                sort = FaultType.STILL;
                 whom = whom(w);
                 span = w.time("for", null);
             }
             case "surge" -> {
-                sort = Sort.SURGE;
+                sort = FaultType.SURGE;
                 count = Math.max(1, w.whole("volumes", "3"));
                 figure = w.part("by", w.text("by", "50%"), 20);
                 span = w.time("for", null);
             }
             case "hotkey" -> {
-                sort = Sort.HOTKEY;
+                sort = FaultType.HOTKEY;
                 figure = w.part("part", "30%");
                 span = w.time("for", null);
             }
             case "partition" -> {
-                sort = Sort.PARTITION;
+                sort = FaultType.PARTITION;
                 whom = whom(w);
                 Selection there = selection(w, w.text("targets", null));
                 figure = there.part();
                 count = there.number();
                 every =
-                        (w.flag("oneway") ? BadDay.ONE_WAY : 0)
-                                + (w.flag("grey") ? BadDay.GREY : 0);
+                        (w.flag("oneway") ? Scenario.ONE_WAY : 0)
+                                + (w.flag("grey") ? Scenario.GREY : 0);
                 span = w.time("for", null);
             }
             case "clock" -> {
-                sort = Sort.CLOCK;
+                sort = FaultType.CLOCK;
                 span = w.time("ahead", "0") - w.time("back", "0");
             }
-            case "reconnect" -> sort = Sort.RECONNECT;
+            case "reconnect" -> sort = FaultType.RECONNECT;
             case "limit" -> {
-                sort = Sort.LIMIT;
+                sort = FaultType.LIMIT;
                 name = w.next("the plan");
                 figure = w.figure("rate", null);
                 range = new long[] {w.whole("depth", null), w.whole("slack", "0")};
@@ -529,15 +531,15 @@
             default -> throw w.wrong("\"" + verb + "\" is no trouble that can be played");
         }
         w.done();
-        return new Trouble(at, line, sort, whom, span, figure, range, every, count, down, name);
+        return new Fault(at, line, sort, whom, span, figure, range, every, count, down, name);
     }
 
     /** A part as 40%, or a number as 2. */
-    private static Selection whom(Words w) throws ScriptError {
+    private static Selection whom(Tokenizer w) throws ScenarioFormatException {
         return selection(w, w.next("whom it strikes, as 40% or a number from 1"));
     }
 
-    private static Selection selection(Words w, String text) throws ScriptError {
+    private static Selection selection(Tokenizer w, String text) throws ScenarioFormatException {
         if (text.endsWith("%")) {
             return new Selection(w.part("whom", text, 1), 0);
         }
--- a/rehearsal/src/main/java/milletyoke/rehearsal/script/Words.java
+++ b/scenario/src/main/java/milletyoke/scenario/script/Tokenizer.java
@@ -1,4 +1,4 @@
-package milletyoke.rehearsal.script;
+package milletyoke.scenario.script;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -14,7 +14,7 @@
  * One line of a script: plain words, and words with a value as in {@code for=3s}; a value may be a
  * range, 1s..2s.
  */
-final class Words {
+final class Tokenizer {
     private static final Pattern FIGURE =
             Pattern.compile("(-?[0-9]+(?:\\.[0-9]+)?)(us|ms|s|min|%|/s|)");
 
@@ -24,7 +24,7 @@
     private final Set<String> asked = new HashSet<>();
     private int plainAsked;
 
-    Words(String file, int line, String text) throws ScriptError {
+    Tokenizer(String file, int line, String text) throws ScenarioFormatException {
         place = file + ":" + line + ": ";
         for (String word : text.trim().split("\\s+")) {
             int equals = word.indexOf('=');
@@ -39,8 +39,8 @@
         }
     }
 
-    ScriptError wrong(String what) {
-        return new ScriptError(place + what);
+    ScenarioFormatException wrong(String what) {
+        return new ScenarioFormatException(place + what);
     }
 
     /** The next plain word; null where there is none. */
@@ -48,7 +48,7 @@
         return plainAsked < plain.size() ? plain.get(plainAsked++) : null;
     }
 
-    String next(String what) throws ScriptError {
+    String next(String what) throws ScenarioFormatException {
         String word = next();
         if (word == null) {
             throw wrong(what + " is missing");
@@ -69,7 +69,7 @@
         return named.containsKey(name);
     }
 
-    String text(String name, String usual) throws ScriptError {
+    String text(String name, String usual) throws ScenarioFormatException {
         asked.add(name);
         String value = named.getOrDefault(name, usual);
         if (value == null) {
@@ -79,12 +79,12 @@
     }
 
     /** Microseconds; {@code usual} null where it must be there. */
-    long time(String name, String usual) throws ScriptError {
+    long time(String name, String usual) throws ScenarioFormatException {
         return time(name, text(name, usual), true);
     }
 
     /** Least and most, the same where one figure stands there (microseconds). */
-    long[] times(String name, String usual) throws ScriptError {
+    long[] times(String name, String usual) throws ScenarioFormatException {
         String[] ends = text(name, usual).split("\\.\\.", 2);
         long least = time(name, ends[0], true);
         long most = time(name, ends[ends.length - 1], true);
@@ -94,7 +94,7 @@
         return new long[] {least, most};
     }
 
-    long time(String name, String text, boolean zero) throws ScriptError {
+    long time(String name, String text, boolean zero) throws ScenarioFormatException {
         Matcher m = FIGURE.matcher(text);
         double factor =
                 !m.matches()
@@ -113,11 +113,11 @@
     }
 
     /** A part of a whole, as 40% or 0.4. */
-    double part(String name, String usual) throws ScriptError {
+    double part(String name, String usual) throws ScenarioFormatException {
         return part(name, text(name, usual), 1);
     }
 
-    double part(String name, String text, double most) throws ScriptError {
+    double part(String name, String text, double most) throws ScenarioFormatException {
         Matcher m = FIGURE.matcher(text);
         if (!m.matches() || !(m.group(2).equals("%") || m.group(2).isEmpty())) {
             throw wrong(name + ": a part as 40% is expected, not " + text);
@@ -130,11 +130,11 @@
         return part;
     }
 
-    double figure(String name, String usual) throws ScriptError {
+    double figure(String name, String usual) throws ScenarioFormatException {
         return figure(name, text(name, usual), "");
     }
 
-    double figure(String name, String text, String unit) throws ScriptError {
+    double figure(String name, String text, String unit) throws ScenarioFormatException {
         Matcher m = FIGURE.matcher(text);
         if (!m.matches() || !m.group(2).equals(unit)) {
             throw wrong(
@@ -147,12 +147,12 @@
         return Double.parseDouble(m.group(1));
     }
 
-    double[] figures(String name, String usual) throws ScriptError {
+    double[] figures(String name, String usual) throws ScenarioFormatException {
         String[] ends = text(name, usual).split("\\.\\.", 2);
         return new double[] {figure(name, ends[0], ""), figure(name, ends[ends.length - 1], "")};
     }
 
-    int whole(String name, String usual) throws ScriptError {
+    int whole(String name, String usual) throws ScenarioFormatException {
         double figure = figure(name, usual);
         if (figure != Math.rint(figure) || figure < 0 || figure > 1e9) {
             throw wrong(name + ": a whole number is expected, not " + figure);
@@ -161,7 +161,7 @@
     }
 
     /** To be called last: what was never asked for is not known here. */
-    void done() throws ScriptError {
+    void done() throws ScenarioFormatException {
         if (plainAsked < plain.size()) {
             throw wrong("\"" + plain.get(plainAsked) + "\" has no meaning here");
         }
--- a/rehearsal/src/test/java/milletyoke/rehearsal/AuditTest.java
+++ b/scenario/src/test/java/milletyoke/scenario/AuditTest.java
@@ -1,4 +1,4 @@
-package milletyoke.rehearsal;
+package milletyoke.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -9,14 +9,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
-import milletyoke.rehearsal.audit.Audit;
-import milletyoke.rehearsal.script.Script;
+import milletyoke.scenario.audit.Audit;
+import milletyoke.scenario.script.ScenarioParser;
 import milletyoke.wire.proto.Direction;
 import milletyoke.wire.proto.Health;
 import milletyoke.wire.proto.Note;
 import milletyoke.wire.proto.Outcome;
 import milletyoke.wire.proto.Record;
-import milletyoke.wire.record.Recorder;
+import milletyoke.wire.recording.Recorder;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -28,13 +28,14 @@
 @Timeout(120)
 class AuditTest {
     private static List<Record> clean;
-    private static Stage.Played played;
+    private static ScenarioRunner.ScenarioResult played;
 
     @BeforeAll
     static void play() throws Exception {
         Path recording = Files.createTempFile("milletyoke-audit", ".recording");
-        try (Stage stage =
-                new Stage(Script.read(Path.of("days/all-rules.day")), recording, false)) {
+        try (ScenarioRunner stage =
+                new ScenarioRunner(
+                        ScenarioParser.read(Path.of("days/all-rules.day")), recording, false)) {
             played = stage.play(line -> {});
         }
         clean = Recorder.readAll(recording);
@@ -54,14 +55,14 @@
     @Test
     void rule1AnswerThatNeverCame() {
         List<Record> bad = new ArrayList<>(clean);
-        bad.remove(first(r -> client(r) && r.getFrame().hasAnswer()));
+        bad.remove(first(r -> client(r) && r.getFrame().hasResponse()));
         named(1, "never had an answer", bad);
     }
 
     @Test
     void rule1SecondAnswer() {
         List<Record> bad = new ArrayList<>(clean);
-        bad.add(later(first(r -> client(r) && r.getFrame().hasAnswer()), 10));
+        bad.add(later(first(r -> client(r) && r.getFrame().hasResponse()), 10));
         named(1, "a second answer", bad);
     }
 
@@ -74,11 +75,11 @@
                         .filter(
                                 r ->
                                         initiator(r)
-                                                && r.getFrame().hasAnswer()
+                                                && r.getFrame().hasResponse()
                                                 && sameAccess(relay, r))
                         .findFirst()
                         .orElseThrow();
-        bad.add(relay.toBuilder().setAt(answer.getAt() + 5).build());
+        bad.add(relay.toBuilder().setAtMicros(answer.getAtMicros() + 5).build());
         named(1, "after its final answer", bad);
     }
 
@@ -88,42 +89,45 @@
         Record relay =
                 relay(
                         r ->
-                                r.getFrame().getRelay().getCategory().equals("save")
-                                        && !r.getWitness().equals("initiator-2")
+                                r.getFrame().getAttempt().getRequestClass().equals("save")
+                                        && !r.getObserver().equals("initiator-2")
                                         && clean.stream()
                                                 .anyMatch(
                                                         o ->
-                                                                later(r, 100_000).getAt()
-                                                                                < o.getAt()
-                                                                        && o.getWitness()
+                                                                later(r, 100_000).getAtMicros()
+                                                                                < o.getAtMicros()
+                                                                        && o.getObserver()
                                                                                 .equals(
                                                                                         r
-                                                                                                .getWitness())
+                                                                                                .getObserver())
                                                                         && o.getDirection()
                                                                                 == Direction.SENT
                                                                         && o.getFrame()
-                                                                                .getRelay()
+                                                                                .getAttempt()
                                                                                 .getExtent()
                                                                                 .equals(
                                                                                         r.getFrame()
-                                                                                                .getRelay()
+                                                                                                .getAttempt()
                                                                                                 .getExtent())
                                                                         && !o.getFrame()
-                                                                                .getRelay()
-                                                                                .getId()
+                                                                                .getAttempt()
+                                                                                .getRequestId()
                                                                                 .equals(
                                                                                         r.getFrame()
-                                                                                                .getRelay()
-                                                                                                .getId())));
+                                                                                                .getAttempt()
+                                                                                                .getRequestId())));
         List<Record> bad = new ArrayList<>(clean);
-        bad.add(relay.toBuilder().setAt(clean.get(clean.size() - 1).getAt() + 1).build());
+        bad.add(
+                relay.toBuilder()
+                        .setAtMicros(clean.get(clean.size() - 1).getAtMicros() + 1)
+                        .build());
         named(1, "after its final answer", bad);
     }
 
     @Test
     void rule2OneShotSentTwice() {
         List<Record> bad = new ArrayList<>(clean);
-        Record relay = relay(r -> r.getFrame().getRelay().getCategory().equals("transfer"));
+        Record relay = relay(r -> r.getFrame().getAttempt().getRequestClass().equals("transfer"));
         bad.add(further(relay, 1));
         named(2, "two relays", bad);
     }
@@ -134,9 +138,9 @@
         Record ran =
                 first(
                         r ->
-                                r.getNote().getKind() == Note.Kind.RAN
+                                r.getNote().getKind() == Note.Kind.EXECUTED
                                         && r.getNote().getText().endsWith("transfer"));
-        bad.add(later(ran, 1_000).toBuilder().setWitness("t-other").build());
+        bad.add(later(ran, 1_000).toBuilder().setObserver("t-other").build());
         named(2, "ran at", bad);
     }
 
@@ -147,20 +151,21 @@
                 first(
                         r ->
                                 initiator(r)
-                                        && r.getFrame().hasReply()
-                                        && r.getFrame().getReply().getOutcome() == Outcome.SUCCEEDED
+                                        && r.getFrame().hasAttemptReply()
+                                        && r.getFrame().getAttemptReply().getOutcome()
+                                                == Outcome.SUCCEEDED
                                         && isTransfer(r));
         Record relay = relayOf(reply);
         Record answer =
-                first(r -> initiator(r) && r.getFrame().hasAnswer() && sameAccess(relay, r));
+                first(r -> initiator(r) && r.getFrame().hasResponse() && sameAccess(relay, r));
         bad.remove(answer);
         bad.add(
                 answer.toBuilder()
                         .setFrame(
                                 answer.getFrame().toBuilder()
-                                        .setAnswer(
-                                                answer.getFrame().getAnswer().toBuilder()
-                                                        .setFinalValue(2)))
+                                        .setResponse(
+                                                answer.getFrame().getResponse().toBuilder()
+                                                        .setStatusValue(2)))
                         .build());
         named(2, "rejected though it may have run", bad);
     }
@@ -173,17 +178,17 @@
                         r ->
                                 initiator(r)
                                         && r.getDirection() == Direction.GOT
-                                        && r.getFrame().hasList()
-                                        && r.getFrame().getList().getTargetList().stream()
+                                        && r.getFrame().hasEndpointList()
+                                        && r.getFrame().getEndpointList().getTargetList().stream()
                                                 .anyMatch(t -> t.getHealth() == Health.DRAINING));
-        String target = list.getFrame().getList().getTarget(0).getId();
+        String target = list.getFrame().getEndpointList().getTarget(0).getId();
         Record relay =
                 relay(
                         r ->
-                                r.getWitness().equals(list.getWitness())
+                                r.getObserver().equals(list.getObserver())
                                         && r.getPeer().equals(target)
-                                        && r.getAt() < list.getAt());
-        bad.add(relay.toBuilder().setAt(list.getAt() + 501_000).build());
+                                        && r.getAtMicros() < list.getAtMicros());
+        bad.add(relay.toBuilder().setAtMicros(list.getAtMicros() + 501_000).build());
         named(3, "after it was told not to", bad);
     }
 
@@ -193,15 +198,15 @@
         Record up =
                 first(
                         r ->
-                                r.getNote().getKind() == Note.Kind.UP
+                                r.getNote().getKind() == Note.Kind.STARTED
                                         && r.getNote().getText().equals("cold"));
         Record got =
                 first(
                         r ->
-                                r.getWitness().equals(up.getWitness())
-                                        && r.getAt() > up.getAt() + 300_000
+                                r.getObserver().equals(up.getObserver())
+                                        && r.getAtMicros() > up.getAtMicros() + 300_000
                                         && r.getDirection() == Direction.GOT
-                                        && r.getFrame().hasRelay());
+                                        && r.getFrame().hasAttempt());
         for (int i = 1; i < 4000; i++) {
             bad.add(later(got, i));
         }
@@ -214,39 +219,42 @@
         Record relay =
                 relay(
                         r ->
-                                r.getFrame().getRelay().getCategory().equals("save")
-                                        && !r.getFrame().getRelay().getExtent().isEmpty());
+                                r.getFrame().getAttempt().getRequestClass().equals("save")
+                                        && !r.getFrame().getAttempt().getExtent().isEmpty());
         Record access =
                 first(
                         r ->
                                 initiator(r)
-                                        && r.getFrame().hasAccess()
+                                        && r.getFrame().hasRequest()
                                         && r.getDirection() == Direction.GOT
                                         && (r.getConnection()
                                                         + "-"
-                                                        + r.getFrame().getAccess().getNumber())
-                                                .equals(relay.getFrame().getRelay().getId())
-                                        && r.getWitness().equals(relay.getWitness()));
+                                                        + r.getFrame().getRequest().getNumber())
+                                                .equals(
+                                                        relay.getFrame()
+                                                                .getAttempt()
+                                                                .getRequestId())
+                                        && r.getObserver().equals(relay.getObserver()));
         // A second access of the same key is taken right behind and sent while the first one's
         // relay is out.
         Record second =
                 access.toBuilder()
-                        .setAt(access.getAt() + 1)
+                        .setAtMicros(access.getAtMicros() + 1)
                         .setFrame(
                                 access.getFrame().toBuilder()
-                                        .setAccess(
-                                                access.getFrame().getAccess().toBuilder()
+                                        .setRequest(
+                                                access.getFrame().getRequest().toBuilder()
                                                         .setNumber(999_999_999)))
                         .build();
         bad.add(second);
         bad.add(
                 relay.toBuilder()
-                        .setAt(relay.getAt() + 1)
+                        .setAtMicros(relay.getAtMicros() + 1)
                         .setFrame(
                                 relay.getFrame().toBuilder()
-                                        .setRelay(
-                                                relay.getFrame().getRelay().toBuilder()
-                                                        .setId(
+                                        .setAttempt(
+                                                relay.getFrame().getAttempt().toBuilder()
+                                                        .setRequestId(
                                                                 access.getConnection()
                                                                         + "-999999999")
                                                         .setNumber(888_888_888)))
@@ -257,7 +265,7 @@
     @Test
     void rule6TooManyFurtherRelays() {
         List<Record> bad = new ArrayList<>(clean);
-        Record relay = relay(r -> r.getFrame().getRelay().getCategory().equals("lookup"));
+        Record relay = relay(r -> r.getFrame().getAttempt().getRequestClass().equals("lookup"));
         for (int i = 1; i < 300; i++) {
             bad.add(further(relay, i));
         }
@@ -270,32 +278,32 @@
         Record relay =
                 relay(
                         r ->
-                                r.getFrame().getRelay().getVolume().startsWith("basic")
-                                        && r.getFrame().getRelay().getAttempt() == 0);
+                                r.getFrame().getAttempt().getVolume().startsWith("basic")
+                                        && r.getFrame().getAttempt().getAttemptNumber() == 0);
         int at =
                 bad.indexOf(
                         first(
                                 r ->
                                         initiator(r)
-                                                && r.getFrame().hasAccess()
-                                                && r.getWitness().equals(relay.getWitness())
+                                                && r.getFrame().hasRequest()
+                                                && r.getObserver().equals(relay.getObserver())
                                                 && (r.getConnection()
                                                                 + "-"
                                                                 + r.getFrame()
-                                                                        .getAccess()
+                                                                        .getRequest()
                                                                         .getNumber())
                                                         .equals(
                                                                 relay.getFrame()
-                                                                        .getRelay()
-                                                                        .getId())));
+                                                                        .getAttempt()
+                                                                        .getRequestId())));
         Record access = bad.get(at);
         bad.set(
                 at,
                 access.toBuilder()
                         .setFrame(
                                 access.getFrame().toBuilder()
-                                        .setAccess(
-                                                access.getFrame().getAccess().toBuilder()
+                                        .setRequest(
+                                                access.getFrame().getRequest().toBuilder()
                                                         .setUnits(500)))
                         .build());
         named(7, "beyond its limit", bad);
@@ -304,11 +312,11 @@
     @Test
     void rule7ALimitThatWasLoweredAndNotKept() {
         List<Record> bad = new ArrayList<>(clean);
-        Record rules = first(r -> r.getNote().getKind() == Note.Kind.BOUNDS);
-        long asked = first(r -> initiator(r) && r.getFrame().hasRelay()).getAt();
+        Record rules = first(r -> r.getNote().getKind() == Note.Kind.RULES);
+        long asked = first(r -> initiator(r) && r.getFrame().hasAttempt()).getAtMicros();
         bad.add(
                 rules.toBuilder()
-                        .setAt(asked + 500_000)
+                        .setAtMicros(asked + 500_000)
                         .setNote(
                                 rules.getNote().toBuilder()
                                         .setText(
@@ -328,7 +336,7 @@
     @Test
     void recordingWithoutItsRulesIsRefused() {
         List<Record> bad =
-                clean.stream().filter(r -> r.getNote().getKind() != Note.Kind.BOUNDS).toList();
+                clean.stream().filter(r -> r.getNote().getKind() != Note.Kind.RULES).toList();
         assertThrows(IllegalArgumentException.class, () -> Audit.of(bad));
     }
 
@@ -350,18 +358,18 @@
     }
 
     private static boolean client(Record r) {
-        return r.getWitness().equals("client") && r.getDirection() == Direction.GOT;
+        return r.getObserver().equals("client") && r.getDirection() == Direction.GOT;
     }
 
     private static boolean initiator(Record r) {
-        return r.getWitness().startsWith("initiator-");
+        return r.getObserver().startsWith("initiator-");
     }
 
     private static Record relay(Predicate<Record> which) {
         return first(
                 r ->
                         initiator(r)
-                                && r.getFrame().hasRelay()
+                                && r.getFrame().hasAttempt()
                                 && r.getDirection() == Direction.SENT
                                 && which.test(r));
     }
@@ -369,40 +377,40 @@
     private static Record relayOf(Record reply) {
         return relay(
                 r ->
-                        r.getWitness().equals(reply.getWitness())
+                        r.getObserver().equals(reply.getObserver())
                                 && r.getConnection() == reply.getConnection()
-                                && r.getFrame().getRelay().getNumber()
-                                        == reply.getFrame().getReply().getNumber());
+                                && r.getFrame().getAttempt().getNumber()
+                                        == reply.getFrame().getAttemptReply().getNumber());
     }
 
     private static boolean isTransfer(Record reply) {
-        return relayOf(reply).getFrame().getRelay().getCategory().equals("transfer");
+        return relayOf(reply).getFrame().getAttempt().getRequestClass().equals("transfer");
     }
 
     private static boolean sameAccess(Record relay, Record answer) {
-        return answer.getWitness().equals(relay.getWitness())
+        return answer.getObserver().equals(relay.getObserver())
                 && relay.getFrame()
-                        .getRelay()
-                        .getId()
+                        .getAttempt()
+                        .getRequestId()
                         .equals(
                                 answer.getConnection()
                                         + "-"
-                                        + answer.getFrame().getAnswer().getNumber());
+                                        + answer.getFrame().getResponse().getNumber());
     }
 
     private static Record later(Record r, long micros) {
-        return r.toBuilder().setAt(r.getAt() + micros).build();
+        return r.toBuilder().setAtMicros(r.getAtMicros() + micros).build();
     }
 
     /** The same relay again as a further one, a moment later. */
     private static Record further(Record relay, int i) {
         return relay.toBuilder()
-                .setAt(relay.getAt() + i)
+                .setAtMicros(relay.getAtMicros() + i)
                 .setFrame(
                         relay.getFrame().toBuilder()
-                                .setRelay(
-                                        relay.getFrame().getRelay().toBuilder()
-                                                .setAttempt(1)
+                                .setAttempt(
+                                        relay.getFrame().getAttempt().toBuilder()
+                                                .setAttemptNumber(1)
                                                 .setNumber(777_000_000L + i)))
                 .build();
     }
--- a/rehearsal/src/test/java/milletyoke/rehearsal/Browser.java
+++ b/scenario/src/test/java/milletyoke/scenario/Browser.java
@@ -1,4 +1,4 @@
-package milletyoke.rehearsal;
+package milletyoke.scenario;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -127,7 +127,7 @@
 
     void open(String url) throws Exception {
         send(session, "Page.navigate", Map.of("url", url));
-        Puppets.until(
+        ScriptedPeers.until(
                 () ->
                         value("document.readyState").equals("complete")
                                 && value("location.href").startsWith("http"),
--- a/rehearsal/src/test/java/milletyoke/rehearsal/BrowserTest.java
+++ b/scenario/src/test/java/milletyoke/scenario/BrowserTest.java
@@ -1,4 +1,4 @@
-package milletyoke.rehearsal;
+package milletyoke.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import milletyoke.rehearsal.script.Script;
+import milletyoke.scenario.script.ScenarioParser;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -32,9 +32,9 @@
                 Files.readString(Path.of("days/mass-restart.day"))
                         .replace("lasts 8s", "lasts 60s")
                         .replace("at 2s", "at 4s");
-        try (Stage stage =
-                        new Stage(
-                                Script.read("live.day", "live", day),
+        try (ScenarioRunner stage =
+                        new ScenarioRunner(
+                                ScenarioParser.read("live.day", "live", day),
                                 null,
                                 false,
                                 Viewer.tokens(folder));
@@ -46,12 +46,12 @@
             assertEquals("/login", browser.value("location.pathname"));
             browser.value("document.querySelector('input').value = '" + Viewer.OPERATOR + "'");
             browser.key("Enter", "Enter", 13); // the field has the focus from the start
-            Puppets.until(
+            ScriptedPeers.until(
                     () -> browser.value("document.title").startsWith("Overview"),
                     "it is signed in");
             for (String page : new Viewer(port, Viewer.OPERATOR).pages()) {
                 browser.open(base + "/" + page);
-                Puppets.until(
+                ScriptedPeers.until(
                         () -> !browser.value("document.body.dataset.renewed").equals("undefined"),
                         page + " is live");
                 assertEquals(
@@ -73,7 +73,7 @@
             browser.open(base + "/volumes");
             String asked = "document.querySelector('tbody').rows[0].cells[4].textContent";
             String before = browser.value(asked);
-            Puppets.until(
+            ScriptedPeers.until(
                     () -> !browser.value(asked).equals(before), "the figures change by themselves");
             assertTrue(
                     Integer.parseInt(browser.value("document.querySelectorAll('polyline').length"))
@@ -84,17 +84,17 @@
             browser.open(base + "/targets");
             browser.value("document.querySelector('tbody button').focus()");
             browser.key("Enter", "Enter", 13);
-            Puppets.until(
+            ScriptedPeers.until(
                     () -> browser.value("document.body.textContent").contains("drained here"),
                     "t1 is drained here");
-            Puppets.until(
+            ScriptedPeers.until(
                     () ->
                             browser.value("document.querySelector('tbody button').textContent")
                                     .equals("put back"),
                     "its button puts it back now");
             browser.picture(pictures.resolve("targets-drained.png"));
             browser.open(base + "/");
-            Puppets.until(
+            ScriptedPeers.until(
                     () -> browser.value("document.body.textContent").contains("cold: held to"),
                     "the rack is cold");
             browser.picture(pictures.resolve("overview-cold.png"));
--- a/rehearsal/src/test/java/milletyoke/rehearsal/ConsoleTest.java
+++ b/scenario/src/test/java/milletyoke/scenario/ConsoleTest.java
@@ -1,4 +1,4 @@
-package milletyoke.rehearsal;
+package milletyoke.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -20,12 +20,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
-import milletyoke.rehearsal.audit.Audit;
-import milletyoke.rehearsal.script.Script;
+import milletyoke.scenario.audit.Audit;
+import milletyoke.scenario.script.ScenarioParser;
 import milletyoke.wire.proto.Direction;
 import milletyoke.wire.proto.Reason;
 import milletyoke.wire.proto.Record;
-import milletyoke.wire.record.Recorder;
+import milletyoke.wire.recording.Recorder;
 import org.HdrHistogram.ConcurrentHistogram;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -50,25 +50,26 @@
 
     @TempDir Path folder;
 
-    private Stage stage(String script) throws Exception {
-        return new Stage(
-                Script.read("test.day", "test", script),
+    private ScenarioRunner stage(String script) throws Exception {
+        return new ScenarioRunner(
+                ScenarioParser.read("test.day", "test", script),
                 folder.resolve("recording"),
                 false,
                 Viewer.tokens(folder));
     }
 
     /** Plays the day beside the test's own deeds. */
-    private static Future<Stage.Played> play(ExecutorService beside, Stage stage) {
+    private static Future<ScenarioRunner.ScenarioResult> play(
+            ExecutorService beside, ScenarioRunner stage) {
         return beside.submit(() -> stage.play(line -> {}));
     }
 
     @Test
     void tenantSeesItsOwnAndNothingElse() throws Exception {
         ExecutorService beside = Executors.newCachedThreadPool();
-        try (Stage stage =
+        try (ScenarioRunner stage =
                 stage(String.format(DAY, "20s", 1, 3, "300/s") + "at 1s hang 1 for=500ms\n")) {
-            Future<Stage.Played> played = play(beside, stage);
+            Future<ScenarioRunner.ScenarioResult> played = play(beside, stage);
             int port = stage.initiator(0).consolePort();
             Thread.sleep(4000);
             Viewer all = new Viewer(port, Viewer.VIEWER);
@@ -133,11 +134,11 @@
     @Test
     void tokensFormsAndBadInputGetTheRightWord() throws Exception {
         ExecutorService beside = Executors.newCachedThreadPool();
-        try (Stage stage = stage(String.format(DAY, "1s", 1, 2, "50/s"))) {
+        try (ScenarioRunner stage = stage(String.format(DAY, "1s", 1, 2, "50/s"))) {
             int port = stage.initiator(0).consolePort();
             Viewer nobody = new Viewer(port, null);
             Viewer operator = new Viewer(port, Viewer.OPERATOR);
-            Puppets.until(
+            ScriptedPeers.until(
                     () ->
                             operator.view("overview")
                                     .get("figures")
@@ -198,7 +199,7 @@
             assertEquals(
                     303,
                     nobody.form("/act", "what=drain&whom=&csrf=" + csrf, session).statusCode());
-            Puppets.until(
+            ScriptedPeers.until(
                     () ->
                             operator.view("overview")
                                     .get("figures")
@@ -212,7 +213,7 @@
             Files.writeString(
                     folder.resolve("tokens.json5"),
                     "{tokens: [" + Viewer.entry("vi", "viewer", Viewer.VIEWER, "") + "]}");
-            Puppets.until(
+            ScriptedPeers.until(
                     () -> operator.get("/api/v1/overview").statusCode() == 401,
                     "the token is of no use");
             assertEquals(
@@ -286,14 +287,14 @@
         ExecutorService beside = Executors.newCachedThreadPool();
         long drainedAt;
         try {
-            Stage.Played result;
-            try (Stage stage = stage(String.format(DAY, "4s", 2, 3, "400/s"))) {
-                Future<Stage.Played> played = play(beside, stage);
+            ScenarioRunner.ScenarioResult result;
+            try (ScenarioRunner stage = stage(String.format(DAY, "4s", 2, 3, "400/s"))) {
+                Future<ScenarioRunner.ScenarioResult> played = play(beside, stage);
                 Viewer operator = new Viewer(stage.initiator(0).consolePort(), Viewer.OPERATOR);
                 Thread.sleep(1500);
                 assertEquals(202, operator.send("POST", "/api/v1/drain").statusCode());
-                drainedAt = milletyoke.wire.Wire.micros();
-                Puppets.until(
+                drainedAt = milletyoke.wire.SocketNetwork.micros();
+                ScriptedPeers.until(
                         () ->
                                 operator.view("overview")
                                         .get("figures")
@@ -308,18 +309,18 @@
             assertTrue(result.leftClean());
             int turnedAway = 0;
             for (Record r : Recorder.readAll(folder.resolve("recording"))) {
-                if (r.getWitness().equals("initiator-1")
-                        && r.getAt() > drainedAt + 500_000
-                        && r.getFrame().hasAnswer()) {
-                    assertEquals(Reason.DRAINED, r.getFrame().getAnswer().getReason());
+                if (r.getObserver().equals("initiator-1")
+                        && r.getAtMicros() > drainedAt + 500_000
+                        && r.getFrame().hasResponse()) {
+                    assertEquals(Reason.DRAINED, r.getFrame().getResponse().getReason());
                     turnedAway++;
                 }
                 assertFalse(
-                        r.getWitness().equals("initiator-1")
+                        r.getObserver().equals("initiator-1")
                                 && r.getDirection() == Direction.SENT
-                                && r.getFrame().hasRelay()
-                                && r.getFrame().getRelay().getAttempt() == 0
-                                && r.getAt() > drainedAt + 500_000,
+                                && r.getFrame().hasAttempt()
+                                && r.getFrame().getAttempt().getAttemptNumber() == 0
+                                && r.getAtMicros() > drainedAt + 500_000,
                         "a first relay left 500 ms after the drain");
             }
             assertTrue(turnedAway > 50, "clients were told " + turnedAway + " times");
@@ -331,12 +332,12 @@
     @Test
     void rackThatRestartsIsNamedCold() throws Exception {
         ExecutorService beside = Executors.newCachedThreadPool();
-        try (Stage stage =
+        try (ScenarioRunner stage =
                 stage(String.format(DAY, "5s", 1, 5, "200/s") + "at 1s restart 40% down=200ms\n")) {
-            Future<Stage.Played> played = play(beside, stage);
+            Future<ScenarioRunner.ScenarioResult> played = play(beside, stage);
             Viewer viewer = new Viewer(stage.initiator(0).consolePort(), Viewer.VIEWER);
             Set<String> cold = new TreeSet<>();
-            Puppets.until(
+            ScriptedPeers.until(
                     () ->
                             !viewer.get("/api/v1/events?find=on%20-%3E%20cold")
                                             .body()
@@ -347,7 +348,7 @@
                                     || viewer.get("/api/v1/targets").body().contains("cold"),
                     "the rack restarts");
             long struck = System.nanoTime();
-            Puppets.until(
+            ScriptedPeers.until(
                     () -> {
                         viewer.view("targets")
                                 .get("tables")
@@ -391,11 +392,11 @@
         ConcurrentHistogram times = new ConcurrentHistogram(60_000_000, 3);
         AtomicInteger pages = new AtomicInteger(), streamed = new AtomicInteger();
         AtomicBoolean over = new AtomicBoolean();
-        try (Stage stage =
+        try (ScenarioRunner stage =
                 stage(
                         String.format(DAY, "8s", 1, 3, "2400/s retries=0")
                                 + "at 2s hang 1 for=2s\n")) {
-            Future<Stage.Played> played = play(beside, stage);
+            Future<ScenarioRunner.ScenarioResult> played = play(beside, stage);
             int port = stage.initiator(0).consolePort();
             List<Future<?>> viewers = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
@@ -433,7 +434,7 @@
             for (Future<?> v : viewers) {
                 v.get(30, TimeUnit.SECONDS);
             }
-            Stage.Played result = played.get(60, TimeUnit.SECONDS);
+            ScenarioRunner.ScenarioResult result = played.get(60, TimeUnit.SECONDS);
             assertEquals(0, result.unfinished());
             assertTrue(
                     result.service().whole() < 0.9,
--- a/rehearsal/src/test/java/milletyoke/rehearsal/HardCasesTest.java
+++ b/scenario/src/test/java/milletyoke/scenario/HardCasesTest.java
@@ -1,4 +1,4 @@
-package milletyoke.rehearsal;
+package milletyoke.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -14,18 +14,18 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import milletyoke.gateway.loop.Count;
-import milletyoke.gateway.setup.Setup;
-import milletyoke.wire.Peer;
-import milletyoke.wire.proto.Access;
-import milletyoke.wire.proto.Answer;
-import milletyoke.wire.proto.Final;
+import milletyoke.gateway.config.InitiatorConfig;
+import milletyoke.gateway.loop.Counter;
+import milletyoke.wire.PeerConnection;
+import milletyoke.wire.proto.AttemptReply;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Health;
 import milletyoke.wire.proto.Hello;
 import milletyoke.wire.proto.Outcome;
 import milletyoke.wire.proto.Reason;
-import milletyoke.wire.proto.Reply;
+import milletyoke.wire.proto.Request;
+import milletyoke.wire.proto.Response;
+import milletyoke.wire.proto.ResponseStatus;
 import milletyoke.wire.proto.Role;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -38,36 +38,36 @@
 
     @Test
     void oneShotWhoseConnectionResetsIsBrokenOffAndNeverSentAgain() throws Exception {
-        try (Puppets p = new Puppets()) {
-            Puppets.End a = p.target("a", 0);
+        try (ScriptedPeers p = new ScriptedPeers()) {
+            ScriptedPeers.End a = p.target("a", 0);
             p.ask(p.client, "write", 0, 2000);
             a.nextRelay().peer().reset();
-            assertEquals(Final.BROKEN_OFF, p.client.nextAnswer(3000).getFinal());
+            assertEquals(ResponseStatus.FAILED, p.client.nextAnswer(3000).getStatus());
             assertNull(p.client.next(300));
-            assertEquals(0, p.count(Count.RELAYS_FURTHER));
+            assertEquals(0, p.count(Counter.RELAYS_FURTHER));
         }
     }
 
     @Test
     void harmlessWhoseConnectionResetsIsSentAgain() throws Exception {
-        try (Puppets p = new Puppets()) {
-            Puppets.End a = p.target("a", 0);
+        try (ScriptedPeers p = new ScriptedPeers()) {
+            ScriptedPeers.End a = p.target("a", 0);
             p.ask(p.client, "read", 0, 2000);
             a.nextRelay().peer().reset();
-            Puppets.reply(a.nextRelay(), Outcome.SUCCEEDED);
-            assertEquals(Final.ANSWERED, p.client.nextAnswer(3000).getFinal());
+            ScriptedPeers.reply(a.nextRelay(), Outcome.SUCCEEDED);
+            assertEquals(ResponseStatus.ANSWERED, p.client.nextAnswer(3000).getStatus());
         }
     }
 
     @Test
     void halfAFrameAndThenSilenceClosesThatConnectionOnly() throws Exception {
-        try (Puppets p =
-                        new Puppets(
-                                Puppets.transport(300_000),
-                                new Setup.Room(10, 256, 10, 1e6, 1L << 40),
+        try (ScriptedPeers p =
+                        new ScriptedPeers(
+                                ScriptedPeers.transport(300_000),
+                                new InitiatorConfig.CapacityLimits(10, 256, 10, 1e6, 1L << 40),
                                 null);
                 Socket half = new Socket("127.0.0.1", p.initiator.port())) {
-            Puppets.End a = p.target("a", 0);
+            ScriptedPeers.End a = p.target("a", 0);
             half.getOutputStream().write(new byte[] {0, 0, 1, 0, 7, 7});
             half.getOutputStream().flush();
             half.setSoTimeout(5000);
@@ -75,35 +75,35 @@
                 continue; // its hello and its goodbye, and then the end
             }
             p.ask(p.client, "read", 0, 2000);
-            Puppets.reply(a.nextRelay(), Outcome.SUCCEEDED);
-            assertEquals(Final.ANSWERED, p.client.nextAnswer(3000).getFinal());
+            ScriptedPeers.reply(a.nextRelay(), Outcome.SUCCEEDED);
+            assertEquals(ResponseStatus.ANSWERED, p.client.nextAnswer(3000).getStatus());
         }
     }
 
     @Test
     void frameOverTheBoundClosesThatConnectionOnly() throws Exception {
-        try (Puppets p = new Puppets();
+        try (ScriptedPeers p = new ScriptedPeers();
                 Socket large = new Socket("127.0.0.1", p.initiator.port())) {
-            Puppets.End a = p.target("a", 0);
+            ScriptedPeers.End a = p.target("a", 0);
             large.getOutputStream().write(ByteBuffer.allocate(4).putInt(65_537).array());
             large.setSoTimeout(5000);
             String said = new String(large.getInputStream().readAllBytes(), "ISO-8859-1");
             assertTrue(said.contains("65536 are the most"), said);
             p.ask(p.client, "read", 0, 2000);
-            Puppets.reply(a.nextRelay(), Outcome.SUCCEEDED);
-            assertEquals(Final.ANSWERED, p.client.nextAnswer(3000).getFinal());
+            ScriptedPeers.reply(a.nextRelay(), Outcome.SUCCEEDED);
+            assertEquals(ResponseStatus.ANSWERED, p.client.nextAnswer(3000).getStatus());
         }
     }
 
     @Test
     void replyToARelayLongGivenUpIsDropped() throws Exception {
-        try (Puppets p = new Puppets()) {
-            Puppets.End a = p.target("a", 0);
+        try (ScriptedPeers p = new ScriptedPeers()) {
+            ScriptedPeers.End a = p.target("a", 0);
             p.ask(p.client, "write", 0, 200);
-            Puppets.Got relay = a.nextRelay();
-            assertEquals(Final.BROKEN_OFF, p.client.nextAnswer(3000).getFinal());
-            Puppets.reply(relay, Outcome.SUCCEEDED);
-            Puppets.until(() -> p.count(Count.LATE_REPLIES) == 1, "the reply is counted");
+            ScriptedPeers.Got relay = a.nextRelay();
+            assertEquals(ResponseStatus.FAILED, p.client.nextAnswer(3000).getStatus());
+            ScriptedPeers.reply(relay, Outcome.SUCCEEDED);
+            ScriptedPeers.until(() -> p.count(Counter.LATE_REPLIES) == 1, "the reply is counted");
             assertNull(p.client.next(200));
         }
     }
@@ -115,7 +115,7 @@
     @Test
     void accessesThatCrossTheGoodbyeHaveTheirAnswers() throws Exception {
         for (int round = 0; round < 12; round++) {
-            try (Puppets p = new Puppets()) {
+            try (ScriptedPeers p = new ScriptedPeers()) {
                 p.target("a", 0);
                 boolean[] away = new boolean[1];
                 Thread leaver =
@@ -142,8 +142,8 @@
                     Frame next = p.client.next(crossing < 300 && away[0] ? 0 : 5);
                     quiet = next == null && (crossing >= 300 || !away[0]) ? quiet + 1 : 0;
                     away[0] |= next != null && next.hasGoingAway();
-                    if (next != null && next.hasAnswer()) {
-                        answers.merge(next.getAnswer().getNumber(), 1, Integer::sum);
+                    if (next != null && next.hasResponse()) {
+                        answers.merge(next.getResponse().getNumber(), 1, Integer::sum);
                         if (crossing >= 300 && answers.size() == asked) {
                             p.client.peer.close("all is answered");
                         }
@@ -159,39 +159,39 @@
 
     @Test
     void twoRepliesToOneRelayGiveOneAnswer() throws Exception {
-        try (Puppets p = new Puppets()) {
-            Puppets.End a = p.target("a", 0);
+        try (ScriptedPeers p = new ScriptedPeers()) {
+            ScriptedPeers.End a = p.target("a", 0);
             p.ask(p.client, "write", 0, 2000);
-            Puppets.Got relay = a.nextRelay();
-            Puppets.reply(relay, Outcome.SUCCEEDED);
-            Puppets.reply(relay, Outcome.ERROR);
-            assertEquals(Final.ANSWERED, p.client.nextAnswer(3000).getFinal());
-            Puppets.until(() -> p.count(Count.LATE_REPLIES) == 1, "the second is counted");
+            ScriptedPeers.Got relay = a.nextRelay();
+            ScriptedPeers.reply(relay, Outcome.SUCCEEDED);
+            ScriptedPeers.reply(relay, Outcome.ERROR);
+            assertEquals(ResponseStatus.ANSWERED, p.client.nextAnswer(3000).getStatus());
+            ScriptedPeers.until(() -> p.count(Counter.LATE_REPLIES) == 1, "the second is counted");
             assertNull(p.client.next(200));
         }
     }
 
     @Test
     void clientThatVanishesLeavesNothingHeld() throws Exception {
-        try (Puppets p = new Puppets()) {
-            Puppets.End a = p.target("a", 0);
-            Puppets.End other = new Puppets.End();
+        try (ScriptedPeers p = new ScriptedPeers()) {
+            ScriptedPeers.End a = p.target("a", 0);
+            ScriptedPeers.End other = new ScriptedPeers.End();
             p.connect(other);
             p.ask(other, "slow", 0, 5000);
             p.ask(other, "slow", 7, 5000); // nobody holds that shard: it waits
-            Puppets.Got relay = a.nextRelay();
+            ScriptedPeers.Got relay = a.nextRelay();
             other.peer.reset();
-            Puppets.until(() -> p.held() == 1, "only the relay out is held");
-            Puppets.reply(relay, Outcome.SUCCEEDED);
-            Puppets.until(() -> p.held() == 0, "nothing is held");
+            ScriptedPeers.until(() -> p.held() == 1, "only the relay out is held");
+            ScriptedPeers.reply(relay, Outcome.SUCCEEDED);
+            ScriptedPeers.until(() -> p.held() == 0, "nothing is held");
         }
     }
 
     @Test
     void clientThatReadsNothingIsClosedAndTheRestGoesOn() throws Exception {
-        try (Puppets p = new Puppets();
+        try (ScriptedPeers p = new ScriptedPeers();
                 Socket deaf = new Socket()) {
-            Puppets.End a = p.target("a", 0);
+            ScriptedPeers.End a = p.target("a", 0);
             deaf.setReceiveBufferSize(4096);
             deaf.connect(new java.net.InetSocketAddress("127.0.0.1", p.initiator.port()));
             OutputStream out = deaf.getOutputStream();
@@ -209,36 +209,36 @@
                 write(
                         out,
                         Frame.newBuilder()
-                                .setAccess(
-                                        Access.newBuilder()
+                                .setRequest(
+                                        Request.newBuilder()
                                                 .setNumber(i)
                                                 .setShard(0)
                                                 .setVolume("v")
                                                 .setPlan("basic")
-                                                .setCategory("slow")
+                                                .setRequestClass("slow")
                                                 .setUnits(1)
-                                                .setTimeLeft(20_000_000))
+                                                .setTimeLeftMicros(20_000_000))
                                 .build());
             }
             var large = com.google.protobuf.ByteString.copyFrom(new byte[60_000]);
-            Puppets.until(
+            ScriptedPeers.until(
                     () -> {
-                        Puppets.Got relay = a.got.poll(20, TimeUnit.MILLISECONDS);
-                        if (relay != null && relay.frame() != null && relay.frame().hasRelay()) {
+                        ScriptedPeers.Got relay = a.got.poll(20, TimeUnit.MILLISECONDS);
+                        if (relay != null && relay.frame() != null && relay.frame().hasAttempt()) {
                             relay.peer()
                                     .send(
                                             Frame.newBuilder()
-                                                    .setReply(
-                                                            Reply.newBuilder()
+                                                    .setAttemptReply(
+                                                            AttemptReply.newBuilder()
                                                                     .setOutcome(Outcome.SUCCEEDED)
                                                                     .setNumber(
                                                                             relay.frame()
-                                                                                    .getRelay()
+                                                                                    .getAttempt()
                                                                                     .getNumber())
                                                                     .setPayload(large))
                                                     .build());
                         }
-                        return relay == null && p.count(Count.CLIENTS_LEFT) > 0;
+                        return relay == null && p.count(Counter.CLIENTS_LEFT) > 0;
                     },
                     "the deaf client is closed");
             deaf.setSoTimeout(5000);
@@ -256,10 +256,10 @@
             assertTrue(
                     took < 200 * 60_000,
                     "it got " + took + " bytes, so nothing was ever held back");
-            Puppets.until(() -> p.held() == 0, "nothing is held for it");
+            ScriptedPeers.until(() -> p.held() == 0, "nothing is held for it");
             p.ask(p.client, "read", 0, 2000);
-            Puppets.reply(a.nextRelay(), Outcome.SUCCEEDED);
-            assertEquals(Final.ANSWERED, p.client.nextAnswer(3000).getFinal());
+            ScriptedPeers.reply(a.nextRelay(), Outcome.SUCCEEDED);
+            assertEquals(ResponseStatus.ANSWERED, p.client.nextAnswer(3000).getStatus());
         }
     }
 
@@ -270,12 +270,12 @@
 
     @Test
     void targetThatAcceptsAndNeverSpeaksNeverRanAnything() throws Exception {
-        try (Puppets p = new Puppets();
+        try (ScriptedPeers p = new ScriptedPeers();
                 ServerSocket mute = new ServerSocket(0)) {
-            p.list("mute", 0, mute.getLocalPort(), Health.ON);
+            p.list("mute", 0, mute.getLocalPort(), Health.ACTIVE);
             p.ask(p.client, "write", 0, 2000);
             // A rejection: rule 2 lets a one-shot access be rejected only if it surely never ran.
-            assertEquals(Final.REJECTED, p.client.nextAnswer(3000).getFinal());
+            assertEquals(ResponseStatus.REJECTED, p.client.nextAnswer(3000).getStatus());
         }
     }
 
@@ -285,72 +285,74 @@
         try (ServerSocket free = new ServerSocket(0)) {
             nobody = free.getLocalPort();
         }
-        try (Puppets p = new Puppets()) {
-            p.list("gone", 0, nobody, Health.ON);
+        try (ScriptedPeers p = new ScriptedPeers()) {
+            p.list("gone", 0, nobody, Health.ACTIVE);
             p.ask(p.client, "write", 0, 2000);
-            assertEquals(Final.REJECTED, p.client.nextAnswer(3000).getFinal());
+            assertEquals(ResponseStatus.REJECTED, p.client.nextAnswer(3000).getStatus());
         }
     }
 
     @Test
     void listThatDropsATargetLetsWhatIsOutThereFinish() throws Exception {
-        try (Puppets p = new Puppets()) {
-            Puppets.End a = p.target("a", 0);
+        try (ScriptedPeers p = new ScriptedPeers()) {
+            ScriptedPeers.End a = p.target("a", 0);
             p.ask(p.client, "slow", 0, 5000);
-            Puppets.Got relay = a.nextRelay();
-            p.list("a", 0, 1, Health.GONE);
+            ScriptedPeers.Got relay = a.nextRelay();
+            p.list("a", 0, 1, Health.REMOVED);
             p.ask(p.client, "read", 0, 1000);
             assertEquals(
-                    Final.REJECTED, p.client.nextAnswer(3000).getFinal(), "nothing new goes there");
-            Puppets.reply(relay, Outcome.SUCCEEDED);
-            assertEquals(Final.ANSWERED, p.client.nextAnswer(3000).getFinal());
+                    ResponseStatus.REJECTED,
+                    p.client.nextAnswer(3000).getStatus(),
+                    "nothing new goes there");
+            ScriptedPeers.reply(relay, Outcome.SUCCEEDED);
+            assertEquals(ResponseStatus.ANSWERED, p.client.nextAnswer(3000).getStatus());
             assertNull(a.got.poll(), "a got nothing more");
         }
     }
 
     @Test
     void targetReplacedUnderANewIdTakesOverItsShard() throws Exception {
-        try (Puppets p = new Puppets()) {
-            Puppets.End a = p.target("a", 0);
+        try (ScriptedPeers p = new ScriptedPeers()) {
+            ScriptedPeers.End a = p.target("a", 0);
             p.ask(p.client, "slow", 0, 5000);
-            Puppets.Got old = a.nextRelay();
+            ScriptedPeers.Got old = a.nextRelay();
             p.list("a", 0, 1, Health.DRAINING);
-            Puppets.End b = p.target("b", 0);
+            ScriptedPeers.End b = p.target("b", 0);
             long second = p.ask(p.client, "read", 0, 2000);
-            Puppets.reply(b.nextRelay(), Outcome.SUCCEEDED);
+            ScriptedPeers.reply(b.nextRelay(), Outcome.SUCCEEDED);
             assertEquals(second, p.client.nextAnswer(3000).getNumber());
-            Puppets.reply(old, Outcome.SUCCEEDED);
-            assertEquals(Final.ANSWERED, p.client.nextAnswer(3000).getFinal());
+            ScriptedPeers.reply(old, Outcome.SUCCEEDED);
+            assertEquals(ResponseStatus.ANSWERED, p.client.nextAnswer(3000).getStatus());
         }
     }
 
     @Test
     void loopBehindBySecondsAnswersOnceAndSendsNothingStale() throws Exception {
-        try (Puppets p = new Puppets()) {
-            Puppets.End a = p.target("a", 0);
+        try (ScriptedPeers p = new ScriptedPeers()) {
+            ScriptedPeers.End a = p.target("a", 0);
             p.initiator.standStill(1500, () -> {});
             p.ask(p.client, "write", 0, 300);
             p.ask(p.client, "slow", 0, 8000);
-            Answer first = p.client.nextAnswer(4000);
+            Response first = p.client.nextAnswer(4000);
             assertEquals(
                     Reason.EXPIRED, first.getReason(), "its time was up before it could be sent");
-            Puppets.Got relay = a.nextRelay();
-            assertEquals("slow", relay.frame().getRelay().getCategory());
+            ScriptedPeers.Got relay = a.nextRelay();
+            assertEquals("slow", relay.frame().getAttempt().getRequestClass());
             assertTrue(
-                    relay.frame().getRelay().getTimeLeft() <= 6_600_000,
+                    relay.frame().getAttempt().getTimeLeftMicros() <= 6_600_000,
                     "the time it waited for the loop is not given twice");
-            Puppets.reply(relay, Outcome.SUCCEEDED);
-            assertEquals(Final.ANSWERED, p.client.nextAnswer(3000).getFinal());
+            ScriptedPeers.reply(relay, Outcome.SUCCEEDED);
+            assertEquals(ResponseStatus.ANSWERED, p.client.nextAnswer(3000).getStatus());
             assertNull(p.client.next(200));
         }
     }
 
     @Test
     void queueFullRejectsAtOnceAndLosesNothing() throws Exception {
-        try (Puppets p =
-                new Puppets(
-                        Puppets.transport(5_000_000),
-                        new Setup.Room(100_000, 64, 10, 1e6, 1L << 40),
+        try (ScriptedPeers p =
+                new ScriptedPeers(
+                        ScriptedPeers.transport(5_000_000),
+                        new InitiatorConfig.CapacityLimits(100_000, 64, 10, 1e6, 1L << 40),
                         null)) {
             p.target("a", 0);
             p.initiator.standStill(700, () -> {});
@@ -362,10 +364,10 @@
             Map<Long, Integer> answers = new HashMap<>();
             int noPlace = 0;
             for (int i = 0; i < 500; i++) {
-                Answer answer = p.client.nextAnswer(4000);
+                Response answer = p.client.nextAnswer(4000);
                 assertNotNull(answer, "only " + i + " answers came");
                 answers.merge(answer.getNumber(), 1, Integer::sum);
-                noPlace += answer.getReason() == Reason.NO_PLACE ? 1 : 0;
+                noPlace += answer.getReason() == Reason.NO_CAPACITY ? 1 : 0;
             }
             assertEquals(500, answers.size(), "each access has one");
             assertTrue(noPlace > 300, noPlace + " were beyond the queue");
@@ -375,67 +377,67 @@
 
     @Test
     void placesHeldAreBoundedAndComeBack() throws Exception {
-        try (Puppets p =
-                new Puppets(
-                        Puppets.transport(5_000_000),
-                        new Setup.Room(3, 256, 10, 1e6, 1L << 40),
+        try (ScriptedPeers p =
+                new ScriptedPeers(
+                        ScriptedPeers.transport(5_000_000),
+                        new InitiatorConfig.CapacityLimits(3, 256, 10, 1e6, 1L << 40),
                         null)) {
-            Puppets.End a = p.target("a", 0);
+            ScriptedPeers.End a = p.target("a", 0);
             for (int round = 0; round < 3; round++) {
                 for (int i = 0; i < 5; i++) {
                     p.ask(p.client, "slow", 0, 4000);
                 }
-                assertEquals(Reason.NO_PLACE, p.client.nextAnswer(3000).getReason());
-                assertEquals(Reason.NO_PLACE, p.client.nextAnswer(3000).getReason());
+                assertEquals(Reason.NO_CAPACITY, p.client.nextAnswer(3000).getReason());
+                assertEquals(Reason.NO_CAPACITY, p.client.nextAnswer(3000).getReason());
                 for (int i = 0; i < 3; i++) {
-                    Puppets.reply(a.nextRelay(), Outcome.SUCCEEDED);
-                    assertEquals(Final.ANSWERED, p.client.nextAnswer(3000).getFinal());
+                    ScriptedPeers.reply(a.nextRelay(), Outcome.SUCCEEDED);
+                    assertEquals(ResponseStatus.ANSWERED, p.client.nextAnswer(3000).getStatus());
                 }
-                Puppets.until(() -> p.held() == 0, "the places are free");
+                ScriptedPeers.until(() -> p.held() == 0, "the places are free");
             }
         }
     }
 
     @Test
     void whatCannotBeTakenIsSaidAtOnce() throws Exception {
-        try (Puppets p = new Puppets()) {
+        try (ScriptedPeers p = new ScriptedPeers()) {
             p.target("a", 0);
             p.ask(p.client, "nonsense", 0, 1000);
-            assertEquals(Reason.UNACCEPTABLE, p.client.nextAnswer(3000).getReason());
+            assertEquals(Reason.INVALID, p.client.nextAnswer(3000).getReason());
             p.ask(p.client, "read", 0, 0);
-            assertEquals(Reason.UNACCEPTABLE, p.client.nextAnswer(3000).getReason());
+            assertEquals(Reason.INVALID, p.client.nextAnswer(3000).getReason());
             p.ask(p.client, "read", 100, 1000);
-            assertEquals(Reason.UNACCEPTABLE, p.client.nextAnswer(3000).getReason());
+            assertEquals(Reason.INVALID, p.client.nextAnswer(3000).getReason());
         }
     }
 
     @Test
     void numberUsedTwiceClosesTheClient() throws Exception {
-        try (Puppets p = new Puppets()) {
-            Puppets.End a = p.target("a", 0);
+        try (ScriptedPeers p = new ScriptedPeers()) {
+            ScriptedPeers.End a = p.target("a", 0);
             long number = p.ask(p.client, "slow", 0, 4000);
             a.nextRelay();
             p.client.peer.send(
                     Frame.newBuilder()
-                            .setAccess(
-                                    Access.newBuilder()
+                            .setRequest(
+                                    Request.newBuilder()
                                             .setNumber(number)
                                             .setVolume("v")
                                             .setPlan("basic")
-                                            .setCategory("read")
+                                            .setRequestClass("read")
                                             .setUnits(1)
-                                            .setTimeLeft(1_000_000))
+                                            .setTimeLeftMicros(1_000_000))
                             .build());
-            Puppets.until(() -> !p.client.peer.isOpen(), "it is closed");
+            ScriptedPeers.until(() -> !p.client.peer.isOpen(), "it is closed");
         }
     }
 
     @Test
     void leavingAnswersWhatIsHeldAndTakesNothingNew() throws Exception {
-        try (Puppets p = new Puppets()) {
-            Puppets.End a = p.target("a", 0);
+        try (ScriptedPeers p = new ScriptedPeers()) {
+            ScriptedPeers.End a = p.target("a", 0);
             p.ask(p.client, "slow", 0, 5000);
-            Puppets.Got relay = a.nextRelay();
+            ScriptedPeers.Got relay = a.nextRelay();
             boolean[] clean = new boolean[1];
             Thread leaving =
                     new Thread(
@@ -449,10 +451,10 @@
             leaving.start();
             Thread.sleep(100);
             p.ask(p.client, "read", 0, 1000);
-            assertEquals(Reason.LEAVING, p.client.nextAnswer(3000).getReason());
+            assertEquals(Reason.SHUTTING_DOWN, p.client.nextAnswer(3000).getReason());
             assertTrue(leaving.isAlive());
-            Puppets.reply(relay, Outcome.SUCCEEDED);
-            assertEquals(Final.ANSWERED, p.client.nextAnswer(3000).getFinal());
+            ScriptedPeers.reply(relay, Outcome.SUCCEEDED);
+            assertEquals(ResponseStatus.ANSWERED, p.client.nextAnswer(3000).getStatus());
             leaving.join(5000);
             assertTrue(clean[0]);
         }
@@ -460,27 +462,29 @@
 
     @Test
     void killedInitiatorAnswersNothingAndKeepsItsList() throws Exception {
-        Setup.Room room = new Setup.Room(10, 256, 10, 1e6, 1L << 40);
-        Puppets.End a;
-        try (Puppets p = new Puppets(Puppets.transport(5_000_000), room, folder)) {
+        InitiatorConfig.CapacityLimits room =
+                new InitiatorConfig.CapacityLimits(10, 256, 10, 1e6, 1L << 40);
+        ScriptedPeers.End a;
+        try (ScriptedPeers p =
+                new ScriptedPeers(ScriptedPeers.transport(5_000_000), room, folder)) {
             a = p.target("a", 0);
             p.ask(p.client, "write", 0, 4000);
-            Puppets.Got relay = a.nextRelay();
-            Peer before = p.client.peer;
+            ScriptedPeers.Got relay = a.nextRelay();
+            PeerConnection before = p.client.peer;
             p.initiator.kill();
-            Puppets.until(() -> !before.isOpen(), "the client sees a reset");
+            ScriptedPeers.until(() -> !before.isOpen(), "the client sees a reset");
             assertNull(p.client.next(100), "no answer came");
-            Puppets.reply(relay, Outcome.SUCCEEDED);
-            Puppets.until(() -> !relay.peer().isOpen(), "the target sees a reset");
+            ScriptedPeers.reply(relay, Outcome.SUCCEEDED);
+            ScriptedPeers.until(() -> !relay.peer().isOpen(), "the target sees a reset");
         }
-        var again = new milletyoke.gateway.discovery.LastList(folder).load();
+        var again = new milletyoke.gateway.discovery.EndpointListCache(folder).load();
         assertEquals("a", again.getTarget(0).getId());
         java.nio.file.Files.write(
                 folder.resolve("targets.list"), new byte[] {1, 2, 3, 4, 5, 6, 7, 8, 9});
         assertNull(
-                new milletyoke.gateway.discovery.LastList(folder).load(),
+                new milletyoke.gateway.discovery.EndpointListCache(folder).load(),
                 "one that does not check is not used");
-        assertNotEquals(0, again.getVersion());
+        assertNotEquals(0, again.getRevision());
     }
 
     @Test
@@ -496,16 +500,20 @@
         Thread.sleep(50);
         var checked =
                 milletyoke.config.Checker.check(
-                        new milletyoke.config.disk.DiskLibrary(),
-                        milletyoke.config.disk.DiskLibrary.name(file));
-        var fleet = new Setup.FleetFile(checked.files().get(0), checked.fleet(), checked.files());
-        Setup.Room room = new Setup.Room(10, 256, 10, 1e6, 1L << 40);
-        try (Puppets p =
-                new Puppets(Puppets.transport(5_000_000), room, folder.resolve("state"), fleet)) {
-            Puppets.End a = p.target("a", 0);
+                        new milletyoke.config.disk.FileSourceProvider(),
+                        milletyoke.config.disk.FileSourceProvider.name(file));
+        var fleet =
+                new InitiatorConfig.FleetFile(
+                        checked.files().get(0), checked.fleet(), checked.files());
+        InitiatorConfig.CapacityLimits room =
+                new InitiatorConfig.CapacityLimits(10, 256, 10, 1e6, 1L << 40);
+        try (ScriptedPeers p =
+                new ScriptedPeers(
+                        ScriptedPeers.transport(5_000_000), room, folder.resolve("state"), fleet)) {
+            ScriptedPeers.End a = p.target("a", 0);
             p.ask(p.client, "slow", 0, 8000);
-            Puppets.Got relay = a.nextRelay();
-            Puppets.until(
+            ScriptedPeers.Got relay = a.nextRelay();
+            ScriptedPeers.until(
                     () -> p.initiator.loop().picture().volumes().containsKey("v"),
                     "the volume is accounted");
             assertEquals(
@@ -514,35 +522,35 @@
                     "the file's, not the client's");
             java.nio.file.Files.writeString(
                     file, rest + "category fresh { repeats harmless; agreed 1s; }\n");
-            Puppets.until(
+            ScriptedPeers.until(
                     () ->
                             p.initiator.loop().picture().events().stream()
                                     .anyMatch(e -> e.kind().equals("configuration")),
                     "the new version holds");
-            Puppets.reply(relay, Outcome.SUCCEEDED);
-            assertEquals(Final.ANSWERED, p.client.nextAnswer(3000).getFinal());
+            ScriptedPeers.reply(relay, Outcome.SUCCEEDED);
+            assertEquals(ResponseStatus.ANSWERED, p.client.nextAnswer(3000).getStatus());
             p.ask(p.client, "fresh", 0, 1000);
-            Puppets.reply(a.nextRelay(), Outcome.SUCCEEDED);
+            ScriptedPeers.reply(a.nextRelay(), Outcome.SUCCEEDED);
             assertEquals(
-                    Final.ANSWERED,
-                    p.client.nextAnswer(3000).getFinal(),
+                    ResponseStatus.ANSWERED,
+                    p.client.nextAnswer(3000).getStatus(),
                     "a category that came in service");
         }
     }
 
     @Test
     void targetThatSendsWhatNoTargetSendsLosesItsConnection() throws Exception {
-        try (Puppets p = new Puppets()) {
-            Puppets.End a = p.target("a", 0);
+        try (ScriptedPeers p = new ScriptedPeers()) {
+            ScriptedPeers.End a = p.target("a", 0);
             p.ask(p.client, "write", 0, 2000);
-            Puppets.Got relay = a.nextRelay();
+            ScriptedPeers.Got relay = a.nextRelay();
             relay.peer()
-                    .send(Frame.newBuilder().setAccess(Access.newBuilder().setNumber(1)).build());
+                    .send(Frame.newBuilder().setRequest(Request.newBuilder().setNumber(1)).build());
             assertEquals(
-                    Final.BROKEN_OFF,
-                    p.client.nextAnswer(3000).getFinal(),
+                    ResponseStatus.FAILED,
+                    p.client.nextAnswer(3000).getStatus(),
                     "sent, and no word: it may have run");
-            assertEquals(1, p.count(Count.MALFORMED_PEERS));
+            assertEquals(1, p.count(Counter.MALFORMED_PEERS));
         }
     }
 }
--- a/rehearsal/src/test/java/milletyoke/rehearsal/ScriptTest.java
+++ b/scenario/src/test/java/milletyoke/scenario/ScenarioParserTest.java
@@ -1,4 +1,4 @@
-package milletyoke.rehearsal;
+package milletyoke.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -7,14 +7,14 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.stream.Stream;
-import milletyoke.rehearsal.script.Script;
-import milletyoke.rehearsal.script.ScriptError;
+import milletyoke.scenario.script.ScenarioFormatException;
+import milletyoke.scenario.script.ScenarioParser;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The notation of bad days: what it takes, and what it says of what it does not. */
-class ScriptTest {
+class ScenarioParserTest {
     private static final String BASE = "category a share=1 agreed=1s abandon=2s\nplan p share=1\n";
 
     @Test
@@ -22,7 +22,8 @@
         try (Stream<Path> files = Files.list(Path.of("days"))) {
             List<Path> all = files.filter(f -> f.toString().endsWith(".day")).toList();
             for (Path file : all) {
-                assertEquals(file.getFileName().toString(), Script.read(file).name() + ".day");
+                assertEquals(
+                        file.getFileName().toString(), ScenarioParser.read(file).name() + ".day");
             }
         }
     }
@@ -45,8 +46,10 @@
                 "category b share=1 agreed=1s abandon=1s repeats=maybe | \"maybe\" is not known",
             })
     void saysWhatIsWrongAndWhere(String line, String says) {
-        ScriptError error =
-                assertThrows(ScriptError.class, () -> Script.read("x.day", "x", BASE + line));
+        ScenarioFormatException error =
+                assertThrows(
+                        ScenarioFormatException.class,
+                        () -> ScenarioParser.read("x.day", "x", BASE + line));
         assertEquals(true, error.getMessage().contains(says), error.getMessage());
         assertEquals(true, error.getMessage().startsWith("x.day:3: "), error.getMessage());
     }
--- a/rehearsal/src/test/java/milletyoke/rehearsal/DaysTest.java
+++ b/scenario/src/test/java/milletyoke/scenario/ScenariosTest.java
@@ -1,12 +1,12 @@
-package milletyoke.rehearsal;
+package milletyoke.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
-import milletyoke.rehearsal.audit.Audit;
-import milletyoke.rehearsal.script.Script;
+import milletyoke.scenario.audit.Audit;
+import milletyoke.scenario.script.ScenarioParser;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -16,7 +16,7 @@
  * rehearse`.
  */
 @Timeout(120)
-class DaysTest {
+class ScenariosTest {
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -31,9 +31,12 @@
     void keepsEveryRule(String name) throws Exception {
         Path recording = Files.createTempFile("milletyoke-day", ".recording");
         try {
-            Stage.Played played;
-            try (Stage stage =
-                    new Stage(Script.read(Path.of("days", name + ".day")), recording, false)) {
+            ScenarioRunner.ScenarioResult played;
+            try (ScenarioRunner stage =
+                    new ScenarioRunner(
+                            ScenarioParser.read(Path.of("days", name + ".day")),
+                            recording,
+                            false)) {
                 played = stage.play(line -> {});
             }
             Audit.Report report = Audit.of(recording);
