--- a/rehearsal/src/test/java/milletyoke/rehearsal/Puppets.java
+++ b/scenario/src/test/java/milletyoke/scenario/ScriptedPeers.java
@@ -1,4 +1,4 @@
-package milletyoke.rehearsal;
+package milletyoke.scenario;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -7,26 +7,26 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import milletyoke.gateway.Initiator;
-import milletyoke.gateway.loop.Count;
-import milletyoke.gateway.setup.Address;
-import milletyoke.gateway.setup.Deployment;
-import milletyoke.gateway.setup.Form;
-import milletyoke.gateway.setup.FromFleet;
-import milletyoke.gateway.setup.Setup;
+import milletyoke.gateway.config.Address;
+import milletyoke.gateway.config.DeploymentSettings;
+import milletyoke.gateway.config.FleetConverter;
+import milletyoke.gateway.config.InitiatorConfig;
+import milletyoke.gateway.config.SettingsReader;
+import milletyoke.gateway.loop.Counter;
 import milletyoke.standins.Discovery;
-import milletyoke.wire.Bounds;
-import milletyoke.wire.Peer;
-import milletyoke.wire.PeerHandler;
-import milletyoke.wire.Tap;
-import milletyoke.wire.Wire;
-import milletyoke.wire.proto.Access;
-import milletyoke.wire.proto.Answer;
+import milletyoke.wire.FrameLimits;
+import milletyoke.wire.FrameObserver;
+import milletyoke.wire.PeerConnection;
+import milletyoke.wire.PeerListener;
+import milletyoke.wire.SocketNetwork;
+import milletyoke.wire.proto.Attempt;
+import milletyoke.wire.proto.AttemptReply;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.GoingAway;
 import milletyoke.wire.proto.Health;
 import milletyoke.wire.proto.Outcome;
-import milletyoke.wire.proto.Relay;
-import milletyoke.wire.proto.Reply;
+import milletyoke.wire.proto.Request;
+import milletyoke.wire.proto.Response;
 import milletyoke.wire.proto.Role;
 import milletyoke.wire.proto.Target;
 
@@ -34,7 +34,7 @@
  * One initiator between ends that a test moves by hand: every frame they get is kept until the test
  * takes it.
  */
-final class Puppets implements AutoCloseable {
+final class ScriptedPeers implements AutoCloseable {
     static final String DEPLOYMENT =
             """
             {initiators: 1, categories: [
@@ -44,35 +44,35 @@
              plans: [{name: "basic"}], bounds: {answerSlack: "100 ms"}}""";
 
     /** What one end got: the frame, or null for the connection's end. */
-    record Got(Peer peer, Frame frame) {}
+    record Got(PeerConnection peer, Frame frame) {}
 
     /** An end that answers nothing of itself. */
-    static final class End implements PeerHandler {
+    static final class End implements PeerListener {
         final LinkedBlockingQueue<Got> got = new LinkedBlockingQueue<>();
-        volatile Peer peer;
+        volatile PeerConnection peer;
 
         @Override
-        public void ready(Peer made) {
+        public void onReady(PeerConnection made) {
             peer = made;
         }
 
         @Override
-        public void got(Peer from, Frame frame) {
+        public void onFrame(PeerConnection from, Frame frame) {
             got.add(new Got(from, frame));
         }
 
         @Override
-        public void goingAway(Peer from, String why) {
+        public void onGoingAway(PeerConnection from, String why) {
             got.add(
                     new Got(
                             from,
                             Frame.newBuilder()
-                                    .setGoingAway(GoingAway.newBuilder().setWhy(why))
+                                    .setGoingAway(GoingAway.newBuilder().setReason(why))
                                     .build()));
         }
 
         @Override
-        public void closed(Peer gone, String why) {
+        public void onClosed(PeerConnection gone, String why) {
             got.add(new Got(gone, null));
         }
 
@@ -85,47 +85,53 @@
             for (Got next = got.poll(3, TimeUnit.SECONDS);
                     next != null;
                     next = got.poll(3, TimeUnit.SECONDS)) {
-                if (next.frame() != null && next.frame().hasRelay()) {
+                if (next.frame() != null && next.frame().hasAttempt()) {
                     return next;
                 }
             }
             throw new AssertionError("no relay came within 3 s");
         }
 
-        Answer nextAnswer(long millis) throws InterruptedException {
+        Response nextAnswer(long millis) throws InterruptedException {
             Frame frame = next(millis);
             if (frame != null && frame.hasGoingAway()) {
                 frame = next(millis);
             }
-            return frame != null && frame.hasAnswer() ? frame.getAnswer() : null;
+            return frame != null && frame.hasResponse() ? frame.getResponse() : null;
         }
     }
 
     final ScheduledExecutorService clockwork = Executors.newScheduledThreadPool(2);
     final Discovery discovery;
-    final Wire wire;
+    final SocketNetwork wire;
     final Initiator initiator;
     final End client = new End();
     private long number;
 
-    Puppets(Setup.Transport transport, Setup.Room room, Path folder) throws Exception {
+    ScriptedPeers(
+            InitiatorConfig.Transport transport, InitiatorConfig.CapacityLimits room, Path folder)
+            throws Exception {
         this(transport, room, folder, null);
     }
 
     /**
      * @param fleet a configuration that the initiator follows, in place of the usual deployment
      */
-    Puppets(Setup.Transport transport, Setup.Room room, Path folder, Setup.FleetFile fleet)
+    ScriptedPeers(
+            InitiatorConfig.Transport transport,
+            InitiatorConfig.CapacityLimits room,
+            Path folder,
+            InitiatorConfig.FleetFile fleet)
             throws Exception {
-        discovery = new Discovery(0, 1, clockwork, Tap.NONE);
-        wire = new Wire("puppets", 2, Tap.NONE);
-        Deployment deployment =
+        discovery = new Discovery(0, 1, clockwork, FrameObserver.NONE);
+        wire = new SocketNetwork("puppets", 2, FrameObserver.NONE);
+        DeploymentSettings deployment =
                 fleet == null
-                        ? Deployment.read(Form.of("test", DEPLOYMENT))
-                        : FromFleet.deployment(fleet.fleet());
+                        ? DeploymentSettings.read(SettingsReader.of("test", DEPLOYMENT))
+                        : FleetConverter.deployment(fleet.fleet());
         initiator =
                 Initiator.start(
-                        new Setup(
+                        new InitiatorConfig(
                                 "initiator-1",
                                 1,
                                 new Address("127.0.0.1", 0),
@@ -136,35 +142,39 @@
                                 room,
                                 null,
                                 fleet),
-                        Tap.NONE);
+                        FrameObserver.NONE);
         connect(client);
     }
 
-    Puppets() throws Exception {
-        this(transport(5_000_000), new Setup.Room(1000, 4096, 100, 1e6, 3_600_000_000L), null);
+    ScriptedPeers() throws Exception {
+        this(
+                transport(5_000_000),
+                new InitiatorConfig.CapacityLimits(1000, 4096, 100, 1e6, 3_600_000_000L),
+                null);
     }
 
-    static Setup.Transport transport(long partial) {
-        return new Setup.Transport(
+    static InitiatorConfig.Transport transport(long partial) {
+        return new InitiatorConfig.Transport(
                 200_000, 30_000_000, 2, 100, 250_000, 65_536, 1 << 20, partial, 2);
     }
 
     void connect(End end) throws Exception {
-        wire.connect("127.0.0.1", initiator.port(), Role.CLIENT, end, Bounds.USUAL, why -> {});
+        wire.connect(
+                "127.0.0.1", initiator.port(), Role.CLIENT, end, FrameLimits.DEFAULT, why -> {});
         until(() -> end.peer != null, "the client is connected");
     }
 
     /** A target that a test moves by hand, known to the initiator when this returns. */
     End target(String id, int shard) throws Exception {
         End end = new End();
-        int port = wire.listen("127.0.0.1", 0, Role.TARGET, end, Bounds.USUAL).port();
-        list(id, shard, port, Health.ON);
+        int port = wire.listen("127.0.0.1", 0, Role.TARGET, end, FrameLimits.DEFAULT).port();
+        list(id, shard, port, Health.ACTIVE);
         return end;
     }
 
     void list(String id, int shard, int port, Health health) throws Exception {
-        long lists = initiator.counts().of(Count.LISTS);
-        until(() -> initiator.counts().of(Count.LISTS) > 0, "the first list has come");
+        long lists = initiator.counts().of(Counter.LISTS);
+        until(() -> initiator.counts().of(Counter.LISTS) > 0, "the first list has come");
         discovery.learn(
                 Target.newBuilder()
                         .setId(id)
@@ -174,40 +184,40 @@
                         .setHost("127.0.0.1")
                         .setPort(port)
                         .build());
-        until(() -> initiator.counts().of(Count.LISTS) > lists, "the list has come");
+        until(() -> initiator.counts().of(Counter.LISTS) > lists, "the list has come");
         Thread.sleep(20);
     }
 
     long ask(End from, String category, int shard, long timeLeftMillis) {
         from.peer.send(
                 Frame.newBuilder()
-                        .setAccess(
-                                Access.newBuilder()
+                        .setRequest(
+                                Request.newBuilder()
                                         .setNumber(++number)
                                         .setShard(shard)
                                         .setVolume("v")
                                         .setPlan("basic")
-                                        .setCategory(category)
-                                        .setHosts(1)
+                                        .setRequestClass(category)
+                                        .setInitiatorCount(1)
                                         .setUnits(1)
-                                        .setTimeLeft(timeLeftMillis * 1000))
+                                        .setTimeLeftMicros(timeLeftMillis * 1000))
                         .build());
         return number;
     }
 
     static void reply(Got relay, Outcome outcome) {
-        Relay r = relay.frame().getRelay();
+        Attempt r = relay.frame().getAttempt();
         relay.peer()
                 .send(
                         Frame.newBuilder()
-                                .setReply(
-                                        Reply.newBuilder()
+                                .setAttemptReply(
+                                        AttemptReply.newBuilder()
                                                 .setNumber(r.getNumber())
                                                 .setOutcome(outcome))
                                 .build());
     }
 
-    long count(Count count) {
+    long count(Counter count) {
         return initiator.counts().of(count);
     }
 
--- a/rehearsal/src/test/java/milletyoke/rehearsal/Viewer.java
+++ b/scenario/src/test/java/milletyoke/scenario/Viewer.java
@@ -1,4 +1,4 @@
-package milletyoke.rehearsal;
+package milletyoke.scenario;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/simhost/src/main/java/milletyoke/sim/Codec.java
+++ b/simhost/src/main/java/milletyoke/simhost/Codec.java
@@ -1,14 +1,14 @@
-package milletyoke.sim;
+package milletyoke.simhost;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.ArrayList;
 import java.util.List;
-import milletyoke.port.Action;
-import milletyoke.port.Event;
-import milletyoke.port.Outcome;
-import milletyoke.port.Provisioning;
+import milletyoke.scheduler.api.Action;
+import milletyoke.scheduler.api.Event;
+import milletyoke.scheduler.api.Outcome;
+import milletyoke.scheduler.api.SchedulerSettings;
 
 /** The simulator's words and numbers on one side, the interface's on the other. */
 final class Codec {
@@ -20,9 +20,9 @@
     /** Reads one event line; null for a message this project has no use for. */
     static Event event(Fields f, int waitingAt) {
         return switch (f.word()) {
-            case "ENLIST" -> new Event.Start(f.whole(1), provisioning(f.json(2)));
+            case "ENLIST" -> new Event.Started(f.whole(1), provisioning(f.json(2)));
             case "ACCEPT" ->
-                    new Event.Access(
+                    new Event.RequestReceived(
                             f.text(1),
                             (int) f.number(2, -1),
                             f.text(3),
@@ -33,31 +33,31 @@
                             (int) f.number(8, 1),
                             f.number(9, 1));
             case "FINISHED" ->
-                    new Event.Ended(
+                    new Event.AttemptEnded(
                             f.text(1),
                             (int) f.whole(2),
                             f.whole(3) != 0,
                             outcome(f.whole(4), f),
                             f.whole(6));
             case "PROBED" ->
-                    new Event.Probed(
+                    new Event.ProbeEnded(
                             f.text(1), outcome(f.whole(2), f), f.whole(3), f.part(4, waitingAt));
-            case "FIRED" -> new Event.Alarm();
-            case "STREAMING", "ABORTED" -> new Event.Over(f.text(1));
+            case "FIRED" -> new Event.WakeUp();
+            case "STREAMING", "ABORTED" -> new Event.RequestClosed(f.text(1));
             default -> null;
         };
     }
 
-    static Event.TargetList list(Fields f, List<Event.Target> targets) {
-        Event.Scope scope =
+    static Event.EndpointListReceived list(Fields f, List<Event.Target> targets) {
+        Event.ListScope scope =
                 switch (String.valueOf(f.text(2))) {
-                    case "update" -> Event.Scope.UPDATE;
-                    case "replace" -> Event.Scope.REPLACE;
-                    case "restored" -> Event.Scope.RESTORED;
-                    case "unavailable" -> Event.Scope.UNAVAILABLE;
+                    case "update" -> Event.ListScope.UPDATE;
+                    case "replace" -> Event.ListScope.REPLACE;
+                    case "restored" -> Event.ListScope.RESTORED;
+                    case "unavailable" -> Event.ListScope.UNAVAILABLE;
                     default -> throw f.wrong("unknown scope " + f.text(2));
                 };
-        return new Event.TargetList(scope, targets);
+        return new Event.EndpointListReceived(scope, targets);
     }
 
     static Event.Target target(Fields f) {
@@ -66,33 +66,33 @@
         }
         Event.Health health =
                 switch (String.valueOf(f.text(5))) {
-                    case "on" -> Event.Health.ON;
+                    case "on" -> Event.Health.ACTIVE;
                     case "fading" -> Event.Health.DRAINING;
-                    case "off" -> Event.Health.GONE;
+                    case "off" -> Event.Health.REMOVED;
                     default -> throw f.wrong("unknown health " + f.text(5));
                 };
         return new Event.Target((int) f.number(1, -1), f.text(3), f.text(4), health, f.whole(6));
     }
 
     static void write(Action action, StringBuilder out) {
-        if (action instanceof Action.Relay a) {
+        if (action instanceof Action.SendAttempt a) {
             out.append("TRANSMIT\t")
                     .append(a.id())
                     .append('\t')
-                    .append(a.giveUpAt())
+                    .append(a.deadlineMicros())
                     .append('\t')
                     .append(a.target());
         } else if (action instanceof Action.Reject a) {
-            out.append("DECLINE\t").append(a.id()).append('\t').append(a.retryIn());
-        } else if (action instanceof Action.BreakOff a) {
+            out.append("DECLINE\t").append(a.id()).append('\t').append(a.retryAfterMicros());
+        } else if (action instanceof Action.Fail a) {
             out.append("RESPOND_ERROR\t").append(a.id());
-        } else if (action instanceof Action.Cancel a) {
-            out.append("RETRACT\t").append(a.id()).append('\t').append(a.relay());
-        } else if (action instanceof Action.Probe a) {
+        } else if (action instanceof Action.CancelAttempt a) {
+            out.append("RETRACT\t").append(a.id()).append('\t').append(a.attemptNumber());
+        } else if (action instanceof Action.SendProbe a) {
             out.append("TOUCH\t").append(a.target());
-        } else if (action instanceof Action.Wake a) {
-            out.append("REMIND\t").append(a.in()).append("\t0");
-        } else if (action instanceof Action.FollowList) {
+        } else if (action instanceof Action.ScheduleWakeUp a) {
+            out.append("REMIND\t").append(a.delayMicros()).append("\t0");
+        } else if (action instanceof Action.WatchEndpoints) {
             out.append("TAIL\t1");
         }
         out.append('\n');
@@ -114,21 +114,21 @@
         return switch ((int) code) {
             case 0 -> Outcome.SUCCEEDED;
             case 13 -> Outcome.ERROR;
-            case 8 -> Outcome.FULL;
+            case 8 -> Outcome.OVERLOADED;
             case 4 -> Outcome.TIMED_OUT;
             case 14 -> Outcome.NO_CONNECTION;
             case 10 -> Outcome.RESET;
             case 1 -> Outcome.CANCELLED;
-            case 9 -> Outcome.MOOT;
+            case 9 -> Outcome.NOT_STARTED;
             default -> throw f.wrong("unknown outcome " + code);
         };
     }
 
-    private static Provisioning provisioning(JsonNode s) {
-        List<Provisioning.Category> categories = new ArrayList<>();
+    private static SchedulerSettings provisioning(JsonNode s) {
+        List<SchedulerSettings.RequestClass> categories = new ArrayList<>();
         for (JsonNode c : s.path("classes")) {
             categories.add(
-                    new Provisioning.Category(
+                    new SchedulerSettings.RequestClass(
                             c.path("name").asText(),
                             repeats(c),
                             group(c),
@@ -137,10 +137,10 @@
                             whole(c, "aim"),
                             c.path("points").asDouble()));
         }
-        List<Provisioning.Plan> plans = new ArrayList<>();
+        List<SchedulerSettings.ServicePlan> plans = new ArrayList<>();
         for (JsonNode p : s.path("policies")) {
             plans.add(
-                    new Provisioning.Plan(
+                    new SchedulerSettings.ServicePlan(
                             p.path("name").asText(),
                             p.path("reservation").asDouble(),
                             p.path("weight").asDouble(),
@@ -151,14 +151,14 @@
         JsonNode l = s.path("limits");
         JsonNode r = s.path("rules");
         var allowances =
-                new Provisioning.Allowances(
+                new SchedulerSettings.Capabilities(
                         (int) whole(l, "maxAttempts"),
                         l.path("probes").asBoolean(),
                         l.path("mayCancel").asBoolean(),
                         l.path("retryAfter").asBoolean(),
                         whole(l, "maxRetryAfter"));
         var bounds =
-                new Provisioning.Bounds(
+                new SchedulerSettings.RuleLimits(
                         whole(r, "keyQuiet"),
                         whole(r, "cold"),
                         r.path("coldShare").asDouble(),
@@ -169,7 +169,7 @@
                         r.path("extraShare").asDouble(),
                         whole(r, "budgetSpan"),
                         whole(r, "mustAskIn"));
-        return new Provisioning(
+        return new SchedulerSettings(
                 (int) whole(s, "balancers"),
                 categories,
                 plans,
@@ -178,19 +178,19 @@
                 s.path("registryMode").asText().equals("subscribe"));
     }
 
-    private static Provisioning.Repeats repeats(JsonNode c) {
+    private static SchedulerSettings.Idempotency repeats(JsonNode c) {
         return switch (c.path("effect").asText()) {
-            case "pure" -> Provisioning.Repeats.HARMLESS;
-            case "token" -> Provisioning.Repeats.STAMPED;
-            default -> Provisioning.Repeats.ONE_SHOT;
+            case "pure" -> SchedulerSettings.Idempotency.IDEMPOTENT;
+            case "token" -> SchedulerSettings.Idempotency.IDEMPOTENCY_KEY;
+            default -> SchedulerSettings.Idempotency.NON_IDEMPOTENT;
         };
     }
 
-    private static Provisioning.Group group(JsonNode c) {
+    private static SchedulerSettings.DeduplicationScope group(JsonNode c) {
         return switch (c.path("dedupScope").asText()) {
-            case "all" -> Provisioning.Group.ALL;
-            case "zone" -> Provisioning.Group.ZONE;
-            default -> Provisioning.Group.CELL;
+            case "all" -> SchedulerSettings.DeduplicationScope.ALL;
+            case "zone" -> SchedulerSettings.DeduplicationScope.ZONE;
+            default -> SchedulerSettings.DeduplicationScope.CELL;
         };
     }
 
@@ -249,8 +249,8 @@
             }
         }
 
-        MalformedFrame wrong(String what) {
-            return new MalformedFrame(line, what);
+        MalformedFrameException wrong(String what) {
+            return new MalformedFrameException(line, what);
         }
     }
 }
--- a/simhost/src/main/java/milletyoke/sim/Main.java
+++ b/simhost/src/main/java/milletyoke/simhost/Main.java
@@ -1,4 +1,4 @@
-package milletyoke.sim;
+package milletyoke.simhost;
 
 import java.io.BufferedOutputStream;
 import java.io.BufferedReader;
@@ -24,7 +24,7 @@
                         new BufferedOutputStream(System.out, 1 << 16), StandardCharsets.UTF_8);
         try {
             new SimHost(in, out).run();
-        } catch (MalformedFrame bad) {
+        } catch (MalformedFrameException bad) {
             System.err.println("milletyoke: " + bad.getMessage());
             System.exit(1);
         }
--- a/simhost/src/main/java/milletyoke/sim/SimHost.java
+++ b/simhost/src/main/java/milletyoke/simhost/SimHost.java
@@ -1,4 +1,4 @@
-package milletyoke.sim;
+package milletyoke.simhost;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -8,8 +8,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import milletyoke.Decide;
-import milletyoke.port.Event;
+import milletyoke.scheduler.RequestScheduler;
+import milletyoke.scheduler.api.Event;
 
 /**
  * Hosts many instances on the simulator's wire: one fresh module for each start, nothing shared
@@ -18,7 +18,7 @@
 public final class SimHost {
     private final BufferedReader in;
     private final Writer out;
-    private final Map<String, Decide> instances = new HashMap<>();
+    private final Map<String, RequestScheduler> instances = new HashMap<>();
     private final Map<String, Integer> waitingAt = new HashMap<>();
     private long line;
 
@@ -67,8 +67,8 @@
 
     private void add(List<Event> events, Codec.Fields f, String instance) {
         Event event = Codec.event(f, waitingAt.getOrDefault(instance, -1));
-        if (event instanceof Event.Start) {
-            instances.put(instance, new Decide());
+        if (event instanceof Event.Started) {
+            instances.put(instance, new RequestScheduler());
             waitingAt.put(instance, Codec.waitingAt(f));
             events.clear();
         }
@@ -90,7 +90,7 @@
         StringBuilder text = new StringBuilder();
         happened.forEach(
                 (instance, events) -> {
-                    Decide module = instances.get(instance);
+                    RequestScheduler module = instances.get(instance);
                     if (module == null || events.isEmpty()) {
                         return;
                     }
@@ -109,7 +109,7 @@
     private Codec.Fields inBatch() throws IOException {
         Codec.Fields f = read();
         if (f == null) {
-            throw new MalformedFrame(line, "the input ends inside a batch");
+            throw new MalformedFrameException(line, "the input ends inside a batch");
         }
         return f;
     }
--- a/lab/src/main/java/milletyoke/lab/world/LabWorld.java
+++ b/simulation/src/main/java/milletyoke/simulation/environment/SimulatedEnvironment.java
@@ -1,4 +1,4 @@
-package milletyoke.lab.world;
+package milletyoke.simulation.environment;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,9 +7,9 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.concurrent.ScheduledExecutorService;
-import milletyoke.wire.Net;
-import milletyoke.wire.Tap;
-import milletyoke.wire.World;
+import milletyoke.wire.ExecutionEnvironment;
+import milletyoke.wire.FrameObserver;
+import milletyoke.wire.Network;
 
 /**
  * Virtual time: one queue of events, those of one moment in the order in which they were asked for.
@@ -17,7 +17,7 @@
  * the same seed plays the same events. Not for use by several threads; any number of worlds may run
  * side by side.
  */
-public final class LabWorld implements World {
+public final class SimulatedEnvironment implements ExecutionEnvironment {
     /** Some moment; only differences matter. */
     private static final long BEGINNING = 1_000_000_000L;
 
@@ -72,7 +72,7 @@
     private final Physics physics;
     private final SplittableRandom chance;
     private final PriorityQueue<Event> events = new PriorityQueue<>(1 << 12);
-    private final Map<Integer, LabNet.Bound> listeners = new HashMap<>();
+    private final Map<Integer, SimulatedNetwork.Bound> listeners = new HashMap<>();
     private final List<Cut> cuts = new ArrayList<>();
     private long now = BEGINNING;
     private long stepped;
@@ -83,7 +83,7 @@
     private int nextPort = 20_000;
     private boolean inside;
 
-    public LabWorld(long seed, Physics physics) {
+    public SimulatedEnvironment(long seed, Physics physics) {
         this.physics = physics;
         chance = new SplittableRandom(seed);
     }
@@ -91,17 +91,17 @@
     // ---- Time ----
 
     @Override
-    public long micros() {
+    public long monotonicMicros() {
         return now;
     }
 
     @Override
-    public long timeOfDay() {
+    public long wallClockMicros() {
         return now + stepped;
     }
 
     @Override
-    public void stepClock(long micros) {
+    public void adjustWallClock(long micros) {
         stepped += micros;
     }
 
@@ -164,27 +164,27 @@
     // ---- Parts ----
 
     @Override
-    public Net net(String name, int threads, Tap tap) {
-        return new LabNet(this, name, tap);
+    public Network openNetwork(String name, int threads, FrameObserver tap) {
+        return new SimulatedNetwork(this, name, tap);
     }
 
     @Override
-    public ScheduledExecutorService clockwork(String name, int threads) {
-        return new Clockwork(this, name);
+    public ScheduledExecutorService newTimerExecutor(String name, int threads) {
+        return new VirtualTimeExecutor(this, name);
     }
 
     @Override
-    public Drive drive(Turns turns) {
+    public LoopDriver newLoopDriver(LoopTask turns) {
         return new LabDrive(turns);
     }
 
     /** Runs a loop's turns: at once where it is woken, or as soon as its last turn is over. */
-    private final class LabDrive implements Drive {
-        private final Turns turns;
+    private final class LabDrive implements LoopDriver {
+        private final LoopTask turns;
         private long due = Long.MAX_VALUE;
         private long busyUntil;
 
-        LabDrive(Turns turns) {
+        LabDrive(LoopTask turns) {
             this.turns = turns;
         }
 
@@ -205,7 +205,7 @@
                 return; // an earlier one was asked for since
             }
             due = Long.MAX_VALUE;
-            long next = turns.advance();
+            long next = turns.runOnce();
             busyUntil = now + physics.turn();
             if (next < Long.MAX_VALUE) {
                 runAt(Math.max(next, busyUntil));
@@ -226,16 +226,16 @@
         return nextPort++;
     }
 
-    LabNet.Bound listener(int port) {
+    SimulatedNetwork.Bound listener(int port) {
         return listeners.get(port);
     }
 
     /** False where the port is taken. */
-    boolean bind(int port, LabNet.Bound listener) {
+    boolean bind(int port, SimulatedNetwork.Bound listener) {
         return listeners.putIfAbsent(port, listener) == null;
     }
 
-    void unbind(int port, LabNet.Bound listener) {
+    void unbind(int port, SimulatedNetwork.Bound listener) {
         listeners.remove(port, listener);
     }
 
@@ -254,7 +254,7 @@
 
     /** Where all is held, new connections do not come about in either direction. */
     @Override
-    public void cut(String from, String to, boolean work, long micros) {
+    public void partition(String from, String to, boolean work, long micros) {
         cuts.removeIf(c -> c.until() <= now);
         cuts.add(new Cut(from, to, work, now + micros));
     }
--- a/lab/src/main/java/milletyoke/lab/world/LabNet.java
+++ b/simulation/src/main/java/milletyoke/simulation/environment/SimulatedNetwork.java
@@ -1,4 +1,4 @@
-package milletyoke.lab.world;
+package milletyoke.simulation.environment;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import milletyoke.wire.Bounds;
-import milletyoke.wire.Net;
-import milletyoke.wire.Peer;
-import milletyoke.wire.PeerHandler;
-import milletyoke.wire.Tap;
+import milletyoke.wire.FrameLimits;
+import milletyoke.wire.FrameObserver;
+import milletyoke.wire.Network;
+import milletyoke.wire.PeerConnection;
+import milletyoke.wire.PeerListener;
 import milletyoke.wire.proto.Direction;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Role;
@@ -20,22 +20,23 @@
  * keeps the order of what is sent each way, loses nothing until it ends, and its end arrives behind
  * what was sent before (RFC 9293).
  */
-final class LabNet implements Net {
-    private final LabWorld world;
+final class SimulatedNetwork implements Network {
+    private final SimulatedEnvironment world;
     final String name;
-    private final Tap tap;
-    private final Set<LabPeer> peers = new LinkedHashSet<>();
+    private final FrameObserver tap;
+    private final Set<SimulatedPeerConnection> peers = new LinkedHashSet<>();
     private final List<Bound> bound = new ArrayList<>();
     private boolean gone;
 
-    LabNet(LabWorld world, String name, Tap tap) {
+    SimulatedNetwork(SimulatedEnvironment world, String name, FrameObserver tap) {
         this.world = world;
         this.name = name;
         this.tap = tap;
     }
 
     /** A bound port and who answers there. */
-    record Bound(LabNet net, int port, Role role, PeerHandler handler, Bounds bounds)
+    record Bound(
+            SimulatedNetwork net, int port, Role role, PeerListener handler, FrameLimits bounds)
             implements Listener {
         @Override
         public void stop() {
@@ -44,7 +45,8 @@
     }
 
     @Override
-    public Listener listen(String host, int port, Role role, PeerHandler handler, Bounds bounds)
+    public Listener listen(
+            String host, int port, Role role, PeerListener handler, FrameLimits bounds)
             throws IOException {
         int at = port == 0 ? world.freePort() : port;
         Bound listener = new Bound(this, at, role, handler, bounds);
@@ -57,26 +59,26 @@
     }
 
     /** A connection in the making. */
-    private static final class Making implements Attempt {
+    private static final class Making implements ConnectAttempt {
         boolean givenUp;
 
         @Override
-        public void giveUp() {
+        public void cancel() {
             givenUp = true;
         }
     }
 
     @Override
-    public Attempt connect(
+    public ConnectAttempt connect(
             String host,
             int port,
             Role role,
-            PeerHandler handler,
-            Bounds bounds,
+            PeerListener handler,
+            FrameLimits bounds,
             Consumer<String> failed) {
         Making making = new Making();
         world.at(
-                world.micros() + world.travel(),
+                world.monotonicMicros() + world.travel(),
                 () -> arrive(making, port, role, handler, bounds, failed));
         return making;
     }
@@ -85,11 +87,11 @@
             Making making,
             int port,
             Role role,
-            PeerHandler handler,
-            Bounds bounds,
+            PeerListener handler,
+            FrameLimits bounds,
             Consumer<String> failed) {
         Bound there = world.listener(port);
-        long back = world.micros() + world.travel();
+        long back = world.monotonicMicros() + world.travel();
         if (there == null) {
             world.at(
                     back,
@@ -104,15 +106,18 @@
                 Math.max(
                         world.heldUntil(name, there.net().name, false),
                         world.heldUntil(there.net().name, name, false));
-        if (open > world.micros()) { // the first packet is sent again until it gets through
+        if (open
+                > world.monotonicMicros()) { // the first packet is sent again until it gets through
             world.at(open, () -> arrive(making, port, role, handler, bounds, failed));
             return;
         }
         if (gone || making.givenUp) {
             return;
         }
-        LabPeer near = new LabPeer(this, handler, bounds, tap);
-        LabPeer far = new LabPeer(there.net(), there.handler(), there.bounds(), there.net().tap);
+        SimulatedPeerConnection near = new SimulatedPeerConnection(this, handler, bounds, tap);
+        SimulatedPeerConnection far =
+                new SimulatedPeerConnection(
+                        there.net(), there.handler(), there.bounds(), there.net().tap);
         near.join(far);
         far.join(near);
         there.net().opened(far, there.role());
@@ -127,7 +132,7 @@
                 });
     }
 
-    private void opened(LabPeer peer, Role role) {
+    private void opened(SimulatedPeerConnection peer, Role role) {
         peers.add(peer);
         peer.open(role, name);
     }
@@ -136,24 +141,24 @@
     public void abort() {
         gone = true;
         bound.forEach(Bound::stop);
-        new ArrayList<>(peers).forEach(Peer::reset);
+        new ArrayList<>(peers).forEach(PeerConnection::reset);
         peers.clear();
     }
 
     @Override
     public void close() {
         bound.forEach(Bound::stop);
-        new ArrayList<>(peers).forEach(p -> p.bye("shutting down"));
+        new ArrayList<>(peers).forEach(p -> p.closeWithReason("shutting down"));
         peers.clear();
         gone = true;
     }
 
     /** One end of a connection. */
-    static final class LabPeer extends Peer {
-        private final LabNet net;
-        private final LabWorld world;
-        private final Tap tap;
-        private LabPeer other;
+    static final class SimulatedPeerConnection extends PeerConnection {
+        private final SimulatedNetwork net;
+        private final SimulatedEnvironment world;
+        private final FrameObserver tap;
+        private SimulatedPeerConnection other;
         private boolean connected = true;
         private boolean isOpened;
         private long lastArrival;
@@ -161,20 +166,21 @@
         /** What arrived before this end knew that the connection was open. */
         private final List<Runnable> early = new ArrayList<>();
 
-        LabPeer(LabNet net, PeerHandler handler, Bounds bounds, Tap tap) {
-            super(net.world.peerNumber(), handler, bounds, tap, net.world::micros);
+        SimulatedPeerConnection(
+                SimulatedNetwork net, PeerListener handler, FrameLimits bounds, FrameObserver tap) {
+            super(net.world.peerNumber(), handler, bounds, tap, net.world::monotonicMicros);
             this.net = net;
             this.tap = tap;
             world = net.world;
         }
 
-        void join(LabPeer end) {
+        void join(SimulatedPeerConnection end) {
             other = end;
         }
 
         void open(Role role, String ownName) {
             isOpened = true;
-            tap.saw(this, Direction.OPENED, null);
+            tap.onFrame(this, Direction.OPENED, null);
             greet(role, ownName);
             early.forEach(Runnable::run);
             early.clear();
@@ -187,7 +193,7 @@
 
         @Override
         protected void write(List<Frame> frames, int size) {
-            boolean work = frames.stream().anyMatch(f -> f.hasRelay() || f.hasReply());
+            boolean work = frames.stream().anyMatch(f -> f.hasAttempt() || f.hasAttemptReply());
             long leaves = world.heldUntil(net.name, other.net.name, work);
             lastArrival = Math.max(lastArrival, leaves + world.travel());
             world.at(
--- a/lab/src/main/java/milletyoke/lab/world/Clockwork.java
+++ b/simulation/src/main/java/milletyoke/simulation/environment/VirtualTimeExecutor.java
@@ -1,4 +1,4 @@
-package milletyoke.lab.world;
+package milletyoke.simulation.environment;
 
 import java.util.List;
 import java.util.concurrent.AbstractExecutorService;
@@ -10,12 +10,13 @@
 import java.util.concurrent.TimeUnit;
 
 /** Timers in virtual time. After a shutdown nothing of it happens any more. */
-final class Clockwork extends AbstractExecutorService implements ScheduledExecutorService {
-    private final LabWorld world;
+final class VirtualTimeExecutor extends AbstractExecutorService
+        implements ScheduledExecutorService {
+    private final SimulatedEnvironment world;
     private final String name;
     private boolean shut;
 
-    Clockwork(LabWorld world, String name) {
+    VirtualTimeExecutor(SimulatedEnvironment world, String name) {
         this.world = world;
         this.name = name;
     }
@@ -23,7 +24,7 @@
     /** What a caller may do with something scheduled. */
     private final class Timer<V> extends FutureTask<V> implements ScheduledFuture<V> {
         final long at;
-        LabWorld.Pending pending;
+        SimulatedEnvironment.Pending pending;
 
         Timer(Callable<V> task, long at) {
             super(task);
@@ -32,7 +33,7 @@
 
         @Override
         public long getDelay(TimeUnit unit) {
-            return unit.convert(at - world.micros(), TimeUnit.MICROSECONDS);
+            return unit.convert(at - world.monotonicMicros(), TimeUnit.MICROSECONDS);
         }
 
         @Override
@@ -60,13 +61,14 @@
     @Override
     public void execute(Runnable task) {
         if (!shut) {
-            at(world.micros(), task);
+            at(world.monotonicMicros(), task);
         }
     }
 
     @Override
     public <V> ScheduledFuture<V> schedule(Callable<V> task, long delay, TimeUnit unit) {
-        Timer<V> timer = new Timer<>(task, world.micros() + Math.max(0, unit.toMicros(delay)));
+        Timer<V> timer =
+                new Timer<>(task, world.monotonicMicros() + Math.max(0, unit.toMicros(delay)));
         timer.pending =
                 world.at(
                         timer.at,
--- a/lab/src/main/java/milletyoke/lab/experiment/Experiment.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/Experiment.java
@@ -1,4 +1,4 @@
-package milletyoke.lab.experiment;
+package milletyoke.simulation.experiment;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -10,12 +10,12 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import milletyoke.gateway.setup.Form;
-import milletyoke.gateway.setup.SetupError;
-import milletyoke.lab.policy.Scheduler;
-import milletyoke.rehearsal.script.BadDay;
-import milletyoke.rehearsal.script.Script;
-import milletyoke.rehearsal.script.ScriptError;
+import milletyoke.gateway.config.ConfigException;
+import milletyoke.gateway.config.SettingsReader;
+import milletyoke.scenario.script.Scenario;
+import milletyoke.scenario.script.ScenarioFormatException;
+import milletyoke.scenario.script.ScenarioParser;
+import milletyoke.simulation.policy.SchedulerChoice;
 
 /**
  * What varies: arms, each a few statements of a script in place of the day's own, values that go
@@ -43,7 +43,11 @@
      * @param variant figures of the decisions that are other ones, under test only; empty for none
      */
     public record Arm(
-            String name, List<String> set, boolean straight, Scheduler scheduler, String variant) {}
+            String name,
+            List<String> set,
+            boolean straight,
+            SchedulerChoice scheduler,
+            String variant) {}
 
     /** One play that is to be made. */
     public record Run(Arm arm, String value, int seed) {
@@ -55,12 +59,12 @@
     /**
      * @throws SetupError that names file, line and field
      */
-    public static Experiment read(Path file) throws SetupError {
-        Form f = Form.read(file);
+    public static Experiment read(Path file) throws ConfigException {
+        SettingsReader f = SettingsReader.read(file);
         Path base = file.toAbsolutePath().getParent();
         List<Arm> arms = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Form a : f.forms("arms", true)) {
+        for (SettingsReader a : f.forms("arms", true)) {
             String name = a.text("name", null);
             if (!names.add(name)) {
                 throw a.wrong("name", "\"" + name + "\" is the name of an arm already");
@@ -70,7 +74,7 @@
                             name,
                             statements(a.text("set", "")),
                             a.flag("straight", false),
-                            a.word("scheduler", Scheduler.class, Scheduler.MILLETYOKE),
+                            a.word("scheduler", SchedulerChoice.class, SchedulerChoice.MILLETYOKE),
                             a.text("variant", "")));
             a.done();
         }
@@ -85,7 +89,7 @@
                         f.has("source") ? base.resolve(f.text("source", null)) : null);
         f.done();
         if (made.source() == null && arms.stream().anyMatch(a -> !a.variant().isEmpty())) {
-            throw f.wrong("source", "must name Decide.java where an arm is a variant");
+            throw f.wrong("source", "must name RequestScheduler.java where an arm is a variant");
         }
         try {
             for (Run run : made.runs()) {
@@ -93,7 +97,7 @@
                     made.dayOf(run); // every arm can be read before any is played
                 }
             }
-        } catch (ScriptError | IOException wrong) {
+        } catch (ScenarioFormatException | IOException wrong) {
             throw f.wrong("arms", wrong.getMessage());
         }
         return made;
@@ -122,13 +126,13 @@
     }
 
     /** The day that a run plays. */
-    public BadDay dayOf(Run run) throws IOException, ScriptError {
+    public Scenario dayOf(Run run) throws IOException, ScenarioFormatException {
         String called =
                 name + " " + run.arm().name() + (run.value().isEmpty() ? "" : " " + run.value());
         List<String> set =
                 run.arm().set().stream().map(s -> s.replace("{x}", run.value())).toList();
-        BadDay read =
-                Script.read(
+        Scenario read =
+                ScenarioParser.read(
                         day.getFileName() + " with arm " + run.arm().name(),
                         called,
                         patched(Files.readString(day).lines().toList(), set));
--- a/lab/src/main/java/milletyoke/lab/experiment/Runner.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/ExperimentRunner.java
@@ -1,4 +1,4 @@
-package milletyoke.lab.experiment;
+package milletyoke.simulation.experiment;
 
 import java.io.IOException;
 import java.util.LinkedHashMap;
@@ -10,23 +10,23 @@
 import java.util.concurrent.Executors;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import milletyoke.lab.play.Play;
-import milletyoke.lab.policy.Variant;
-import milletyoke.port.Decisions;
-import milletyoke.rehearsal.script.ScriptError;
-import milletyoke.standins.Service;
+import milletyoke.scenario.script.ScenarioFormatException;
+import milletyoke.scheduler.api.Scheduler;
+import milletyoke.simulation.policy.Variant;
+import milletyoke.simulation.run.SimulationRun;
+import milletyoke.standins.ServiceLevelRecorder;
 
 /**
  * Plays what an experiment asks for on so many threads; each play is one thread's, so their number
  * changes no figure.
  */
-public final class Runner {
+public final class ExperimentRunner {
     private final Experiment experiment;
-    private final Results results;
+    private final ResultStore results;
     private final int threads;
-    private final Map<String, Supplier<Decisions>> variants = new LinkedHashMap<>();
+    private final Map<String, Supplier<Scheduler>> variants = new LinkedHashMap<>();
 
-    public Runner(Experiment experiment, Results results, int threads) {
+    public ExperimentRunner(Experiment experiment, ResultStore results, int threads) {
         this.experiment = experiment;
         this.results = results;
         this.threads = threads;
@@ -50,10 +50,10 @@
                 experiment.runs().stream().filter(r -> !results.has(r.key())).toList();
         ExecutorService workers = Executors.newFixedThreadPool(threads);
         try {
-            ExecutorCompletionService<Row> plays = new ExecutorCompletionService<>(workers);
+            ExecutorCompletionService<ResultRow> plays = new ExecutorCompletionService<>(workers);
             missing.forEach(run -> plays.submit(() -> play(run)));
             for (int done = 1; done <= missing.size(); done++) {
-                Row row = plays.take().get();
+                ResultRow row = plays.take().get();
                 results.add(row);
                 progress.accept(
                         String.format(
@@ -73,17 +73,18 @@
         }
     }
 
-    private Row play(Experiment.Run run) throws IOException, ScriptError {
+    private ResultRow play(Experiment.Run run) throws IOException, ScenarioFormatException {
         Experiment.Arm arm = run.arm();
-        Supplier<Decisions> decisions =
+        Supplier<Scheduler> decisions =
                 arm.variant().isEmpty()
                         ? arm.scheduler().decisions()
                         : variants.get(arm.variant().replace("{x}", run.value()));
-        Play.Came came = Play.of(experiment.dayOf(run), null, arm.straight(), decisions);
-        Service s = came.service();
+        SimulationRun.Came came =
+                SimulationRun.of(experiment.dayOf(run), null, arm.straight(), decisions);
+        ServiceLevelRecorder s = came.service();
         Map<String, Double> categories = new LinkedHashMap<>();
         s.lines().forEach((name, line) -> categories.put(name, line.service()));
-        return new Row(
+        return new ResultRow(
                 arm.name(),
                 run.value(),
                 run.seed(),
--- a/lab/src/main/java/milletyoke/lab/experiment/Row.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/ResultRow.java
@@ -1,4 +1,4 @@
-package milletyoke.lab.experiment;
+package milletyoke.simulation.experiment;
 
 import java.util.List;
 import java.util.Map;
@@ -13,7 +13,7 @@
  * @param coldUsed the largest part of what a cold target bears that any was sent
  * @param digest of all that travelled, in hexadecimal
  */
-public record Row(
+public record ResultRow(
         String arm,
         String value,
         int seed,
--- a/lab/src/main/java/milletyoke/lab/experiment/Results.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/ResultStore.java
@@ -1,4 +1,4 @@
-package milletyoke.lab.experiment;
+package milletyoke.simulation.experiment;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -21,11 +21,11 @@
  * Rows in a file of JSON lines, one a line, each flushed as it comes: what a kill leaves can be
  * gone on with.
  */
-public final class Results implements AutoCloseable {
+public final class ResultStore implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final Path file;
-    private final Map<String, Row> rows = new LinkedHashMap<>();
+    private final Map<String, ResultRow> rows = new LinkedHashMap<>();
     private final BufferedWriter out;
 
     /**
@@ -34,12 +34,12 @@
      * @throws IOException where it cannot be read, or a line before the last is no row; the message
      *     names it
      */
-    public Results(Path file) throws IOException {
+    public ResultStore(Path file) throws IOException {
         this.file = file;
         if (Files.exists(file)) {
-            List<Row> kept = read(file);
+            List<ResultRow> kept = read(file);
             Path aside = file.resolveSibling(file.getFileName() + ".new");
-            Files.write(aside, kept.stream().map(Results::line).toList());
+            Files.write(aside, kept.stream().map(ResultStore::line).toList());
             Files.move(
                     aside,
                     file,
@@ -50,16 +50,16 @@
         out = Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     }
 
-    public static List<Row> read(Path file) throws IOException {
+    public static List<ResultRow> read(Path file) throws IOException {
         String text = Files.readString(file, StandardCharsets.UTF_8);
         String[] lines = text.split("\n", -1);
-        List<Row> rows = new ArrayList<>();
+        List<ResultRow> rows = new ArrayList<>();
         for (int n = 0; n < lines.length; n++) {
             if (lines[n].isBlank()) {
                 continue;
             }
             try {
-                rows.add(JSON.readValue(lines[n], Row.class));
+                rows.add(JSON.readValue(lines[n], ResultRow.class));
             } catch (JsonProcessingException bad) {
                 if (n == lines.length - 1) {
                     break; // no newline behind it: it was being written
@@ -75,7 +75,7 @@
         return rows;
     }
 
-    private static String line(Row row) {
+    private static String line(ResultRow row) {
         try {
             return JSON.writeValueAsString(row);
         } catch (JsonProcessingException impossible) {
@@ -87,7 +87,7 @@
         return rows.containsKey(key);
     }
 
-    public synchronized void add(Row row) throws IOException {
+    public synchronized void add(ResultRow row) throws IOException {
         rows.put(row.key(), row);
         out.write(line(row));
         out.newLine();
@@ -95,12 +95,12 @@
     }
 
     /** All rows, by arm, value and seed. */
-    public synchronized List<Row> rows() {
+    public synchronized List<ResultRow> rows() {
         return rows.values().stream()
                 .sorted(
-                        Comparator.comparing(Row::arm)
-                                .thenComparing(Row::value)
-                                .thenComparingInt(Row::seed))
+                        Comparator.comparing(ResultRow::arm)
+                                .thenComparing(ResultRow::value)
+                                .thenComparingInt(ResultRow::seed))
                 .toList();
     }
 
@@ -114,7 +114,7 @@
                         + String.join(",", categories)
                         + (categories.isEmpty() ? "" : ",")
                         + "p50_ms,p99_ms,evenness,cold_used,asked,unfinished,digest,events,wall_us");
-        for (Row r : rows()) {
+        for (ResultRow r : rows()) {
             StringBuilder line =
                     new StringBuilder(
                             quoted(r.arm())
--- a/lab/src/main/java/milletyoke/lab/experiment/Statistics.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/Statistics.java
@@ -1,4 +1,4 @@
-package milletyoke.lab.experiment;
+package milletyoke.simulation.experiment;
 
 import java.util.List;
 import org.apache.commons.statistics.distribution.TDistribution;
--- a/lab/src/main/java/milletyoke/lab/storm/TroubleText.java
+++ b/simulation/src/main/java/milletyoke/simulation/faults/FaultFormatter.java
@@ -1,20 +1,20 @@
-package milletyoke.lab.storm;
+package milletyoke.simulation.faults;
 
 import java.util.Locale;
-import milletyoke.rehearsal.script.BadDay;
-import milletyoke.rehearsal.script.BadDay.Trouble;
+import milletyoke.scenario.script.Scenario;
+import milletyoke.scenario.script.Scenario.Fault;
 
 /**
  * Writes a trouble as a line of a script, so that a day that was found can be kept and played again
  * by name.
  */
-public final class TroubleText {
-    private TroubleText() {}
+public final class FaultFormatter {
+    private FaultFormatter() {}
 
     /**
      * @throws IllegalArgumentException for a trouble that storms do not draw
      */
-    public static String of(Trouble t) {
+    public static String of(Fault t) {
         String whom = t.whom().number() > 0 ? "" + t.whom().number() : percent(t.whom().part());
         String span = " for=" + time(t.span());
         String start =
@@ -62,8 +62,8 @@
                                     + whom
                                     + " targets="
                                     + (t.count() > 0 ? "" + t.count() : percent(t.figure()))
-                                    + ((t.every() & BadDay.ONE_WAY) != 0 ? " oneway" : "")
-                                    + ((t.every() & BadDay.GREY) != 0 ? " grey" : "")
+                                    + ((t.every() & Scenario.ONE_WAY) != 0 ? " oneway" : "")
+                                    + ((t.every() & Scenario.GREY) != 0 ? " grey" : "")
                                     + span;
                     case CLOCK ->
                             "clock "
@@ -75,7 +75,7 @@
                 };
     }
 
-    private static String name(Trouble t) {
+    private static String name(Fault t) {
         return t.sort().name().toLowerCase(Locale.ROOT);
     }
 
--- a/lab/src/main/java/milletyoke/lab/storm/Storm.java
+++ b/simulation/src/main/java/milletyoke/simulation/faults/FaultGenerator.java
@@ -1,44 +1,44 @@
-package milletyoke.lab.storm;
+package milletyoke.simulation.faults;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.SplittableRandom;
-import milletyoke.rehearsal.script.BadDay;
-import milletyoke.rehearsal.script.BadDay.Selection;
-import milletyoke.rehearsal.script.BadDay.Sort;
-import milletyoke.rehearsal.script.BadDay.Trouble;
+import milletyoke.scenario.script.Scenario;
+import milletyoke.scenario.script.Scenario.Fault;
+import milletyoke.scenario.script.Scenario.FaultType;
+import milletyoke.scenario.script.Scenario.Selection;
 
 /**
  * Draws troubles for a day from a seed: some at once, some in a cascade, whatever the day itself
  * had is left out.
  */
-public final class Storm {
-    private static final List<Sort> SORTS =
+public final class FaultGenerator {
+    private static final List<FaultType> SORTS =
             List.of(
-                    Sort.HANG,
-                    Sort.SLOW,
-                    Sort.PAUSES,
-                    Sort.ERRORS,
-                    Sort.LOST,
-                    Sort.RESETS,
-                    Sort.UNREACHABLE,
-                    Sort.RESTART,
-                    Sort.ROLL,
-                    Sort.DRAIN,
-                    Sort.AGE,
-                    Sort.LIST_LATE,
-                    Sort.LIST_PARTIAL,
-                    Sort.LIST_FLAP,
-                    Sort.LIST_UNAVAILABLE,
-                    Sort.KILL,
-                    Sort.STILL,
-                    Sort.LEAVE,
-                    Sort.SURGE,
-                    Sort.HOTKEY,
-                    Sort.RECONNECT,
-                    Sort.PARTITION,
-                    Sort.CLOCK);
+                    FaultType.HANG,
+                    FaultType.SLOW,
+                    FaultType.PAUSES,
+                    FaultType.ERRORS,
+                    FaultType.LOST,
+                    FaultType.RESETS,
+                    FaultType.UNREACHABLE,
+                    FaultType.RESTART,
+                    FaultType.ROLL,
+                    FaultType.DRAIN,
+                    FaultType.AGE,
+                    FaultType.LIST_LATE,
+                    FaultType.LIST_PARTIAL,
+                    FaultType.LIST_FLAP,
+                    FaultType.LIST_UNAVAILABLE,
+                    FaultType.KILL,
+                    FaultType.STILL,
+                    FaultType.LEAVE,
+                    FaultType.SURGE,
+                    FaultType.HOTKEY,
+                    FaultType.RECONNECT,
+                    FaultType.PARTITION,
+                    FaultType.CLOCK);
 
     /**
      * Within what storms are drawn.
@@ -49,10 +49,10 @@
      * @param longest a trouble lasts, as a part of the day
      */
     public record Ranges(
-            List<Sort> sorts, int most, double leastPart, double mostPart, double longest) {
+            List<FaultType> sorts, int most, double leastPart, double mostPart, double longest) {
         public Ranges {
             if (sorts.isEmpty()
-                    || sorts.contains(Sort.LIMIT)
+                    || sorts.contains(FaultType.LIMIT)
                     || most < 1
                     || !(leastPart >= 0.1 && leastPart <= mostPart && mostPart <= 1)
                     || !(longest > 0 && longest <= 1)) {
@@ -68,13 +68,13 @@
         }
     }
 
-    private Storm() {}
+    private FaultGenerator() {}
 
     /** A day with other troubles, at least one. */
-    public static BadDay over(BadDay base, long seed, Ranges ranges) {
+    public static Scenario over(Scenario base, long seed, Ranges ranges) {
         SplittableRandom chance = new SplittableRandom(seed);
         int count = 1 + chance.nextInt(ranges.most());
-        List<Trouble> all = new ArrayList<>();
+        List<Fault> all = new ArrayList<>();
         long at = 0;
         for (int n = 0; n < count; n++) {
             boolean cascade = n > 0 && chance.nextInt(3) == 0; // soon after the one before
@@ -84,13 +84,13 @@
                             : 1000 * chance.nextLong(base.lasts() * 8 / 10_000);
             all.add(trouble(chance, at, ranges, base));
         }
-        all.sort(Comparator.comparingLong(Trouble::at));
+        all.sort(Comparator.comparingLong(Fault::at));
         return base.with(
                 base.name() + "-storm-" + Long.toUnsignedString(seed, 36), base.seed() + seed, all);
     }
 
-    private static Trouble trouble(SplittableRandom c, long at, Ranges in, BadDay base) {
-        Sort sort = in.sorts().get(c.nextInt(in.sorts().size()));
+    private static Fault trouble(SplittableRandom c, long at, Ranges in, Scenario base) {
+        FaultType sort = in.sorts().get(c.nextInt(in.sorts().size()));
         int tenths = (int) Math.round(10 * in.leastPart());
         boolean initiator =
                 switch (sort) {
@@ -128,10 +128,10 @@
                     case PARTITION -> c.nextInt(4);
                     default -> 1000 * (100 + c.nextLong(900));
                 };
-        if (sort == Sort.CLOCK) {
+        if (sort == FaultType.CLOCK) {
             span = (c.nextBoolean() ? 1 : -1) * 1_000_000 * (1 + c.nextLong(30));
         }
-        int count = sort == Sort.SURGE ? 1 + c.nextInt(4) : 0;
-        return new Trouble(at, 0, sort, whom, span, figure, range, every, count, 300_000, "");
+        int count = sort == FaultType.SURGE ? 1 + c.nextInt(4) : 0;
+        return new Fault(at, 0, sort, whom, span, figure, range, every, count, 300_000, "");
     }
 }
--- a/lab/src/main/java/milletyoke/lab/storm/Hunt.java
+++ b/simulation/src/main/java/milletyoke/simulation/faults/FaultSearch.java
@@ -1,4 +1,4 @@
-package milletyoke.lab.storm;
+package milletyoke.simulation.faults;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -12,14 +12,14 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.stream.Collectors;
-import milletyoke.lab.play.Play;
-import milletyoke.rehearsal.audit.Audit;
-import milletyoke.rehearsal.script.BadDay;
+import milletyoke.scenario.audit.Audit;
+import milletyoke.scenario.script.Scenario;
+import milletyoke.simulation.run.SimulationRun;
 
 /** Looks for the storm that breaks a rule, or costs most service, and shrinks it. */
-public final class Hunt {
+public final class FaultSearch {
     /** What is looked for. */
-    public enum Quarry {
+    public enum SearchGoal {
         RULES,
         SERVICE
     }
@@ -31,35 +31,35 @@
      *     failed
      * @param why of that, in a line; empty where nothing broke
      */
-    public record Catch(BadDay day, double service, boolean broken, String why) {}
+    public record Failure(Scenario day, double service, boolean broken, String why) {}
 
-    private final BadDay base;
-    private final Storm.Ranges ranges;
+    private final Scenario base;
+    private final FaultGenerator.Ranges ranges;
     private final int threads;
 
-    public Hunt(BadDay base, Storm.Ranges ranges, int threads) {
+    public FaultSearch(Scenario base, FaultGenerator.Ranges ranges, int threads) {
         this.base = base;
         this.ranges = ranges;
         this.threads = threads;
     }
 
     /** All storms, the worst first; the same for any number of threads. */
-    public List<Catch> run(long firstSeed, int storms, Quarry quarry)
+    public List<Failure> run(long firstSeed, int storms, SearchGoal quarry)
             throws InterruptedException, IOException {
         ExecutorService workers = Executors.newFixedThreadPool(threads);
         try {
-            List<Future<Catch>> plays = new ArrayList<>();
+            List<Future<Failure>> plays = new ArrayList<>();
             for (int n = 0; n < storms; n++) {
-                BadDay day = Storm.over(base, firstSeed + n, ranges);
-                plays.add(workers.submit(() -> play(day, quarry == Quarry.RULES)));
+                Scenario day = FaultGenerator.over(base, firstSeed + n, ranges);
+                plays.add(workers.submit(() -> play(day, quarry == SearchGoal.RULES)));
             }
-            List<Catch> all = new ArrayList<>();
-            for (Future<Catch> play : plays) {
+            List<Failure> all = new ArrayList<>();
+            for (Future<Failure> play : plays) {
                 all.add(play.get());
             }
             all.sort(
-                    Comparator.comparing((Catch c) -> !c.broken())
-                            .thenComparingDouble(Catch::service)
+                    Comparator.comparing((Failure c) -> !c.broken())
+                            .thenComparingDouble(Failure::service)
                             .thenComparing(c -> c.day().name()));
             return all;
         } catch (ExecutionException failed) {
@@ -72,11 +72,11 @@
     /**
      * Plays a day and judges it. @param audited rules are looked at too, which costs a recording
      */
-    public static Catch play(BadDay day, boolean audited) {
+    public static Failure play(Scenario day, boolean audited) {
         Path recording = null;
         try {
             recording = audited ? Files.createTempFile("milletyoke-", ".recording") : null;
-            Play.Came came = Play.of(day, recording);
+            SimulationRun.Came came = SimulationRun.of(day, recording);
             String why =
                     came.unfinished() > 0
                             ? came.unfinished() + " without an answer"
@@ -93,11 +93,11 @@
                                         .orElse("a rule was broken")
                                         .strip();
             }
-            return new Catch(day, came.service().whole(), !why.isEmpty(), why);
+            return new Failure(day, came.service().whole(), !why.isEmpty(), why);
         } catch (IOException failed) {
             throw new UncheckedIOException(failed);
         } catch (RuntimeException fault) {
-            return new Catch(day, 0, true, "the play failed: " + fault);
+            return new Failure(day, 0, true, "the play failed: " + fault);
         } finally {
             delete(recording);
         }
@@ -116,21 +116,23 @@
     /**
      * The smallest day that still breaks, or that still costs nine tenths of what this one does.
      */
-    public Catch shrink(Catch found, Quarry quarry) {
+    public Failure shrink(Failure found, SearchGoal quarry) {
         double quiet =
                 play(base.with(found.day().name(), found.day().seed(), List.of()), false).service();
         double bar = quiet - 0.9 * (quiet - found.service());
-        Shrink shrink =
-                new Shrink(
+        ScenarioShrinker shrink =
+                new ScenarioShrinker(
                         day -> {
-                            Catch next = play(day, quarry == Quarry.RULES);
-                            return quarry == Quarry.RULES ? next.broken() : next.service() <= bar;
+                            Failure next = play(day, quarry == SearchGoal.RULES);
+                            return quarry == SearchGoal.RULES
+                                    ? next.broken()
+                                    : next.service() <= bar;
                         });
-        return play(shrink.smallest(found.day()), quarry == Quarry.RULES);
+        return play(shrink.smallest(found.day()), quarry == SearchGoal.RULES);
     }
 
     /** The day as a script: the base's own text with these troubles in place of its own. */
-    public static String script(String baseText, Catch found) {
+    public static String script(String baseText, Failure found) {
         String kept =
                 baseText.lines()
                         .filter(
@@ -143,7 +145,7 @@
                         .collect(Collectors.joining("\n"));
         String troubles =
                 found.day().troubles().stream()
-                        .map(TroubleText::of)
+                        .map(FaultFormatter::of)
                         .collect(Collectors.joining("\n"));
         String said =
                 found.broken()
--- a/lab/src/main/java/milletyoke/lab/storm/Shrink.java
+++ b/simulation/src/main/java/milletyoke/simulation/faults/ScenarioShrinker.java
@@ -1,32 +1,32 @@
-package milletyoke.lab.storm;
+package milletyoke.simulation.faults;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
-import milletyoke.rehearsal.script.BadDay;
-import milletyoke.rehearsal.script.BadDay.Selection;
-import milletyoke.rehearsal.script.BadDay.Trouble;
+import milletyoke.scenario.script.Scenario;
+import milletyoke.scenario.script.Scenario.Fault;
+import milletyoke.scenario.script.Scenario.Selection;
 
 /**
  * Takes from a day what it does not need to be as bad: whole troubles first (delta debugging,
  * Zeller and Hildebrandt, IEEE Transactions on Software Engineering 28(2), 2002, with one at a
  * time), then half of how long and of how many.
  */
-public final class Shrink {
-    private final Predicate<BadDay> stillBad;
+public final class ScenarioShrinker {
+    private final Predicate<Scenario> stillBad;
     private int plays;
 
     /**
      * @param stillBad plays the day; must say the same of the same day every time
      */
-    public Shrink(Predicate<BadDay> stillBad) {
+    public ScenarioShrinker(Predicate<Scenario> stillBad) {
         this.stillBad = stillBad;
     }
 
     /** The smallest found; the day itself where nothing can go. */
-    public BadDay smallest(BadDay day) {
-        BadDay best = day;
-        for (BadDay next = less(best); next != null; next = less(best)) {
+    public Scenario smallest(Scenario day) {
+        Scenario best = day;
+        for (Scenario next = less(best); next != null; next = less(best)) {
             best = next;
         }
         return best;
@@ -37,18 +37,18 @@
         return plays;
     }
 
-    private BadDay less(BadDay day) {
-        List<Trouble> all = day.troubles();
+    private Scenario less(Scenario day) {
+        List<Fault> all = day.troubles();
         for (int n = 0; n < all.size() && all.size() > 1; n++) {
-            List<Trouble> fewer = new ArrayList<>(all);
+            List<Fault> fewer = new ArrayList<>(all);
             fewer.remove(n);
             if (bad(day, fewer)) {
                 return day.with(day.name(), day.seed(), fewer);
             }
         }
         for (int n = 0; n < all.size(); n++) {
-            for (Trouble smaller : smaller(all.get(n))) {
-                List<Trouble> with = new ArrayList<>(all);
+            for (Fault smaller : smaller(all.get(n))) {
+                List<Fault> with = new ArrayList<>(all);
                 with.set(n, smaller);
                 if (bad(day, with)) {
                     return day.with(day.name(), day.seed(), with);
@@ -58,16 +58,16 @@
         return null;
     }
 
-    private boolean bad(BadDay day, List<Trouble> troubles) {
+    private boolean bad(Scenario day, List<Fault> troubles) {
         plays++;
         return stillBad.test(day.with(day.name(), day.seed(), troubles));
     }
 
-    private static List<Trouble> smaller(Trouble t) {
-        List<Trouble> all = new ArrayList<>();
+    private static List<Fault> smaller(Fault t) {
+        List<Fault> all = new ArrayList<>();
         if (t.span() > 400_000) {
             all.add(
-                    new Trouble(
+                    new Fault(
                             t.at(),
                             t.line(),
                             t.sort(),
@@ -83,7 +83,7 @@
         }
         if (t.whom().part() > 0.2) {
             all.add(
-                    new Trouble(
+                    new Fault(
                             t.at(),
                             t.line(),
                             t.sort(),
--- a/lab/src/main/java/milletyoke/lab/policy/Plain.java
+++ b/simulation/src/main/java/milletyoke/simulation/policy/BaselineScheduler.java
@@ -1,4 +1,4 @@
-package milletyoke.lab.policy;
+package milletyoke.simulation.policy;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -7,31 +7,31 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import milletyoke.port.Action;
-import milletyoke.port.Decisions;
-import milletyoke.port.Event;
-import milletyoke.port.Outcome;
-import milletyoke.port.Provisioning;
-import milletyoke.port.Provisioning.Repeats;
+import milletyoke.scheduler.api.Action;
+import milletyoke.scheduler.api.Event;
+import milletyoke.scheduler.api.Outcome;
+import milletyoke.scheduler.api.Scheduler;
+import milletyoke.scheduler.api.SchedulerSettings;
+import milletyoke.scheduler.api.SchedulerSettings.Idempotency;
 
 /**
  * A textbook policy with no memory of targets: so many out at each, volumes in turn, one try more
  * for what may run again. It answers in time, repeats nothing that may not be repeated, and keeps
  * even parts of limits; drains, cold targets, order and budgets it knows nothing of.
  */
-final class Plain implements Decisions {
+final class BaselineScheduler implements Scheduler {
     /** A final answer leaves this long before the client's time is up (microseconds). */
     private static final long AHEAD = 10_000;
 
     private static final long LOOK = 5_000;
 
     private static final class Held {
-        final Event.Access access;
+        final Event.RequestReceived access;
         final long until;
         String target;
         int relays;
 
-        Held(Event.Access access, long until) {
+        Held(Event.RequestReceived access, long until) {
             this.access = access;
             this.until = until;
         }
@@ -54,14 +54,14 @@
     private final Map<String, Integer> shards = new LinkedHashMap<>();
     private final Map<String, Held> held = new LinkedHashMap<>();
     private final Map<String, Store> stores = new LinkedHashMap<>();
-    private Provisioning given;
+    private SchedulerSettings given;
     private SplittableRandom chance;
     private List<Action> actions;
     private long now;
     private int queued;
     private boolean wakes;
 
-    Plain(int window) {
+    BaselineScheduler(int window) {
         this.window = window;
     }
 
@@ -73,48 +73,48 @@
         places.values().forEach(this::serve);
         if (queued > 0 && !wakes) {
             wakes = true;
-            actions.add(new Action.Wake(LOOK));
+            actions.add(new Action.ScheduleWakeUp(LOOK));
         }
         return actions;
     }
 
     private void learn(Event event) {
-        if (event instanceof Event.Start e) {
-            given = e.provisioning();
+        if (event instanceof Event.Started e) {
+            given = e.settings();
             chance = new SplittableRandom(e.seed());
-            if (given.listMustBeAsked()) {
-                actions.add(new Action.FollowList());
+            if (given.mustWatchEndpoints()) {
+                actions.add(new Action.WatchEndpoints());
             }
-        } else if (event instanceof Event.Reprovisioned e) {
-            given = e.provisioning();
-        } else if (event instanceof Event.TargetList e) {
+        } else if (event instanceof Event.SettingsChanged e) {
+            given = e.settings();
+        } else if (event instanceof Event.EndpointListReceived e) {
             listed(e);
-        } else if (event instanceof Event.Access e) {
+        } else if (event instanceof Event.RequestReceived e) {
             taken(e);
-        } else if (event instanceof Event.Ended e) {
+        } else if (event instanceof Event.AttemptEnded e) {
             ended(e);
-        } else if (event instanceof Event.Over e) {
+        } else if (event instanceof Event.RequestClosed e) {
             Held h = held.remove(e.id());
             if (h != null && h.target == null) {
                 queued--;
             }
-        } else if (event instanceof Event.Alarm) {
+        } else if (event instanceof Event.WakeUp) {
             wakes = false;
             places.values().forEach(this::giveUp);
         }
     }
 
-    private void listed(Event.TargetList e) {
-        if (e.scope() == Event.Scope.UNAVAILABLE) {
+    private void listed(Event.EndpointListReceived e) {
+        if (e.scope() == Event.ListScope.UNAVAILABLE) {
             return;
         }
-        if (e.scope() != Event.Scope.UPDATE) {
+        if (e.scope() != Event.ListScope.UPDATE) {
             places.values().forEach(p -> p.target = null);
         }
         for (Event.Target t : e.targets()) {
             Place p = places.computeIfAbsent(t.shard(), s -> new Place());
             shards.put(t.id(), t.shard());
-            if (t.health() == Event.Health.ON) {
+            if (t.health() == Event.Health.ACTIVE) {
                 p.target = t.id();
             } else if (t.id().equals(p.target)) {
                 p.target = null;
@@ -122,12 +122,12 @@
         }
     }
 
-    private void taken(Event.Access e) {
+    private void taken(Event.RequestReceived e) {
         int shard =
                 e.shard() >= 0 || places.isEmpty()
                         ? e.shard()
                         : new ArrayList<>(places.keySet()).get(chance.nextInt(places.size()));
-        Held h = new Held(e, now + e.ttl() - AHEAD);
+        Held h = new Held(e, now + e.timeLeftMicros() - AHEAD);
         held.put(e.id(), h);
         if (h.until <= now || !places.containsKey(shard) || !drawn(e)) {
             reject(h);
@@ -138,8 +138,8 @@
     }
 
     /** An even part of the volume's limit. */
-    private boolean drawn(Event.Access e) {
-        Provisioning.Plan plan =
+    private boolean drawn(Event.RequestReceived e) {
+        SchedulerSettings.ServicePlan plan =
                 given.plans().stream()
                         .filter(p -> p.name().equals(e.plan()))
                         .findFirst()
@@ -148,9 +148,11 @@
             return true;
         }
         Store s = stores.computeIfAbsent(e.volume(), v -> new Store());
-        double depth = plan.limitDepth() / e.hosts();
+        double depth = plan.limitBurst() / e.initiatorCount();
         s.units =
-                Math.min(depth, s.units + plan.limitRate() / e.hosts() * (now - s.filledAt) / 1e6);
+                Math.min(
+                        depth,
+                        s.units + plan.limitRate() / e.initiatorCount() * (now - s.filledAt) / 1e6);
         s.filledAt = now;
         if (s.units < e.units()) {
             return false;
@@ -180,10 +182,10 @@
         h.target = p.target;
         h.relays++;
         p.out++;
-        actions.add(new Action.Relay(h.access.id(), h.until, p.target));
+        actions.add(new Action.SendAttempt(h.access.id(), h.until, p.target));
     }
 
-    private void ended(Event.Ended e) {
+    private void ended(Event.AttemptEnded e) {
         Held h = held.get(e.id());
         if (h == null) {
             return;
@@ -195,18 +197,18 @@
             return;
         }
         boolean neverRan =
-                e.outcome() == Outcome.FULL
-                        || e.outcome() == Outcome.MOOT
+                e.outcome() == Outcome.OVERLOADED
+                        || e.outcome() == Outcome.NOT_STARTED
                         || e.outcome() == Outcome.NO_CONNECTION;
-        Repeats repeats =
-                given.categories().stream()
-                        .filter(c -> c.name().equals(h.access.category()))
+        Idempotency repeats =
+                given.requestClasses().stream()
+                        .filter(c -> c.name().equals(h.access.requestClass()))
                         .findFirst()
                         .orElseThrow()
-                        .repeats();
-        boolean may = neverRan || repeats == Repeats.HARMLESS;
+                        .idempotency();
+        boolean may = neverRan || repeats == Idempotency.IDEMPOTENT;
         if (may
-                && h.relays < Math.min(2, given.allowances().maxRelays())
+                && h.relays < Math.min(2, given.capabilities().maxAttempts())
                 && now < h.until
                 && p.target != null) {
             relay(p, h);
@@ -214,7 +216,7 @@
             reject(h);
         } else {
             held.remove(e.id());
-            actions.add(new Action.BreakOff(e.id()));
+            actions.add(new Action.Fail(e.id()));
         }
     }
 
--- a/lab/src/main/java/milletyoke/lab/policy/Scheduler.java
+++ b/simulation/src/main/java/milletyoke/simulation/policy/SchedulerChoice.java
@@ -1,24 +1,24 @@
-package milletyoke.lab.policy;
+package milletyoke.simulation.policy;
 
 import java.util.function.Supplier;
-import milletyoke.port.Decisions;
+import milletyoke.scheduler.api.Scheduler;
 
 /** What decides in a play: the product's own decisions, or a plain policy to compare them with. */
-public enum Scheduler {
+public enum SchedulerChoice {
     MILLETYOKE(null),
     /** Sends everything at once, within an even part of each limit. */
-    AT_ONCE(() -> new Plain(Integer.MAX_VALUE)),
+    AT_ONCE(() -> new BaselineScheduler(Integer.MAX_VALUE)),
     /** A fixed number out at each target; volumes take turns (Nagle, RFC 970). */
-    FAIR_ROUNDS(() -> new Plain(4));
+    FAIR_ROUNDS(() -> new BaselineScheduler(4));
 
-    private final Supplier<Decisions> made;
+    private final Supplier<Scheduler> made;
 
-    Scheduler(Supplier<Decisions> made) {
+    SchedulerChoice(Supplier<Scheduler> made) {
         this.made = made;
     }
 
     /** Null for the product's own. */
-    public Supplier<Decisions> decisions() {
+    public Supplier<Scheduler> decisions() {
         return made;
     }
 }
--- a/lab/src/main/java/milletyoke/lab/policy/Variant.java
+++ b/simulation/src/main/java/milletyoke/simulation/policy/Variant.java
@@ -1,4 +1,4 @@
-package milletyoke.lab.policy;
+package milletyoke.simulation.policy;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -17,8 +17,8 @@
 import javax.tools.JavaCompiler;
 import javax.tools.StandardJavaFileManager;
 import javax.tools.ToolProvider;
-import milletyoke.Decide;
-import milletyoke.port.Decisions;
+import milletyoke.scheduler.RequestScheduler;
+import milletyoke.scheduler.api.Scheduler;
 
 /**
  * The product's decisions with other figures, for experiments alone: the module's own text with
@@ -36,17 +36,18 @@
      * @throws IOException where the text has no such constant or the outcome does not compile, with
      *     what is known
      */
-    public static Supplier<Decisions> of(Path source, String figures) throws IOException {
+    public static Supplier<Scheduler> of(Path source, String figures) throws IOException {
         String text = patched(Files.readString(source), figures);
         Path folder = Files.createTempDirectory("milletyoke-variant");
         try {
             compile(folder, text);
             Class<?> made =
-                    new Apart(folder.resolve("out/milletyoke")).loadClass("milletyoke.Decide");
+                    new Apart(folder.resolve("out/milletyoke/scheduler"))
+                            .loadClass("milletyoke.scheduler.RequestScheduler");
             var maker = made.getDeclaredConstructor();
             return () -> {
                 try {
-                    return (Decisions) maker.newInstance();
+                    return (Scheduler) maker.newInstance();
                 } catch (ReflectiveOperationException impossible) {
                     throw new IllegalStateException(
                             "a variant that compiled could not be made: " + figures, impossible);
@@ -79,8 +80,9 @@
             now = now.substring(0, there.end(1)) + asked.group(2) + now.substring(there.end());
         }
         return now.replaceFirst(
-                "public final class Decide \\{",
-                "public final class Decide implements" + " milletyoke.port.Decisions {");
+                "public final class RequestScheduler \\{",
+                "public final class RequestScheduler implements"
+                        + " milletyoke.scheduler.api.Scheduler {");
     }
 
     private static void compile(Path folder, String text) throws IOException {
@@ -89,14 +91,16 @@
             throw new IOException(
                     "variants need a JDK, and this runs on a runtime without a compiler");
         }
-        Path file = Files.createDirectories(folder.resolve("in/milletyoke")).resolve("Decide.java");
+        Path file =
+                Files.createDirectories(folder.resolve("in/milletyoke/scheduler"))
+                        .resolve("RequestScheduler.java");
         Files.writeString(file, text);
         Path out = Files.createDirectories(folder.resolve("out"));
         StringWriter said = new StringWriter();
         try (StandardJavaFileManager files = compiler.getStandardFileManager(null, null, null)) {
             String core =
                     Path.of(
-                                    Decide.class
+                                    RequestScheduler.class
                                             .getProtectionDomain()
                                             .getCodeSource()
                                             .getLocation()
@@ -137,7 +141,7 @@
             try (Stream<Path> files = Files.list(folder)) {
                 for (Path file : files.toList()) {
                     compiled.put(
-                            "milletyoke."
+                            "milletyoke.scheduler."
                                     + file.getFileName().toString().replaceAll("\\.class$", ""),
                             Files.readAllBytes(file));
                 }
@@ -148,7 +152,7 @@
         protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
             synchronized (getClassLoadingLock(name)) {
                 Class<?> known = findLoadedClass(name);
-                if (known != null || !name.matches("milletyoke\\.[A-Z].*")) {
+                if (known != null || !name.matches("milletyoke\\.scheduler\\.[A-Z].*")) {
                     return known != null ? known : super.loadClass(name, resolve);
                 }
                 byte[] bytes = compiled.containsKey(name) ? compiled.get(name) : own(name);
--- a/lab/src/main/java/milletyoke/lab/report/Report.java
+++ b/simulation/src/main/java/milletyoke/simulation/report/Report.java
@@ -1,4 +1,4 @@
-package milletyoke.lab.report;
+package milletyoke.simulation.report;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -14,10 +14,10 @@
 import java.util.TreeSet;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.Collectors;
-import milletyoke.lab.experiment.Row;
-import milletyoke.lab.experiment.Statistics;
-import milletyoke.lab.experiment.Statistics.Mean;
-import milletyoke.lab.experiment.Statistics.Paired;
+import milletyoke.simulation.experiment.ResultRow;
+import milletyoke.simulation.experiment.Statistics;
+import milletyoke.simulation.experiment.Statistics.Mean;
+import milletyoke.simulation.experiment.Statistics.Paired;
 import org.knowm.xchart.BitmapEncoder;
 import org.knowm.xchart.VectorGraphicsEncoder;
 import org.knowm.xchart.XYChart;
@@ -32,7 +32,7 @@
 public final class Report {
     private final String name;
     private final String axis;
-    private final List<Row> rows;
+    private final List<ResultRow> rows;
     private final List<String> arms;
     private final List<String> values;
 
@@ -41,7 +41,7 @@
      * @param first arms in this order before any others; the first of all is what the others are
      *     compared with
      */
-    public Report(String name, String axis, List<Row> rows, List<String> first) {
+    public Report(String name, String axis, List<ResultRow> rows, List<String> first) {
         this.name = name;
         this.axis = axis;
         this.rows = rows;
@@ -69,7 +69,7 @@
         return text.matches("-?[0-9]+(\\.[0-9]+)?");
     }
 
-    private List<Double> figures(String arm, String value, ToDoubleFunction<Row> of) {
+    private List<Double> figures(String arm, String value, ToDoubleFunction<ResultRow> of) {
         return rows.stream()
                 .filter(r -> r.arm().equals(arm) && r.value().equals(value))
                 .map(of::applyAsDouble)
@@ -104,7 +104,7 @@
         for (String value : values) {
             text.append(value.isEmpty() ? "" : axis + " " + value + "\n");
             for (String arm : arms) {
-                List<Double> service = figures(arm, value, Row::service);
+                List<Double> service = figures(arm, value, ResultRow::service);
                 if (service.isEmpty()) {
                     continue;
                 }
@@ -113,8 +113,8 @@
                                 "  %-24s service %s  evenness %.3f  p99 %.1f ms  passed %.0f%s  %d plays",
                                 arm,
                                 Statistics.mean(service).text(),
-                                Statistics.mean(figures(arm, value, Row::evenness)).mean(),
-                                Statistics.mean(figures(arm, value, Row::p99)).mean(),
+                                Statistics.mean(figures(arm, value, ResultRow::evenness)).mean(),
+                                Statistics.mean(figures(arm, value, ResultRow::p99)).mean(),
                                 Statistics.mean(
                                                 figures(
                                                         arm,
@@ -181,7 +181,7 @@
     private XYChart overTime() {
         XYChart chart = chart("Service so far", "seconds", "importance in time over asked");
         for (String arm : arms) {
-            List<Row> of =
+            List<ResultRow> of =
                     rows.stream()
                             .filter(r -> r.arm().equals(arm) && r.value().equals(values.get(0)))
                             .toList();
@@ -208,7 +208,7 @@
      * A figure over the values, with the interval of its mean; values that are no figures stand at
      * 1, 2, 3.
      */
-    private XYChart over(String title, String y, ToDoubleFunction<Row> of) {
+    private XYChart over(String title, String y, ToDoubleFunction<ResultRow> of) {
         XYChart chart = chart(title, axis, y);
         for (String arm : arms) {
             List<Double> at = new ArrayList<>();
@@ -233,18 +233,18 @@
     private Map<String, XYChart> charts() {
         Map<String, XYChart> all = new LinkedHashMap<>();
         all.put("service-over-time", overTime());
-        all.put("service", over("Service", "service", Row::service));
-        all.put("p99", over("Answer times, 99th percentile", "ms", Row::p99));
-        all.put("p50", over("Answer times, median", "ms", Row::p50));
+        all.put("service", over("Service", "service", ResultRow::service));
+        all.put("p99", over("Answer times, 99th percentile", "ms", ResultRow::p99));
+        all.put("p50", over("Answer times, median", "ms", ResultRow::p50));
         if (rows.stream().anyMatch(r -> r.coldUsed() > 0)) {
             all.put(
                     "cold",
                     over(
                             "Most that a cold target was sent",
                             "part of what it bears",
-                            Row::coldUsed));
+                            ResultRow::coldUsed));
         }
-        all.put("evenness", over("Evenness between volumes", "Jain's index", Row::evenness));
+        all.put("evenness", over("Evenness between volumes", "Jain's index", ResultRow::evenness));
         all.put(
                 "passed",
                 over(
@@ -313,7 +313,7 @@
                 .append("<th>by chance</tr>\n");
         for (String value : values) {
             for (String arm : arms) {
-                List<Double> service = figures(arm, value, Row::service);
+                List<Double> service = figures(arm, value, ResultRow::service);
                 if (!service.isEmpty()) {
                     table.append(row(arm, value, service, categories));
                 }
@@ -363,9 +363,9 @@
                         .collect(Collectors.joining())
                 + String.format(
                         "<td>%.1f<td>%.1f<td>%.3f",
-                        Statistics.mean(figures(arm, value, Row::p50)).mean(),
-                        Statistics.mean(figures(arm, value, Row::p99)).mean(),
-                        Statistics.mean(figures(arm, value, Row::evenness)).mean())
+                        Statistics.mean(figures(arm, value, ResultRow::p50)).mean(),
+                        Statistics.mean(figures(arm, value, ResultRow::p99)).mean(),
+                        Statistics.mean(figures(arm, value, ResultRow::evenness)).mean())
                 + (p == null
                         ? "<td><td>"
                         : "<td>" + p.difference().text() + String.format("<td>%.2g", p.chance()))
--- a/lab/src/main/java/milletyoke/lab/play/Play.java
+++ b/simulation/src/main/java/milletyoke/simulation/run/SimulationRun.java
@@ -1,22 +1,22 @@
-package milletyoke.lab.play;
+package milletyoke.simulation.run;
 
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
-import milletyoke.lab.world.LabWorld;
-import milletyoke.port.Decisions;
-import milletyoke.rehearsal.Stage;
-import milletyoke.rehearsal.script.BadDay;
-import milletyoke.standins.Service;
+import milletyoke.scenario.ScenarioRunner;
+import milletyoke.scenario.script.Scenario;
+import milletyoke.scheduler.api.Scheduler;
+import milletyoke.simulation.environment.SimulatedEnvironment;
+import milletyoke.standins.ServiceLevelRecorder;
 
 /**
  * Plays a day in virtual time: the rehearsal's own stage, daemons and stand-ins, in a world of the
  * lab.
  */
-public final class Play {
-    private Play() {}
+public final class SimulationRun {
+    private SimulationRun() {}
 
     /**
      * What came of a day.
@@ -30,7 +30,7 @@
      * @param wall microseconds that the play took
      */
     public record Came(
-            Service service,
+            ServiceLevelRecorder service,
             List<Double> seconds,
             long unfinished,
             boolean clean,
@@ -42,7 +42,7 @@
     /**
      * @param recording where all that the ends of connections saw is written; null for nowhere
      */
-    public static Came of(BadDay day, Path recording) throws IOException {
+    public static Came of(Scenario day, Path recording) throws IOException {
         return of(day, recording, false, null);
     }
 
@@ -50,7 +50,8 @@
      * @param straight clients go straight to the targets, for comparison
      * @param instead of the product's decisions; null for these
      */
-    public static Came of(BadDay day, Path recording, boolean straight, Supplier<Decisions> instead)
+    public static Came of(
+            Scenario day, Path recording, boolean straight, Supplier<Scheduler> instead)
             throws IOException {
         return of(day, recording, straight, instead, 0);
     }
@@ -60,15 +61,19 @@
      *     no play on sockets is the next
      */
     public static Came of(
-            BadDay day, Path recording, boolean straight, Supplier<Decisions> instead, long turn)
+            Scenario day, Path recording, boolean straight, Supplier<Scheduler> instead, long turn)
             throws IOException {
         long began = System.nanoTime();
-        BadDay.Network n = day.network();
-        LabWorld.Physics physics = new LabWorld.Physics(n.travel()[0], n.travel()[1], n.turn());
-        LabWorld world = new LabWorld((day.seed() ^ 0x6C6162L) + 31 * turn, physics);
-        try (Stage stage = new Stage(day, recording, straight, null, world, instead)) {
+        Scenario.Network n = day.network();
+        SimulatedEnvironment.Physics physics =
+                new SimulatedEnvironment.Physics(n.travel()[0], n.travel()[1], n.turn());
+        SimulatedEnvironment world =
+                new SimulatedEnvironment((day.seed() ^ 0x6C6162L) + 31 * turn, physics);
+        try (ScenarioRunner stage =
+                new ScenarioRunner(day, recording, straight, null, world, instead)) {
             List<Double> seconds = new ArrayList<>();
-            Stage.Played played = stage.play(service -> seconds.add(service.whole()), () -> {});
+            ScenarioRunner.ScenarioResult played =
+                    stage.play(service -> seconds.add(service.whole()), () -> {});
             return new Came(
                     played.service(),
                     seconds,
--- a/lab/src/test/java/milletyoke/lab/ExperimentTest.java
+++ b/simulation/src/test/java/milletyoke/simulation/ExperimentTest.java
@@ -1,4 +1,4 @@
-package milletyoke.lab;
+package milletyoke.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,29 +15,30 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Stream;
-import milletyoke.gateway.setup.SetupError;
-import milletyoke.lab.experiment.Experiment;
-import milletyoke.lab.experiment.Results;
-import milletyoke.lab.experiment.Row;
-import milletyoke.lab.experiment.Runner;
-import milletyoke.lab.experiment.Statistics;
-import milletyoke.lab.play.Play;
-import milletyoke.lab.policy.Variant;
-import milletyoke.lab.report.Report;
-import milletyoke.lab.storm.Hunt;
-import milletyoke.lab.storm.Shrink;
-import milletyoke.lab.storm.Storm;
-import milletyoke.rehearsal.script.BadDay;
-import milletyoke.rehearsal.script.BadDay.Sort;
-import milletyoke.rehearsal.script.Script;
+import milletyoke.gateway.config.ConfigException;
+import milletyoke.scenario.script.Scenario;
+import milletyoke.scenario.script.Scenario.FaultType;
+import milletyoke.scenario.script.ScenarioParser;
+import milletyoke.simulation.experiment.Experiment;
+import milletyoke.simulation.experiment.ExperimentRunner;
+import milletyoke.simulation.experiment.ResultRow;
+import milletyoke.simulation.experiment.ResultStore;
+import milletyoke.simulation.experiment.Statistics;
+import milletyoke.simulation.faults.FaultGenerator;
+import milletyoke.simulation.faults.FaultSearch;
+import milletyoke.simulation.faults.ScenarioShrinker;
+import milletyoke.simulation.policy.Variant;
+import milletyoke.simulation.report.Report;
+import milletyoke.simulation.run.SimulationRun;
 import milletyoke.standins.Work;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
 /** Experiments that go on after a kill, figures against worked examples, storms that shrink. */
 class ExperimentTest {
-    private static final Path DAY = Path.of("../rehearsal/days/hang.day").toAbsolutePath();
-    private static final Path DECIDE = Path.of("../core/src/main/java/milletyoke/Decide.java");
+    private static final Path DAY = Path.of("../scenario/days/hang.day").toAbsolutePath();
+    private static final Path DECIDE =
+            Path.of("../core/src/main/java/milletyoke/scheduler/RequestScheduler.java");
 
     @TempDir Path folder;
 
@@ -63,29 +64,32 @@
     void aKilledRunGoesOnAndEndsWithTheSameRows() throws Exception {
         Experiment e = experiment(ARMS);
         Path whole = folder.resolve("whole.jsonl");
-        try (Results results = new Results(whole)) {
-            assertEquals(8, new Runner(e, results, 3).run(line -> {}));
+        try (ResultStore results = new ResultStore(whole)) {
+            assertEquals(8, new ExperimentRunner(e, results, 3).run(line -> {}));
         }
         Path cut = folder.resolve("cut.jsonl");
         List<String> lines = Files.readAllLines(whole);
         Files.writeString(
                 cut, String.join("\n", lines.subList(0, 3)) + "\n" + lines.get(3).substring(0, 40));
-        try (Results results = new Results(cut)) {
+        try (ResultStore results = new ResultStore(cut)) {
             assertEquals(
                     5,
-                    new Runner(e, results, 1).run(line -> {}),
+                    new ExperimentRunner(e, results, 1).run(line -> {}),
                     "three were whole, the fourth was cut off");
         }
         assertEquals(facts(whole), facts(cut));
-        try (Results results = new Results(cut)) {
-            assertEquals(0, new Runner(e, results, 2).run(line -> {}), "nothing is played twice");
+        try (ResultStore results = new ResultStore(cut)) {
+            assertEquals(
+                    0,
+                    new ExperimentRunner(e, results, 2).run(line -> {}),
+                    "nothing is played twice");
         }
     }
 
     /** All but how long it took. */
     private static Set<String> facts(Path file) throws IOException {
         Set<String> all = new HashSet<>();
-        for (Row r : Results.read(file)) {
+        for (ResultRow r : ResultStore.read(file)) {
             all.add(r.key() + r.service() + r.digest() + r.categories() + r.events());
         }
         return all;
@@ -97,7 +101,7 @@
         Files.writeString(file, "no row\n");
         Files.writeString(file, "{}\n", StandardOpenOption.APPEND);
         assertTrue(
-                assertThrows(IOException.class, () -> Results.read(file))
+                assertThrows(IOException.class, () -> ResultStore.read(file))
                         .getMessage()
                         .contains("r.jsonl:1"));
     }
@@ -111,7 +115,7 @@
                         "{name: \"a\", scheduler: \"best\"}",
                         "{name: \"a\", set: \"at 1s explode\"}")) {
             assertTrue(
-                    assertThrows(SetupError.class, () -> experiment(arms), arms)
+                    assertThrows(ConfigException.class, () -> experiment(arms), arms)
                             .getMessage()
                             .contains("e.json5"),
                     arms);
@@ -121,8 +125,8 @@
     @Test
     void theReportStandsByItself() throws Exception {
         Experiment e = experiment(ARMS);
-        try (Results results = new Results(folder.resolve("r.jsonl"))) {
-            new Runner(e, results, 4).run(line -> {});
+        try (ResultStore results = new ResultStore(folder.resolve("r.jsonl"))) {
+            new ExperimentRunner(e, results, 4).run(line -> {});
             Report report = new Report("e <1>", "load", results.rows(), List.of("a", "b"));
             String page = Files.readString(report.write(folder.resolve("report")));
             assertTrue(page.contains("e &lt;1&gt;") && page.contains("<svg"));
@@ -150,13 +154,15 @@
 
     @Test
     void aVariantWithTheSameFiguresPlaysTheSameAndAnotherDoesNot() throws Exception {
-        BadDay day = Script.read(DAY);
-        long own = Play.of(day, null).digest();
+        Scenario day = ScenarioParser.read(DAY);
+        long own = SimulationRun.of(day, null).digest();
         assertEquals(
-                own, Play.of(day, null, false, Variant.of(DECIDE, "MARGIN_STEPS = 1.5")).digest());
+                own,
+                SimulationRun.of(day, null, false, Variant.of(DECIDE, "MARGIN_STEPS = 1.5"))
+                        .digest());
         assertNotEquals(
                 own,
-                Play.of(
+                SimulationRun.of(
                                 day,
                                 null,
                                 false,
@@ -171,47 +177,49 @@
 
     @Test
     void aStormShrinksToWhatMakesItBad() throws Exception {
-        BadDay base = Script.read(DAY);
-        BadDay day = null;
+        Scenario base = ScenarioParser.read(DAY);
+        Scenario day = null;
         for (long seed = 1; day == null; seed++) { // one with a kill among others
-            BadDay drawn = Storm.over(base, seed, Storm.Ranges.usual(8));
+            Scenario drawn = FaultGenerator.over(base, seed, FaultGenerator.Ranges.usual(8));
             day =
                     drawn.troubles().size() > 4
                                     && drawn.troubles().stream()
-                                            .anyMatch(t -> t.sort() == Sort.KILL)
+                                            .anyMatch(t -> t.sort() == FaultType.KILL)
                             ? drawn
                             : null;
         }
         List<Integer> seen = new ArrayList<>();
-        BadDay small =
-                new Shrink(
+        Scenario small =
+                new ScenarioShrinker(
                                 d -> {
                                     seen.add(d.troubles().size());
                                     return d.troubles().stream()
-                                            .anyMatch(t -> t.sort() == Sort.KILL);
+                                            .anyMatch(t -> t.sort() == FaultType.KILL);
                                 })
                         .smallest(day);
         assertEquals(1, small.troubles().size());
-        assertEquals(Sort.KILL, small.troubles().get(0).sort());
+        assertEquals(FaultType.KILL, small.troubles().get(0).sort());
         assertTrue(seen.size() < 100);
     }
 
     @Test
     void stormsStayWithinTheirRanges() throws Exception {
-        Storm.Ranges in = new Storm.Ranges(List.of(Sort.HANG, Sort.SLOW), 3, 0.2, 0.4, 0.25);
+        FaultGenerator.Ranges in =
+                new FaultGenerator.Ranges(
+                        List.of(FaultType.HANG, FaultType.SLOW), 3, 0.2, 0.4, 0.25);
         for (long seed = 0; seed < 200; seed++) {
-            for (var t : Storm.over(Script.read(DAY), seed, in).troubles()) {
+            for (var t : FaultGenerator.over(ScenarioParser.read(DAY), seed, in).troubles()) {
                 assertTrue(
                         in.sorts().contains(t.sort())
                                 && t.whom().part() >= 0.2
                                 && t.whom().part() <= 0.4
-                                && t.span() <= 500_000 + Script.read(DAY).lasts() / 4,
+                                && t.span() <= 500_000 + ScenarioParser.read(DAY).lasts() / 4,
                         "" + t);
             }
         }
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new Storm.Ranges(List.of(Sort.LIMIT), 3, 0.2, 0.4, 0.25));
+                () -> new FaultGenerator.Ranges(List.of(FaultType.LIMIT), 3, 0.2, 0.4, 0.25));
     }
 
     /**
@@ -246,17 +254,20 @@
      */
     @Test
     void stormsAreKeptAsScriptsAndPlayTheSame() throws Exception {
-        BadDay base = Script.read(DAY);
+        Scenario base = ScenarioParser.read(DAY);
         String text = Files.readString(DAY);
-        Set<Sort> met = new HashSet<>();
+        Set<FaultType> met = new HashSet<>();
         for (long seed = 1; seed <= 40; seed++) {
-            BadDay day = Storm.over(base, seed, Storm.Ranges.usual(6));
+            Scenario day = FaultGenerator.over(base, seed, FaultGenerator.Ranges.usual(6));
             day.troubles().forEach(t -> met.add(t.sort()));
-            String script = Hunt.script(text, new Hunt.Catch(day, 0.5, false, ""));
-            BadDay again = Script.read("found.day", day.name(), script);
+            String script = FaultSearch.script(text, new FaultSearch.Failure(day, 0.5, false, ""));
+            Scenario again = ScenarioParser.read("found.day", day.name(), script);
             assertEquals(day.troubles().size(), again.troubles().size(), script);
             if (seed <= 4) {
-                assertEquals(Play.of(day, null).digest(), Play.of(again, null).digest(), script);
+                assertEquals(
+                        SimulationRun.of(day, null).digest(),
+                        SimulationRun.of(again, null).digest(),
+                        script);
             }
         }
         assertTrue(met.size() > 15, "hardly any sort of trouble was drawn: " + met);
@@ -264,16 +275,18 @@
 
     @Test
     void aHuntFindsTheSameOnAnyNumberOfThreads() throws Exception {
-        Hunt one = new Hunt(Script.read(DAY), Storm.Ranges.usual(3), 1);
-        Hunt four = new Hunt(Script.read(DAY), Storm.Ranges.usual(3), 4);
-        List<Hunt.Catch> first = one.run(100, 6, Hunt.Quarry.RULES);
+        FaultSearch one =
+                new FaultSearch(ScenarioParser.read(DAY), FaultGenerator.Ranges.usual(3), 1);
+        FaultSearch four =
+                new FaultSearch(ScenarioParser.read(DAY), FaultGenerator.Ranges.usual(3), 4);
+        List<FaultSearch.Failure> first = one.run(100, 6, FaultSearch.SearchGoal.RULES);
         assertEquals(
                 first.stream().map(c -> c.day().name() + c.service()).toList(),
-                four.run(100, 6, Hunt.Quarry.RULES).stream()
+                four.run(100, 6, FaultSearch.SearchGoal.RULES).stream()
                         .map(c -> c.day().name() + c.service())
                         .toList());
         assertTrue(
-                first.stream().noneMatch(Hunt.Catch::broken),
+                first.stream().noneMatch(FaultSearch.Failure::broken),
                 () -> "a storm broke a rule: " + first);
     }
 
@@ -283,7 +296,7 @@
             try (Stream<Path> files = Files.list(Path.of(place))) {
                 for (Path file : files.toList()) {
                     if (file.toString().endsWith(".day")) {
-                        Script.read(file);
+                        ScenarioParser.read(file);
                     } else {
                         Experiment.read(file);
                     }
--- a/lab/src/test/java/milletyoke/lab/LabTest.java
+++ b/simulation/src/test/java/milletyoke/simulation/SimulationTest.java
@@ -1,4 +1,4 @@
-package milletyoke.lab;
+package milletyoke.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -18,26 +18,26 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 import milletyoke.gateway.Initiator;
-import milletyoke.gateway.setup.Address;
-import milletyoke.gateway.setup.Deployment;
-import milletyoke.gateway.setup.Form;
-import milletyoke.gateway.setup.Setup;
-import milletyoke.lab.play.Play;
-import milletyoke.lab.policy.Scheduler;
-import milletyoke.lab.world.LabWorld;
-import milletyoke.rehearsal.Stage;
-import milletyoke.rehearsal.audit.Audit;
-import milletyoke.rehearsal.script.BadDay;
-import milletyoke.rehearsal.script.Script;
-import milletyoke.rehearsal.script.ScriptError;
+import milletyoke.gateway.config.Address;
+import milletyoke.gateway.config.DeploymentSettings;
+import milletyoke.gateway.config.InitiatorConfig;
+import milletyoke.gateway.config.SettingsReader;
+import milletyoke.scenario.ScenarioRunner;
+import milletyoke.scenario.audit.Audit;
+import milletyoke.scenario.script.Scenario;
+import milletyoke.scenario.script.ScenarioFormatException;
+import milletyoke.scenario.script.ScenarioParser;
+import milletyoke.simulation.environment.SimulatedEnvironment;
+import milletyoke.simulation.policy.SchedulerChoice;
+import milletyoke.simulation.run.SimulationRun;
 import milletyoke.standins.Discovery;
-import milletyoke.wire.Bounds;
-import milletyoke.wire.Peer;
-import milletyoke.wire.PeerHandler;
-import milletyoke.wire.Tap;
-import milletyoke.wire.capture.Traffic;
-import milletyoke.wire.proto.Access;
+import milletyoke.wire.FrameLimits;
+import milletyoke.wire.FrameObserver;
+import milletyoke.wire.PeerConnection;
+import milletyoke.wire.PeerListener;
+import milletyoke.wire.capture.CapturedTraffic;
 import milletyoke.wire.proto.Frame;
+import milletyoke.wire.proto.Request;
 import milletyoke.wire.proto.Role;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -49,8 +49,8 @@
  * The product in virtual time: the rules on days that the rehearsal plays too, the hard cases, and
  * repeatability.
  */
-class LabTest {
-    private static final Path REHEARSALS = Path.of("../rehearsal/days"), OWN = Path.of("days");
+class SimulationTest {
+    private static final Path REHEARSALS = Path.of("../scenario/days"), OWN = Path.of("days");
 
     @TempDir Path folder;
 
@@ -60,9 +60,9 @@
         }
     }
 
-    private Audit.Report kept(BadDay day) throws Exception {
+    private Audit.Report kept(Scenario day) throws Exception {
         Path recording = folder.resolve("recording");
-        Play.Came came = Play.of(day, recording);
+        SimulationRun.Came came = SimulationRun.of(day, recording);
         Audit.Report report = Audit.of(recording);
         assertTrue(report.clean(), () -> day.name() + "\n" + report.text(true));
         assertEquals(0, came.unfinished(), "every access has its answer");
@@ -76,7 +76,9 @@
     @ParameterizedTest
     @MethodSource("ownDays")
     void hardCasesKeepEveryRule(Path script) throws Exception {
-        assertTrue(kept(Script.read(script)).rule(1).tested() > 500, "hardly anything was asked");
+        assertTrue(
+                kept(ScenarioParser.read(script)).rule(1).tested() > 500,
+                "hardly anything was asked");
     }
 
     @ParameterizedTest
@@ -93,12 +95,12 @@
                 "still"
             })
     void aRehearsalPlaysHereToo(String name) throws Exception {
-        kept(Script.read(REHEARSALS.resolve(name + ".day")));
+        kept(ScenarioParser.read(REHEARSALS.resolve(name + ".day")));
     }
 
     @Test
     void theAuditSeesTheRulesTestedHereAsOnSockets() throws Exception {
-        Audit.Report report = kept(Script.read(REHEARSALS.resolve("all-rules.day")));
+        Audit.Report report = kept(ScenarioParser.read(REHEARSALS.resolve("all-rules.day")));
         for (int rule = 1; rule <= 7; rule++) {
             assertTrue(report.rule(rule).tested() > 0, "rule " + rule + " was not put to the test");
         }
@@ -107,15 +109,15 @@
     /** Repeatable, also with others beside it; another seed is another day. */
     @Test
     void theSameSeedPlaysTheSameOnAnyNumberOfThreads() throws Exception {
-        BadDay day = Script.read(REHEARSALS.resolve("overlap-hang-restart-kill.day"));
-        Play.Came alone = Play.of(day, null);
+        Scenario day = ScenarioParser.read(REHEARSALS.resolve("overlap-hang-restart-kill.day"));
+        SimulationRun.Came alone = SimulationRun.of(day, null);
         for (int threads : new int[] {2, 6}) {
             ExecutorService workers = Executors.newFixedThreadPool(threads);
-            List<Future<Play.Came>> plays =
+            List<Future<SimulationRun.Came>> plays =
                     IntStream.range(0, 6)
-                            .mapToObj(n -> workers.submit(() -> Play.of(day, null)))
+                            .mapToObj(n -> workers.submit(() -> SimulationRun.of(day, null)))
                             .toList();
-            for (Future<Play.Came> play : plays) {
+            for (Future<SimulationRun.Came> play : plays) {
                 assertEquals(alone.digest(), play.get().digest());
                 assertEquals(alone.service().text(), play.get().service().text());
             }
@@ -123,14 +125,17 @@
         }
         assertNotEquals(
                 alone.digest(),
-                Play.of(day.with("other", day.seed() + 1, day.troubles()), null).digest());
+                SimulationRun.of(day.with("other", day.seed() + 1, day.troubles()), null).digest());
     }
 
     @Test
     void aGreyPartitionHurtsWhomItCutsOffAndNobodyElse() throws Exception {
-        BadDay cut = Script.read(OWN.resolve("grey-partition.day"));
-        double quiet = Play.of(cut.with(cut.name(), cut.seed(), List.of()), null).service().whole();
-        double grey = Play.of(cut, null).service().whole();
+        Scenario cut = ScenarioParser.read(OWN.resolve("grey-partition.day"));
+        double quiet =
+                SimulationRun.of(cut.with(cut.name(), cut.seed(), List.of()), null)
+                        .service()
+                        .whole();
+        double grey = SimulationRun.of(cut, null).service().whole();
         assertTrue(quiet - grey > 0.005, "it costs something: " + quiet + ", " + grey);
         assertTrue(
                 quiet - grey < 0.15,
@@ -142,10 +147,12 @@
 
     @Test
     void plainPoliciesAnswerEverythingInTime() throws Exception {
-        BadDay day = Script.read(REHEARSALS.resolve("slow.day"));
-        for (Scheduler scheduler : List.of(Scheduler.AT_ONCE, Scheduler.FAIR_ROUNDS)) {
+        Scenario day = ScenarioParser.read(REHEARSALS.resolve("slow.day"));
+        for (SchedulerChoice scheduler :
+                List.of(SchedulerChoice.AT_ONCE, SchedulerChoice.FAIR_ROUNDS)) {
             Path recording = folder.resolve("recording");
-            Play.Came came = Play.of(day, recording, false, scheduler.decisions());
+            SimulationRun.Came came =
+                    SimulationRun.of(day, recording, false, scheduler.decisions());
             Audit.Report report = Audit.of(recording);
             for (int rule : new int[] {1, 2, 7}) {
                 assertEquals(
@@ -161,18 +168,25 @@
     void aTroubleThatWaitsForServiceComesOnceItHasFallen() throws Exception {
         String text = Files.readString(OWN.resolve("cascade.day"));
         long without =
-                Play.of(Script.read("d", "d", text.replaceAll("(?m)^when.*$", "")), null).digest();
+                SimulationRun.of(
+                                ScenarioParser.read("d", "d", text.replaceAll("(?m)^when.*$", "")),
+                                null)
+                        .digest();
         assertEquals(
                 without,
-                Play.of(Script.read("d", "d", text.replace("under=70%", "under=1%")), null)
+                SimulationRun.of(
+                                ScenarioParser.read(
+                                        "d", "d", text.replace("under=70%", "under=1%")),
+                                null)
                         .digest(),
                 "service never falls so low");
-        assertNotEquals(without, Play.of(Script.read("d", "d", text), null).digest());
+        assertNotEquals(
+                without, SimulationRun.of(ScenarioParser.read("d", "d", text), null).digest());
         assertTrue(
                 assertThrows(
-                                ScriptError.class,
+                                ScenarioFormatException.class,
                                 () ->
-                                        Script.read(
+                                        ScenarioParser.read(
                                                 "d",
                                                 "d",
                                                 text.replace("when service", "when luck")))
@@ -193,22 +207,25 @@
                 crowded < plain - 0.05,
                 "targets that lose to a crowd do less: " + crowded + ", " + plain);
         assertTrue(
-                Play.of(Script.read("d", "d", crowd), null).service().whole() > crowded + 0.05,
+                SimulationRun.of(ScenarioParser.read("d", "d", crowd), null).service().whole()
+                        > crowded + 0.05,
                 "windows leave them less of one");
-        BadDay cold = Script.read(OWN.resolve("cold-restart-40.day"));
+        Scenario cold = ScenarioParser.read(OWN.resolve("cold-restart-40.day"));
         String byWork =
                 Files.readString(OWN.resolve("cold-restart-40.day"))
                         .replaceAll("(?m)^targets .*$", "$0 warmunits=20");
         assertTrue(
-                Play.of(Script.read("d", "d", byWork), null).service().whole()
-                        > Play.of(cold, null).service().whole(),
+                SimulationRun.of(ScenarioParser.read("d", "d", byWork), null).service().whole()
+                        > SimulationRun.of(cold, null).service().whole(),
                 "targets that are warm after twenty units do more");
         String costly =
                 Files.readString(REHEARSALS.resolve("reconnect.day"))
                         .replaceAll("(?m)^targets .*$", "$0 connecting=200ms");
         assertTrue(
-                Play.of(Script.read("d", "d", costly), null).service().whole()
-                        < Play.of(Script.read(REHEARSALS.resolve("reconnect.day")), null)
+                SimulationRun.of(ScenarioParser.read("d", "d", costly), null).service().whole()
+                        < SimulationRun.of(
+                                        ScenarioParser.read(REHEARSALS.resolve("reconnect.day")),
+                                        null)
                                 .service()
                                 .whole());
     }
@@ -217,12 +234,14 @@
     void travelIsPartOfEveryAnswer() throws Exception {
         String text = Files.readString(REHEARSALS.resolve("slow.day"));
         double near =
-                Play.of(Script.read("d", "d", text), null)
+                SimulationRun.of(ScenarioParser.read("d", "d", text), null)
                         .service()
                         .times()
                         .getValueAtPercentile(50);
         double far =
-                Play.of(Script.read("d", "d", text + "\nnetwork travel=4ms..6ms"), null)
+                SimulationRun.of(
+                                ScenarioParser.read("d", "d", text + "\nnetwork travel=4ms..6ms"),
+                                null)
                         .service()
                         .times()
                         .getValueAtPercentile(50);
@@ -232,7 +251,11 @@
     }
 
     private static double atOnce(String text) throws Exception {
-        return Play.of(Script.read("d", "d", text), null, false, Scheduler.AT_ONCE.decisions())
+        return SimulationRun.of(
+                        ScenarioParser.read("d", "d", text),
+                        null,
+                        false,
+                        SchedulerChoice.AT_ONCE.decisions())
                 .service()
                 .whole();
     }
@@ -243,19 +266,25 @@
      */
     @Test
     void capturedTrafficIsAskedAgain() throws Exception {
-        BadDay day = Script.read(REHEARSALS.resolve("slow.day"));
+        Scenario day = ScenarioParser.read(REHEARSALS.resolve("slow.day"));
         long firstTries;
-        try (Stage stage =
-                new Stage(
-                        day, null, false, null, new LabWorld(3, LabWorld.Physics.LOOPBACK), null)) {
+        try (ScenarioRunner stage =
+                new ScenarioRunner(
+                        day,
+                        null,
+                        false,
+                        null,
+                        new SimulatedEnvironment(3, SimulatedEnvironment.Physics.LOOPBACK),
+                        null)) {
             stage.capture(folder.resolve("traffic"));
             firstTries = stage.play(s -> {}).service().askedInAll();
         }
         Map<String, Integer> came = new HashMap<>();
         for (int i = 1; i <= 3; i++) {
-            Traffic traffic = Traffic.read(folder.resolve("traffic/initiator-" + i + ".traffic"));
-            assertTrue(traffic.whole());
-            traffic.accesses().forEach(a -> came.merge(a.category(), 1, Integer::sum));
+            CapturedTraffic traffic =
+                    CapturedTraffic.read(folder.resolve("traffic/initiator-" + i + ".traffic"));
+            assertTrue(traffic.complete());
+            traffic.requests().forEach(a -> came.merge(a.category(), 1, Integer::sum));
         }
         int all = came.values().stream().mapToInt(n -> n).sum();
         assertTrue(
@@ -268,24 +297,24 @@
                                 "load traffic=traffic/initiator-1.traffic,traffic/initiator-2.traffic,traffic/initiator-3.traffic retries=0")
                         .replaceAll("(?m)^lasts .*$", "lasts 14s");
         for (String speed : List.of("", " speed=2")) {
-            BadDay again =
-                    Script.read(
+            Scenario again =
+                    ScenarioParser.read(
                             folder.resolve("again.day").toString(),
                             "again",
                             text.replace("retries=0", "retries=0" + speed));
-            Play.Came replayed = Play.of(again, null);
+            SimulationRun.Came replayed = SimulationRun.of(again, null);
             came.forEach(
                     (category, n) ->
                             assertEquals(n.longValue(), replayed.service().line(category).asked));
             assertEquals(0, replayed.unfinished());
         }
-        BadDay small =
-                Script.read(
+        Scenario small =
+                ScenarioParser.read(
                         folder.resolve("again.day").toString(),
                         "again",
                         text.replaceAll("(?m)^targets 8 ", "targets 2 "));
         assertTrue(
-                assertThrows(IOException.class, () -> Play.of(small, null))
+                assertThrows(IOException.class, () -> SimulationRun.of(small, null))
                         .getMessage()
                         .contains("wants shard"));
     }
@@ -296,12 +325,13 @@
      */
     @Test
     void whatComesToALoopThatFailedIsRejected() throws Exception {
-        BadDay day = Script.read(REHEARSALS.resolve("slow.day"));
+        Scenario day = ScenarioParser.read(REHEARSALS.resolve("slow.day"));
         Path recording = folder.resolve("recording");
-        LabWorld world = new LabWorld(4, LabWorld.Physics.LOOPBACK);
+        SimulatedEnvironment world =
+                new SimulatedEnvironment(4, SimulatedEnvironment.Physics.LOOPBACK);
         int[] calls = new int[1];
-        try (Stage stage =
-                new Stage(
+        try (ScenarioRunner stage =
+                new ScenarioRunner(
                         day,
                         recording,
                         false,
@@ -314,14 +344,15 @@
                                                             e ->
                                                                     e
                                                                             instanceof
-                                                                            milletyoke.port.Event
-                                                                                    .Access)
+                                                                            milletyoke.scheduler.api
+                                                                                    .Event
+                                                                                    .RequestReceived)
                                             && ++calls[0] > 30) {
                                         throw new IllegalStateException("made to fail");
                                     }
                                     return List.of();
                                 })) {
-            Stage.Played played = stage.play(s -> {});
+            ScenarioRunner.ScenarioResult played = stage.play(s -> {});
             assertEquals(0, played.unfinished());
             assertFalse(played.leftClean(), "a loop that failed says so");
         }
@@ -331,24 +362,27 @@
     /** A loop that took more than one turn's part at once dropped what stood next in its queue. */
     @Test
     void aFloodOfOneMomentLosesNothing() throws Exception {
-        LabWorld world = new LabWorld(5, LabWorld.Physics.LOOPBACK);
-        Discovery discovery = new Discovery(0, 1, world.clockwork("discovery", 1), Tap.NONE, world);
-        Deployment deployment =
-                Deployment.read(
-                        Form.of(
+        SimulatedEnvironment world =
+                new SimulatedEnvironment(5, SimulatedEnvironment.Physics.LOOPBACK);
+        Discovery discovery =
+                new Discovery(
+                        0, 1, world.newTimerExecutor("discovery", 1), FrameObserver.NONE, world);
+        DeploymentSettings deployment =
+                DeploymentSettings.read(
+                        SettingsReader.of(
                                 "test",
                                 "{initiators: 1, categories: [{name: \"read\", repeats:"
                                         + " \"harmless\", agreedTime: \"400 ms\"}], plans: [{name: \"basic\"}], bounds: {answerSlack: \"100 ms\"}}"));
         Initiator initiator =
                 Initiator.start(
-                        new Setup(
+                        new InitiatorConfig(
                                 "i",
                                 1,
                                 new Address("127.0.0.1", 0),
                                 new Address("127.0.0.1", discovery.port()),
                                 null,
                                 deployment,
-                                new Setup.Transport(
+                                new InitiatorConfig.Transport(
                                         200_000,
                                         30_000_000,
                                         2,
@@ -358,10 +392,11 @@
                                         8 << 20,
                                         5_000_000,
                                         2),
-                                new Setup.Room(10_000, 1 << 14, 100, 1e6, 3_600_000_000L),
+                                new InitiatorConfig.CapacityLimits(
+                                        10_000, 1 << 14, 100, 1e6, 3_600_000_000L),
                                 null,
                                 null),
-                        Tap.NONE,
+                        FrameObserver.NONE,
                         world,
                         1,
                         null);
@@ -369,47 +404,47 @@
                 milletyoke.wire.proto.Target.newBuilder()
                         .setId("t")
                         .setShard(0)
-                        .setHealth(milletyoke.wire.proto.Health.ON)
+                        .setHealth(milletyoke.wire.proto.Health.ACTIVE)
                         .setHost("127.0.0.1")
                         .setPort(1)
                         .build());
         Map<Long, Integer> answers = new HashMap<>();
-        Peer[] client = new Peer[1];
-        world.net("client", 1, Tap.NONE)
+        PeerConnection[] client = new PeerConnection[1];
+        world.openNetwork("client", 1, FrameObserver.NONE)
                 .connect(
                         "127.0.0.1",
                         initiator.port(),
                         Role.CLIENT,
-                        new PeerHandler() {
+                        new PeerListener() {
                             @Override
-                            public void ready(Peer peer) {
+                            public void onReady(PeerConnection peer) {
                                 client[0] = peer;
                             }
 
                             @Override
-                            public void got(Peer peer, Frame frame) {
-                                answers.merge(frame.getAnswer().getNumber(), 1, Integer::sum);
+                            public void onFrame(PeerConnection peer, Frame frame) {
+                                answers.merge(frame.getResponse().getNumber(), 1, Integer::sum);
                             }
 
                             @Override
-                            public void closed(Peer peer, String why) {}
+                            public void onClosed(PeerConnection peer, String why) {}
                         },
-                        new Bounds(65_536, 64 << 20, 5_000_000, 0),
+                        new FrameLimits(65_536, 64 << 20, 5_000_000, 0),
                         why -> {});
         world.sleep(1_000_000);
         for (long n = 1; n <= 3_000; n++) { // all arrive within the time of one turn
-            client[0].post(
+            client[0].enqueue(
                     Frame.newBuilder()
-                            .setAccess(
-                                    Access.newBuilder()
+                            .setRequest(
+                                    Request.newBuilder()
                                             .setNumber(n)
                                             .setShard(0)
                                             .setVolume("v" + n % 7)
                                             .setPlan("basic")
-                                            .setCategory("read")
-                                            .setHosts(1)
+                                            .setRequestClass("read")
+                                            .setInitiatorCount(1)
                                             .setUnits(1)
-                                            .setTimeLeft(500_000))
+                                            .setTimeLeftMicros(500_000))
                             .build());
         }
         client[0].flush();
--- a/standins/src/main/java/milletyoke/standins/Marks.java
+++ b/standins/src/main/java/milletyoke/standins/DeduplicationCache.java
@@ -7,14 +7,14 @@
  * The marks that one group of targets knows: a stamped access whose mark was run within the window
  * is not run again.
  */
-public final class Marks {
+public final class DeduplicationCache {
     private final long window;
     private final Map<String, Long> runAt = new LinkedHashMap<>();
 
     /**
      * @param window microseconds for which a mark is known
      */
-    public Marks(long window) {
+    public DeduplicationCache(long window) {
         this.window = window;
     }
 
--- a/standins/src/main/java/milletyoke/standins/Discovery.java
+++ b/standins/src/main/java/milletyoke/standins/Discovery.java
@@ -9,32 +9,32 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import milletyoke.wire.BadFrame;
-import milletyoke.wire.Bounds;
-import milletyoke.wire.Net;
-import milletyoke.wire.Peer;
-import milletyoke.wire.PeerHandler;
-import milletyoke.wire.Sockets;
-import milletyoke.wire.Tap;
-import milletyoke.wire.World;
+import milletyoke.wire.ExecutionEnvironment;
+import milletyoke.wire.FrameLimits;
+import milletyoke.wire.FrameObserver;
+import milletyoke.wire.MalformedFrameException;
+import milletyoke.wire.Network;
+import milletyoke.wire.PeerConnection;
+import milletyoke.wire.PeerListener;
+import milletyoke.wire.SocketEnvironment;
+import milletyoke.wire.proto.EndpointList;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Health;
 import milletyoke.wire.proto.Role;
 import milletyoke.wire.proto.Scope;
-import milletyoke.wire.proto.TargetList;
 
 /**
  * Tells initiators which targets there are. What happens is known here late, by a lag drawn for
  * each change, and changes keep their order. A follower gets the whole list and then every change.
  */
-public final class Discovery implements PeerHandler {
-    private final World world;
-    private final Net wire;
-    private final Net.Listener listener;
+public final class Discovery implements PeerListener {
+    private final ExecutionEnvironment world;
+    private final Network wire;
+    private final Network.Listener listener;
     private final ScheduledExecutorService clockwork;
     private final SplittableRandom chance;
     private final Map<String, milletyoke.wire.proto.Target> known = new LinkedHashMap<>();
-    private final Set<Peer> followers = new LinkedHashSet<>();
+    private final Set<PeerConnection> followers = new LinkedHashSet<>();
     private long version = 1;
     private long leastLag, mostLag;
     private long lastDue;
@@ -44,24 +44,29 @@
     /**
      * @param port 0 takes a free one
      */
-    public Discovery(int port, long seed, ScheduledExecutorService clockwork, Tap tap)
+    public Discovery(int port, long seed, ScheduledExecutorService clockwork, FrameObserver tap)
             throws IOException {
-        this(port, seed, clockwork, tap, new Sockets());
+        this(port, seed, clockwork, tap, new SocketEnvironment());
     }
 
-    public Discovery(int port, long seed, ScheduledExecutorService clockwork, Tap tap, World world)
+    public Discovery(
+            int port,
+            long seed,
+            ScheduledExecutorService clockwork,
+            FrameObserver tap,
+            ExecutionEnvironment world)
             throws IOException {
         this.world = world;
         this.clockwork = clockwork;
         chance = new SplittableRandom(seed);
-        wire = world.net("discovery", 1, tap);
+        wire = world.openNetwork("discovery", 1, tap);
         listener =
                 wire.listen(
                         "127.0.0.1",
                         port,
                         Role.DISCOVERY,
                         this,
-                        new Bounds(16 << 20, 64 << 20, 5_000_000, 0));
+                        new FrameLimits(16 << 20, 64 << 20, 5_000_000, 0));
     }
 
     public int port() {
@@ -70,7 +75,7 @@
 
     /** The clock on which starts are told (microseconds). */
     public long now() {
-        return world.timeOfDay();
+        return world.wallClockMicros();
     }
 
     public static milletyoke.wire.proto.Target entry(
@@ -80,7 +85,7 @@
                 .setShard(target.shard())
                 .setZone(zone)
                 .setHealth(health)
-                .setLaunched(launched)
+                .setStartedAtMicros(launched)
                 .setHost("127.0.0.1")
                 .setPort(target.port())
                 .build();
@@ -94,7 +99,7 @@
 
     /** A change that is so from now on; it is told after the lag. */
     public synchronized void change(milletyoke.wire.proto.Target entry) {
-        long now = world.micros();
+        long now = world.monotonicMicros();
         lastDue =
                 Math.max(
                         lastDue,
@@ -107,7 +112,7 @@
     /** What is known from the outset. */
     public synchronized void learn(milletyoke.wire.proto.Target entry) {
         version++;
-        if (entry.getHealth() == Health.GONE) {
+        if (entry.getHealth() == Health.REMOVED) {
             known.remove(entry.getId());
         } else {
             known.put(entry.getId(), entry);
@@ -144,9 +149,9 @@
 
     private Frame frame(Scope scope, List<milletyoke.wire.proto.Target> targets) {
         return Frame.newBuilder()
-                .setList(
-                        TargetList.newBuilder()
-                                .setVersion(version)
+                .setEndpointList(
+                        EndpointList.newBuilder()
+                                .setRevision(version)
                                 .setScope(scope)
                                 .setNow(now())
                                 .addAllTarget(targets))
@@ -154,14 +159,16 @@
     }
 
     @Override
-    public void ready(Peer peer) {
+    public void onReady(PeerConnection peer) {
         // it asks when it wants the list
     }
 
     @Override
-    public synchronized void got(Peer peer, Frame frame) throws BadFrame {
-        if (frame.getBodyCase() != Frame.BodyCase.FOLLOW) {
-            throw new BadFrame("discovery is asked to be followed, not " + frame.getBodyCase());
+    public synchronized void onFrame(PeerConnection peer, Frame frame)
+            throws MalformedFrameException {
+        if (frame.getBodyCase() != Frame.BodyCase.WATCH) {
+            throw new MalformedFrameException(
+                    "discovery is asked to be followed, not " + frame.getBodyCase());
         }
         if (unavailable) {
             peer.send(frame(Scope.UNAVAILABLE, List.of()));
@@ -172,7 +179,7 @@
     }
 
     @Override
-    public synchronized void closed(Peer peer, String why) {
+    public synchronized void onClosed(PeerConnection peer, String why) {
         followers.remove(peer);
     }
 
--- a/standins/src/main/java/milletyoke/standins/Witness.java
+++ b/standins/src/main/java/milletyoke/standins/ExecutionListener.java
@@ -4,8 +4,8 @@
 
 /** Hears what a stand-in does on no connection. */
 @FunctionalInterface
-public interface Witness {
-    Witness NONE = (who, kind, text, figure) -> {};
+public interface ExecutionListener {
+    ExecutionListener NONE = (who, kind, text, figure) -> {};
 
     void note(String who, Note.Kind kind, String text, double figure);
 }
--- a/standins/src/main/java/milletyoke/standins/Clients.java
+++ b/standins/src/main/java/milletyoke/standins/LoadGenerator.java
@@ -15,35 +15,35 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.concurrent.locks.LockSupport;
 import java.util.stream.IntStream;
-import milletyoke.wire.BadFrame;
-import milletyoke.wire.Bounds;
-import milletyoke.wire.Net;
-import milletyoke.wire.Peer;
-import milletyoke.wire.PeerHandler;
-import milletyoke.wire.Sockets;
-import milletyoke.wire.Tap;
-import milletyoke.wire.World;
-import milletyoke.wire.proto.Access;
-import milletyoke.wire.proto.Answer;
+import milletyoke.wire.ExecutionEnvironment;
+import milletyoke.wire.FrameLimits;
+import milletyoke.wire.FrameObserver;
+import milletyoke.wire.MalformedFrameException;
+import milletyoke.wire.Network;
+import milletyoke.wire.PeerConnection;
+import milletyoke.wire.PeerListener;
+import milletyoke.wire.SocketEnvironment;
+import milletyoke.wire.proto.Attempt;
+import milletyoke.wire.proto.CancelRequest;
 import milletyoke.wire.proto.Frame;
-import milletyoke.wire.proto.Leave;
 import milletyoke.wire.proto.Outcome;
-import milletyoke.wire.proto.Relay;
+import milletyoke.wire.proto.Request;
+import milletyoke.wire.proto.Response;
 import milletyoke.wire.proto.Role;
 
 /**
  * Many clients on one connection to each initiator, or straight to each target for comparison.
  * Accesses leave when they are due, whether or not earlier ones were answered.
  */
-public final class Clients {
-    private static final Bounds BOUNDS = new Bounds(4 << 20, 64 << 20, 5_000_000, 0);
+public final class LoadGenerator {
+    private static final FrameLimits BOUNDS = new FrameLimits(4 << 20, 64 << 20, 5_000_000, 0);
 
-    private final Demand demand;
+    private final LoadProfile demand;
     private final boolean straight;
-    private final World world;
-    private final Net wire;
+    private final ExecutionEnvironment world;
+    private final Network wire;
     private final ScheduledExecutorService clockwork;
-    private final Service service;
+    private final ServiceLevelRecorder service;
     private final SplittableRandom chance;
     private final List<Door> doors = new ArrayList<>();
     private final AtomicLong numbers = new AtomicLong();
@@ -69,13 +69,13 @@
     private String[] runExtents;
 
     /** Where accesses go: one connection, made again whenever it is lost. */
-    private final class Door implements PeerHandler {
+    private final class Door implements PeerListener {
         final String name;
         final Map<Long, Try> pending = new ConcurrentHashMap<>();
         volatile String host;
         volatile int port;
-        volatile Peer peer;
-        private volatile Peer leaving;
+        volatile PeerConnection peer;
+        private volatile PeerConnection leaving;
 
         Door(String name, String host, int port) {
             this.name = name;
@@ -96,28 +96,30 @@
         }
 
         @Override
-        public void ready(Peer made) {
+        public void onReady(PeerConnection made) {
             peer = made;
         }
 
         @Override
-        public void got(Peer from, Frame frame) throws BadFrame {
+        public void onFrame(PeerConnection from, Frame frame) throws MalformedFrameException {
             switch (frame.getBodyCase()) {
-                case ANSWER -> {
-                    Answer a = frame.getAnswer();
+                case RESPONSE -> {
+                    Response a = frame.getResponse();
                     Try t = pending.remove(a.getNumber());
                     if (t != null) {
                         answered(t, a);
                     }
                     closeIfDone(from);
                 }
-                case REPLY -> {
-                    Try t = pending.remove(frame.getReply().getNumber());
+                case ATTEMPT_REPLY -> {
+                    Try t = pending.remove(frame.getAttemptReply().getNumber());
                     if (t != null) {
-                        replied(t, frame.getReply().getOutcome());
+                        replied(t, frame.getAttemptReply().getOutcome());
                     }
                 }
-                default -> throw new BadFrame("a client gets answers, not " + frame.getBodyCase());
+                default ->
+                        throw new MalformedFrameException(
+                                "a client gets answers, not " + frame.getBodyCase());
             }
         }
 
@@ -126,7 +128,7 @@
          * finds no way in here.
          */
         @Override
-        public void goingAway(Peer from, String why) {
+        public void onGoingAway(PeerConnection from, String why) {
             synchronized (this) {
                 leaving = from;
                 peer = peer == from ? null : peer;
@@ -134,7 +136,7 @@
             closeIfDone(from);
         }
 
-        private void closeIfDone(Peer from) {
+        private void closeIfDone(PeerConnection from) {
             if (leaving == from && pending.values().stream().noneMatch(t -> t.peer == from)) {
                 from.close("all is answered");
             }
@@ -144,7 +146,7 @@
          * Hands an access to the open connection; null where there is none. Nothing joins one that
          * is going away.
          */
-        synchronized Peer enter(Try t) {
+        synchronized PeerConnection enter(Try t) {
             t.peer = peer;
             if (peer != null) {
                 pending.put(t.number, t);
@@ -153,7 +155,7 @@
         }
 
         @Override
-        public void closed(Peer gone, String why) {
+        public void onClosed(PeerConnection gone, String why) {
             if (peer == gone) {
                 peer = null;
             }
@@ -169,8 +171,8 @@
 
     /** One try of one access. */
     private static final class Try {
-        final Demand.Kind kind;
-        final Demand.Volume volume;
+        final LoadProfile.RequestClass kind;
+        final LoadProfile.Volume volume;
         final int shard;
         final String extent;
         final double units;
@@ -181,11 +183,11 @@
         final int tries;
         final boolean vanishes;
         long number;
-        Peer peer;
+        PeerConnection peer;
 
         Try(
-                Demand.Kind kind,
-                Demand.Volume volume,
+                LoadProfile.RequestClass kind,
+                LoadProfile.Volume volume,
                 int shard,
                 String extent,
                 double units,
@@ -217,32 +219,36 @@
     /**
      * @param straight to targets, by shard, with nothing between
      */
-    public Clients(
-            Demand demand, boolean straight, long seed, ScheduledExecutorService clockwork, Tap tap)
+    public LoadGenerator(
+            LoadProfile demand,
+            boolean straight,
+            long seed,
+            ScheduledExecutorService clockwork,
+            FrameObserver tap)
             throws IOException {
-        this(demand, straight, seed, clockwork, tap, new Sockets());
+        this(demand, straight, seed, clockwork, tap, new SocketEnvironment());
     }
 
     /**
      * @param world that they live in
      */
-    public Clients(
-            Demand demand,
+    public LoadGenerator(
+            LoadProfile demand,
             boolean straight,
             long seed,
             ScheduledExecutorService clockwork,
-            Tap tap,
-            World world)
+            FrameObserver tap,
+            ExecutionEnvironment world)
             throws IOException {
         this.world = world;
         this.demand = demand;
         this.straight = straight;
         this.clockwork = clockwork;
-        service = new Service(demand);
+        service = new ServiceLevelRecorder(demand);
         chance = new SplittableRandom(seed);
-        wire = world.net("client", 2, tap);
+        wire = world.openNetwork("client", 2, tap);
         runs = new long[demand.volumes().size()];
-        upTo = demand.volumes().stream().mapToDouble(Demand.Volume::part).toArray();
+        upTo = demand.volumes().stream().mapToDouble(LoadProfile.Volume::part).toArray();
         Arrays.parallelPrefix(upTo, Double::sum);
         runExtents = new String[demand.volumes().size()];
         pace = new Thread(this::pace, "clients-pace");
@@ -260,15 +266,15 @@
         doors.get(door).port = port;
     }
 
-    public Service service() {
+    public ServiceLevelRecorder service() {
         return service;
     }
 
     /** Waits until every door is open; false where one is not in time. */
     public boolean awaitDoors(long millis) throws InterruptedException {
-        long until = world.micros() + millis * 1000;
+        long until = world.monotonicMicros() + millis * 1000;
         while (doors.stream().anyMatch(d -> d.peer == null)) {
-            if (world.micros() > until) {
+            if (world.monotonicMicros() > until) {
                 return false;
             }
             world.sleep(1_000);
@@ -277,7 +283,7 @@
     }
 
     public void start() {
-        due = world.micros();
+        due = world.monotonicMicros();
         beganAt = due;
         if (!demand.trace().isEmpty()) {
             clockwork.execute(this::traceNext);
@@ -297,7 +303,7 @@
      * Some volumes ask for so much more that all traffic grows by this part; an empty set ends it.
      */
     public void surge(Set<String> volumes, double by) {
-        List<Demand.Volume> all = demand.volumes();
+        List<LoadProfile.Volume> all = demand.volumes();
         surges =
                 IntStream.range(0, all.size())
                         .filter(v -> volumes.contains(all.get(v).name()))
@@ -313,7 +319,7 @@
     /** Closes every client connection at once; they connect again. */
     public void reconnect() {
         for (Door door : doors) {
-            Peer peer = door.peer;
+            PeerConnection peer = door.peer;
             if (peer != null) {
                 peer.close("clients reconnect");
             }
@@ -326,8 +332,8 @@
     public int stop(long millis) throws InterruptedException {
         stopped = true;
         pace.join(); // at once where it never was started
-        long until = world.micros() + millis * 1000;
-        while (pendingCount.get() > 0 && world.micros() < until) {
+        long until = world.monotonicMicros() + millis * 1000;
+        while (pendingCount.get() > 0 && world.monotonicMicros() < until) {
             world.sleep(5_000);
         }
         int left = pendingCount.get();
@@ -346,7 +352,7 @@
     private void pace() {
         while (!stopped) {
             due += gap();
-            long wait = due - world.micros();
+            long wait = due - world.monotonicMicros();
             if (wait > 0) {
                 LockSupport.parkNanos(wait * 1000);
             }
@@ -364,7 +370,7 @@
                         paceNext();
                     }
                 },
-                due - world.micros(),
+                due - world.monotonicMicros(),
                 TimeUnit.MICROSECONDS);
     }
 
@@ -379,7 +385,7 @@
                 () -> {
                     if (!stopped) {
                         synchronized (this) {
-                            due = world.micros();
+                            due = world.monotonicMicros();
                             first(volume);
                         }
                     }
@@ -394,10 +400,11 @@
      */
     private void traceNext() {
         while (!stopped && traced < demand.trace().size()) {
-            Demand.Traced next = demand.trace().get(traced);
+            LoadProfile.Traced next = demand.trace().get(traced);
             due = beganAt + next.at();
-            if (due > world.micros()) {
-                clockwork.schedule(this::traceNext, due - world.micros(), TimeUnit.MICROSECONDS);
+            if (due > world.monotonicMicros()) {
+                clockwork.schedule(
+                        this::traceNext, due - world.monotonicMicros(), TimeUnit.MICROSECONDS);
                 return;
             }
             traced++;
@@ -433,8 +440,8 @@
     }
 
     private Try draw(long due, int v) {
-        Demand.Kind kind = pickKind();
-        Demand.Volume volume = demand.volumes().get(v);
+        LoadProfile.RequestClass kind = pickKind();
+        LoadProfile.Volume volume = demand.volumes().get(v);
         boolean toHot = hot > 0 && chance.nextDouble() < hot;
         int shard = volume.shards()[toHot ? 0 : chance.nextInt(volume.shards().length)];
         String extent = toHot ? "hot-" + shard : extent(v, shard);
@@ -461,9 +468,9 @@
                 demand.vanish() > 0 && chance.nextDouble() < demand.vanish());
     }
 
-    private Demand.Kind pickKind() {
+    private LoadProfile.RequestClass pickKind() {
         double left = chance.nextDouble();
-        for (Demand.Kind kind : demand.kinds()) {
+        for (LoadProfile.RequestClass kind : demand.kinds()) {
             left -= kind.share();
             if (left < 0) {
                 return kind;
@@ -497,14 +504,14 @@
 
     private void send(Try t) {
         Door door = doors.get(t.door);
-        long now = world.micros();
+        long now = world.monotonicMicros();
         long left = t.until - now;
         if (left <= 0) {
             finish(t, () -> service.unanswered(t.kind.name()));
             return;
         }
         t.number = numbers.incrementAndGet();
-        Peer peer = door.enter(t);
+        PeerConnection peer = door.enter(t);
         if (peer == null) {
             service.unreachable(t.kind.name());
             again(t, 0, () -> service.unanswered(t.kind.name()));
@@ -523,41 +530,41 @@
     }
 
     private Frame access(Try t, long left) {
-        Access.Builder a =
-                Access.newBuilder()
+        Request.Builder a =
+                Request.newBuilder()
                         .setNumber(t.number)
                         .setExtent(t.extent)
                         .setVolume(t.volume.name())
                         .setPlan(t.volume.plan())
-                        .setCategory(t.kind.name())
-                        .setHosts(t.volume.initiators().length)
+                        .setRequestClass(t.kind.name())
+                        .setInitiatorCount(t.volume.initiators().length)
                         .setUnits(t.units)
-                        .setTimeLeft(left)
+                        .setTimeLeftMicros(left)
                         .setWrite(t.kind.write())
-                        .setMark(t.mark);
+                        .setIdempotencyKey(t.mark);
         if (t.shard >= 0) {
             a.setShard(t.shard);
         }
         if (t.kind.write()) {
             a.setPayload(ByteString.copyFrom(new byte[(int) (64 * t.units)]));
         }
-        return Frame.newBuilder().setAccess(a).build();
+        return Frame.newBuilder().setRequest(a).build();
     }
 
     private Frame relay(Try t, long left) {
         return Frame.newBuilder()
-                .setRelay(
-                        Relay.newBuilder()
+                .setAttempt(
+                        Attempt.newBuilder()
                                 .setNumber(t.number)
-                                .setId("s-" + t.number)
+                                .setRequestId("s-" + t.number)
                                 .setShard(t.shard)
                                 .setExtent(t.extent)
                                 .setVolume(t.volume.name())
-                                .setCategory(t.kind.name())
+                                .setRequestClass(t.kind.name())
                                 .setUnits(t.units)
-                                .setTimeLeft(left)
+                                .setTimeLeftMicros(left)
                                 .setWrite(t.kind.write())
-                                .setMark(t.mark)
+                                .setIdempotencyKey(t.mark)
                                 .setPayload(
                                         t.kind.write()
                                                 ? ByteString.copyFrom(
@@ -571,7 +578,7 @@
             if (leaves && !straight) {
                 t.peer.send(
                         Frame.newBuilder()
-                                .setLeave(Leave.newBuilder().setNumber(t.number))
+                                .setCancelRequest(CancelRequest.newBuilder().setNumber(t.number))
                                 .build());
             }
             finish(t, () -> service.unanswered(t.kind.name()));
@@ -581,12 +588,13 @@
 
     // ---- What comes back ----
 
-    private void answered(Try t, Answer a) {
-        switch (a.getFinal()) {
+    private void answered(Try t, Response a) {
+        switch (a.getStatus()) {
             case ANSWERED -> served(t);
-            case REJECTED -> again(t, a.getRetryIn(), () -> service.rejected(t.kind.name()));
+            case REJECTED ->
+                    again(t, a.getRetryAfterMicros(), () -> service.rejected(t.kind.name()));
             default -> {
-                if (t.kind.repeats() == Demand.Repeats.HARMLESS) {
+                if (t.kind.repeats() == LoadProfile.Idempotency.IDEMPOTENT) {
                     again(t, 0, () -> service.brokenOff(t.kind.name()));
                 } else {
                     finish(t, () -> service.brokenOff(t.kind.name()));
@@ -598,13 +606,13 @@
     private void replied(Try t, Outcome outcome) {
         switch (outcome) {
             case SUCCEEDED -> served(t);
-            case FULL, MOOT -> again(t, 0, () -> service.rejected(t.kind.name()));
+            case OVERLOADED, NOT_STARTED -> again(t, 0, () -> service.rejected(t.kind.name()));
             default -> finish(t, () -> service.brokenOff(t.kind.name()));
         }
     }
 
     private void served(Try t) {
-        long micros = world.micros() - t.due;
+        long micros = world.monotonicMicros() - t.due;
         finish(
                 t,
                 () ->
@@ -614,8 +622,9 @@
 
     private void lost(Try t) {
         boolean harmless =
-                t.kind.repeats() == Demand.Repeats.HARMLESS
-                        || t.kind.repeats() == Demand.Repeats.STAMPED && t.kind.stampedForAll();
+                t.kind.repeats() == LoadProfile.Idempotency.IDEMPOTENT
+                        || t.kind.repeats() == LoadProfile.Idempotency.IDEMPOTENCY_KEY
+                                && t.kind.stampedForAll();
         if (harmless) {
             again(t, 0, () -> service.unanswered(t.kind.name()));
         } else {
@@ -625,7 +634,7 @@
 
     private void again(Try t, long advised, Runnable otherwise) {
         long wait = advised > 0 ? advised : demand.retryWait();
-        if (t.tries >= demand.retries() || world.micros() + wait >= t.until || stopped) {
+        if (t.tries >= demand.retries() || world.monotonicMicros() + wait >= t.until || stopped) {
             finish(t, otherwise);
             return;
         }
--- a/standins/src/main/java/milletyoke/standins/Demand.java
+++ b/standins/src/main/java/milletyoke/standins/LoadProfile.java
@@ -17,9 +17,9 @@
  * @param trace captured accesses, in place of the rate; empty for none
  * @param answerSlack beyond the time it tells, a client waits this long
  */
-public record Demand(
+public record LoadProfile(
         double rate,
-        List<Kind> kinds,
+        List<RequestClass> kinds,
         List<Volume> volumes,
         int retries,
         long retryWait,
@@ -40,7 +40,7 @@
      */
     public record Traced(
             long at,
-            Kind kind,
+            RequestClass kind,
             Volume volume,
             int door,
             int shard,
@@ -49,21 +49,21 @@
             long timeLeft) {}
 
     /** How often one access may run, as the client knows it. */
-    public enum Repeats {
-        HARMLESS,
-        STAMPED,
-        ONE_SHOT
+    public enum Idempotency {
+        IDEMPOTENT,
+        IDEMPOTENCY_KEY,
+        NON_IDEMPOTENT
     }
 
     /** One category of accesses. */
-    public record Kind(
+    public record RequestClass(
             String name,
             double share,
             int leastUnits,
             int mostUnits,
             boolean write,
             boolean ordered,
-            Repeats repeats,
+            Idempotency repeats,
             boolean stampedForAll,
             long agreed,
             long abandon,
--- a/standins/src/main/java/milletyoke/standins/Service.java
+++ b/standins/src/main/java/milletyoke/standins/ServiceLevelRecorder.java
@@ -8,7 +8,7 @@
  * What clients got, by category. A time counts from when the access was due to leave, not from when
  * it left, so that a standstill of the sender hides nothing; further tries count towards the first.
  */
-public final class Service {
+public final class ServiceLevelRecorder {
     /** One category's figures. */
     public static final class Line {
         public long asked, answered, inTime, rejected, brokenOff, unanswered, unreachable;
@@ -53,7 +53,7 @@
     /** By volume, in the order of the demand: asked and answered in time. */
     private final Map<String, long[]> volumes = new LinkedHashMap<>();
 
-    Service(Demand demand) {
+    ServiceLevelRecorder(LoadProfile demand) {
         demand.kinds().forEach(k -> lines.put(k.name(), new Line(k.importance())));
         demand.volumes()
                 .forEach(
--- a/standins/src/main/java/milletyoke/standins/Target.java
+++ b/standins/src/main/java/milletyoke/standins/Target.java
@@ -11,21 +11,21 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
-import milletyoke.wire.BadFrame;
-import milletyoke.wire.Bounds;
-import milletyoke.wire.Net;
-import milletyoke.wire.Peer;
-import milletyoke.wire.PeerHandler;
-import milletyoke.wire.Sockets;
-import milletyoke.wire.Tap;
-import milletyoke.wire.World;
+import milletyoke.wire.ExecutionEnvironment;
+import milletyoke.wire.FrameLimits;
+import milletyoke.wire.FrameObserver;
+import milletyoke.wire.MalformedFrameException;
+import milletyoke.wire.Network;
+import milletyoke.wire.PeerConnection;
+import milletyoke.wire.PeerListener;
+import milletyoke.wire.SocketEnvironment;
+import milletyoke.wire.proto.Attempt;
+import milletyoke.wire.proto.AttemptReply;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Load;
 import milletyoke.wire.proto.Note;
 import milletyoke.wire.proto.Outcome;
 import milletyoke.wire.proto.ProbeReply;
-import milletyoke.wire.proto.Relay;
-import milletyoke.wire.proto.Reply;
 import milletyoke.wire.proto.Role;
 
 /**
@@ -33,19 +33,19 @@
  * It keeps no data; work is time. One lock guards its state, and no call to a socket is made under
  * it.
  */
-public final class Target implements PeerHandler {
+public final class Target implements PeerListener {
     private final String id;
     private final int shard;
-    private final Nature nature;
+    private final TargetBehavior nature;
     private final ScheduledExecutorService clockwork;
-    private final Function<String, Marks> marksOf;
-    private final Tap tap;
-    private final Witness witness;
+    private final Function<String, DeduplicationCache> marksOf;
+    private final FrameObserver tap;
+    private final ExecutionListener witness;
     private final SplittableRandom chance;
 
-    private final World world;
-    private Net wire;
-    private Net.Listener listener;
+    private final ExecutionEnvironment world;
+    private Network wire;
+    private Network.Listener listener;
     private int port;
     private int life;
     private boolean up;
@@ -56,7 +56,7 @@
     private final Set<Job> running = new LinkedHashSet<>();
     private final ArrayDeque<String> extents = new ArrayDeque<>();
     private final ArrayDeque<long[]> coldSent = new ArrayDeque<>();
-    private final Set<Peer> peers = new LinkedHashSet<>();
+    private final Set<PeerConnection> peers = new LinkedHashSet<>();
     private double coldUnits;
     private double unitsDone;
     private double coldUsed;
@@ -71,7 +71,7 @@
     private volatile double loses;
     private volatile long pauseEvery, pauseLeast, pauseMost;
 
-    private record Job(Peer peer, Relay relay, long came, int life) {}
+    private record Job(PeerConnection peer, Attempt relay, long came, int life) {}
 
     /**
      * @param marksOf the marks its group knows, by category; null for a category whose repeats are
@@ -80,13 +80,13 @@
     public Target(
             String id,
             int shard,
-            Nature nature,
+            TargetBehavior nature,
             long seed,
             ScheduledExecutorService clockwork,
-            Function<String, Marks> marksOf,
-            Tap tap,
-            Witness witness) {
-        this(id, shard, nature, seed, clockwork, marksOf, tap, witness, new Sockets());
+            Function<String, DeduplicationCache> marksOf,
+            FrameObserver tap,
+            ExecutionListener witness) {
+        this(id, shard, nature, seed, clockwork, marksOf, tap, witness, new SocketEnvironment());
     }
 
     /**
@@ -95,13 +95,13 @@
     public Target(
             String id,
             int shard,
-            Nature nature,
+            TargetBehavior nature,
             long seed,
             ScheduledExecutorService clockwork,
-            Function<String, Marks> marksOf,
-            Tap tap,
-            Witness witness,
-            World world) {
+            Function<String, DeduplicationCache> marksOf,
+            FrameObserver tap,
+            ExecutionListener witness,
+            ExecutionEnvironment world) {
         this.world = world;
         this.id = id;
         this.shard = shard;
@@ -121,7 +121,7 @@
         return shard;
     }
 
-    public Nature nature() {
+    public TargetBehavior nature() {
         return nature;
     }
 
@@ -145,25 +145,25 @@
      * Starts it, on the port it had before if it had one. @param fromCold whether it must warm up
      */
     public synchronized void start(boolean fromCold) throws IOException {
-        wire = world.net(id, 1, tap);
+        wire = world.openNetwork(id, 1, tap);
         listener =
                 wire.listen(
                         "127.0.0.1",
                         port,
                         Role.TARGET,
                         this,
-                        new Bounds(4 << 20, 16 << 20, 5_000_000, 0));
+                        new FrameLimits(4 << 20, 16 << 20, 5_000_000, 0));
         port = listener.port();
         life++;
         up = true;
         cold = fromCold;
-        startedAt = world.micros();
+        startedAt = world.monotonicMicros();
         fallen = false;
         hangs = false;
         coldUnits = 0;
         unitsDone = 0;
         coldSent.clear();
-        witness.note(id, Note.Kind.UP, cold ? "cold" : "warm", nature.capacity());
+        witness.note(id, Note.Kind.STARTED, cold ? "cold" : "warm", nature.capacity());
         tick(life, this::doPutOff, nature.putOffEvery());
         tick(life, this::pauseOfOwn, nature.pauseEvery());
     }
@@ -188,7 +188,7 @@
 
     /** Ends it as a kill would: its connections are reset and what it held is forgotten. */
     public void kill() {
-        Net old;
+        Network old;
         synchronized (this) {
             if (!up) {
                 return;
@@ -261,12 +261,12 @@
 
     /** Resets all of its connections; what runs goes on, and its answers are lost. */
     public void resetConnections() {
-        List<Peer> now;
+        List<PeerConnection> now;
         synchronized (this) {
             now = List.copyOf(peers);
             peers.clear();
         }
-        now.forEach(Peer::reset);
+        now.forEach(PeerConnection::reset);
     }
 
     /** Accepts connections and says no hello: it cannot be reached, though its port is open. */
@@ -279,7 +279,7 @@
     }
 
     private void stand(long micros) {
-        stillUntil = Math.max(stillUntil, world.micros() + micros);
+        stillUntil = Math.max(stillUntil, world.monotonicMicros() + micros);
     }
 
     private void doPutOff() {
@@ -293,7 +293,7 @@
     // ---- Serving ----
 
     @Override
-    public void ready(Peer peer) {
+    public void onReady(PeerConnection peer) {
         boolean taken;
         synchronized (this) {
             taken = peers.size() < nature.connections() && !refuses;
@@ -312,24 +312,24 @@
     }
 
     @Override
-    public void got(Peer peer, Frame frame) throws BadFrame {
+    public void onFrame(PeerConnection peer, Frame frame) throws MalformedFrameException {
         switch (frame.getBodyCase()) {
-            case RELAY -> relay(peer, frame.getRelay());
+            case ATTEMPT -> relay(peer, frame.getAttempt());
             case PROBE -> probe(peer, frame.getProbe().getNumber());
-            case CANCEL -> cancel(peer, frame.getCancel().getNumber());
+            case CANCEL_ATTEMPT -> cancel(peer, frame.getCancelAttempt().getNumber());
             default ->
-                    throw new BadFrame(
+                    throw new MalformedFrameException(
                             "a target takes relays, probes and cancels, not "
                                     + frame.getBodyCase());
         }
     }
 
     @Override
-    public synchronized void closed(Peer peer, String why) {
+    public synchronized void onClosed(PeerConnection peer, String why) {
         peers.remove(peer);
     }
 
-    private void relay(Peer peer, Relay relay) {
+    private void relay(PeerConnection peer, Attempt relay) {
         Outcome atOnce;
         synchronized (this) {
             atOnce = take(peer, relay);
@@ -343,14 +343,14 @@
      * The outcome where it is known at once; else null, and the access waits, runs, or is never
      * heard of again.
      */
-    private Outcome take(Peer peer, Relay relay) {
-        long now = world.micros();
+    private Outcome take(PeerConnection peer, Attempt relay) {
+        long now = world.monotonicMicros();
         press(now, relay.getUnits());
         if (hangs || fallen || !up) {
             return null;
         }
         if (relay.hasShard() && relay.getShard() != shard) {
-            return Outcome.MOOT;
+            return Outcome.NOT_STARTED;
         }
         if (errors > 0 && chance.nextDouble() < errors) {
             if (chance.nextBoolean()) {
@@ -370,7 +370,7 @@
         } else if (waiting.size() < nature.room()) {
             waiting.add(job);
         } else {
-            return Outcome.FULL;
+            return Outcome.OVERLOADED;
         }
         return null;
     }
@@ -392,7 +392,7 @@
         coldUsed = nature.fall() > 0 ? Math.max(coldUsed, coldUnits / bears) : 0;
         if (nature.fall() > 0 && coldUnits > bears && !fallen) {
             fallen = true;
-            witness.note(id, Note.Kind.FELL, "", coldUnits / bears);
+            witness.note(id, Note.Kind.OVERLOAD_COLLAPSE, "", coldUnits / bears);
         }
     }
 
@@ -407,10 +407,14 @@
     }
 
     private void begin(Job job, long now) {
-        Relay r = job.relay();
-        if (now > job.came() + r.getTimeLeft()) {
+        Attempt r = job.relay();
+        if (now > job.came() + r.getTimeLeftMicros()) {
             clockwork.execute(
-                    () -> reply(job.peer(), r, Outcome.MOOT)); // its time is up: it is not begun
+                    () ->
+                            reply(
+                                    job.peer(),
+                                    r,
+                                    Outcome.NOT_STARTED)); // its time is up: it is not begun
             return;
         }
         running.add(job);
@@ -423,7 +427,7 @@
                         * nature.unit()
                         * nature.work().factor(chance.nextDouble())
                         * (1 + nature.crowd() * waiting.size());
-        if (!r.getExtent().isEmpty() && r.getAttempt() == 0 && remembers(r.getExtent())) {
+        if (!r.getExtent().isEmpty() && r.getAttemptNumber() == 0 && remembers(r.getExtent())) {
             work *= 1 - nature.extentSaves();
         }
         if (r.getWrite()) {
@@ -447,20 +451,20 @@
     }
 
     /** Has the access's effect; false for a repeat that its mark gives away. */
-    private boolean effect(Relay r, long now) {
-        Marks marks = marksOf.apply(r.getCategory());
-        boolean first = marks == null || marks.first(r.getMark(), now);
+    private boolean effect(Attempt r, long now) {
+        DeduplicationCache marks = marksOf.apply(r.getRequestClass());
+        boolean first = marks == null || marks.first(r.getIdempotencyKey(), now);
         witness.note(
                 id,
-                first ? Note.Kind.RAN : Note.Kind.DROPPED,
-                r.getMark() + " " + r.getCategory(),
-                r.getAttempt());
+                first ? Note.Kind.EXECUTED : Note.Kind.DEDUPLICATED,
+                r.getIdempotencyKey() + " " + r.getRequestClass(),
+                r.getAttemptNumber());
         return first;
     }
 
     private void finish(Job job) {
         synchronized (this) {
-            long now = world.micros();
+            long now = world.monotonicMicros();
             if (job.life() != life || hangs || fallen) {
                 return;
             }
@@ -479,7 +483,7 @@
         reply(job.peer(), job.relay(), Outcome.SUCCEEDED);
     }
 
-    private void cancel(Peer peer, long number) {
+    private void cancel(PeerConnection peer, long number) {
         if (nature.dropsCancelled()) {
             synchronized (this) {
                 waiting.removeIf(j -> j.peer() == peer && j.relay().getNumber() == number);
@@ -487,13 +491,13 @@
         }
     }
 
-    private void probe(Peer peer, long number) {
+    private void probe(PeerConnection peer, long number) {
         if (!hangs && !fallen && up) {
             Load load;
             long in;
             synchronized (this) {
                 load = load();
-                in = Math.max(0, stillUntil - world.micros());
+                in = Math.max(0, stillUntil - world.monotonicMicros());
             }
             Frame answer =
                     Frame.newBuilder()
@@ -506,14 +510,15 @@
     private Load load() {
         return nature.tells()
                 ? Load.newBuilder()
-                        .setWaiting(waiting.size())
+                        .setQueueLength(waiting.size())
                         .setBusy(running.size() / (double) nature.cores())
                         .build()
                 : Load.getDefaultInstance();
     }
 
-    private void reply(Peer peer, Relay relay, Outcome outcome) {
-        Reply.Builder reply = Reply.newBuilder().setNumber(relay.getNumber()).setOutcome(outcome);
+    private void reply(PeerConnection peer, Attempt relay, Outcome outcome) {
+        AttemptReply.Builder reply =
+                AttemptReply.newBuilder().setNumber(relay.getNumber()).setOutcome(outcome);
         synchronized (this) {
             reply.setLoad(load());
         }
@@ -521,7 +526,7 @@
             reply.setPayload(
                     ByteString.copyFrom(new byte[(int) Math.min(4096, 64 * relay.getUnits())]));
         }
-        peer.send(Frame.newBuilder().setReply(reply).build());
+        peer.send(Frame.newBuilder().setAttemptReply(reply).build());
     }
 
     /**
--- a/standins/src/main/java/milletyoke/standins/Nature.java
+++ b/standins/src/main/java/milletyoke/standins/TargetBehavior.java
@@ -27,7 +27,7 @@
  *     time alone
  * @param work how the work of one access varies round its mean
  */
-public record Nature(
+public record TargetBehavior(
         int cores,
         double speed,
         long unit,
@@ -53,7 +53,7 @@
     /**
      * One that loses nothing in a crowd, takes connections for nothing and warms up by time alone.
      */
-    public Nature(
+    public TargetBehavior(
             int cores,
             double speed,
             long unit,
--- a/wire/src/main/java/milletyoke/wire/Line.java
+++ b/wire/src/main/java/milletyoke/wire/Connection.java
@@ -3,7 +3,7 @@
 import milletyoke.wire.proto.Frame;
 
 /** A connection as its user sees it: sockets in service, something else under a virtual clock. */
-public interface Line {
+public interface Connection {
     /** Unique in this process. */
     int id();
 
@@ -20,7 +20,7 @@
      * turn leave in one write. Only the one thread that also flushes may post; what others send
      * meanwhile may leave before.
      */
-    default boolean post(Frame frame) {
+    default boolean enqueue(Frame frame) {
         return send(frame);
     }
 
@@ -28,7 +28,7 @@
     default void flush() {}
 
     /** Tells the peer why and closes; what waits to be sent may be lost. */
-    void bye(String why);
+    void closeWithReason(String why);
 
     /** Closes at once; the handler is told, once. */
     void close(String why);
--- a/wire/src/main/java/milletyoke/wire/World.java
+++ b/wire/src/main/java/milletyoke/wire/ExecutionEnvironment.java
@@ -5,20 +5,20 @@
 
 /**
  * What the product's parts stand on: clock, timers, connections, and what runs a loop. In service
- * that is this machine ({@link Sockets}); in the lab it is one seeded queue of events in virtual
- * time. All times are microseconds.
+ * that is this machine ({@link SocketEnvironment}); in the lab it is one seeded queue of events in
+ * virtual time. All times are microseconds.
  */
-public interface World {
+public interface ExecutionEnvironment {
     /** Never goes back. */
-    long micros();
+    long monotonicMicros();
 
     /** The time of day, on which starts of targets are told. */
-    long timeOfDay();
+    long wallClockMicros();
 
-    Net net(String name, int threads, Tap tap) throws IOException;
+    Network openNetwork(String name, int threads, FrameObserver tap) throws IOException;
 
     /** Timers; tasks of one that has one thread come one after another. */
-    ScheduledExecutorService clockwork(String name, int threads);
+    ScheduledExecutorService newTimerExecutor(String name, int threads);
 
     /**
      * Whether time is made up: nothing may wait then but by {@link #sleep}, and that only outside
@@ -34,14 +34,14 @@
      * is virtual.
      *
      * @param work relays and their replies alone
-     * @param micros for how long
+     * @param monotonicMicros for how long
      */
-    default void cut(String from, String to, boolean work, long micros) {
+    default void partition(String from, String to, boolean work, long micros) {
         throw new UnsupportedOperationException("sockets of this machine cannot be cut");
     }
 
     /** Moves the time of day, forward or back; only where the world is virtual. */
-    default void stepClock(long micros) {
+    default void adjustWallClock(long micros) {
         throw new UnsupportedOperationException(
                 "the time of day of this machine is not ours to set");
     }
@@ -50,18 +50,18 @@
      * Null where a loop has a thread of its own; else what runs its turns whenever it is woken or
      * due.
      */
-    Drive drive(Turns turns);
+    LoopDriver newLoopDriver(LoopTask turns);
 
     /** A loop without a thread. */
-    interface Turns {
+    interface LoopTask {
         /**
          * Takes what there is to do now; returns when it is due again if nothing wakes it before,
          * Long.MAX_VALUE for never.
          */
-        long advance();
+        long runOnce();
     }
 
-    interface Drive {
+    interface LoopDriver {
         void wakeUp();
     }
 }
--- a/wire/src/main/java/milletyoke/wire/FrameFilter.java
+++ b/wire/src/main/java/milletyoke/wire/FrameFilter.java
@@ -24,7 +24,7 @@
     @Override
     public NextAction handleRead(FilterChainContext ctx) throws IOException {
         Buffer bytes = ctx.getMessage();
-        Peer peer = PeerFilter.peerOf(ctx.getConnection());
+        PeerConnection peer = PeerFilter.peerOf(ctx.getConnection());
         if (peer == null) {
             bytes.tryDispose(); // it was turned away as it came
             return ctx.getStopAction();
--- a/wire/src/main/java/milletyoke/wire/Tap.java
+++ b/wire/src/main/java/milletyoke/wire/FrameObserver.java
@@ -8,11 +8,11 @@
  * thread does so.
  */
 @FunctionalInterface
-public interface Tap {
-    Tap NONE = (peer, direction, frame) -> {};
+public interface FrameObserver {
+    FrameObserver NONE = (peer, direction, frame) -> {};
 
     /**
      * @param frame null where the direction tells that the connection opened or closed
      */
-    void saw(Peer peer, Direction direction, Frame frame);
+    void onFrame(PeerConnection peer, Direction direction, Frame frame);
 }
--- a/wire/src/main/java/milletyoke/wire/Net.java
+++ b/wire/src/main/java/milletyoke/wire/Network.java
@@ -5,7 +5,7 @@
 import milletyoke.wire.proto.Role;
 
 /** One participant's listeners and connections: sockets in service, a model of them in the lab. */
-public interface Net extends AutoCloseable {
+public interface Network extends AutoCloseable {
     /** A bound address. */
     interface Listener {
         int port();
@@ -15,8 +15,8 @@
     }
 
     /** A connection in the making, which can be given up. */
-    interface Attempt {
-        void giveUp();
+    interface ConnectAttempt {
+        void cancel();
     }
 
     /**
@@ -24,19 +24,19 @@
      *
      * @throws IOException where the address cannot be had, with a message that names it
      */
-    Listener listen(String host, int port, Role role, PeerHandler handler, Bounds bounds)
+    Listener listen(String host, int port, Role role, PeerListener handler, FrameLimits bounds)
             throws IOException;
 
     /**
      * Connects without waiting; the handler's ready tells of success, {@code failed} of the reason
      * why not.
      */
-    Attempt connect(
+    ConnectAttempt connect(
             String host,
             int port,
             Role role,
-            PeerHandler handler,
-            Bounds bounds,
+            PeerListener handler,
+            FrameLimits bounds,
             Consumer<String> failed);
 
     /** Drops every connection as a kill would: resets, nothing told to any handler here. */
--- a/wire/src/main/java/milletyoke/wire/Peer.java
+++ b/wire/src/main/java/milletyoke/wire/PeerConnection.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.LongSupplier;
-import milletyoke.wire.proto.Bye;
+import milletyoke.wire.proto.Close;
 import milletyoke.wire.proto.Direction;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.GoingAway;
@@ -15,7 +15,7 @@
 /**
  * The other end of one connection. Any thread may send; the order of sends by one thread is kept.
  */
-public abstract class Peer implements Line {
+public abstract class PeerConnection implements Connection {
     /** The versions of the protocol that this build speaks. */
     static final int LOWEST = 1, HIGHEST = 2;
 
@@ -30,9 +30,9 @@
 
     private final int id;
     private final LongSupplier clock;
-    private final PeerHandler handler;
-    private final Bounds bounds;
-    private final Tap tap;
+    private final PeerListener handler;
+    private final FrameLimits bounds;
+    private final FrameObserver tap;
     private final AtomicLong waitingBytes = new AtomicLong();
     private final AtomicBoolean closed = new AtomicBoolean();
 
@@ -54,7 +54,12 @@
      * @param id unique in its world; a set of peers that is gone over goes in an order that follows
      *     from ids
      */
-    protected Peer(int id, PeerHandler handler, Bounds bounds, Tap tap, LongSupplier clock) {
+    protected PeerConnection(
+            int id,
+            PeerListener handler,
+            FrameLimits bounds,
+            FrameObserver tap,
+            LongSupplier clock) {
         this.id = id;
         this.clock = clock;
         this.handler = handler;
@@ -91,7 +96,7 @@
     /** Tells the peer what it did wrong and closes. */
     void blame(String what) {
         fault = what;
-        bye(what);
+        closeWithReason(what);
     }
 
     /** Bytes handed over that the peer's side has not taken yet. */
@@ -110,7 +115,7 @@
     }
 
     @Override
-    public boolean post(Frame frame) {
+    public boolean enqueue(Frame frame) {
         int size = admit(frame);
         if (size > 0) {
             posted.add(frame);
@@ -140,25 +145,25 @@
         }
         int body = frame.getSerializedSize();
         int size = body + EACH;
-        if (body > bounds.frameBytes()) {
+        if (body > bounds.maxFrameBytes()) {
             throw new IllegalArgumentException(
                     "a frame of "
                             + body
                             + " bytes, "
-                            + bounds.frameBytes()
+                            + bounds.maxFrameBytes()
                             + " are the most on this connection");
         }
-        if (waitingBytes.addAndGet(size) > bounds.waitingBytes()) {
+        if (waitingBytes.addAndGet(size) > bounds.maxUnsentBytes()) {
             waitingBytes.addAndGet(-size);
             // Guards the memory of this process against a peer that asks and does not read. Could
             // harm a peer that
             // stands still for long with much on its way to it; it may connect again.
-            fault = "reads too slowly: over " + bounds.waitingBytes() + " bytes wait for it";
+            fault = "reads too slowly: over " + bounds.maxUnsentBytes() + " bytes wait for it";
             close(fault);
             return 0;
         }
         lastUse = clock.getAsLong();
-        tap.saw(this, Direction.SENT, frame);
+        tap.onFrame(this, Direction.SENT, frame);
         return size;
     }
 
@@ -189,7 +194,10 @@
      */
     public void refuse(String why) {
         refused = true;
-        send(Frame.newBuilder().setBye(Bye.newBuilder().setWhy(why).setNothingTaken(true)).build());
+        send(
+                Frame.newBuilder()
+                        .setClose(Close.newBuilder().setReason(why).setNothingProcessed(true))
+                        .build());
         close(why);
     }
 
@@ -199,7 +207,7 @@
     }
 
     @Override
-    public void bye(String why) {
+    public void closeWithReason(String why) {
         send(byeFrame(why));
         close(why);
     }
@@ -214,7 +222,7 @@
         return knowsGoingAway()
                 && send(
                         Frame.newBuilder()
-                                .setGoingAway(GoingAway.newBuilder().setWhy(why))
+                                .setGoingAway(GoingAway.newBuilder().setReason(why))
                                 .build());
     }
 
@@ -223,15 +231,15 @@
     }
 
     static Frame byeFrame(String why) {
-        return Frame.newBuilder().setBye(Bye.newBuilder().setWhy(why)).build();
+        return Frame.newBuilder().setClose(Close.newBuilder().setReason(why)).build();
     }
 
     @Override
     public void close(String why) {
         if (closed.compareAndSet(false, true)) {
             disconnect();
-            tap.saw(this, Direction.CLOSED, null);
-            handler.closed(this, why);
+            tap.onFrame(this, Direction.CLOSED, null);
+            handler.onClosed(this, why);
         }
     }
 
@@ -242,7 +250,7 @@
     public void reset() {
         if (closed.compareAndSet(false, true)) {
             cut();
-            tap.saw(this, Direction.CLOSED, null);
+            tap.onFrame(this, Direction.CLOSED, null);
         }
     }
 
@@ -264,33 +272,34 @@
         if (closed.get() || refused) {
             return;
         }
-        tap.saw(this, Direction.GOT, frame);
+        tap.onFrame(this, Direction.GOT, frame);
         try {
             if (!greeted) {
                 welcome(frame);
-                handler.ready(this);
-            } else if (frame.getBodyCase() == Frame.BodyCase.BYE) {
-                tookNothing = frame.getBye().getNothingTaken();
-                close("the peer left: " + frame.getBye().getWhy());
+                handler.onReady(this);
+            } else if (frame.getBodyCase() == Frame.BodyCase.CLOSE) {
+                tookNothing = frame.getClose().getNothingProcessed();
+                close("the peer left: " + frame.getClose().getReason());
             } else if (frame.getBodyCase() == Frame.BodyCase.GOING_AWAY) {
-                handler.goingAway(this, frame.getGoingAway().getWhy());
+                handler.onGoingAway(this, frame.getGoingAway().getReason());
             } else if (frame.getBodyCase() == Frame.BodyCase.BODY_NOT_SET) {
-                throw new BadFrame("a frame with no body this version knows");
+                throw new MalformedFrameException("a frame with no body this version knows");
             } else {
-                handler.got(this, frame);
+                handler.onFrame(this, frame);
             }
-        } catch (BadFrame bad) {
+        } catch (MalformedFrameException bad) {
             blame(bad.getMessage());
         }
     }
 
-    private void welcome(Frame frame) throws BadFrame {
+    private void welcome(Frame frame) throws MalformedFrameException {
         if (frame.getBodyCase() != Frame.BodyCase.HELLO) {
-            throw new BadFrame("the first frame must be a hello, not " + frame.getBodyCase());
+            throw new MalformedFrameException(
+                    "the first frame must be a hello, not " + frame.getBodyCase());
         }
         Hello hello = frame.getHello();
         if (hello.getHighestVersion() < LOWEST || hello.getLowestVersion() > HIGHEST) {
-            throw new BadFrame(
+            throw new MalformedFrameException(
                     "versions "
                             + hello.getLowestVersion()
                             + " to "
@@ -302,7 +311,7 @@
                             + " are spoken here");
         }
         if (hello.getName().length() > 200) {
-            throw new BadFrame("a name of over 200 characters");
+            throw new MalformedFrameException("a name of over 200 characters");
         }
         name = hello.getName();
         role = hello.getRole();
@@ -316,19 +325,19 @@
     }
 
     int frameBytes() {
-        return bounds.frameBytes();
+        return bounds.maxFrameBytes();
     }
 
     /** Closes what has been idle, or half received, for too long. */
     void look(long now) {
-        if (partialSince > 0 && now - partialSince > bounds.partialMicros()) {
+        if (partialSince > 0 && now - partialSince > bounds.partialFrameTimeoutMicros()) {
             blame(
                     (greeted ? "half a frame" : "no hello")
                             + " for "
-                            + bounds.partialMicros() / 1000
+                            + bounds.partialFrameTimeoutMicros() / 1000
                             + " ms");
-        } else if (bounds.idleMicros() > 0 && now - lastUse > bounds.idleMicros()) {
-            bye("idle for " + bounds.idleMicros() / 1000 + " ms");
+        } else if (bounds.idleTimeoutMicros() > 0 && now - lastUse > bounds.idleTimeoutMicros()) {
+            closeWithReason("idle for " + bounds.idleTimeoutMicros() / 1000 + " ms");
         }
     }
 
--- a/wire/src/main/java/milletyoke/wire/PeerFilter.java
+++ b/wire/src/main/java/milletyoke/wire/PeerFilter.java
@@ -11,19 +11,25 @@
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
 
-/** The last filter: gives each connection its {@link Peer} and hands frames to it. */
+/** The last filter: gives each connection its {@link PeerConnection} and hands frames to it. */
 final class PeerFilter extends BaseFilter {
-    private static final Attribute<Peer> PEER =
+    private static final Attribute<PeerConnection> PEER =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("milletyoke.peer");
 
-    private final Wire wire;
-    private final PeerHandler handler;
-    private final Bounds bounds;
-    private final Tap tap;
+    private final SocketNetwork wire;
+    private final PeerListener handler;
+    private final FrameLimits bounds;
+    private final FrameObserver tap;
     private final Role role;
     private final String name;
 
-    PeerFilter(Wire wire, Role role, String name, PeerHandler handler, Bounds bounds, Tap tap) {
+    PeerFilter(
+            SocketNetwork wire,
+            Role role,
+            String name,
+            PeerListener handler,
+            FrameLimits bounds,
+            FrameObserver tap) {
         this.wire = wire;
         this.role = role;
         this.name = name;
@@ -32,7 +38,7 @@
         this.tap = tap;
     }
 
-    static Peer peerOf(Connection<?> connection) {
+    static PeerConnection peerOf(Connection<?> connection) {
         return PEER.get(connection);
     }
 
@@ -53,10 +59,10 @@
     }
 
     private void opened(Connection<?> connection) {
-        Peer peer = new SocketPeer(connection, handler, bounds, tap);
+        PeerConnection peer = new SocketPeerConnection(connection, handler, bounds, tap);
         PEER.set(connection, peer);
         wire.add(peer);
-        tap.saw(peer, Direction.OPENED, null);
+        tap.onFrame(peer, Direction.OPENED, null);
         connection.addCloseListener(
                 (closeable, type) -> {
                     wire.remove(peer);
@@ -75,7 +81,7 @@
 
     @Override
     public void exceptionOccurred(FilterChainContext ctx, Throwable error) {
-        Peer peer = peerOf(ctx.getConnection());
+        PeerConnection peer = peerOf(ctx.getConnection());
         if (peer != null) {
             peer.close("reading failed: " + error);
         }
--- a/wire/src/main/java/milletyoke/wire/Sockets.java
+++ b/wire/src/main/java/milletyoke/wire/SocketEnvironment.java
@@ -9,24 +9,24 @@
  * This machine: its monotonic clock, its sockets, threads of its own for every loop. Holds no
  * state.
  */
-public final class Sockets implements World {
+public final class SocketEnvironment implements ExecutionEnvironment {
     @Override
-    public long micros() {
-        return Wire.micros();
+    public long monotonicMicros() {
+        return SocketNetwork.micros();
     }
 
     @Override
-    public long timeOfDay() {
+    public long wallClockMicros() {
         return System.currentTimeMillis() * 1000;
     }
 
     @Override
-    public Net net(String name, int threads, Tap tap) throws IOException {
-        return new Wire(name, threads, tap);
+    public Network openNetwork(String name, int threads, FrameObserver tap) throws IOException {
+        return new SocketNetwork(name, threads, tap);
     }
 
     @Override
-    public ScheduledExecutorService clockwork(String name, int threads) {
+    public ScheduledExecutorService newTimerExecutor(String name, int threads) {
         return new ScheduledThreadPoolExecutor(
                 threads,
                 task -> {
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public Drive drive(Turns turns) {
+    public LoopDriver newLoopDriver(LoopTask turns) {
         return null;
     }
 }
--- a/wire/src/main/java/milletyoke/wire/Wire.java
+++ b/wire/src/main/java/milletyoke/wire/SocketNetwork.java
@@ -23,7 +23,7 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /** One participant's sockets: its listeners, its connections and the threads that serve them. */
-public final class Wire implements Net {
+public final class SocketNetwork implements Network {
     /**
      * What was handed over before a clean end has this long to be taken by its readers
      * (microseconds).
@@ -36,15 +36,15 @@
     private final TCPNIOTransport transport;
     private final int mostPeers;
     private final String name;
-    private final Tap tap;
-    private final Set<Peer> peers = ConcurrentHashMap.newKeySet();
+    private final FrameObserver tap;
+    private final Set<PeerConnection> peers = ConcurrentHashMap.newKeySet();
     private final ScheduledExecutorService looks;
 
     /**
      * @param name what this participant calls itself in its hellos
      * @param threads threads that serve its sockets
      */
-    public Wire(String name, int threads, Tap tap) throws IOException {
+    public SocketNetwork(String name, int threads, FrameObserver tap) throws IOException {
         this(name, threads, tap, MOST_PEERS);
     }
 
@@ -52,7 +52,8 @@
      * @param mostPeers connections at once; a further one that comes in is closed and nothing is
      *     kept of it
      */
-    public Wire(String name, int threads, Tap tap, int mostPeers) throws IOException {
+    public SocketNetwork(String name, int threads, FrameObserver tap, int mostPeers)
+            throws IOException {
         this.mostPeers = mostPeers;
         this.name = name;
         this.tap = tap;
@@ -88,7 +89,8 @@
     }
 
     @Override
-    public Net.Listener listen(String host, int port, Role role, PeerHandler handler, Bounds bounds)
+    public Network.Listener listen(
+            String host, int port, Role role, PeerListener handler, FrameLimits bounds)
             throws IOException {
         try {
             TCPNIOServerConnection server =
@@ -102,19 +104,19 @@
     }
 
     private org.glassfish.grizzly.nio.transport.TCPNIOBindingHandler binder(
-            Role role, PeerHandler handler, Bounds bounds) {
+            Role role, PeerListener handler, FrameLimits bounds) {
         return org.glassfish.grizzly.nio.transport.TCPNIOBindingHandler.builder(transport)
                 .processor(chain(role, handler, bounds))
                 .build();
     }
 
     @Override
-    public Net.Attempt connect(
+    public Network.ConnectAttempt connect(
             String host,
             int port,
             Role role,
-            PeerHandler handler,
-            Bounds bounds,
+            PeerListener handler,
+            FrameLimits bounds,
             Consumer<String> failed) {
         var connector =
                 TCPNIOConnectorHandler.builder(transport)
@@ -142,7 +144,7 @@
         return attempt;
     }
 
-    private FilterChain chain(Role role, PeerHandler handler, Bounds bounds) {
+    private FilterChain chain(Role role, PeerListener handler, FrameLimits bounds) {
         return FilterChainBuilder.stateless()
                 .add(new TransportFilter())
                 .add(new FrameFilter())
@@ -155,11 +157,11 @@
         return peers.size() >= mostPeers;
     }
 
-    void add(Peer peer) {
+    void add(PeerConnection peer) {
         peers.add(peer);
     }
 
-    void remove(Peer peer) {
+    void remove(PeerConnection peer) {
         peers.remove(peer);
     }
 
@@ -171,7 +173,7 @@
     public void abort() {
         looks.shutdownNow();
         transport.unbindAll();
-        peers.forEach(Peer::reset);
+        peers.forEach(PeerConnection::reset);
         shutdown();
     }
 
@@ -179,7 +181,7 @@
     public void close() {
         looks.shutdownNow();
         transport.unbindAll();
-        peers.forEach(p -> p.send(Peer.byeFrame("shutting down")));
+        peers.forEach(p -> p.send(PeerConnection.byeFrame("shutting down")));
         long until = micros() + LAST_WRITES;
         while (micros() < until
                 && peers.stream().anyMatch(p -> p.isOpen() && p.waitingBytes() > 0)) {
@@ -198,7 +200,7 @@
     }
 
     /** A connection in the making, which can be given up. */
-    private static final class Making implements Net.Attempt {
+    private static final class Making implements Network.ConnectAttempt {
         private Connection<?> made;
         private boolean givenUp;
 
@@ -210,7 +212,7 @@
         }
 
         @Override
-        public synchronized void giveUp() {
+        public synchronized void cancel() {
             givenUp = true;
             if (made != null) {
                 made.closeSilently();
@@ -219,7 +221,8 @@
     }
 
     /** A bound address. */
-    private record Bound(Wire wire, TCPNIOServerConnection server) implements Net.Listener {
+    private record Bound(SocketNetwork wire, TCPNIOServerConnection server)
+            implements Network.Listener {
         @Override
         public int port() {
             SocketAddress local = server.getLocalAddress();
