--- a/wire/src/main/java/milletyoke/wire/SocketPeer.java
+++ b/wire/src/main/java/milletyoke/wire/SocketPeerConnection.java
@@ -13,14 +13,15 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /** A peer at the other end of a TCP connection. */
-final class SocketPeer extends Peer {
+final class SocketPeerConnection extends PeerConnection {
     private static final AtomicInteger NEXT = new AtomicInteger();
 
     private final Connection<SocketAddress> connection;
 
     @SuppressWarnings("unchecked") // a TCP connection's addresses are socket addresses
-    SocketPeer(Connection<?> connection, PeerHandler handler, Bounds bounds, Tap tap) {
-        super(NEXT.incrementAndGet(), handler, bounds, tap, Wire::micros);
+    SocketPeerConnection(
+            Connection<?> connection, PeerListener handler, FrameLimits bounds, FrameObserver tap) {
+        super(NEXT.incrementAndGet(), handler, bounds, tap, SocketNetwork::micros);
         this.connection = (Connection<SocketAddress>) connection;
     }
 
--- a/wire/src/main/java/milletyoke/wire/capture/CaptureWriter.java
+++ b/wire/src/main/java/milletyoke/wire/capture/CaptureWriter.java
@@ -12,7 +12,7 @@
 import java.util.zip.CRC32C;
 import milletyoke.wire.capture.proto.Block;
 import milletyoke.wire.capture.proto.Came;
-import milletyoke.wire.proto.Access;
+import milletyoke.wire.proto.Request;
 
 /**
  * Writes what comes in, in blocks. Whoever serves sockets only adds to a block in memory; another
@@ -56,7 +56,7 @@
     }
 
     /** An access came. @param now microseconds, on one clock for all calls */
-    public synchronized void came(long now, Access a) {
+    public synchronized void came(long now, Request a) {
         if (block.getCameCount() >= MOST_WAITING || waitingText >= MOST_WAITING_TEXT) {
             block.setLeftOut(block.getLeftOut() + 1);
             return;
@@ -67,12 +67,12 @@
                         .setAfter(at - last)
                         .setVolume(name(a.getVolume()))
                         .setPlan(name(a.getPlan()))
-                        .setCategory(name(a.getCategory()))
+                        .setCategory(name(a.getRequestClass()))
                         .setExtent(name(a.getExtent()))
                         .setShard(a.hasShard() ? a.getShard() + 1 : 0)
-                        .setHosts(a.getHosts())
+                        .setHosts(a.getInitiatorCount())
                         .setUnits(a.getUnits())
-                        .setTimeLeft(Math.max(0, a.getTimeLeft()))
+                        .setTimeLeft(Math.max(0, a.getTimeLeftMicros()))
                         .setWrite(a.getWrite())
                         .setPayload(a.getPayload().size()));
         last = at;
--- a/wire/src/main/java/milletyoke/wire/capture/Traffic.java
+++ b/wire/src/main/java/milletyoke/wire/capture/CapturedTraffic.java
@@ -17,10 +17,11 @@
 /**
  * Captured traffic of one initiator, read whole.
  *
- * @param leftOut accesses that came and are not in it
- * @param whole false where the end was cut off or damaged; what stands before it is used
+ * @param omitted accesses that came and are not in it
+ * @param complete false where the end was cut off or damaged; what stands before it is used
  */
-public record Traffic(String initiator, List<One> accesses, long leftOut, boolean whole) {
+public record CapturedTraffic(
+        String initiator, List<CapturedRequest> requests, long omitted, boolean complete) {
     private static final int LARGEST_BLOCK = 256 << 20;
 
     /**
@@ -29,7 +30,7 @@
      * @param at microseconds since the capture began
      * @param shard -1 for a new object
      */
-    public record One(
+    public record CapturedRequest(
             long at,
             String volume,
             String plan,
@@ -46,7 +47,7 @@
      * @throws IOException where it is no capture of a version that is known, or a whole block says
      *     what cannot be
      */
-    public static Traffic read(Path file) throws IOException {
+    public static CapturedTraffic read(Path file) throws IOException {
         try (DataInputStream in =
                 new DataInputStream(new BufferedInputStream(Files.newInputStream(file), 1 << 16))) {
             byte[] beginning = in.readNBytes(CaptureWriter.BEGINNING.length);
@@ -54,7 +55,7 @@
                 throw new IOException(file + ": not captured traffic of version 1");
             }
             List<String> names = new ArrayList<>(List.of(""));
-            List<One> all = new ArrayList<>();
+            List<CapturedRequest> all = new ArrayList<>();
             String initiator = "";
             long at = 0;
             long leftOut = 0;
@@ -76,7 +77,7 @@
                 for (Came c : block.getCameList()) {
                     at += c.getAfter();
                     all.add(
-                            new One(
+                            new CapturedRequest(
                                     at,
                                     name(names, c.getVolume(), file, number),
                                     name(names, c.getPlan(), file, number),
@@ -90,7 +91,7 @@
                                     c.getPayload()));
                 }
             }
-            return new Traffic(initiator, List.copyOf(all), leftOut, whole);
+            return new CapturedTraffic(initiator, List.copyOf(all), leftOut, whole);
         }
     }
 
--- a/wire/src/main/java/milletyoke/wire/record/Recorder.java
+++ b/wire/src/main/java/milletyoke/wire/recording/Recorder.java
@@ -1,4 +1,4 @@
-package milletyoke.wire.record;
+package milletyoke.wire.recording;
 
 import com.google.protobuf.ByteString;
 import java.io.BufferedOutputStream;
@@ -14,8 +14,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import milletyoke.wire.Peer;
-import milletyoke.wire.Tap;
+import milletyoke.wire.FrameObserver;
+import milletyoke.wire.PeerConnection;
 import milletyoke.wire.proto.Direction;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Note;
@@ -46,15 +46,15 @@
     }
 
     /** What one participant's connections see is recorded under its name. */
-    public Tap tap(String witness) {
+    public FrameObserver tap(String witness) {
         return (peer, direction, frame) -> saw(witness, peer, direction, frame);
     }
 
-    private void saw(String witness, Peer peer, Direction direction, Frame frame) {
+    private void saw(String witness, PeerConnection peer, Direction direction, Frame frame) {
         Record.Builder record =
                 Record.newBuilder()
-                        .setAt(clock.getAsLong())
-                        .setWitness(witness)
+                        .setAtMicros(clock.getAsLong())
+                        .setObserver(witness)
                         .setPeer(peer.name())
                         .setConnection(peer.id())
                         .setDirection(direction);
@@ -66,36 +66,36 @@
 
     private static Frame bare(Frame frame) {
         return switch (frame.getBodyCase()) {
-            case ACCESS ->
-                    frame.getAccess().getPayload().isEmpty()
+            case REQUEST ->
+                    frame.getRequest().getPayload().isEmpty()
                             ? frame
                             : frame.toBuilder()
-                                    .setAccess(
-                                            frame.getAccess().toBuilder()
+                                    .setRequest(
+                                            frame.getRequest().toBuilder()
                                                     .setPayload(ByteString.EMPTY))
                                     .build();
-            case RELAY ->
-                    frame.getRelay().getPayload().isEmpty()
+            case ATTEMPT ->
+                    frame.getAttempt().getPayload().isEmpty()
                             ? frame
                             : frame.toBuilder()
-                                    .setRelay(
-                                            frame.getRelay().toBuilder()
+                                    .setAttempt(
+                                            frame.getAttempt().toBuilder()
                                                     .setPayload(ByteString.EMPTY))
                                     .build();
-            case ANSWER ->
-                    frame.getAnswer().getPayload().isEmpty()
+            case RESPONSE ->
+                    frame.getResponse().getPayload().isEmpty()
                             ? frame
                             : frame.toBuilder()
-                                    .setAnswer(
-                                            frame.getAnswer().toBuilder()
+                                    .setResponse(
+                                            frame.getResponse().toBuilder()
                                                     .setPayload(ByteString.EMPTY))
                                     .build();
-            case REPLY ->
-                    frame.getReply().getPayload().isEmpty()
+            case ATTEMPT_REPLY ->
+                    frame.getAttemptReply().getPayload().isEmpty()
                             ? frame
                             : frame.toBuilder()
-                                    .setReply(
-                                            frame.getReply().toBuilder()
+                                    .setAttemptReply(
+                                            frame.getAttemptReply().toBuilder()
                                                     .setPayload(ByteString.EMPTY))
                                     .build();
             default -> frame;
@@ -106,8 +106,8 @@
     public void note(String witness, Note.Kind kind, String text, double figure) {
         put(
                 Record.newBuilder()
-                        .setAt(clock.getAsLong())
-                        .setWitness(witness)
+                        .setAtMicros(clock.getAsLong())
+                        .setObserver(witness)
                         .setNote(Note.newBuilder().setKind(kind).setText(text).setFigure(figure))
                         .build());
     }
--- a/wire/src/test/java/milletyoke/wire/CaptureTest.java
+++ b/wire/src/test/java/milletyoke/wire/CaptureTest.java
@@ -12,8 +12,8 @@
 import java.util.Arrays;
 import java.util.SplittableRandom;
 import milletyoke.wire.capture.CaptureWriter;
-import milletyoke.wire.capture.Traffic;
-import milletyoke.wire.proto.Access;
+import milletyoke.wire.capture.CapturedTraffic;
+import milletyoke.wire.proto.Request;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -27,14 +27,14 @@
         try (CaptureWriter writer = new CaptureWriter(file, "i-1", 5_000)) {
             for (int b = 0; b < blocks; b++) {
                 for (int n = 0; n < each; n++) {
-                    Access.Builder a =
-                            Access.newBuilder()
+                    Request.Builder a =
+                            Request.newBuilder()
                                     .setVolume("v" + chance.nextInt(9))
                                     .setPlan("p")
-                                    .setCategory("c")
+                                    .setRequestClass("c")
                                     .setUnits(n)
-                                    .setHosts(2)
-                                    .setTimeLeft(100 + n)
+                                    .setInitiatorCount(2)
+                                    .setTimeLeftMicros(100 + n)
                                     .setPayload(ByteString.copyFrom(new byte[n]));
                     writer.came(
                             5_000 + b * 1_000L + n,
@@ -48,17 +48,17 @@
 
     @Test
     void whatCameComesBack() throws IOException {
-        Traffic t = Traffic.read(written(3, 50));
+        CapturedTraffic t = CapturedTraffic.read(written(3, 50));
         assertEquals("i-1", t.initiator());
-        assertTrue(t.whole());
-        assertEquals(150, t.accesses().size());
-        Traffic.One one = t.accesses().get(101);
+        assertTrue(t.complete());
+        assertEquals(150, t.requests().size());
+        CapturedTraffic.CapturedRequest one = t.requests().get(101);
         assertEquals(2_001, one.at());
         assertEquals(1, one.shard());
         assertEquals("x1", one.extent());
         assertEquals(1, one.payload());
-        assertEquals(-1, t.accesses().get(100).shard());
-        assertEquals("", t.accesses().get(100).extent());
+        assertEquals(-1, t.requests().get(100).shard());
+        assertEquals("", t.requests().get(100).extent());
     }
 
     /**
@@ -73,17 +73,17 @@
             for (int n = 0; n < asked; n++) {
                 writer.came(
                         n,
-                        Access.newBuilder()
+                        Request.newBuilder()
                                 .setVolume("v" + n + "x".repeat(500))
                                 .setPlan("p")
-                                .setCategory("c")
+                                .setRequestClass("c")
                                 .build());
             }
         }
-        Traffic t = Traffic.read(file);
-        assertEquals(asked, t.accesses().size() + t.leftOut());
+        CapturedTraffic t = CapturedTraffic.read(file);
+        assertEquals(asked, t.requests().size() + t.omitted());
         assertTrue(
-                t.leftOut() > asked / 2 && Files.size(file) < 9 << 20,
+                t.omitted() > asked / 2 && Files.size(file) < 9 << 20,
                 "8 MiB of names wait at the most");
     }
 
@@ -93,9 +93,9 @@
         for (int length = 8; length < all.length; length++) {
             Path cut = folder.resolve("cut");
             Files.write(cut, Arrays.copyOf(all, length));
-            Traffic t = Traffic.read(cut);
-            assertEquals(0, t.accesses().size() % 20, "blocks are whole or not there");
-            assertTrue(t.accesses().size() < 80);
+            CapturedTraffic t = CapturedTraffic.read(cut);
+            assertEquals(0, t.requests().size() % 20, "blocks are whole or not there");
+            assertTrue(t.requests().size() < 80);
         }
     }
 
@@ -103,18 +103,18 @@
     void aFlippedBitIsNeverTakenForTraffic() throws IOException {
         Path file = written(2, 20);
         byte[] all = Files.readAllBytes(file);
-        Traffic sound = Traffic.read(file);
+        CapturedTraffic sound = CapturedTraffic.read(file);
         for (int at = 8; at < all.length; at++) {
             byte[] bad = all.clone();
             bad[at] ^= 1 << at % 8;
             Files.write(folder.resolve("bad"), bad);
-            Traffic t = Traffic.read(folder.resolve("bad"));
-            assertFalse(t.whole());
-            assertEquals(sound.accesses().subList(0, t.accesses().size()), t.accesses());
+            CapturedTraffic t = CapturedTraffic.read(folder.resolve("bad"));
+            assertFalse(t.complete());
+            assertEquals(sound.requests().subList(0, t.requests().size()), t.requests());
         }
         assertThrows(
                 IOException.class,
-                () -> Traffic.read(Files.write(folder.resolve("other"), new byte[40])));
+                () -> CapturedTraffic.read(Files.write(folder.resolve("other"), new byte[40])));
         assertThrows(
                 IOException.class,
                 () -> new CaptureWriter(file, "i", 0),
--- a/wire/src/test/java/milletyoke/wire/WireTest.java
+++ b/wire/src/test/java/milletyoke/wire/SocketNetworkTest.java
@@ -13,15 +13,15 @@
 
 /** A participant's connections are bounded, and a place that comes free may be taken again. */
 @Timeout(30)
-class WireTest implements PeerHandler {
+class SocketNetworkTest implements PeerListener {
     @Override
-    public void ready(Peer peer) {}
+    public void onReady(PeerConnection peer) {}
 
     @Override
-    public void got(Peer peer, Frame frame) {}
+    public void onFrame(PeerConnection peer, Frame frame) {}
 
     @Override
-    public void closed(Peer peer, String why) {}
+    public void onClosed(PeerConnection peer, String why) {}
 
     private static boolean greeted(Socket socket) throws Exception {
         socket.setSoTimeout(5_000);
@@ -34,8 +34,9 @@
 
     @Test
     void connectionsBeyondTheBoundAreClosedAsTheyCome() throws Exception {
-        try (Wire wire = new Wire("test", 1, Tap.NONE, 2)) {
-            int port = wire.listen("127.0.0.1", 0, Role.INITIATOR, this, Bounds.USUAL).port();
+        try (SocketNetwork wire = new SocketNetwork("test", 1, FrameObserver.NONE, 2)) {
+            int port =
+                    wire.listen("127.0.0.1", 0, Role.INITIATOR, this, FrameLimits.DEFAULT).port();
             List<Socket> open = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
                 open.add(new Socket("127.0.0.1", port));
@@ -67,40 +68,40 @@
         java.util.SplittableRandom chance = new java.util.SplittableRandom(1);
         java.util.concurrent.BlockingQueue<Frame> came =
                 new java.util.concurrent.LinkedBlockingQueue<>();
-        java.util.concurrent.BlockingQueue<Peer> ready =
+        java.util.concurrent.BlockingQueue<PeerConnection> ready =
                 new java.util.concurrent.LinkedBlockingQueue<>();
-        PeerHandler taking =
-                new PeerHandler() {
+        PeerListener taking =
+                new PeerListener() {
                     @Override
-                    public void ready(Peer peer) {}
+                    public void onReady(PeerConnection peer) {}
 
                     @Override
-                    public void got(Peer peer, Frame frame) {
+                    public void onFrame(PeerConnection peer, Frame frame) {
                         came.add(frame);
                     }
 
                     @Override
-                    public void closed(Peer peer, String why) {}
+                    public void onClosed(PeerConnection peer, String why) {}
                 };
-        PeerHandler sending =
-                new PeerHandler() {
+        PeerListener sending =
+                new PeerListener() {
                     @Override
-                    public void ready(Peer peer) {
+                    public void onReady(PeerConnection peer) {
                         ready.add(peer);
                     }
 
                     @Override
-                    public void got(Peer peer, Frame frame) {}
+                    public void onFrame(PeerConnection peer, Frame frame) {}
 
                     @Override
-                    public void closed(Peer peer, String why) {}
+                    public void onClosed(PeerConnection peer, String why) {}
                 };
-        Bounds wide = new Bounds(1 << 20, 1L << 30, 5_000_000, 0);
-        try (Wire server = new Wire("server", 1, Tap.NONE, 4);
-                Wire client = new Wire("client", 1, Tap.NONE, 4)) {
+        FrameLimits wide = new FrameLimits(1 << 20, 1L << 30, 5_000_000, 0);
+        try (SocketNetwork server = new SocketNetwork("server", 1, FrameObserver.NONE, 4);
+                SocketNetwork client = new SocketNetwork("client", 1, FrameObserver.NONE, 4)) {
             int port = server.listen("127.0.0.1", 0, Role.INITIATOR, taking, wide).port();
             client.connect("127.0.0.1", port, Role.CLIENT, sending, wide, why -> {});
-            Peer peer = ready.poll(5, java.util.concurrent.TimeUnit.SECONDS);
+            PeerConnection peer = ready.poll(5, java.util.concurrent.TimeUnit.SECONDS);
             assertTrue(peer != null, "connected");
             List<Frame> sent = new ArrayList<>();
             for (int i = 0; i < frames; i++) {
@@ -112,15 +113,16 @@
                 java.util.Arrays.fill(payload, (byte) i);
                 Frame frame =
                         Frame.newBuilder()
-                                .setAnswer(
-                                        milletyoke.wire.proto.Answer.newBuilder()
+                                .setResponse(
+                                        milletyoke.wire.proto.Response.newBuilder()
                                                 .setNumber(i)
                                                 .setPayload(
                                                         com.google.protobuf.ByteString.copyFrom(
                                                                 payload)))
                                 .build();
                 sent.add(frame);
-                assertTrue(chance.nextInt(50) == 0 ? flushThenSend(peer, frame) : peer.post(frame));
+                assertTrue(
+                        chance.nextInt(50) == 0 ? flushThenSend(peer, frame) : peer.enqueue(frame));
                 if (chance.nextInt(20) == 0) {
                     peer.flush();
                 }
@@ -136,7 +138,7 @@
         }
     }
 
-    private static boolean flushThenSend(Peer peer, Frame frame) {
+    private static boolean flushThenSend(PeerConnection peer, Frame frame) {
         peer.flush();
         return peer.send(frame);
     }
