--- a/cli/src/main/java/milletyoke/cli/AuditCommand.java
+++ b/cli/src/main/java/milletyoke/cli/AuditCommand.java
@@ -16,8 +16,8 @@
 
     @Override
     public Integer call() throws Exception {
-        Audit.Report report = Audit.of(recording);
+        Audit.Report report = Audit.recording(recording);
         System.out.print(report.text(true));
-        return report.clean() ? 0 : 1;
+        return report.isClean() ? 0 : 1;
     }
 }
--- a/cli/src/main/java/milletyoke/cli/CheckCommand.java
+++ b/cli/src/main/java/milletyoke/cli/CheckCommand.java
@@ -23,7 +23,7 @@
             Scenario day = ScenarioParser.read(file);
             System.out.printf(
                     "%s: %d initiators, %d targets, %d troubles: can be played%n",
-                    file, day.initiators(), day.fleet().targets(), day.troubles().size());
+                    file, day.initiators(), day.fleet().targets(), day.faults().size());
         } else {
             InitiatorConfig setup = InitiatorConfig.read(file);
             System.out.printf(
--- a/cli/src/main/java/milletyoke/cli/ConfigCommand.java
+++ b/cli/src/main/java/milletyoke/cli/ConfigCommand.java
@@ -71,7 +71,7 @@
             Checker.Result result = check(file);
             if (json) {
                 List<Map<String, Object>> all = new ArrayList<>();
-                for (Diagnostic f : result.findings()) {
+                for (Diagnostic f : result.diagnostics()) {
                     all.add(
                             Map.of(
                                     "severity",
@@ -92,15 +92,16 @@
                                     f.chain()));
                 }
                 System.out.println(
-                        JSON.writeValueAsString(Map.of("clean", result.clean(), "findings", all)));
+                        JSON.writeValueAsString(
+                                Map.of("clean", result.isValid(), "findings", all)));
             } else {
-                tell(result.findings());
-                long errors = result.findings().stream().filter(Diagnostic::error).count();
+                tell(result.diagnostics());
+                long errors = result.diagnostics().stream().filter(Diagnostic::error).count();
                 System.out.printf(
                         "%d files, %d errors, %d warnings%n",
-                        result.files().size(), errors, result.findings().size() - errors);
+                        result.files().size(), errors, result.diagnostics().size() - errors);
             }
-            return result.clean() ? 0 : 1;
+            return result.isValid() ? 0 : 1;
         }
     }
 
@@ -171,8 +172,8 @@
         @Override
         public Integer call() throws Exception {
             Checker.Result a = check(before), b = check(after);
-            if (!tell(a.findings().stream().filter(Diagnostic::error).toList())
-                    | !tell(b.findings().stream().filter(Diagnostic::error).toList())) {
+            if (!tell(a.diagnostics().stream().filter(Diagnostic::error).toList())
+                    | !tell(b.diagnostics().stream().filter(Diagnostic::error).toList())) {
                 return 2;
             }
             List<FleetDiff.Change> changes = FleetDiff.between(a.fleet(), b.fleet());
@@ -196,7 +197,7 @@
         @Override
         public Integer call() {
             Checker.Result result = check(file);
-            if (!tell(result.findings())) {
+            if (!tell(result.diagnostics())) {
                 return 1;
             }
             System.out.print(result.fleet().show());
--- a/cli/src/main/java/milletyoke/cli/DemoCommand.java
+++ b/cli/src/main/java/milletyoke/cli/DemoCommand.java
@@ -43,13 +43,13 @@
                         day.initiators(),
                         day.fleet().targets(),
                         day.load().rate(),
-                        day.lasts() / 1_000_000);
-                played = stage.play(System.out::println);
+                        day.durationMicros() / 1_000_000);
+                played = stage.run(System.out::println);
             }
             System.out.print(played.service().text());
-            Audit.Report report = Audit.of(recording);
+            Audit.Report report = Audit.recording(recording);
             System.out.print(report.text(true));
-            return report.clean() && played.leftClean() && played.unfinished() == 0 ? 0 : 1;
+            return report.isClean() && played.isShutdownClean() && played.unfinished() == 0 ? 0 : 1;
         } finally {
             Files.deleteIfExists(recording);
         }
--- a/cli/src/main/java/milletyoke/cli/InitiatorCommand.java
+++ b/cli/src/main/java/milletyoke/cli/InitiatorCommand.java
@@ -49,15 +49,18 @@
     public Integer call() throws Exception {
         InitiatorConfig setup = InitiatorConfig.read(config);
         Recorder recorder =
-                record == null ? null : new Recorder(record, milletyoke.wire.SocketNetwork::micros);
+                record == null
+                        ? null
+                        : new Recorder(record, milletyoke.wire.SocketNetwork::monotonicMicros);
         if (recorder != null) {
             recorder.note(setup.name(), Note.Kind.STARTED, "initiator", 0);
         }
         Initiator initiator =
                 Initiator.start(
-                        setup, recorder == null ? FrameObserver.NONE : recorder.tap(setup.name()));
+                        setup,
+                        recorder == null ? FrameObserver.NONE : recorder.observer(setup.name()));
         if (capture != null) {
-            initiator.capture(capture);
+            initiator.captureTo(capture);
         }
         System.out.println(setup.name() + " takes accesses at port " + initiator.port());
         CountDownLatch left = new CountDownLatch(1);
@@ -66,7 +69,7 @@
                         new Thread(
                                 () -> {
                                     try {
-                                        initiator.leave(leaveTime * 1000L);
+                                        initiator.shutDown(leaveTime * 1000L);
                                         if (recorder != null) {
                                             recorder.close();
                                         }
@@ -77,10 +80,10 @@
                                     }
                                     left.countDown();
                                 }));
-        while (!initiator.loop().awaitEnd(1_000)) {
+        while (!initiator.eventLoop().awaitEnd(1_000)) {
             continue;
         }
-        if (initiator.loop().fault() != null) {
+        if (initiator.eventLoop().fault() != null) {
             System.err.println(
                     "milletyoke: the loop failed; all that was held has been broken off");
             Runtime.getRuntime().halt(1);
--- a/cli/src/main/java/milletyoke/cli/LoadCommand.java
+++ b/cli/src/main/java/milletyoke/cli/LoadCommand.java
@@ -118,16 +118,16 @@
                         FrameObserver.NONE);
         for (String text : initiators) {
             Address at = Address.of(text);
-            clients.addDoor(text, at.host(), at.port());
+            clients.addInitiator(text, at.host(), at.port());
         }
-        if (!clients.awaitDoors(5_000)) {
+        if (!clients.awaitConnected(5_000)) {
             System.err.println("milletyoke: no way in within 5 s");
             return 1;
         }
         clients.start();
         for (int second = 1; second <= seconds; second++) {
             Thread.sleep(1_000);
-            System.out.printf("%3d s  %s%n", second, clients.service().brief());
+            System.out.printf("%3d s  %s%n", second, clients.service().summary());
         }
         int left = clients.stop(abandon + 1_000);
         System.out.print(clients.service().text());
--- a/cli/src/main/java/milletyoke/cli/RatesCommand.java
+++ b/cli/src/main/java/milletyoke/cli/RatesCommand.java
@@ -52,11 +52,11 @@
             System.out.printf(
                     "%7d %7d %15.3f %7.2f %9.2f %18.3f %7.2f %9.2f %12.2f %8.2f %12s %26.0f%n",
                     rate,
-                    through.service().askedInAll(),
-                    through.service().whole(),
+                    through.service().totalRequests(),
+                    through.service().overall(),
                     millis(a, 50),
                     millis(a, 99),
-                    straight.service().whole(),
+                    straight.service().overall(),
                     millis(b, 50),
                     millis(b, 99),
                     millis(a, 50) - millis(b, 50),
@@ -78,7 +78,7 @@
     private static ScenarioRunner.ScenarioResult play(Scenario day, boolean straight)
             throws IOException, InterruptedException {
         try (ScenarioRunner stage = new ScenarioRunner(day, null, straight)) {
-            return stage.play(line -> {});
+            return stage.run(line -> {});
         }
     }
 }
--- a/cli/src/main/java/milletyoke/cli/ScenarioCommand.java
+++ b/cli/src/main/java/milletyoke/cli/ScenarioCommand.java
@@ -78,7 +78,7 @@
                     viewers > 0 ? watched(day, recording) : bare(day, recording);
             System.out.print(played.service().text());
             played.counts().forEach(c -> System.out.println("  " + c));
-            Audit.Report report = Audit.of(recording);
+            Audit.Report report = Audit.recording(recording);
             System.out.print(report.text(true));
             System.out.printf(
                     "%d records, %.0f us of CPU for each access, all parts in one process%n",
@@ -86,7 +86,7 @@
             if (straight) {
                 compare(day, played);
             }
-            boolean kept = report.clean() && played.leftClean() && played.unfinished() == 0;
+            boolean kept = report.isClean() && played.isShutdownClean() && played.unfinished() == 0;
             System.out.println(kept ? "kept" : "NOT KEPT");
             return kept;
         } finally {
@@ -102,7 +102,7 @@
             if (capture != null) {
                 stage.capture(capture);
             }
-            return stage.play(quiet ? line -> {} : System.out::println);
+            return stage.run(quiet ? line -> {} : System.out::println);
         }
     }
 
@@ -120,7 +120,7 @@
                 ConsoleViewers onlookers =
                         new ConsoleViewers(stage.initiator(0).consolePort(), token, viewers, 200)) {
             ScenarioRunner.ScenarioResult played =
-                    stage.play(
+                    stage.run(
                             service -> {},
                             () -> {
                                 System.out.println("console: " + onlookers.text());
@@ -130,9 +130,9 @@
                     "service with %d viewers and %d streams %.3f, without %.3f, ratio %.3f%n",
                     viewers,
                     viewers,
-                    played.service().whole(),
-                    alone.service().whole(),
-                    played.service().whole() / alone.service().whole());
+                    played.service().overall(),
+                    alone.service().overall(),
+                    played.service().overall() / alone.service().overall());
             return played;
         } finally {
             Files.delete(tokens);
@@ -144,7 +144,7 @@
         ScenarioRunner.ScenarioResult bare;
         Path recording = Files.createTempFile("milletyoke-", ".recording");
         try (ScenarioRunner stage = new ScenarioRunner(day, recording, true)) {
-            bare = stage.play(line -> {});
+            bare = stage.run(line -> {});
         } finally {
             Files.deleteIfExists(recording);
         }
@@ -156,6 +156,6 @@
                                 - bare.service().times().getValueAtPercentile(50))
                         / 1e3,
                 through.cpuMicros() - bare.cpuMicros(),
-                through.service().whole() - bare.service().whole());
+                through.service().overall() - bare.service().overall());
     }
 }
--- a/cli/src/main/java/milletyoke/cli/ServeCommand.java
+++ b/cli/src/main/java/milletyoke/cli/ServeCommand.java
@@ -70,12 +70,12 @@
         started.set(service);
         reload(service, reload);
         while (!asked.await(500, TimeUnit.MILLISECONDS)) {
-            if (service.loop().fault() != null) {
+            if (service.eventLoop().fault() != null) {
                 System.err.println(
                         "milletyoke: the loop failed; all that was held has been broken off");
                 return 1;
             }
         }
-        return service.leave() ? 0 : 1;
+        return service.shutDown() ? 0 : 1;
     }
 }
--- a/cli/src/main/java/milletyoke/cli/SimulationCommand.java
+++ b/cli/src/main/java/milletyoke/cli/SimulationCommand.java
@@ -86,12 +86,13 @@
                                     : Files.createTempFile("milletyoke-", ".recording");
             try {
                 SimulationRun.Came came = SimulationRun.of(day, recording);
-                Audit.Report report = bare ? null : Audit.of(recording);
-                boolean kept = came.clean() && came.unfinished() == 0 && (bare || report.clean());
+                Audit.Report report = bare ? null : Audit.recording(recording);
+                boolean kept =
+                        came.isClean() && came.unfinished() == 0 && (bare || report.isClean());
                 System.out.printf(
                         "%-32s service %.4f  digest %016x  %,d events in %.2f s, %,.0f a second  %s%n",
                         day.name(),
-                        came.service().whole(),
+                        came.service().overall(),
                         came.digest(),
                         came.events(),
                         came.wall() / 1e6,
@@ -332,8 +333,8 @@
                 String text = FaultSearch.script(Files.readString(script), small);
                 System.out.printf(
                         "shrunk to %d of %d troubles, service %.4f  %s%n%s",
-                        small.day().troubles().size(),
-                        worst.day().troubles().size(),
+                        small.day().faults().size(),
+                        worst.day().faults().size(),
                         small.service(),
                         small.why(),
                         keep == null ? text : "");
@@ -381,17 +382,17 @@
             for (Scenario day : ScenarioParser.readAll(scripts)) {
                 ServiceLevelRecorder sockets;
                 try (ScenarioRunner stage = new ScenarioRunner(day, null, false)) {
-                    sockets = stage.play(line -> {}).service();
+                    sockets = stage.run(line -> {}).service();
                 }
                 List<ServiceLevelRecorder> plays = new ArrayList<>();
                 for (int n = 0; n < Math.max(1, turns); n++) {
                     plays.add(SimulationRun.of(day, null, false, null, n).service());
                 }
-                for (String category : sockets.lines().keySet()) {
-                    double here = 100 * sockets.line(category).service();
+                for (String category : sockets.requestClasses().keySet()) {
+                    double here = 100 * sockets.requestClass(category).service();
                     var lab =
                             plays.stream()
-                                    .mapToDouble(s -> 100 * s.line(category).service())
+                                    .mapToDouble(s -> 100 * s.requestClass(category).service())
                                     .summaryStatistics();
                     far += Math.abs(lab.getAverage() - here) > allowed ? 1 : 0;
                     System.out.printf(
--- a/cli/src/test/java/milletyoke/cli/ServeProcessTest.java
+++ b/cli/src/test/java/milletyoke/cli/ServeProcessTest.java
@@ -170,9 +170,9 @@
             for (int i = 0; i < 600; i++) {
                 idle.add(new Socket("127.0.0.1", port));
             }
-            int calls = discovery.asked().size();
+            int calls = discovery.requests().size();
             discovery.open().forEach(c -> c.close("cut"));
-            while (discovery.asked().size() < calls + 2) {
+            while (discovery.requests().size() < calls + 2) {
                 assertTrue(process.isAlive(), log());
                 Thread.sleep(5);
             }
--- a/config/src/main/java/milletyoke/config/Checker.java
+++ b/config/src/main/java/milletyoke/config/Checker.java
@@ -31,9 +31,9 @@
     private static final long MOST_TEXT = 64L << 20;
 
     /** What came of it; {@code fleet} is null where there is any error. */
-    public record Result(Fleet fleet, List<Diagnostic> findings, List<String> files) {
-        public boolean clean() {
-            return findings.stream().noneMatch(Diagnostic::error);
+    public record Result(Fleet fleet, List<Diagnostic> diagnostics, List<String> files) {
+        public boolean isValid() {
+            return diagnostics.stream().noneMatch(Diagnostic::error);
         }
     }
 
--- a/config/src/main/java/milletyoke/config/FleetDiff.java
+++ b/config/src/main/java/milletyoke/config/FleetDiff.java
@@ -29,7 +29,7 @@
             String before,
             String after,
             String whom,
-            ApplyMode taken) {
+            ApplyMode applyMode) {
         public String text() {
             String change =
                     setting.isEmpty()
@@ -46,7 +46,7 @@
                     + change
                     + (whom.isEmpty() ? "" : ", " + whom)
                     + "  ["
-                    + taken.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ')
+                    + applyMode.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ')
                     + "]";
         }
     }
--- a/config/src/test/java/milletyoke/config/CheckerTest.java
+++ b/config/src/test/java/milletyoke/config/CheckerTest.java
@@ -33,7 +33,7 @@
                                 + "let one = 10u/s;\ntemplate t { weight 2; reserve one * 2; }\n"
                                 + "plan club like t { weight 3; }\npool main { targets a, b; }\nvolume club-* { plan club; hosts 2; }\n"
                                 + "volume club-1 { plan basic; }\nroute volume club-* to main;\nroute prefix \"/scores/\" to main;");
-        assertTrue(r.clean(), () -> r.findings().toString());
+        assertTrue(r.isValid(), () -> r.diagnostics().toString());
         assertEquals(20, r.fleet().block("plan", "club").figure("reserve"));
         assertEquals(
                 3,
@@ -91,8 +91,11 @@
     void saysWhatIsWrongAndWhere(String line, String code, String hint) {
         Checker.Result r = InMemorySourceProvider.check(BASE + line);
         Diagnostic f =
-                r.findings().stream().filter(x -> x.code().equals(code)).findFirst().orElse(null);
-        assertTrue(f != null, () -> "not found among " + r.findings());
+                r.diagnostics().stream()
+                        .filter(x -> x.code().equals(code))
+                        .findFirst()
+                        .orElse(null);
+        assertTrue(f != null, () -> "not found among " + r.diagnostics());
         assertEquals(4, f.line(), f.text());
         assertTrue((f.hint() + f.message()).contains(hint == null ? "" : hint), f.text());
         assertTrue(f.text().contains("f:4:") && f.text().contains("^"), f.text());
@@ -106,8 +109,8 @@
                                 + "category c { repeats no; agreed 5; }\nvolume v { plan z; }\n");
         assertEquals(
                 List.of(1, 2, 3, 4, 4, 5),
-                r.findings().stream().map(Diagnostic::line).toList(),
-                r.findings().toString());
+                r.diagnostics().stream().map(Diagnostic::line).toList(),
+                r.diagnostics().toString());
     }
 
     @Test
@@ -117,10 +120,10 @@
                         BASE
                                 + "pool main { targets a; }\nroute volume a* to main;\n"
                                 + "route volume ab* to main;\nvolume a* { plan basic; }\nvolume ab* { plan basic; }\n");
-        assertTrue(r.clean());
+        assertTrue(r.isValid());
         assertEquals(
                 List.of("unreachable", "overlap"),
-                r.findings().stream().map(Diagnostic::code).toList());
+                r.diagnostics().stream().map(Diagnostic::code).toList());
     }
 
     @Test
@@ -133,8 +136,8 @@
                                         .replace("volume *", "volume \"*\""));
         assertEquals(
                 List.of("reserve"),
-                r.findings().stream().map(Diagnostic::code).toList(),
-                r.findings().toString());
+                r.diagnostics().stream().map(Diagnostic::code).toList(),
+                r.diagnostics().toString());
     }
 
     // ---- Includes ----
@@ -143,8 +146,8 @@
     void includeCyclesAreToldWithTheWholeChain() {
         Checker.Result one =
                 Checker.check(new InMemorySourceProvider().with("f", BASE + "include \"f\";"), "f");
-        assertEquals("cycle", one.findings().get(0).code());
-        assertEquals(4, one.findings().get(0).line());
+        assertEquals("cycle", one.diagnostics().get(0).code());
+        assertEquals(4, one.diagnostics().get(0).line());
         Checker.Result three =
                 Checker.check(
                         new InMemorySourceProvider()
@@ -152,7 +155,7 @@
                                 .with("g", "\ninclude \"h\";")
                                 .with("h", "include \"f\";"),
                         "f");
-        Diagnostic f = three.findings().get(0);
+        Diagnostic f = three.diagnostics().get(0);
         assertEquals("h:1", f.file() + ":" + f.line());
         assertEquals(
                 List.of("f includes", "g includes", "h includes", "f, which is open already"),
@@ -170,7 +173,7 @@
                                                 + BASE.replaceAll("plan.*\n", ""))
                                 .with("g", "plan basic { weight 2; }"),
                         "f");
-        assertTrue(hides.clean(), () -> hides.findings().toString());
+        assertTrue(hides.isValid(), () -> hides.diagnostics().toString());
         assertEquals(7, hides.fleet().block("plan", "basic").figure("weight"));
         Checker.Result siblings =
                 Checker.check(
@@ -181,11 +184,11 @@
                         "f");
         assertEquals(
                 "part-2:2:twice",
-                siblings.findings().get(0).file()
+                siblings.diagnostics().get(0).file()
                         + ":"
-                        + siblings.findings().get(0).line()
+                        + siblings.diagnostics().get(0).line()
                         + ":"
-                        + siblings.findings().get(0).code());
+                        + siblings.diagnostics().get(0).code());
     }
 
     @Test
@@ -201,7 +204,7 @@
         Checker.Result r = Checker.check(new FileSourceProvider(), FileSourceProvider.name(main));
         assertEquals(
                 List.of("cycle"),
-                r.findings().stream().map(Diagnostic::code).toList(),
+                r.diagnostics().stream().map(Diagnostic::code).toList(),
                 "the glob takes main itself");
         assertEquals(2, r.files().size());
     }
@@ -217,25 +220,26 @@
                         "let a = 1" + " + 1".repeat(10_000) + ";",
                         "plan p " + "{".repeat(10_000))) {
             Checker.Result r = InMemorySourceProvider.check(BASE + deep);
-            assertEquals("depth:4", r.findings().get(0).code() + ":" + r.findings().get(0).line());
+            assertEquals(
+                    "depth:4", r.diagnostics().get(0).code() + ":" + r.diagnostics().get(0).line());
         }
         StringBuilder likes = new StringBuilder(BASE).append("plan p0 { }\n");
         for (int i = 1; i < 10_000; i++) {
             likes.append("plan p").append(i).append(" like p").append(i - 1).append(" { }\n");
         }
         assertTrue(
-                InMemorySourceProvider.check(likes.toString()).findings().stream()
+                InMemorySourceProvider.check(likes.toString()).diagnostics().stream()
                         .allMatch(f -> f.code().equals("cycle")));
     }
 
     @Test
     void aFileOfTenMegabytesIsReadAndOneBeyondTheBoundIsNot() {
         String remark = "# " + "x".repeat(998) + "\n";
-        assertTrue(InMemorySourceProvider.check(BASE + remark.repeat(10_000)).clean());
+        assertTrue(InMemorySourceProvider.check(BASE + remark.repeat(10_000)).isValid());
         assertEquals(
                 "size",
                 InMemorySourceProvider.check(BASE + remark.repeat(17_000))
-                        .findings()
+                        .diagnostics()
                         .get(0)
                         .code());
     }
@@ -247,7 +251,7 @@
         assertEquals(plain, InMemorySourceProvider.check(BASE.replace("\n", "\r\n")).fleet());
         assertEquals(plain, InMemorySourceProvider.check("\uFEFF" + BASE).fleet());
         assertFalse(
-                InMemorySourceProvider.check(BASE + "plan bаsic { }").clean(),
+                InMemorySourceProvider.check(BASE + "plan bаsic { }").isValid(),
                 "a Cyrillic letter is not a Latin one");
     }
 
@@ -278,7 +282,7 @@
                                     .with("plans.fleet", "plan included { weight 1; }")
                                     .with("tenants/a.fleet", "tenant included { }"),
                             "f");
-            assertTrue(r.clean(), () -> example + r.findings());
+            assertTrue(r.isValid(), () -> example + r.diagnostics());
             assertEquals(
                     example,
                     Formatter.format("f", example, new java.util.ArrayList<>()),
--- a/config/src/test/java/milletyoke/config/GeneratedTest.java
+++ b/config/src/test/java/milletyoke/config/GeneratedTest.java
@@ -160,7 +160,7 @@
 
     private static Fleet meaning(String text) {
         Checker.Result r = InMemorySourceProvider.check(text);
-        assertTrue(r.clean(), () -> r.findings() + "\n" + text);
+        assertTrue(r.isValid(), () -> r.diagnostics() + "\n" + text);
         return r.fleet();
     }
 
@@ -216,7 +216,7 @@
         int value = Integer.parseInt(old.substring(0, old.length() - unit.length()));
         t.tokens.set(at, value + 1 + unit);
         Checker.Result after = InMemorySourceProvider.check(t.plain());
-        if (after.clean()) { // a change may also be refused, as fall over cold
+        if (after.isValid()) { // a change may also be refused, as fall over cold
             List<FleetDiff.Change> changes = FleetDiff.between(before, after.fleet());
             boolean constant = t.tokens.get(1).equals("base") && at < t.tokens.indexOf(";");
             boolean common = at > t.tokens.indexOf("common") && at < t.tokens.indexOf("plan");
@@ -272,11 +272,11 @@
         }
         Checker.Result r = InMemorySourceProvider.check(text.toString());
         long lines = text.toString().lines().count();
-        for (Diagnostic f : r.findings()) {
+        for (Diagnostic f : r.diagnostics()) {
             assertTrue(f.line() >= 1 && f.line() <= lines + 1, f::text);
             assertFalse(f.text().isBlank());
         }
-        assertEquals(r.clean(), r.fleet() != null);
+        assertEquals(r.isValid(), r.fleet() != null);
         Formatter.format("f", text.toString(), new ArrayList<>());
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/Initiator.java
+++ b/gateway/src/main/java/milletyoke/gateway/Initiator.java
@@ -52,7 +52,7 @@
     private final ConcurrentAdmission gate;
     private final ExecutionEnvironment world;
     private final Network wire;
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final ProtocolViolationLog faults;
     private final ClientListener ingress;
     private final Network.Listener listener;
@@ -62,7 +62,7 @@
     private final FrameLimits toTargets;
     private final ConfigWatcher following;
     private Console console;
-    private CaptureWriter capture;
+    private CaptureWriter captureTo;
 
     private Initiator(
             InitiatorConfig setup,
@@ -73,14 +73,14 @@
             throws IOException {
         this.setup = setup;
         this.world = world;
-        InitiatorConfig.CapacityLimits r = setup.room();
+        InitiatorConfig.CapacityLimits r = setup.capacity();
         gate =
                 new ConcurrentAdmission(
                         new Admission.CapacityLimits(
-                                r.held(),
+                                r.requests(),
                                 r.bytes(),
-                                r.connectionPart(),
-                                r.greed(),
+                                r.connectionShare(),
+                                r.volumeShare(),
                                 setup.deployment()
                                         .scheduler()
                                         .capabilities()
@@ -93,9 +93,9 @@
         toTargets = new FrameLimits(t.frameBytes(), t.waitingBytes(), t.partialTime(), 0);
         wire = world.openNetwork(setup.name(), t.threads(), tap);
         side = world.newTimerExecutor(setup.name() + "-side", 1);
-        loop = new EventLoop(setup, this, world, counts, instead);
+        eventLoop = new EventLoop(setup, this, world, counts, instead);
         faults = new ProtocolViolationLog(counts, world::monotonicMicros);
-        ingress = new ClientListener(setup, world, loop, counts, gate, faults);
+        ingress = new ClientListener(setup, world, eventLoop, counts, gate, faults);
         following =
                 setup.fleet() == null
                         ? null
@@ -108,7 +108,7 @@
         if (setup.fleet() != null) {
             ingress.configure(setup.fleet().fleet());
         }
-        subscription = new DiscoveryWatch(setup, wire, loop, side, ~seed);
+        subscription = new DiscoveryWatch(setup, wire, eventLoop, side, ~seed);
         try {
             listener =
                     wire.listen(
@@ -151,11 +151,16 @@
             throws IOException, ConfigException {
         Initiator made = new Initiator(setup, tap, world, seed, instead);
         EndpointList restored = made.lastList == null ? null : made.lastList.load();
-        made.loop.start(seed, restored);
+        made.eventLoop.start(seed, restored);
         if (setup.console() != null) {
             try {
                 made.console =
-                        new Console(setup.console(), setup, made.loop, made.counts, made.following);
+                        new Console(
+                                setup.console(),
+                                setup,
+                                made.eventLoop,
+                                made.counts,
+                                made.following);
             } catch (IOException | ConfigException unusable) {
                 made.kill();
                 throw unusable;
@@ -179,8 +184,8 @@
      * one.
      */
     private void follow(Fleet fleet) {
-        loop.tell(new LoopMessage.ApplySettings(FleetConverter.deployment(fleet).scheduler()));
-        loop.tell(new LoopMessage.RunTask(() -> ingress.configure(fleet)));
+        eventLoop.post(new LoopMessage.ApplySettings(FleetConverter.deployment(fleet).scheduler()));
+        eventLoop.post(new LoopMessage.RunTask(() -> ingress.configure(fleet)));
     }
 
     public String name() {
@@ -197,9 +202,9 @@
      *
      * @throws IOException where the file cannot be made, or is there already
      */
-    public synchronized void capture(Path file) throws IOException {
+    public synchronized void captureTo(Path file) throws IOException {
         CaptureWriter writer = new CaptureWriter(file, setup.name(), world.monotonicMicros());
-        capture = writer;
+        captureTo = writer;
         ingress.capture(writer);
         side.scheduleWithFixedDelay(() -> flush(writer), 500, 500, TimeUnit.MILLISECONDS);
     }
@@ -214,16 +219,16 @@
     }
 
     private synchronized void endCapture() {
-        if (capture != null) {
+        if (captureTo != null) {
             ingress.capture(null);
             try {
-                capture.close();
+                captureTo.close();
             } catch (IOException failed) {
                 LOG.warn(
                         "the last of the captured traffic could not be written: {}",
                         failed.toString());
             }
-            capture = null;
+            captureTo = null;
         }
     }
 
@@ -236,8 +241,8 @@
         return counts;
     }
 
-    public EventLoop loop() {
-        return loop;
+    public EventLoop eventLoop() {
+        return eventLoop;
     }
 
     /**
@@ -247,9 +252,9 @@
      *     time is up
      * @return whether all was answered
      */
-    public boolean leave(long millis) throws InterruptedException {
+    public boolean shutDown(long millis) throws InterruptedException {
         beginLeaving();
-        boolean clean = loop.awaitEnd(millis);
+        boolean clean = eventLoop.awaitEnd(millis);
         ingress.awaitGoodbyes(LONGEST_GOODBYE);
         return end(clean);
     }
@@ -257,22 +262,22 @@
     private void beginLeaving() {
         ingress.leave();
         listener.stop();
-        loop.tell(new LoopMessage.BeginShutdown());
+        eventLoop.post(new LoopMessage.BeginShutdown());
     }
 
     /**
-     * As {@link #leave}, for those who cannot wait: looks every few milliseconds whether all is
+     * As {@link #shutDown}, for those who cannot wait: looks every few milliseconds whether all is
      * answered.
      *
      * @param then is run when it has ended
      */
-    public void leaveLater(long millis, Runnable then) {
+    public void beginShutdown(long millis, Runnable then) {
         beginLeaving();
         look(world.monotonicMicros() + millis * 1000, then);
     }
 
     private void look(long until, Runnable then) {
-        if (!loop.hasEnded() && world.monotonicMicros() < until) {
+        if (!eventLoop.hasEnded() && world.monotonicMicros() < until) {
             side.schedule(() -> look(until, then), 5, TimeUnit.MILLISECONDS);
         } else {
             lookForGoodbyes(world.monotonicMicros() + LONGEST_GOODBYE * 1000, then);
@@ -283,14 +288,14 @@
         if (ingress.owesGoodbyes() && world.monotonicMicros() < until) {
             side.schedule(() -> lookForGoodbyes(until, then), 5, TimeUnit.MILLISECONDS);
         } else {
-            end(loop.hasEnded());
+            end(eventLoop.hasEnded());
             then.run();
         }
     }
 
     private boolean end(boolean clean) {
         endCapture();
-        loop.kill();
+        eventLoop.kill();
         subscription.stop();
         if (console != null) {
             console.close();
@@ -302,12 +307,12 @@
                 setup.name(),
                 clean ? "" : " with accesses unanswered",
                 counts);
-        return clean && loop.fault() == null;
+        return clean && eventLoop.fault() == null;
     }
 
     /** Ends as a kill of the process would: sockets are reset and nothing is answered. */
     public void kill() {
-        loop.kill();
+        eventLoop.kill();
         subscription.stop();
         if (console != null) {
             console.close();
@@ -317,8 +322,8 @@
     }
 
     /** Holds the loop, as a long pause of this process would hold it; for rehearsals. */
-    public void standStill(long millis, Runnable afterwards) {
-        loop.standStill(millis * 1000, afterwards);
+    public void stall(long millis, Runnable afterwards) {
+        eventLoop.standStill(millis * 1000, afterwards);
     }
 
     // ---- What the loop needs ----
@@ -332,7 +337,7 @@
                         Role.INITIATOR,
                         new LinkHandler(target, dial),
                         toTargets,
-                        why -> loop.tell(new LoopMessage.ConnectFailed(target, dial, why)));
+                        why -> eventLoop.post(new LoopMessage.ConnectFailed(target, dial, why)));
         return attempt::cancel;
     }
 
@@ -360,12 +365,12 @@
 
     @Override
     public double roomUsed() {
-        return gate.used();
+        return gate.utilization();
     }
 
     @Override
     public int placesTaken() {
-        return gate.places();
+        return gate.acquired();
     }
 
     /** One connection to a target, from dialling to its end. */
@@ -382,18 +387,18 @@
         @Override
         public void onReady(PeerConnection peer) {
             ready = true;
-            loop.tell(new LoopMessage.ConnectSucceeded(target, dial, peer));
+            eventLoop.post(new LoopMessage.ConnectSucceeded(target, dial, peer));
         }
 
         @Override
         public void onFrame(PeerConnection peer, Frame frame) throws MalformedFrameException {
             switch (frame.getBodyCase()) {
                 case ATTEMPT_REPLY ->
-                        loop.tell(
+                        eventLoop.post(
                                 new LoopMessage.AttemptReplied(
                                         peer, frame.getAttemptReply(), world.monotonicMicros()));
                 case PROBE_REPLY ->
-                        loop.tell(
+                        eventLoop.post(
                                 new LoopMessage.ProbeReplied(
                                         peer,
                                         frame.getProbeReply().getNumber(),
@@ -409,10 +414,10 @@
         public void onClosed(PeerConnection peer, String why) {
             LOG.debug("link to {} is gone: {}", target, why);
             faults.closed("target " + target, peer);
-            loop.tell(
+            eventLoop.post(
                     ready
                             ? new LoopMessage.ConnectionLost(
-                                    target, peer, why, peer.tookNothing(), 0)
+                                    target, peer, why, peer.hasProcessedNothing(), 0)
                             : new LoopMessage.ConnectFailed(target, dial, why));
         }
     }
--- a/gateway/src/main/java/milletyoke/gateway/config/DeploymentSettings.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/DeploymentSettings.java
@@ -29,15 +29,15 @@
      */
     public static DeploymentSettings read(SettingsReader f) throws ConfigException {
         List<RequestClass> categories = new ArrayList<>();
-        for (SettingsReader c : f.forms("categories", true)) {
+        for (SettingsReader c : f.sections("categories", true)) {
             categories.add(category(c));
         }
         if (categories.isEmpty()) {
-            throw f.wrong("categories", "at least one is needed");
+            throw f.error("categories", "at least one is needed");
         }
         distinct(f, "categories", categories.stream().map(RequestClass::name).toList());
         List<ServicePlan> plans = new ArrayList<>();
-        for (SettingsReader p : f.forms("plans", true)) {
+        for (SettingsReader p : f.sections("plans", true)) {
             plans.add(plan(p));
         }
         distinct(f, "plans", plans.stream().map(ServicePlan::name).toList());
@@ -49,15 +49,15 @@
                         a.flag("cancels", true),
                         a.flag("advice", true),
                         a.time("longestAdvice", "500 ms"));
-        a.done();
+        a.rejectUnknown();
         SettingsReader b = f.optional("bounds");
         RuleLimits bounds = bounds(b);
         long slack = b.time("answerSlack", "50 ms");
         long grace = b.time("drainGrace", "500 ms");
-        b.done();
+        b.rejectUnknown();
         int initiators = f.whole("initiators", Integer.MIN_VALUE, 1, 100_000);
         boolean asked = f.flag("listMustBeAsked", false);
-        f.done();
+        f.rejectUnknown();
         return new DeploymentSettings(
                 new SchedulerSettings(
                         initiators,
@@ -75,31 +75,31 @@
         Set<String> seen = new HashSet<>();
         for (String name : names) {
             if (!seen.add(name)) {
-                throw f.wrong(field, "\"" + name + "\" stands there twice");
+                throw f.error(field, "\"" + name + "\" stands there twice");
             }
         }
     }
 
     private static RequestClass category(SettingsReader c) throws ConfigException {
-        Idempotency repeats = c.word("repeats", Idempotency.class, null);
+        Idempotency repeats = c.keyword("repeats", Idempotency.class, null);
         RequestClass category =
                 new RequestClass(
                         c.text("name", null),
                         repeats,
-                        c.word("group", DeduplicationScope.class, DeduplicationScope.ALL),
+                        c.keyword("group", DeduplicationScope.class, DeduplicationScope.ALL),
                         c.time("repeatWindow", "0"),
                         c.flag("keyOrdered", false),
                         c.time("agreedTime", null),
-                        c.figure("importance", 1, 0, 1e6));
+                        c.number("importance", 1, 0, 1e6));
         if (category.latencyObjectiveMicros() == 0) {
-            throw c.wrong("agreedTime", "must be over 0");
+            throw c.error("agreedTime", "must be over 0");
         }
         if (repeats == Idempotency.IDEMPOTENCY_KEY && category.deduplicationWindowMicros() == 0) {
-            throw c.wrong(
+            throw c.error(
                     "repeatWindow",
                     "a stamped category needs the time for which targets know its marks");
         }
-        c.done();
+        c.rejectUnknown();
         return category;
     }
 
@@ -107,15 +107,15 @@
         ServicePlan plan =
                 new ServicePlan(
                         p.text("name", null),
-                        p.figure("reserve", 0, 0, 1e9),
-                        p.figure("weight", 1, 0, 1e6),
-                        p.figure("limitRate", 0, 0, 1e9),
-                        p.figure("limitDepth", 0, 0, 1e9),
-                        p.figure("limitSlack", 0, 0, 1e9));
+                        p.number("reserve", 0, 0, 1e9),
+                        p.number("weight", 1, 0, 1e6),
+                        p.number("limitRate", 0, 0, 1e9),
+                        p.number("limitDepth", 0, 0, 1e9),
+                        p.number("limitSlack", 0, 0, 1e9));
         if (plan.limitRate() > 0 && plan.limitBurst() == 0) {
-            throw p.wrong("limitDepth", "a limit needs the units that its store holds");
+            throw p.error("limitDepth", "a limit needs the units that its store holds");
         }
-        p.done();
+        p.rejectUnknown();
         return plan;
     }
 
@@ -123,12 +123,12 @@
         return new RuleLimits(
                 b.time("keyQuiet", "0"),
                 b.time("cold", "0"),
-                b.figure("coldShare", 1, 0.001, 1),
-                b.figure("coldBears", 0, 0, 1e9),
+                b.number("coldShare", 1, 0.001, 1),
+                b.number("coldBears", 0, 0, 1e9),
                 b.time("fall", "0"),
-                b.figure("tipMultiple", 1, 1, 1e3),
-                b.figure("relayBudgetFree", 0, 0, 1e6),
-                b.figure("relayBudgetShare", 0, 0, 1e3),
+                b.number("tipMultiple", 1, 1, 1e3),
+                b.number("relayBudgetFree", 0, 0, 1e6),
+                b.number("relayBudgetShare", 0, 0, 1e3),
                 b.time("relayBudgetSpan", "0"),
                 b.time("mustAskIn", "0"));
     }
--- a/gateway/src/main/java/milletyoke/gateway/config/InitiatorConfig.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/InitiatorConfig.java
@@ -25,7 +25,7 @@
         Path folder,
         DeploymentSettings deployment,
         Transport transport,
-        CapacityLimits room,
+        CapacityLimits capacity,
         Console console,
         FleetFile fleet) {
 
@@ -38,8 +38,8 @@
             Path folder,
             DeploymentSettings deployment,
             Transport transport,
-            CapacityLimits room) {
-        this(name, number, listen, discovery, folder, deployment, transport, room, null, null);
+            CapacityLimits capacity) {
+        this(name, number, listen, discovery, folder, deployment, transport, capacity, null, null);
     }
 
     /** A checked configuration. @param files that it was read from */
@@ -57,8 +57,8 @@
      * @param threads that serve sockets
      */
     public record Transport(
-            long connectTime,
-            long idle,
+            long connectTimeoutMicros,
+            long idleTimeoutMicros,
             int connections,
             int streams,
             long probeTime,
@@ -70,34 +70,34 @@
     /**
      * What this initiator has room for.
      *
-     * @param held accesses, from taking to the end of their last relay
+     * @param requests accesses, from taking to the end of their last relay
      * @param queue entries between the sockets and the loop
      * @param shards shards are numbered below this
      * @param largest units of one access
      * @param longest time left that an access may come with (microseconds)
      * @param bytes of payloads held
-     * @param connectionPart of places and bytes, for one connection
-     * @param greed how many times the free room one volume may hold
+     * @param connectionShare of places and bytes, for one connection
+     * @param volumeShare how many times the free room one volume may hold
      * @param full from this part used on the daemon tells that it is saturated, until below {@code
      *     eased}
      * @param listAge without a word from discovery for so long the list counts as lost
      *     (microseconds)
      */
     public record CapacityLimits(
-            int held,
+            int requests,
             int queue,
             int shards,
             double largest,
             long longest,
             long bytes,
-            double connectionPart,
-            double greed,
+            double connectionShare,
+            double volumeShare,
             double full,
             double eased,
             long listAge) {
         /** With the usual figures beside these. */
-        public CapacityLimits(int held, int queue, int shards, double largest, long longest) {
-            this(held, queue, shards, largest, longest, 256L << 20, 1, 4, 0.9, 0.7, 10_000_000);
+        public CapacityLimits(int requests, int queue, int shards, double largest, long longest) {
+            this(requests, queue, shards, largest, longest, 256L << 20, 1, 4, 0.9, 0.7, 10_000_000);
         }
     }
 
@@ -121,9 +121,9 @@
                         ? FleetConverter.deployment(fleet.fleet())
                         : DeploymentSettings.read(f.form("deployment"));
         Transport transport = transport(f.optional("transport"));
-        CapacityLimits room = room(f.optional("room"));
+        CapacityLimits room = capacity(f.optional("room"));
         Console console = f.has("console") ? console(f.form("console"), base) : null;
-        f.done();
+        f.rejectUnknown();
         return new InitiatorConfig(
                 name,
                 number,
@@ -140,16 +140,16 @@
     /** The deployment as the configuration language has it, in a file of its own. */
     private static FleetFile fleet(SettingsReader f, Path base) throws ConfigException {
         if (f.has("deployment")) {
-            throw f.wrong(
+            throw f.error(
                     "fleet", "stands beside deployment; one of them says what the deployment is");
         }
         Path file = base.resolve(f.text("fleet", null));
         try {
             Checker.Result checked =
                     Checker.check(new FileSourceProvider(), FileSourceProvider.name(file));
-            if (!checked.clean()) {
+            if (!checked.isValid()) {
                 throw new ConfigException(
-                        checked.findings().stream()
+                        checked.diagnostics().stream()
                                 .filter(Diagnostic::error)
                                 .findFirst()
                                 .orElseThrow()
@@ -158,7 +158,7 @@
             }
             return new FleetFile(checked.files().get(0), checked.fleet(), checked.files());
         } catch (SourceProvider.UnreadableSourceException missing) {
-            throw f.wrong("fleet", file + ": " + missing.getMessage());
+            throw f.error("fleet", file + ": " + missing.getMessage());
         }
     }
 
@@ -171,13 +171,13 @@
                         t.whole("streams", 100, 1, 100_000),
                         t.time("probeTime", "250 ms"),
                         t.whole("frameBytes", 1 << 20, 1024, 1 << 30),
-                        (long) t.figure("waitingBytes", 8 << 20, 4096, 1e12),
+                        (long) t.number("waitingBytes", 8 << 20, 4096, 1e12),
                         t.time("partialTime", "5 s"),
                         t.whole("threads", 2, 1, 256));
-        if (transport.connectTime() == 0) {
-            throw t.wrong("connectTime", "must be over 0");
+        if (transport.connectTimeoutMicros() == 0) {
+            throw t.error("connectTime", "must be over 0");
         }
-        t.done();
+        t.rejectUnknown();
         return transport;
     }
 
@@ -186,29 +186,29 @@
                 new Console(
                         c.address("listen", null),
                         base.resolve(c.text("tokens", null)),
-                        c.figure("rate", 100, 1, 1e6));
-        c.done();
+                        c.number("rate", 100, 1, 1e6));
+        c.rejectUnknown();
         return console;
     }
 
-    private static CapacityLimits room(SettingsReader r) throws ConfigException {
+    private static CapacityLimits capacity(SettingsReader r) throws ConfigException {
         CapacityLimits room =
                 new CapacityLimits(
                         r.whole("held", 10_000, 1, 10_000_000),
                         r.whole("queue", 1 << 16, 64, 1 << 24),
                         r.whole("shards", 1 << 16, 1, 1 << 24),
-                        r.figure("largest", 1e6, 1, 1e12),
+                        r.number("largest", 1e6, 1, 1e12),
                         r.time("longest", "1 h"),
-                        (long) r.figure("bytes", 256 << 20, 1024, 1e15),
-                        r.figure("connectionPart", 1, 0.01, 1),
-                        r.figure("greed", 4, 1, 1e6),
-                        r.figure("full", 0.9, 0.01, 1),
-                        r.figure("eased", 0.7, 0, 0.99),
+                        (long) r.number("bytes", 256 << 20, 1024, 1e15),
+                        r.number("connectionPart", 1, 0.01, 1),
+                        r.number("greed", 4, 1, 1e6),
+                        r.number("full", 0.9, 0.01, 1),
+                        r.number("eased", 0.7, 0, 0.99),
                         r.time("listAge", "10 s"));
         if (room.eased() >= room.full()) {
-            throw r.wrong("eased", "must be under full, " + room.full());
+            throw r.error("eased", "must be under full, " + room.full());
         }
-        r.done();
+        r.rejectUnknown();
         return room;
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/config/SettingsReader.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/SettingsReader.java
@@ -31,7 +31,7 @@
         this.path = path;
         this.self = self;
         if (self.object() == null) {
-            throw wrong(
+            throw error(
                     self,
                     path.isEmpty() ? "the setup" : path,
                     "an object is expected, not " + self.kind());
@@ -46,20 +46,20 @@
         return new SettingsReader(source, "", Json5.read(source, text));
     }
 
-    private ConfigException wrong(Json5.Value at, String field, String what) {
+    private ConfigException error(Json5.Value at, String field, String what) {
         return new ConfigException(source + ":" + at.line() + ": " + field + ": " + what);
     }
 
     /** An error at a field of this object, or at the object where the field is absent. */
-    public ConfigException wrong(String field, String what) {
-        return wrong(self.object().getOrDefault(field, self), path + field, what);
+    public ConfigException error(String field, String what) {
+        return error(self.object().getOrDefault(field, self), path + field, what);
     }
 
     private Json5.Value ask(String field, boolean needed) throws ConfigException {
         asked.add(field);
         Json5.Value value = self.object().get(field);
         if (value == null && needed) {
-            throw wrong(self, path + field, "is missing");
+            throw error(self, path + field, "is missing");
         }
         return value;
     }
@@ -77,15 +77,15 @@
             return usual;
         }
         if (!(value.scalar() instanceof String text)) {
-            throw wrong(value, path + field, "text is expected, not " + value.kind());
+            throw error(value, path + field, "text is expected, not " + value.kind());
         }
         if (text.isBlank() || text.length() > 4096) {
-            throw wrong(value, path + field, "text of 1 to 4096 characters is expected");
+            throw error(value, path + field, "text of 1 to 4096 characters is expected");
         }
         return text;
     }
 
-    public <E extends Enum<E>> E word(String field, Class<E> words, E usual)
+    public <E extends Enum<E>> E keyword(String field, Class<E> words, E usual)
             throws ConfigException {
         Json5.Value value = ask(field, usual == null);
         if (value == null) {
@@ -100,7 +100,7 @@
                 return word;
             }
         }
-        throw wrong(value, path + field, "one of " + String.join(", ", known) + " is expected");
+        throw error(value, path + field, "one of " + String.join(", ", known) + " is expected");
     }
 
     public boolean flag(String field, boolean usual) throws ConfigException {
@@ -109,7 +109,7 @@
             return usual;
         }
         if (!(value.scalar() instanceof Boolean flag)) {
-            throw wrong(value, path + field, "true or false is expected, not " + value.kind());
+            throw error(value, path + field, "true or false is expected, not " + value.kind());
         }
         return flag;
     }
@@ -117,17 +117,17 @@
     /**
      * @param usual NaN where the field must be there
      */
-    public double figure(String field, double usual, double least, double most)
+    public double number(String field, double usual, double least, double most)
             throws ConfigException {
         Json5.Value value = ask(field, Double.isNaN(usual));
         if (value == null) {
             return usual;
         }
         if (!(value.scalar() instanceof Double figure)) {
-            throw wrong(value, path + field, "a number is expected, not " + value.kind());
+            throw error(value, path + field, "a number is expected, not " + value.kind());
         }
         if (!(figure >= least && figure <= most)) {
-            throw wrong(
+            throw error(
                     value,
                     path + field,
                     plain(figure)
@@ -144,9 +144,9 @@
      * @param usual Integer.MIN_VALUE where the field must be there
      */
     public int whole(String field, int usual, int least, int most) throws ConfigException {
-        double figure = figure(field, usual == Integer.MIN_VALUE ? Double.NaN : usual, least, most);
+        double figure = number(field, usual == Integer.MIN_VALUE ? Double.NaN : usual, least, most);
         if (figure != Math.rint(figure)) {
-            throw wrong(field, "a whole number is expected, not " + figure);
+            throw error(field, "a whole number is expected, not " + figure);
         }
         return (int) figure;
     }
@@ -163,7 +163,7 @@
         }
         Matcher m = TIME.matcher(text);
         if (!m.matches()) {
-            throw wrong(
+            throw error(
                     value == null ? self : value,
                     path + field,
                     "a time with its unit is expected, as \"250 ms\" (us, ms, s, min, h), not "
@@ -171,7 +171,7 @@
         }
         double micros = Double.parseDouble(m.group(1)) * MICROS.get(m.group(2));
         if (micros > LONGEST) {
-            throw wrong(field, text + " is over 100 h");
+            throw error(field, text + " is over 100 h");
         }
         return Math.round(micros);
     }
@@ -189,14 +189,14 @@
                 value == null ? new Json5.Value(self.line(), Map.of(), null, null) : value);
     }
 
-    public List<SettingsReader> forms(String field, boolean needed) throws ConfigException {
+    public List<SettingsReader> sections(String field, boolean needed) throws ConfigException {
         Json5.Value value = ask(field, needed);
         List<SettingsReader> forms = new ArrayList<>();
         if (value == null) {
             return forms;
         }
         if (value.list() == null) {
-            throw wrong(value, path + field, "a list is expected, not " + value.kind());
+            throw error(value, path + field, "a list is expected, not " + value.kind());
         }
         for (Json5.Value one : value.list()) {
             forms.add(new SettingsReader(source, path + field + "[" + forms.size() + "].", one));
@@ -210,15 +210,15 @@
         try {
             return Address.of(text);
         } catch (IllegalArgumentException bad) {
-            throw wrong(field, bad.getMessage());
+            throw error(field, bad.getMessage());
         }
     }
 
     /** To be called last: what was never asked for is not known. */
-    public void done() throws ConfigException {
+    public void rejectUnknown() throws ConfigException {
         for (Map.Entry<String, Json5.Value> field : self.object().entrySet()) {
             if (!asked.contains(field.getKey())) {
-                throw wrong(
+                throw error(
                         field.getValue(),
                         path + field.getKey(),
                         "is not known here; known are "
--- a/gateway/src/main/java/milletyoke/gateway/console/ConnectionLimitFilter.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/ConnectionLimitFilter.java
@@ -32,7 +32,7 @@
             connection.closeSilently();
             return ctx.getStopAction();
         }
-        since.put(connection, milletyoke.wire.SocketNetwork.micros());
+        since.put(connection, milletyoke.wire.SocketNetwork.monotonicMicros());
         connection.addCloseListener((closed, type) -> since.remove(connection));
         return ctx.getInvokeAction();
     }
@@ -44,7 +44,7 @@
 
     /** The answer has left; the next request may take as long again. */
     void answered(Connection<?> connection) {
-        since.replace(connection, milletyoke.wire.SocketNetwork.micros());
+        since.replace(connection, milletyoke.wire.SocketNetwork.monotonicMicros());
     }
 
     void look(long now) {
--- a/gateway/src/main/java/milletyoke/gateway/console/Console.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Console.java
@@ -75,7 +75,7 @@
         final String token;
         final String page;
         final PageModels.Ask ask;
-        volatile long lastTaken = SocketNetwork.micros();
+        volatile long lastTaken = SocketNetwork.monotonicMicros();
 
         Stream(Response response, String token, String page, PageModels.Ask ask) {
             this.response = response;
@@ -86,7 +86,7 @@
 
         void beat() {
             AccessScope sight = tokens.sight(token);
-            if (sight == null || SocketNetwork.micros() - lastTaken > PATIENCE) {
+            if (sight == null || SocketNetwork.monotonicMicros() - lastTaken > PATIENCE) {
                 end();
                 return;
             }
@@ -103,7 +103,7 @@
                                                 + "\n\n")
                                         .getBytes(StandardCharsets.UTF_8));
                 response.getNIOOutputStream().flush();
-                lastTaken = SocketNetwork.micros();
+                lastTaken = SocketNetwork.monotonicMicros();
             } catch (IOException | RuntimeException gone) {
                 end();
             }
@@ -137,7 +137,9 @@
         tokens = new Tokens(access.tokens());
         rates = new RateLimiter(access.rate(), 4 * access.rate());
         journal = new AuditLog(setup.folder());
-        views = new PageModels(setup, loop, journal, counts, following, SocketNetwork.micros());
+        views =
+                new PageModels(
+                        setup, loop, journal, counts, following, SocketNetwork.monotonicMicros());
         listener = new NetworkListener("console", access.listen().host(), access.listen().port());
         listener.setMaxHttpHeaderSize(8_192);
         listener.setMaxRequestHeaders(64);
@@ -198,7 +200,7 @@
     private void beat() {
         try {
             streams.forEach(Stream::beat);
-            connections.look(SocketNetwork.micros());
+            connections.look(SocketNetwork.monotonicMicros());
         } catch (RuntimeException unexpected) {
             LOG.error("a stream failed", unexpected);
         }
@@ -260,7 +262,7 @@
             login(request, response);
             return;
         }
-        Sessions.Session session = sessions.of(cookie(request), SocketNetwork.micros());
+        Sessions.Session session = sessions.of(cookie(request), SocketNetwork.monotonicMicros());
         String bearer = bearer(request);
         String token = bearer != null ? bearer : session == null ? null : session.token();
         AccessScope sight = token == null ? null : tokens.sight(token);
@@ -317,7 +319,7 @@
     }
 
     private static void limit(RateLimiter rates, String caller) throws HttpProblemException {
-        if (!rates.take(caller, SocketNetwork.micros())) {
+        if (!rates.take(caller, SocketNetwork.monotonicMicros())) {
             throw new HttpProblemException(429, "Too many requests", "Come back in a second.");
         }
     }
@@ -353,7 +355,7 @@
             html(response, 401, HtmlRenderer.login("That token is not valid."));
             return;
         }
-        Sessions.Session session = sessions.begin(token, SocketNetwork.micros());
+        Sessions.Session session = sessions.begin(token, SocketNetwork.monotonicMicros());
         response.setHeader(
                 "Set-Cookie", COOKIE + "=" + session.id() + "; Path=/; HttpOnly; SameSite=Strict");
         response.setStatus(303);
@@ -414,14 +416,14 @@
                                 .figures()
                                 .get("initiator")
                                 .toString());
-                loop.tell(new LoopMessage.DrainInitiator(on, sight.name()));
+                loop.post(new LoopMessage.DrainInitiator(on, sight.name()));
             }
             case "drain-target", "undrain-target" -> {
                 if (!loop.knows(whom)) {
                     throw HttpProblemException.notFound();
                 }
                 journal.write(sight.name(), what, whom);
-                loop.tell(new LoopMessage.DrainTarget(whom, on, sight.name()));
+                loop.post(new LoopMessage.DrainTarget(whom, on, sight.name()));
             }
             default ->
                     throw HttpProblemException.badRequest(
--- a/gateway/src/main/java/milletyoke/gateway/console/PageModels.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/PageModels.java
@@ -99,7 +99,7 @@
     // ---- The pages ----
 
     private View overview(AccessScope sight, Ask ask) {
-        StatusSnapshot p = loop.picture();
+        StatusSnapshot p = loop.snapshot();
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("initiator", p.name());
         figures.put("condition", word(p.condition(), sight));
@@ -109,7 +109,7 @@
             tally(figures, own);
             return new View("Overview", figures, List.of(), List.of());
         }
-        figures.put("places taken", p.places() + " of " + setup.room().held());
+        figures.put("places taken", p.places() + " of " + setup.capacity().requests());
         figures.put("room used", percent(p.used()));
         figures.put("relays out", p.out());
         figures.put("targets", p.targets().size());
@@ -123,9 +123,9 @@
                         .reduce((a, b) -> a + ", " + b)
                         .orElse("none"));
         figures.put("list version", p.listVersion());
-        figures.put("turn p50", micros(p.turnP50()));
-        figures.put("turn p99", micros(p.turnP99()));
-        figures.put("pictures cost", percent(p.costs()));
+        figures.put("turn p50", micros(p.turnP50Micros()));
+        figures.put("turn p99", micros(p.turnP99Micros()));
+        figures.put("pictures cost", percent(p.snapshotCostShare()));
         figures.put("late answers, of late", percent(p.lateShare()));
         figures.put("further relays that succeed", percent(p.furtherSuccess()));
         List<List<Object>> rows = new ArrayList<>();
@@ -219,11 +219,14 @@
                                                 v.name(),
                                                 "at the limit of its plan " + v.plan(),
                                                 v.left().pending())));
-        refused(rows, Counter.NO_PLACE, "beyond the places of all, of a connection or of a volume");
-        refused(rows, Counter.REJECTED_CONDITION, "came while nothing was taken");
         refused(
                 rows,
-                Counter.UNACCEPTABLE,
+                Counter.REJECTED_CAPACITY,
+                "beyond the places of all, of a connection or of a volume");
+        refused(rows, Counter.REJECTED_STATE, "came while nothing was taken");
+        refused(
+                rows,
+                Counter.INVALID,
                 "named no category or plan of ours, or a figure out of range");
         return rows;
     }
@@ -239,8 +242,8 @@
     }
 
     private void refused(List<List<Object>> rows, Counter count, String why) {
-        if (counts.of(count) > 0) {
-            rows.add(List.of(counts.of(count) + " accesses since the start", why, 0));
+        if (counts.get(count) > 0) {
+            rows.add(List.of(counts.get(count) + " accesses since the start", why, 0));
         }
     }
 
@@ -253,7 +256,7 @@
     }
 
     private View targets(AccessScope sight, Ask ask) {
-        StatusSnapshot p = loop.picture();
+        StatusSnapshot p = loop.snapshot();
         List<List<Object>> rows = new ArrayList<>();
         if (!sight.all()) {
             for (StatusSnapshot.Target t : p.targets()) {
@@ -330,7 +333,7 @@
     }
 
     private View volumes(AccessScope sight, Ask ask) {
-        StatusSnapshot p = loop.picture();
+        StatusSnapshot p = loop.snapshot();
         List<StatusSnapshot.Volume> seen =
                 p.volumes().values().stream()
                         .filter(v -> sight.sees(v.name()) && v.name().contains(ask.find()))
@@ -382,7 +385,7 @@
     }
 
     private View categories(AccessScope sight, Ask ask) {
-        StatusSnapshot p = loop.picture();
+        StatusSnapshot p = loop.snapshot();
         SchedulerSettings given = setup.deployment().scheduler();
         List<List<Object>> rows = new ArrayList<>();
         for (SchedulerSettings.RequestClass c : given.requestClasses()) {
@@ -432,7 +435,7 @@
     }
 
     private View events(AccessScope sight, Ask ask) {
-        StatusSnapshot p = loop.picture();
+        StatusSnapshot p = loop.snapshot();
         List<StatusSnapshot.OperationalEvent> seen = new ArrayList<>();
         for (int i = p.events().size() - 1; i >= 0; i--) {
             StatusSnapshot.OperationalEvent h = p.events().get(i);
@@ -526,7 +529,7 @@
         figures.put("allowances", given.capabilities().toString());
         figures.put("bounds", given.limits().toString());
         figures.put("transport", setup.transport().toString());
-        figures.put("room", setup.room().toString());
+        figures.put("room", setup.capacity().toString());
         List<List<Object>> plans = new ArrayList<>();
         given.plans()
                 .forEach(
--- a/gateway/src/main/java/milletyoke/gateway/console/Tokens.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Tokens.java
@@ -48,32 +48,32 @@
     private static List<Entry> read(Path file) throws ConfigException {
         SettingsReader f = SettingsReader.read(file);
         List<Entry> all = new ArrayList<>();
-        for (SettingsReader t : f.forms("tokens", true)) {
-            AccessScope.Role role = t.word("role", AccessScope.Role.class, null);
+        for (SettingsReader t : f.sections("tokens", true)) {
+            AccessScope.Role role = t.keyword("role", AccessScope.Role.class, null);
             String name = t.text("name", null);
             byte[] hash;
             try {
                 hash = HexFormat.of().parseHex(t.text("sha256", null));
             } catch (IllegalArgumentException notHex) {
-                throw t.wrong("sha256", "64 hex digits are expected");
+                throw t.error("sha256", "64 hex digits are expected");
             }
             if (hash.length != 32) {
-                throw t.wrong("sha256", "64 hex digits are expected");
+                throw t.error("sha256", "64 hex digits are expected");
             }
             Instant until = Instant.MAX;
             try {
                 until = t.has("until") ? Instant.parse(t.text("until", null)) : until;
             } catch (DateTimeParseException notATime) {
-                throw t.wrong("until", "a time as 2027-01-31T00:00:00Z is expected");
+                throw t.error("until", "a time as 2027-01-31T00:00:00Z is expected");
             }
             List<String> volumes =
                     role == AccessScope.Role.TENANT
                             ? List.of(t.text("volumes", null).split(",\\s*"))
                             : List.of();
-            t.done();
+            t.rejectUnknown();
             all.add(new Entry(new AccessScope(name, role, volumes), hash, until));
         }
-        f.done();
+        f.rejectUnknown();
         return List.copyOf(all);
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/discovery/DiscoveryWatch.java
+++ b/gateway/src/main/java/milletyoke/gateway/discovery/DiscoveryWatch.java
@@ -79,7 +79,7 @@
                                         .setWatch(Watch.newBuilder().setRevision(version))
                                         .build());
         if (!sent) {
-            loop.tell(new LoopMessage.DiscoveryUnavailable("discovery is not connected"));
+            loop.post(new LoopMessage.DiscoveryUnavailable("discovery is not connected"));
         }
     }
 
@@ -98,9 +98,9 @@
             throw new MalformedFrameException("discovery sends lists, not " + frame.getBodyCase());
         }
         if (frame.getEndpointList().getScope() == Scope.UNAVAILABLE) {
-            loop.tell(new LoopMessage.DiscoveryUnavailable("discovery could not serve"));
+            loop.post(new LoopMessage.DiscoveryUnavailable("discovery could not serve"));
         } else {
-            loop.tell(new LoopMessage.EndpointListReceived(frame.getEndpointList()));
+            loop.post(new LoopMessage.EndpointListReceived(frame.getEndpointList()));
         }
     }
 
@@ -126,7 +126,7 @@
                     "discovery at {} is lost: {}; the list held stays in use",
                     setup.discovery(),
                     why);
-            loop.tell(new LoopMessage.DiscoveryUnavailable(why));
+            loop.post(new LoopMessage.DiscoveryUnavailable(why));
         }
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/dispatch/AttemptDispatcher.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/AttemptDispatcher.java
@@ -147,7 +147,7 @@
         now = time;
         OutboundAttempt out =
                 new OutboundAttempt(
-                        target, id, attempt, now, giveUpAt, now + transport.connectTime());
+                        target, id, attempt, now, giveUpAt, now + transport.connectTimeoutMicros());
         out.number = nextNumber++;
         out.frame = Frame.newBuilder().setAttempt(relay.setNumber(out.number)).build();
         relays.put(key(id, attempt), out);
@@ -163,7 +163,7 @@
                         0,
                         now,
                         now + transport.probeTime(),
-                        now + transport.connectTime());
+                        now + transport.connectTimeoutMicros());
         out.number = nextNumber++;
         out.frame = Frame.newBuilder().setProbe(Probe.newBuilder().setNumber(out.number)).build();
         order(out);
@@ -294,12 +294,12 @@
 
     private void dial(Link link) {
         long number = nextDial++;
-        counts.add(Counter.CONNECTS);
+        counts.increment(Counter.CONNECTS);
         link.dialling.put(
                 number,
                 new Dialling(
                         dialler.connect(link.id, link.address, number),
-                        now + transport.connectTime()));
+                        now + transport.connectTimeoutMicros()));
     }
 
     // ---- What connections tell ----
@@ -338,7 +338,7 @@
         now = time;
         Link link = links.get(target);
         if (link != null && link.dialling.remove(dial) != null) {
-            counts.add(Counter.CONNECTS_FAILED);
+            counts.increment(Counter.CONNECTS_FAILED);
             failWaiting(link);
         }
     }
@@ -369,7 +369,7 @@
         Link link = links.get(target);
         link.conns.remove(conn);
         if (!conn.outs.isEmpty()) {
-            counts.add(Counter.CONNECTIONS_LOST);
+            counts.increment(Counter.CONNECTIONS_LOST);
         }
         Outcome became = refused && !conn.heard ? Outcome.NO_CONNECTION : Outcome.RESET;
         new ArrayList<>(conn.outs.values())
@@ -394,7 +394,7 @@
             conn.heard = true;
         }
         if (out == null) {
-            counts.add(Counter.LATE_REPLIES);
+            counts.increment(Counter.LATE_REPLIES);
             return;
         }
         conn.lastUse = now;
@@ -423,7 +423,7 @@
             conn.heard = true;
         }
         if (out == null || !out.isProbe()) {
-            counts.add(Counter.LATE_REPLIES);
+            counts.increment(Counter.LATE_REPLIES);
             return;
         }
         conn.lastUse = now;
@@ -457,7 +457,7 @@
             end(out, out.sent() ? Outcome.TIMED_OUT : unsent, null, null);
         }
         if (now >= sweepAt) {
-            sweepAt = now + Math.max(1_000, Math.min(transport.connectTime(), 250_000));
+            sweepAt = now + Math.max(1_000, Math.min(transport.connectTimeoutMicros(), 250_000));
             links.values().forEach(this::sweep);
             links.values().removeIf(l -> !l.listed && l.conns.isEmpty() && l.dialling.isEmpty());
         }
@@ -479,7 +479,7 @@
                                 d -> {
                                     if (now >= d.until()) {
                                         d.dial().cancel();
-                                        counts.add(Counter.CONNECTS_FAILED);
+                                        counts.increment(Counter.CONNECTS_FAILED);
                                         return true;
                                     }
                                     return false;
@@ -487,9 +487,9 @@
         if (gaveUp) {
             failWaiting(link);
         }
-        if (transport.idle() > 0) {
+        if (transport.idleTimeoutMicros() > 0) {
             for (Conn c : List.copyOf(link.conns)) {
-                if (c.outs.isEmpty() && now - c.lastUse > transport.idle()) {
+                if (c.outs.isEmpty() && now - c.lastUse > transport.idleTimeoutMicros()) {
                     c.line.closeWithReason("idle");
                 }
             }
--- a/gateway/src/main/java/milletyoke/gateway/ingress/ClientListener.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/ClientListener.java
@@ -78,7 +78,7 @@
      * Accesses may name these categories and plans from now on; the decisions know them already.
      */
     public void provision(SchedulerSettings given) {
-        door.provision(given);
+        door.applySettings(given);
     }
 
     /**
@@ -93,8 +93,8 @@
      */
     public void leave() {
         leaving = true;
-        door.leave();
-        clients.forEach(c -> c.goingAway("this initiator leaves"));
+        door.release();
+        clients.forEach(c -> c.announceShutdown("this initiator leaves"));
     }
 
     /**
@@ -112,7 +112,7 @@
 
     /** Whether a client that was asked to close has not. */
     public boolean owesGoodbyes() {
-        return clients.stream().anyMatch(c -> c.isOpen() && c.knowsGoingAway());
+        return clients.stream().anyMatch(c -> c.isOpen() && c.supportsGoingAway());
     }
 
     @Override
@@ -120,7 +120,7 @@
         LOG.debug("client {} is here", peer);
         clients.add(peer);
         if (leaving) { // it connected while the others were told
-            peer.goingAway("this initiator leaves");
+            peer.announceShutdown("this initiator leaves");
         }
     }
 
@@ -129,7 +129,7 @@
         switch (frame.getBodyCase()) {
             case REQUEST -> access(peer, configured(frame.getRequest()));
             case CANCEL_REQUEST ->
-                    loop.tell(
+                    loop.post(
                             new LoopMessage.RequestCancelled(
                                     peer, frame.getCancelRequest().getNumber()));
             default ->
@@ -139,23 +139,23 @@
     }
 
     private void access(PeerConnection peer, Request a) {
-        if (!door.acceptable(a)) {
-            reject(peer, a, Reason.INVALID, Counter.UNACCEPTABLE, 0);
+        if (!door.validate(a)) {
+            reject(peer, a, Reason.INVALID, Counter.INVALID, 0);
             return;
         }
         CaptureWriter to = capture;
         if (to != null) {
-            to.came(world.monotonicMicros(), a);
+            to.record(world.monotonicMicros(), a);
         }
         RequestAdmission.Rejection refusal = door.admit(peer, a, world.monotonicMicros());
         if (refusal != null) {
-            reject(peer, a, refusal.reason(), refusal.count(), refusal.retryIn());
+            reject(peer, a, refusal.reason(), refusal.counter(), refusal.retryAfterMicros());
         }
     }
 
     private void reject(
             PeerConnection peer, Request a, Reason reason, Counter count, long retryIn) {
-        counts.add(count);
+        counts.increment(count);
         peer.send(
                 Frame.newBuilder()
                         .setResponse(
@@ -172,6 +172,6 @@
         LOG.debug("client {} is gone: {}", peer, why);
         clients.remove(peer);
         faults.closed("client", peer);
-        loop.tell(new LoopMessage.ClientDisconnected((Connection) peer));
+        loop.post(new LoopMessage.ClientDisconnected((Connection) peer));
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/ingress/ConcurrentAdmission.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/ConcurrentAdmission.java
@@ -43,9 +43,9 @@
             return new Admission.Verdict(Admission.CapacityBound.NAMES, 0);
         }
         Admission.Verdict verdict =
-                admission.ask(client.id(), access.getVolume(), access.getPayload().size());
+                admission.tryAcquire(client.id(), access.getVolume(), access.getPayload().size());
         if (verdict.admitted()) {
-            volumes.use(access.getVolume(), now);
+            volumes.acquire(access.getVolume(), now);
         }
         return verdict;
     }
@@ -57,11 +57,11 @@
         admission.release(client.id(), access.getVolume(), access.getPayload().size(), stay);
     }
 
-    public synchronized double used() {
-        return admission.used();
+    public synchronized double utilization() {
+        return admission.utilization();
     }
 
-    public synchronized int places() {
-        return admission.places();
+    public synchronized int acquired() {
+        return admission.acquired();
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/ingress/RequestAdmission.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/RequestAdmission.java
@@ -21,7 +21,7 @@
     private static final int LONGEST_NAME = 512, MOST_HOSTS = 100_000;
 
     /** Why an access was not taken. */
-    public record Rejection(Reason reason, Counter count, long retryIn) {}
+    public record Rejection(Reason reason, Counter counter, long retryAfterMicros) {}
 
     private final InitiatorConfig setup;
     private final EventLoop loop;
@@ -34,13 +34,13 @@
         this.setup = setup;
         this.loop = loop;
         this.gate = gate;
-        provision(setup.deployment().scheduler());
+        applySettings(setup.deployment().scheduler());
     }
 
     /**
      * Accesses may name these categories and plans from now on; the decisions know them already.
      */
-    public void provision(SchedulerSettings given) {
+    public void applySettings(SchedulerSettings given) {
         categories =
                 given.requestClasses().stream()
                         .map(SchedulerSettings.RequestClass::name)
@@ -52,14 +52,14 @@
     }
 
     /** From now on nothing new is taken. */
-    public void leave() {
+    public void release() {
         leaving = true;
     }
 
     /**
      * What would make the decisions keep state without bound, or has no meaning to them, is not.
      */
-    public boolean acceptable(Request a) {
+    public boolean validate(Request a) {
         return categories.contains(a.getRequestClass())
                 && plans.contains(a.getPlan())
                 && !a.getVolume().isEmpty()
@@ -67,12 +67,12 @@
                 && a.getExtent().length() <= LONGEST_NAME
                 && a.getIdempotencyKey().length() <= LONGEST_NAME
                 && a.getUnits() > 0
-                && a.getUnits() <= setup.room().largest()
+                && a.getUnits() <= setup.capacity().largest()
                 && a.getTimeLeftMicros() > 0
-                && a.getTimeLeftMicros() <= setup.room().longest()
+                && a.getTimeLeftMicros() <= setup.capacity().longest()
                 && a.getInitiatorCount() >= 0
                 && a.getInitiatorCount() <= MOST_HOSTS
-                && (!a.hasShard() || a.getShard() >= 0 && a.getShard() < setup.room().shards());
+                && (!a.hasShard() || a.getShard() >= 0 && a.getShard() < setup.capacity().shards());
     }
 
     /**
@@ -82,20 +82,22 @@
      * @return null where it was taken
      */
     public Rejection admit(Connection client, Request a, long at) {
-        LifecycleState condition = leaving ? LifecycleState.LEAVING : loop.condition();
+        LifecycleState condition = leaving ? LifecycleState.LEAVING : loop.lifecycleState();
         if (!condition.admits()) {
-            return new Rejection(reason(condition), Counter.REJECTED_CONDITION, 0);
+            return new Rejection(reason(condition), Counter.REJECTED_STATE, 0);
         }
         Admission.Verdict verdict = gate.ask(client, a, at);
         if (!verdict.admitted()) {
             boolean mayAdvise =
                     setup.deployment().scheduler().capabilities().canSuggestRetryAfter();
             return new Rejection(
-                    Reason.NO_CAPACITY, Counter.NO_PLACE, mayAdvise ? verdict.retryIn() : 0);
+                    Reason.NO_CAPACITY,
+                    Counter.REJECTED_CAPACITY,
+                    mayAdvise ? verdict.retryAfterMicros() : 0);
         }
         if (!loop.offer(new LoopMessage.RequestReceived(client, a, at))) {
             gate.release(client, a, 0);
-            return new Rejection(Reason.NO_CAPACITY, Counter.NO_PLACE, 0);
+            return new Rejection(Reason.NO_CAPACITY, Counter.REJECTED_CAPACITY, 0);
         }
         return null;
     }
--- a/gateway/src/main/java/milletyoke/gateway/loop/Counter.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/Counter.java
@@ -2,18 +2,18 @@
 
 /** What is counted, for logs and pages. */
 public enum Counter {
-    ACCESSES,
+    REQUESTS,
     ANSWERED,
     REJECTED,
-    BROKEN_OFF,
-    NO_PLACE,
-    REJECTED_CONDITION,
-    UNACCEPTABLE,
+    FAILED,
+    REJECTED_CAPACITY,
+    REJECTED_STATE,
+    INVALID,
     EXPIRED,
-    CLIENTS_LEFT,
+    CANCELLED_BY_CLIENT,
     OVERDUE,
-    RELAYS,
-    RELAYS_FURTHER,
+    ATTEMPTS,
+    RETRIES,
     CANCELS,
     PROBES,
     CONNECTS,
@@ -21,7 +21,7 @@
     CONNECTIONS_LOST,
     LATE_REPLIES,
     MALFORMED_PEERS,
-    LISTS,
-    LISTS_UNAVAILABLE,
+    ENDPOINT_LISTS,
+    DISCOVERY_UNAVAILABLE,
     TURNS
 }
--- a/gateway/src/main/java/milletyoke/gateway/loop/Counters.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/Counters.java
@@ -14,11 +14,11 @@
         }
     }
 
-    public void add(Counter count) {
+    public void increment(Counter count) {
         all.get(count).increment();
     }
 
-    public long of(Counter count) {
+    public long get(Counter count) {
         return all.get(count).sum();
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
@@ -115,8 +115,8 @@
     private volatile boolean parked;
     private volatile boolean killed;
     private volatile Throwable fault;
-    private volatile LifecycleState condition = LifecycleState.STARTING;
-    private volatile StatusSnapshot picture;
+    private volatile LifecycleState lifecycleState = LifecycleState.STARTING;
+    private volatile StatusSnapshot snapshot;
     private boolean leaving;
 
     /**
@@ -155,14 +155,14 @@
         this.setup = setup;
         this.around = around;
         this.counts = counts;
-        queue = new MpscArrayQueue<>(setup.room().queue());
+        queue = new MpscArrayQueue<>(setup.capacity().queue());
         roomForAccesses = queue.capacity() - queue.capacity() / 4;
         lifecycle =
                 new Lifecycle(
                         new Lifecycle.Thresholds(
-                                setup.room().listAge(),
-                                setup.room().full(),
-                                setup.room().eased(),
+                                setup.capacity().listAge(),
+                                setup.capacity().full(),
+                                setup.capacity().eased(),
                                 1_000_000));
         accounts = new ServiceStatistics(setup.deployment().scheduler(), around.isWatched());
         painter = new SnapshotBuilder(setup.name(), decide, accounts);
@@ -278,7 +278,7 @@
         }
         for (LoopMessage told = queue.poll(); told != null; told = queue.poll()) {
             if (told instanceof LoopMessage.RequestReceived t) {
-                counts.add(Counter.REJECTED_CONDITION);
+                counts.increment(Counter.REJECTED_STATE);
                 around.freePlace(t.client(), t.request(), 0);
                 t.client()
                         .send(
@@ -298,7 +298,7 @@
      * taken some, and so its peer is held back by its connection; the last quarter is kept free of
      * accesses for this.
      */
-    public void tell(LoopMessage told) {
+    public void post(LoopMessage told) {
         if (drive != null || Thread.currentThread() == thread) {
             own.add(told); // the loop cannot wait for itself
             wakeUp();
@@ -345,7 +345,7 @@
 
     /** Holds the loop, as a long pause of this process would. @param micros how long */
     public void standStill(long micros, Runnable afterwards) {
-        tell(
+        post(
                 new LoopMessage.RunTask(
                         () -> {
                             stillUntil = clock.getAsLong() + micros;
@@ -462,7 +462,7 @@
     }
 
     private void decide(long now) {
-        counts.add(Counter.TURNS);
+        counts.increment(Counter.TURNS);
         turnAt = now;
         List<Action> actions = decisions.decide(now, ledger.drain());
         ledger.carryOut(now, actions);
@@ -507,7 +507,7 @@
         } else if (told instanceof LoopMessage.ProbeReplied t) {
             links.probeReplied(now, t.receivedAtMicros(), t.connection(), t.number(), t.load());
         } else if (told instanceof LoopMessage.EndpointListReceived t) {
-            counts.add(Counter.LISTS);
+            counts.increment(Counter.ENDPOINT_LISTS);
             ledger.happened(roster.listed(now, t.list(), false));
             painter.happened(
                     now,
@@ -522,7 +522,7 @@
             fact(new LifecycleEvent.EndpointListReceived(roster.usable(), false));
             around.listHeld(roster.whole());
         } else if (told instanceof LoopMessage.DiscoveryUnavailable t) {
-            counts.add(Counter.LISTS_UNAVAILABLE);
+            counts.increment(Counter.DISCOVERY_UNAVAILABLE);
             ledger.happened(new Event.EndpointListReceived(Event.ListScope.UNAVAILABLE, List.of()));
             painter.happened(now, "list", "unavailable: " + t.reason(), null);
             fact(new LifecycleEvent.DiscoveryUnavailable());
@@ -562,7 +562,7 @@
     }
 
     private void fact(LifecycleEvent fact) {
-        condition = lifecycle.tell(clock.getAsLong(), fact);
+        lifecycleState = lifecycle.apply(clock.getAsLong(), fact);
     }
 
     /** Makes the picture that everybody else reads; what it cost is in the next one. */
@@ -571,11 +571,11 @@
         paintAt = now + PAINT_EVERY;
         fact(new LifecycleEvent.UtilizationMeasured(around.roomUsed()));
         fact(new LifecycleEvent.Tick());
-        if (picture != null && (drive != null || !around.isWatched())) {
+        if (snapshot != null && (drive != null || !around.isWatched())) {
             return; // nobody looks in a lab, and a picture costs what the targets and volumes are
             // many
         }
-        picture =
+        snapshot =
                 painter.paint(
                         now,
                         new SnapshotBuilder.Loop(
@@ -600,13 +600,13 @@
     }
 
     /** What this daemon is now; any thread may ask. */
-    public LifecycleState condition() {
-        return condition;
+    public LifecycleState lifecycleState() {
+        return lifecycleState;
     }
 
     /** The latest picture; any thread may ask, and the loop is not disturbed by it. */
-    public StatusSnapshot picture() {
-        return picture;
+    public StatusSnapshot snapshot() {
+        return snapshot;
     }
 
     /** Rows of the last seconds, oldest first; any thread may ask. */
@@ -616,12 +616,12 @@
 
     /** Whether the list, as of the latest picture, has such a target. */
     public boolean knows(String target) {
-        return picture.targets().stream().anyMatch(t -> t.look().id().equals(target));
+        return snapshot.targets().stream().anyMatch(t -> t.look().id().equals(target));
     }
 
     /** Shows figures of the loop to a reader, on the loop's thread. */
     public void show(Consumer<Figures> reader) {
-        tell(
+        post(
                 new LoopMessage.RunTask(
                         () ->
                                 reader.accept(
@@ -640,5 +640,10 @@
      * @param turnTimes microseconds of each turn's decisions and what was done on them
      */
     public record Figures(
-            int held, int unanswered, int out, int targets, long version, Histogram turnTimes) {}
+            int pendingRequests,
+            int unanswered,
+            int out,
+            int targets,
+            long version,
+            Histogram turnTimes) {}
 }
--- a/gateway/src/main/java/milletyoke/gateway/loop/RequestTracker.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/RequestTracker.java
@@ -128,7 +128,7 @@
         }
         if (now >= at + a.getTimeLeftMicros()) {
             places.free(client, a, now - at);
-            counts.add(Counter.EXPIRED);
+            counts.increment(Counter.EXPIRED);
             outbox.post(
                     client,
                     Frame.newBuilder()
@@ -153,7 +153,7 @@
         byClient.computeIfAbsent(client, c -> new LinkedHashMap<>()).put(a.getNumber(), e);
         byLastCall.add(e);
         unanswered++;
-        counts.add(Counter.ACCESSES);
+        counts.increment(Counter.REQUESTS);
         accounts.asked(now, a.getRequestClass(), a.getPlan(), a.getVolume());
         long timeLeft = a.getTimeLeftMicros() - (now - at);
         events.add(
@@ -173,7 +173,7 @@
         Map<Long, TrackedRequest> own = byClient.get(client);
         TrackedRequest e = own == null ? null : own.get(number);
         if (e != null && !e.answered) {
-            counts.add(Counter.CLIENTS_LEFT);
+            counts.increment(Counter.CANCELLED_BY_CLIENT);
             over(e);
         }
     }
@@ -182,7 +182,7 @@
         Map<Long, TrackedRequest> own = byClient.get(client);
         if (own != null) {
             List.copyOf(own.values()).stream().filter(e -> !e.answered).forEach(this::over);
-            counts.add(Counter.CLIENTS_LEFT);
+            counts.increment(Counter.CANCELLED_BY_CLIENT);
         }
     }
 
@@ -240,7 +240,7 @@
                 lag);
         if (outcome == Outcome.SUCCEEDED && !e.answered) {
             answer(e, ResponseStatus.ANSWERED, 0, payload);
-            counts.add(Counter.ANSWERED);
+            counts.increment(Counter.ANSWERED);
         }
         events.add(new Event.AttemptEnded(id, attempt, e.answered, outcome, lag));
         forgetIfDone(e);
@@ -261,7 +261,7 @@
                 && (byLastCall.peek().answered || byLastCall.peek().lastCall < now)) {
             TrackedRequest e = byLastCall.poll();
             if (!e.answered) {
-                counts.add(Counter.OVERDUE);
+                counts.increment(Counter.OVERDUE);
                 LOG.error(
                         "no answer was decided for access {} of {} in its time: {} relays, {}",
                         e.id,
@@ -293,12 +293,12 @@
             } else if (action instanceof Action.Reject a) {
                 close(a.id(), ResponseStatus.REJECTED, a.retryAfterMicros(), Counter.REJECTED);
             } else if (action instanceof Action.Fail a) {
-                close(a.id(), ResponseStatus.FAILED, 0, Counter.BROKEN_OFF);
+                close(a.id(), ResponseStatus.FAILED, 0, Counter.FAILED);
             } else if (action instanceof Action.CancelAttempt a) {
-                counts.add(Counter.CANCELS);
+                counts.increment(Counter.CANCELS);
                 outlet.cancel(a.id(), a.attemptNumber());
             } else if (action instanceof Action.SendProbe a) {
-                counts.add(Counter.PROBES);
+                counts.increment(Counter.PROBES);
                 outlet.probe(a.target());
             } else if (action instanceof Action.ScheduleWakeUp a) {
                 outlet.wake(a.delayMicros());
@@ -348,7 +348,7 @@
         e.out = true;
         e.target = a.target();
         accounts.relayed(now, a.target());
-        counts.add(attempt == 0 ? Counter.RELAYS : Counter.RELAYS_FURTHER);
+        counts.increment(attempt == 0 ? Counter.ATTEMPTS : Counter.RETRIES);
         Attempt.Builder relay =
                 Attempt.newBuilder()
                         .setRequestId(e.id)
@@ -373,7 +373,7 @@
     private void close(String id, ResponseStatus how, long retryIn, Counter count) {
         TrackedRequest e = entries.get(id);
         if (e != null && !e.answered) {
-            counts.add(count);
+            counts.increment(count);
             answer(e, how, retryIn, null);
         }
     }
@@ -401,7 +401,7 @@
     /** For a fault of the decisions: everything held is broken off, which promises nothing. */
     void breakOffAll() {
         for (TrackedRequest e : List.copyOf(entries.values())) {
-            close(e.id, ResponseStatus.FAILED, 0, Counter.BROKEN_OFF);
+            close(e.id, ResponseStatus.FAILED, 0, Counter.FAILED);
         }
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/reload/ConfigWatcher.java
+++ b/gateway/src/main/java/milletyoke/gateway/reload/ConfigWatcher.java
@@ -98,9 +98,9 @@
         now.keySet().retainAll(read.keySet());
         read.putAll(now); // what changed since it was looked at is looked at again
         seen = read;
-        if (!checked.clean()) {
+        if (!checked.isValid()) {
             refuse(
-                    checked.findings().stream()
+                    checked.diagnostics().stream()
                             .filter(Diagnostic::error)
                             .map(Diagnostic::text)
                             .toList(),
--- a/gateway/src/main/java/milletyoke/gateway/status/SnapshotBuilder.java
+++ b/gateway/src/main/java/milletyoke/gateway/status/SnapshotBuilder.java
@@ -97,8 +97,8 @@
         return new StatusSnapshot(
                 now,
                 name,
-                loop.lifecycle().condition(),
-                loop.lifecycle().past(),
+                loop.lifecycle().state(),
+                loop.lifecycle().transitions(),
                 loop.places(),
                 loop.held(),
                 loop.out(),
@@ -140,10 +140,14 @@
                 .sorted()
                 .forEach(id -> happened(now, "target", id + " is known no more", null));
         states = next;
-        List<Lifecycle.Transition> past = lifecycle.past();
+        List<Lifecycle.Transition> past = lifecycle.transitions();
         int fresh = lastTransition == null ? 0 : past.lastIndexOf(lastTransition) + 1;
         for (Lifecycle.Transition t : past.subList(fresh, past.size())) {
-            happened(t.at(), "condition", t.from() + " -> " + t.to() + ": " + t.why(), null);
+            happened(
+                    t.atMicros(),
+                    "condition",
+                    t.from() + " -> " + t.to() + ": " + t.reason(),
+                    null);
             lastTransition = t;
         }
     }
--- a/gateway/src/main/java/milletyoke/gateway/status/StatusSnapshot.java
+++ b/gateway/src/main/java/milletyoke/gateway/status/StatusSnapshot.java
@@ -16,7 +16,7 @@
  *
  * @param behind volumes that changed and are not in it yet
  * @param decided the latest decisions, the newest first
- * @param costs part of the loop's time that pictures and accounts took, of late
+ * @param snapshotCostShare part of the loop's time that pictures and accounts took, of late
  */
 public record StatusSnapshot(
         long at,
@@ -30,8 +30,8 @@
         long listVersion,
         double lateShare,
         double furtherSuccess,
-        long turnP50,
-        long turnP99,
+        long turnP50Micros,
+        long turnP99Micros,
         List<Target> targets,
         List<SchedulerView.ShardView> nodes,
         PMap<String, Volume> volumes,
@@ -39,7 +39,7 @@
         PVector<OperationalEvent> events,
         Map<String, RequestTally> categories,
         Map<String, RequestTally> plans,
-        double costs,
+        double snapshotCostShare,
         List<DecisionRecord> decided) {
 
     /**
--- a/gateway/src/test/java/milletyoke/gateway/config/CheckSpeedTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/config/CheckSpeedTest.java
@@ -56,8 +56,11 @@
             Checker.Result r = Checker.check(new FileSourceProvider(), a.toRealPath().toString());
             best = Math.min(best, (System.nanoTime() - began) / 1e6);
             assertTrue(
-                    r.clean(),
-                    () -> r.findings().subList(0, Math.min(3, r.findings().size())).toString());
+                    r.isValid(),
+                    () ->
+                            r.diagnostics()
+                                    .subList(0, Math.min(3, r.diagnostics().size()))
+                                    .toString());
             assertEquals(VOLUMES, r.fleet().of("volume").size());
             began = System.nanoTime();
             assertEquals(VOLUMES, Json5.read(b).object().get("volumes").list().size());
--- a/gateway/src/test/java/milletyoke/gateway/config/InitiatorConfigTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/config/InitiatorConfigTest.java
@@ -37,7 +37,7 @@
                 setup.deployment().scheduler().requestClasses().get(0).latencyObjectiveMicros());
         assertEquals(17_000_000, setup.deployment().scheduler().limits().warmUpMicros());
         assertEquals(Path.of("/base/state"), setup.folder());
-        assertEquals(250_000, setup.transport().connectTime());
+        assertEquals(250_000, setup.transport().connectTimeoutMicros());
     }
 
     @ParameterizedTest
--- a/gateway/src/test/java/milletyoke/gateway/reload/ConfigWatcherTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/reload/ConfigWatcherTest.java
@@ -158,7 +158,7 @@
                                         + " relayBudgetFree: 10, relayBudgetShare: 0.1, relayBudgetSpan: \"2 s\"}}"));
         Path file = write("converted.fleet", FleetConverter.text(d));
         Checker.Result checked = Checker.check(new FileSourceProvider(), ConfigWatcher.name(file));
-        assertTrue(checked.clean(), checked.findings().toString());
+        assertTrue(checked.isValid(), checked.diagnostics().toString());
         assertEquals(d, FleetConverter.deployment(checked.fleet()));
     }
 
--- a/http/src/main/java/milletyoke/http/HeaderWriter.java
+++ b/http/src/main/java/milletyoke/http/HeaderWriter.java
@@ -15,7 +15,7 @@
         return new HeaderWriter(method + " " + target + " HTTP/1.1");
     }
 
-    public static HeaderWriter answer(int status) {
+    public static HeaderWriter response(int status) {
         return new HeaderWriter("HTTP/1.1 " + status + " " + reason(status));
     }
 
@@ -41,7 +41,7 @@
     }
 
     /** The value must be free of line ends: what came through {@link HttpMessageDecoder} is. */
-    public HeaderWriter with(String name, String value) {
+    public HeaderWriter header(String name, String value) {
         head.append(name).append(": ").append(value).append("\r\n");
         return this;
     }
@@ -50,10 +50,10 @@
      * Seconds with three decimals, rounded down; below one millisecond what is left of it is told
      * as one.
      */
-    public HeaderWriter withSeconds(String name, long micros) {
+    public HeaderWriter headerInSeconds(String name, long micros) {
         long millis = Math.max(1, micros / 1000);
         String part = Long.toString(millis % 1000 + 1000);
-        return with(name, millis / 1000 + "." + part.substring(1));
+        return header(name, millis / 1000 + "." + part.substring(1));
     }
 
     /** Fields that are lines already, each ended. */
@@ -63,11 +63,11 @@
     }
 
     /** Says how long the body is that is written behind the head. */
-    public HeaderWriter withLength(int bytes) {
-        return with("Content-Length", Integer.toString(bytes));
+    public HeaderWriter contentLength(int bytes) {
+        return header("Content-Length", Integer.toString(bytes));
     }
 
-    public ByteBuffer end() {
+    public ByteBuffer toBuffer() {
         return ByteBuffer.wrap(
                 head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
     }
--- a/http/src/main/java/milletyoke/http/HttpConnection.java
+++ b/http/src/main/java/milletyoke/http/HttpConnection.java
@@ -88,7 +88,7 @@
      * Whether the peer has ended its sending or reset the connection; known before its last bytes
      * are passed on.
      */
-    public boolean isPeerGone() {
+    public boolean isClosedByPeer() {
         return peerGone;
     }
 
--- a/http/src/main/java/milletyoke/http/HttpMessage.java
+++ b/http/src/main/java/milletyoke/http/HttpMessage.java
@@ -9,10 +9,10 @@
  * @param method empty for an answer
  * @param target the request's target as it came (RFC 9112 section 3.2); empty for an answer
  * @param status 0 for a request
- * @param fields in the order in which they came
+ * @param headers in the order in which they came
  */
 public record HttpMessage(
-        String method, String target, int status, List<HeaderField> fields, byte[] body) {
+        String method, String target, int status, List<HeaderField> headers, byte[] body) {
     /**
      * What holds between two neighbours alone and is never passed on (RFC 9110 section 7.6.1),
      * beside what Connection names.
@@ -33,16 +33,16 @@
                     "host");
 
     /**
-     * @param name in lower case @param sent the name as it came
+     * @param name in lower case @param originalName the name as it came
      */
-    public record HeaderField(String name, String value, String sent) {}
+    public record HeaderField(String name, String value, String originalName) {}
 
     /** Fields from end to end but those named (in lower case), each as a line, as they came. */
-    public String endToEnd(Set<String> but) {
+    public String endToEndHeaders(Set<String> but) {
         StringBuilder lines = new StringBuilder();
-        for (HeaderField f : fields) {
+        for (HeaderField f : headers) {
             if (!HOP_BY_HOP.contains(f.name()) && !but.contains(f.name()) && !isOption(f.name())) {
-                lines.append(f.sent()).append(": ").append(f.value()).append("\r\n");
+                lines.append(f.originalName()).append(": ").append(f.value()).append("\r\n");
             }
         }
         return lines.toString();
@@ -52,9 +52,9 @@
      * The value of a field that may stand there once; null where it does not, or stands there
      * several times.
      */
-    public String only(String name) {
+    public String singleHeader(String name) {
         String found = null;
-        for (HeaderField f : fields) {
+        for (HeaderField f : headers) {
             if (f.name().equals(name)) {
                 if (found != null) {
                     return null;
@@ -66,22 +66,22 @@
     }
 
     /** How often a field stands there. */
-    public int count(String name) {
+    public int headerCount(String name) {
         int times = 0;
-        for (HeaderField f : fields) {
+        for (HeaderField f : headers) {
             times += f.name().equals(name) ? 1 : 0;
         }
         return times;
     }
 
     /** Whether the sender closes after this message (RFC 9112 section 9.6). */
-    public boolean saysClose() {
+    public boolean hasConnectionClose() {
         return isOption("close");
     }
 
     /** Whether Connection names it. */
     private boolean isOption(String name) {
-        for (HeaderField f : fields) {
+        for (HeaderField f : headers) {
             if (f.name().equals("connection")) {
                 for (String option : f.value().split(",")) {
                     if (option.strip().equalsIgnoreCase(name)) {
--- a/http/src/main/java/milletyoke/http/HttpMessageDecoder.java
+++ b/http/src/main/java/milletyoke/http/HttpMessageDecoder.java
@@ -18,7 +18,7 @@
     /** Whose messages are read. */
     public enum Side {
         REQUESTS,
-        ANSWERS
+        RESPONSES
     }
 
     /**
@@ -33,7 +33,7 @@
          * A body of 64 KiB is the most that the platform sends; a head of its own is a tenth of
          * this.
          */
-        public static final Limits USUAL = new Limits(8 * 1024, 64, 64 * 1024);
+        public static final Limits DEFAULT = new Limits(8 * 1024, 64, 64 * 1024);
     }
 
     private enum At {
@@ -91,7 +91,8 @@
     }
 
     /**
-     * @param allowance for the room of bodies beyond the first 2 KiB; {@link #drop} gives it back
+     * @param allowance for the room of bodies beyond the first 2 KiB; {@link #discard} gives it
+     *     back
      */
     public HttpMessageDecoder(Side side, Limits limits, SharedByteBudget allowance) {
         this.side = side;
@@ -100,9 +101,9 @@
     }
 
     /** To be called when nothing more will be fed. */
-    public void drop() {
+    public void discard() {
         if (taken > 0) {
-            allowance.giveBack(taken);
+            allowance.release(taken);
             taken = 0;
         }
         body = EMPTY;
@@ -115,7 +116,7 @@
     }
 
     /** True once for a request that waits to be told to go on (RFC 9110 section 10.1.1). */
-    public boolean takeContinueOwed() {
+    public boolean takeContinueExpected() {
         boolean owed = continueOwed;
         continueOwed = false;
         return owed;
@@ -127,7 +128,7 @@
      * @return null where more must come
      * @throws Malformed where the connection is of no further use; nothing more may be fed
      */
-    public HttpMessage take(ByteBuffer in) throws HttpParseException {
+    public HttpMessage decode(ByteBuffer in) throws HttpParseException {
         try {
             return next(in);
         } catch (HttpParseException bad) {
@@ -162,7 +163,7 @@
      *
      * @return the answer that was to last until then; null where there is none, or it is not whole
      */
-    public HttpMessage ended() {
+    public HttpMessage endOfInput() {
         return at == At.UNTIL_END && !malformed ? finished() : null;
     }
 
@@ -198,7 +199,7 @@
         if (at != At.START) {
             return;
         }
-        if (side == Side.ANSWERS) {
+        if (side == Side.RESPONSES) {
             if (length <= VERSION.length && b != VERSION[length - 1]) {
                 throw new HttpParseException(400, "no answer of HTTP/1.1");
             }
@@ -255,7 +256,7 @@
 
     /** One empty line ahead of a request is borne (RFC 9112 section 2.2). */
     private void blankLine() throws HttpParseException {
-        if (side == Side.ANSWERS || blankSeen) {
+        if (side == Side.RESPONSES || blankSeen) {
             throw new HttpParseException(400, "an empty line in place of a start line");
         }
         blankSeen = true;
@@ -331,15 +332,15 @@
     /** How the body is framed (RFC 9112 section 6.3), without its last resorts. */
     private boolean headEnded() throws HttpParseException {
         HttpMessage head = new HttpMessage(method, target, status, fields, EMPTY);
-        if (side == Side.ANSWERS && status < 200) {
+        if (side == Side.RESPONSES && status < 200) {
             return nextAnswer();
         }
-        if (side == Side.REQUESTS && head.count("host") != 1) {
+        if (side == Side.REQUESTS && head.headerCount("host") != 1) {
             throw new HttpParseException(
                     400, "a request names its host once (RFC 9112 section 3.2)");
         }
-        int lengths = head.count("content-length");
-        int codings = head.count("transfer-encoding");
+        int lengths = head.headerCount("content-length");
+        int codings = head.headerCount("transfer-encoding");
         if (lengths > 0 && codings > 0) {
             throw new HttpParseException(400, "both Content-Length and Transfer-Encoding");
         }
@@ -347,22 +348,22 @@
             throw new HttpParseException(400, "its framing is told twice");
         }
         if (codings == 1) {
-            if (!head.only("transfer-encoding").equalsIgnoreCase("chunked")) {
+            if (!head.singleHeader("transfer-encoding").equalsIgnoreCase("chunked")) {
                 throw new HttpParseException(501, "chunked is the only transfer coding taken");
             }
             at = At.CHUNK_SIZE;
         } else if (lengths == 1) {
-            left = length(head.only("content-length"));
+            left = length(head.singleHeader("content-length"));
             at = At.BODY;
-        } else if (side == Side.ANSWERS && status != 204 && status != 304) {
+        } else if (side == Side.RESPONSES && status != 204 && status != 304) {
             at = At.UNTIL_END; // it lasts until its connection ends (RFC 9112 section 6.3, case 8)
             return false;
         }
-        boolean bare = side == Side.ANSWERS && (status == 204 || status == 304);
+        boolean bare = side == Side.RESPONSES && (status == 204 || status == 304);
         if (bare && (codings > 0 || left > 0)) {
             throw new HttpParseException(400, "a body where none can be");
         }
-        String expects = head.only("expect");
+        String expects = head.singleHeader("expect");
         continueOwed =
                 expects != null
                         && expects.equalsIgnoreCase("100-continue")
@@ -444,7 +445,7 @@
                             : at == At.UNTIL_END ? limits.body() : bodyLength + some;
             int room = Math.min(whole, Math.max(bodyLength + some, 2 * body.length));
             int beyond = allowance == null ? 0 : Math.max(0, room - ALONE) - taken;
-            if (beyond > 0 && !allowance.take(beyond)) {
+            if (beyond > 0 && !allowance.tryAcquire(beyond)) {
                 throw new HttpParseException(
                         503,
                         "no room for a body of "
@@ -470,7 +471,7 @@
         target = "";
         status = 0;
         fields = new ArrayList<>();
-        drop();
+        discard();
         continueOwed = false;
         line = line.length > 1024 ? new byte[128] : line;
         return message;
--- a/http/src/main/java/milletyoke/http/HttpTransport.java
+++ b/http/src/main/java/milletyoke/http/HttpTransport.java
@@ -51,10 +51,10 @@
     public interface Listener {
         int port();
 
-        /** Lets further connections wait with the system until {@link #goOn}. */
-        void hold();
+        /** Lets further connections wait with the system until {@link #resume}. */
+        void pause();
 
-        void goOn();
+        void resume();
 
         /** Takes no further connections. */
         void stop();
@@ -62,7 +62,7 @@
 
     /** A connection in the making, which can be given up. */
     public interface ConnectAttempt {
-        void giveUp();
+        void cancel();
     }
 
     private final AtomicInteger ids = new AtomicInteger();
@@ -114,12 +114,12 @@
         }
 
         @Override
-        public void hold() {
+        public void pause() {
             HttpConnection.quietly(() -> server.disableIOEvent(IOEvent.SERVER_ACCEPT));
         }
 
         @Override
-        public void goOn() {
+        public void resume() {
             HttpConnection.quietly(() -> server.enableIOEvent(IOEvent.SERVER_ACCEPT));
         }
 
--- a/http/src/main/java/milletyoke/http/SharedByteBudget.java
+++ b/http/src/main/java/milletyoke/http/SharedByteBudget.java
@@ -18,7 +18,7 @@
     }
 
     /** Takes so many bytes, or none and answers false. */
-    public boolean take(long bytes) {
+    public boolean tryAcquire(long bytes) {
         if (taken.addAndGet(bytes) > most) {
             taken.addAndGet(-bytes);
             return false;
@@ -26,7 +26,7 @@
         return true;
     }
 
-    public void giveBack(long bytes) {
+    public void release(long bytes) {
         taken.addAndGet(-bytes);
     }
 }
--- a/http/src/test/java/milletyoke/http/HttpMessageDecoderTest.java
+++ b/http/src/test/java/milletyoke/http/HttpMessageDecoderTest.java
@@ -58,11 +58,11 @@
             for (int i = 0; i <= cuts.length; i++) {
                 int to = i < cuts.length ? cuts[i] : input.length;
                 ByteBuffer piece = ByteBuffer.wrap(input, from, to - from);
-                for (HttpMessage m = decoder.take(piece); m != null; m = decoder.take(piece)) {
+                for (HttpMessage m = decoder.decode(piece); m != null; m = decoder.decode(piece)) {
                     all.append(m.method())
                             .append(m.target())
                             .append(m.status())
-                            .append(m.fields())
+                            .append(m.headers())
                             .append(new String(m.body(), StandardCharsets.ISO_8859_1))
                             .append('|');
                 }
@@ -72,7 +72,7 @@
             all.append(bad.status()).append(bad.getMessage());
         }
         boolean partial = decoder.isPartial();
-        HttpMessage last = partial ? decoder.ended() : null;
+        HttpMessage last = partial ? decoder.endOfInput() : null;
         return all.append(partial ? " partial" : "")
                 .append(
                         last == null
@@ -123,7 +123,7 @@
         HttpMessageDecoder.Side side =
                 chance.nextBoolean()
                         ? HttpMessageDecoder.Side.REQUESTS
-                        : HttpMessageDecoder.Side.ANSWERS;
+                        : HttpMessageDecoder.Side.RESPONSES;
         List<String> samples = side == HttpMessageDecoder.Side.REQUESTS ? REQUESTS : ANSWERS;
         byte[] input =
                 bytes(
@@ -149,12 +149,14 @@
      */
     @Test
     void anAnswerWithoutALengthLastsUntilItsConnectionEnds() throws Exception {
-        HttpMessageDecoder decoder = new HttpMessageDecoder(HttpMessageDecoder.Side.ANSWERS, SMALL);
-        assertNull(decoder.take(ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\n\r\nhalf"))));
+        HttpMessageDecoder decoder =
+                new HttpMessageDecoder(HttpMessageDecoder.Side.RESPONSES, SMALL);
+        assertNull(decoder.decode(ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\n\r\nhalf"))));
         assertTrue(decoder.isPartial());
-        assertNull(decoder.take(ByteBuffer.wrap(bytes(" and whole"))));
+        assertNull(decoder.decode(ByteBuffer.wrap(bytes(" and whole"))));
         assertEquals(
-                "half and whole", new String(decoder.ended().body(), StandardCharsets.ISO_8859_1));
+                "half and whole",
+                new String(decoder.endOfInput().body(), StandardCharsets.ISO_8859_1));
         for (String unfinished :
                 List.of(
                         "",
@@ -163,14 +165,15 @@
                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
                         "HTTP/1.1 103 Early\r\n\r\n")) {
             HttpMessageDecoder other =
-                    new HttpMessageDecoder(HttpMessageDecoder.Side.ANSWERS, SMALL);
-            assertNull(other.take(ByteBuffer.wrap(bytes(unfinished))));
-            assertNull(other.ended(), "not whole: " + unfinished);
+                    new HttpMessageDecoder(HttpMessageDecoder.Side.RESPONSES, SMALL);
+            assertNull(other.decode(ByteBuffer.wrap(bytes(unfinished))));
+            assertNull(other.endOfInput(), "not whole: " + unfinished);
         }
-        HttpMessageDecoder endless = new HttpMessageDecoder(HttpMessageDecoder.Side.ANSWERS, SMALL);
+        HttpMessageDecoder endless =
+                new HttpMessageDecoder(HttpMessageDecoder.Side.RESPONSES, SMALL);
         assertNull(
-                endless.take(ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(64)))));
-        assertThrows(HttpParseException.class, () -> endless.take(ByteBuffer.wrap(bytes("x"))));
+                endless.decode(ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(64)))));
+        assertThrows(HttpParseException.class, () -> endless.decode(ByteBuffer.wrap(bytes("x"))));
     }
 
     static Stream<String> ambiguous() {
@@ -205,7 +208,8 @@
         String told =
                 fed(
                         new HttpMessageDecoder(
-                                HttpMessageDecoder.Side.REQUESTS, HttpMessageDecoder.Limits.USUAL),
+                                HttpMessageDecoder.Side.REQUESTS,
+                                HttpMessageDecoder.Limits.DEFAULT),
                         bytes(HEAD + rest));
         assertTrue(told.matches("(?s)(400|413|501).*"), told);
     }
@@ -214,7 +218,7 @@
     @ValueSource(strings = {"\u0016\u0003\u0001", "HTTQ", "HTTP/1.0 200 OK", "\n", "200 OK"})
     void noiseInPlaceOfAnAnswerShowsAtItsFirstWrongByte(String noise) {
         assertTrue(
-                fed(new HttpMessageDecoder(HttpMessageDecoder.Side.ANSWERS, SMALL), bytes(noise))
+                fed(new HttpMessageDecoder(HttpMessageDecoder.Side.RESPONSES, SMALL), bytes(noise))
                         .startsWith("400"));
     }
 
@@ -223,11 +227,11 @@
         HttpMessageDecoder decoder =
                 new HttpMessageDecoder(HttpMessageDecoder.Side.REQUESTS, SMALL);
         int status = 0;
-        assertNull(decoder.take(ByteBuffer.wrap(bytes(HEAD))));
+        assertNull(decoder.decode(ByteBuffer.wrap(bytes(HEAD))));
         for (int i = 0; i < 600 && status == 0; i++) {
             try {
                 assertNull(
-                        decoder.take(
+                        decoder.decode(
                                 ByteBuffer.wrap(
                                         bytes(
                                                 i % 50 == 0
@@ -252,12 +256,12 @@
         String end = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
         assertTrue(
                 fed(
-                                new HttpMessageDecoder(HttpMessageDecoder.Side.ANSWERS, SMALL),
+                                new HttpMessageDecoder(HttpMessageDecoder.Side.RESPONSES, SMALL),
                                 bytes(interim.repeat(16) + end))
                         .startsWith("200"));
         assertTrue(
                 fed(
-                                new HttpMessageDecoder(HttpMessageDecoder.Side.ANSWERS, SMALL),
+                                new HttpMessageDecoder(HttpMessageDecoder.Side.RESPONSES, SMALL),
                                 bytes(interim.repeat(17) + end))
                         .startsWith("400"));
     }
@@ -267,7 +271,8 @@
         String told =
                 fed(
                         new HttpMessageDecoder(
-                                HttpMessageDecoder.Side.REQUESTS, HttpMessageDecoder.Limits.USUAL),
+                                HttpMessageDecoder.Side.REQUESTS,
+                                HttpMessageDecoder.Limits.DEFAULT),
                         bytes(HEAD + "Content-Length: 62914560\r\n\r\n"));
         assertTrue(told.startsWith("413"), told);
     }
@@ -286,19 +291,19 @@
             HttpMessageDecoder decoder =
                     new HttpMessageDecoder(
                             HttpMessageDecoder.Side.REQUESTS,
-                            HttpMessageDecoder.Limits.USUAL,
+                            HttpMessageDecoder.Limits.DEFAULT,
                             allowance);
             stopped.add(decoder);
             try {
-                assertNull(decoder.take(ByteBuffer.wrap(most)));
+                assertNull(decoder.decode(ByteBuffer.wrap(most)));
             } catch (HttpParseException full) {
                 assertEquals(503, full.status(), "trying again is harmless: it was never taken");
                 refused++;
             }
         }
         assertEquals(97, refused);
-        stopped.forEach(HttpMessageDecoder::drop);
-        assertTrue(allowance.take(200 * 1024), "all of it came back");
+        stopped.forEach(HttpMessageDecoder::discard);
+        assertTrue(allowance.tryAcquire(200 * 1024), "all of it came back");
     }
 
     @Test
@@ -306,13 +311,14 @@
         HttpMessageDecoder decoder =
                 new HttpMessageDecoder(HttpMessageDecoder.Side.REQUESTS, SMALL);
         assertNull(
-                decoder.take(
+                decoder.decode(
                         ByteBuffer.wrap(
                                 bytes(
                                         HEAD
                                                 + "Content-Length: 5\r\nExpect: 100-continue\r\n\r\n"))));
         List<Boolean> owed =
-                new ArrayList<>(List.of(decoder.takeContinueOwed(), decoder.takeContinueOwed()));
+                new ArrayList<>(
+                        List.of(decoder.takeContinueExpected(), decoder.takeContinueExpected()));
         assertEquals(List.of(true, false), owed);
     }
 }
--- a/http/src/test/java/milletyoke/http/HttpTransportTest.java
+++ b/http/src/test/java/milletyoke/http/HttpTransportTest.java
@@ -103,7 +103,7 @@
                         net.connect("127.0.0.1", full.getLocalPort(), new Ear(), failed::complete));
             }
             assertEquals(before + 10, sockets());
-            attempts.forEach(HttpTransport.ConnectAttempt::giveUp);
+            attempts.forEach(HttpTransport.ConnectAttempt::cancel);
             failed.get();
             while (sockets() > before) {
                 TimeUnit.MILLISECONDS.sleep(5);
--- a/lifecycle/src/main/java/milletyoke/admission/Admission.java
+++ b/lifecycle/src/main/java/milletyoke/admission/Admission.java
@@ -18,7 +18,7 @@
     /**
      * What there is room for.
      *
-     * @param places accesses held at once
+     * @param acquired accesses held at once
      * @param bytes of their payloads
      * @param connectionPart of both, for one connection
      * @param greed how many times the free room one volume may hold
@@ -62,9 +62,9 @@
      * The answer to one asking.
      *
      * @param bound NONE where it got its place
-     * @param retryIn microseconds after which a place is likely, 0 where there is a place
+     * @param retryAfterMicros microseconds after which a place is likely, 0 where there is a place
      */
-    public record Verdict(CapacityBound bound, long retryIn) {
+    public record Verdict(CapacityBound bound, long retryAfterMicros) {
         private static final Verdict ADMITTED = new Verdict(CapacityBound.NONE, 0);
 
         public boolean admitted() {
@@ -88,7 +88,7 @@
     }
 
     /** Takes a place where there is one. */
-    public Verdict ask(int connection, String volume, long bytes) {
+    public Verdict tryAcquire(int connection, String volume, long bytes) {
         CapacityBound bound = bound(connection, volume, bytes);
         if (bound != CapacityBound.NONE) {
             return new Verdict(bound, advice());
@@ -157,7 +157,7 @@
         return Math.min(room.longestAdvice(), Math.max(1_000, (long) meanStay / 2));
     }
 
-    public int places() {
+    public int acquired() {
         return all.places;
     }
 
@@ -166,7 +166,7 @@
     }
 
     /** Places that one volume holds. */
-    public int places(String volume) {
+    public int acquired(String volume) {
         Held v = byVolume.get(volume);
         return v == null ? 0 : v.places;
     }
@@ -177,7 +177,7 @@
     }
 
     /** The part of places or bytes taken, whichever is more. */
-    public double used() {
+    public double utilization() {
         return Math.max(all.places / (double) room.places(), all.bytes / (double) room.bytes());
     }
 }
--- a/lifecycle/src/main/java/milletyoke/admission/NameTable.java
+++ b/lifecycle/src/main/java/milletyoke/admission/NameTable.java
@@ -46,7 +46,7 @@
     /**
      * @throws IllegalStateException where the name is not admitted
      */
-    public void use(String name, long now) {
+    public void acquire(String name, long now) {
         if (!admits(name, now)) {
             throw new IllegalStateException("there is no room for the name " + name);
         }
--- a/lifecycle/src/main/java/milletyoke/lifecycle/Lifecycle.java
+++ b/lifecycle/src/main/java/milletyoke/lifecycle/Lifecycle.java
@@ -33,12 +33,13 @@
         }
     }
 
-    /** One change of condition; {@code why} is in words. */
-    public record Transition(long at, LifecycleState from, LifecycleState to, String why) {}
+    /** One change of condition; {@code reason} is in words. */
+    public record Transition(
+            long atMicros, LifecycleState from, LifecycleState to, String reason) {}
 
     private final Thresholds marks;
-    private final ArrayDeque<Transition> past = new ArrayDeque<>();
-    private LifecycleState condition = LifecycleState.STARTING;
+    private final ArrayDeque<Transition> transitions = new ArrayDeque<>();
+    private LifecycleState state = LifecycleState.STARTING;
     private boolean heardList;
     private int usable;
     private long listLostAt = -1;
@@ -51,27 +52,27 @@
         this.marks = marks;
     }
 
-    public LifecycleState condition() {
-        return condition;
+    public LifecycleState state() {
+        return state;
     }
 
     /** The latest transitions, oldest first. */
-    public List<Transition> past() {
-        return new ArrayList<>(past);
+    public List<Transition> transitions() {
+        return new ArrayList<>(transitions);
     }
 
     /** Takes a fact and returns the condition after it. */
-    public LifecycleState tell(long now, LifecycleEvent fact) {
+    public LifecycleState apply(long now, LifecycleEvent fact) {
         String why = learn(now, fact);
         LifecycleState next = judge(now);
-        if (next != condition) {
-            past.addLast(new Transition(now, condition, next, why));
-            if (past.size() > REMEMBERED) {
-                past.removeFirst();
+        if (next != state) {
+            transitions.addLast(new Transition(now, state, next, why));
+            if (transitions.size() > REMEMBERED) {
+                transitions.removeFirst();
             }
-            condition = next;
+            state = next;
         }
-        return condition;
+        return state;
     }
 
     private String learn(long now, LifecycleEvent fact) {
--- a/lifecycle/src/test/java/milletyoke/admission/AdmissionTest.java
+++ b/lifecycle/src/test/java/milletyoke/admission/AdmissionTest.java
@@ -36,7 +36,7 @@
         }
 
         void check() {
-            assertEquals(held.size(), real.places(), "places leaked or were given back twice");
+            assertEquals(held.size(), real.acquired(), "places leaked or were given back twice");
             assertEquals(bytes(), real.bytes());
             assertTrue(
                     held.size() <= PLACES && bytes() <= BYTES, "a bound of the daemon was passed");
@@ -94,12 +94,13 @@
                     both.held.size() < PLACES
                             && both.bytes() + bytes <= BYTES
                             && both.held.stream().noneMatch(p -> p.connection() == c);
-            Admission.Verdict verdict = both.real.ask(c, v, bytes);
+            Admission.Verdict verdict = both.real.tryAcquire(c, v, bytes);
             assertTrue(
                     mine > 0 || !free || verdict.admitted(),
                     "a volume that holds nothing found no place");
             assertTrue(
-                    verdict.admitted() == (verdict.retryIn() == 0) && verdict.retryIn() <= 500_000);
+                    verdict.admitted() == (verdict.retryAfterMicros() == 0)
+                            && verdict.retryAfterMicros() <= 500_000);
             if (verdict.admitted()) {
                 both.held.add(new Place(c, v, bytes));
             }
@@ -148,15 +149,15 @@
         Admission admission = new Admission(new Admission.CapacityLimits(1000, 1 << 30, 1, 1, 0));
         for (int round = 0; round < 1000; round++) {
             for (int f = 0; f < floods; f++) {
-                admission.ask(f, "flood-" + f, 1);
+                admission.tryAcquire(f, "flood-" + f, 1);
             }
         }
-        int left = 1000 - admission.places();
+        int left = 1000 - admission.acquired();
         assertTrue(
                 left >= 1000 / (1 + floods) - floods,
                 left + " places are left beside " + floods + " floods");
         int quiet = 0;
-        while (admission.ask(99, "quiet", 1).admitted()) {
+        while (admission.tryAcquire(99, "quiet", 1).admitted()) {
             quiet++;
         }
         assertTrue(quiet >= left / 2 - 1, "the quiet one got " + quiet + " of " + left);
@@ -165,7 +166,7 @@
     @Example
     void aPlaceGivenBackTwiceIsAFault() {
         Admission admission = new Admission(ROOM);
-        admission.ask(1, "a", 10);
+        admission.tryAcquire(1, "a", 10);
         admission.release(1, "a", 10, 5);
         assertThrows(IllegalStateException.class, () -> admission.release(1, "a", 10, 5));
     }
--- a/lifecycle/src/test/java/milletyoke/admission/NameTableTest.java
+++ b/lifecycle/src/test/java/milletyoke/admission/NameTableTest.java
@@ -11,7 +11,7 @@
     private static boolean used(NameTable names, String name, long now) {
         boolean admitted = names.admits(name, now);
         if (admitted) {
-            names.use(name, now);
+            names.acquire(name, now);
         }
         return admitted;
     }
--- a/lifecycle/src/test/java/milletyoke/lifecycle/LifecycleTest.java
+++ b/lifecycle/src/test/java/milletyoke/lifecycle/LifecycleTest.java
@@ -19,12 +19,12 @@
 
     private LifecycleState after(long seconds, LifecycleEvent fact) {
         now += seconds * SECOND;
-        return life.tell(now, fact);
+        return life.apply(now, fact);
     }
 
     @Example
     void takesNothingUntilItKnowsATarget() {
-        assertEquals(LifecycleState.STARTING, life.condition());
+        assertEquals(LifecycleState.STARTING, life.state());
         assertEquals(LifecycleState.STARTING, after(0, new LifecycleEvent.DiscoveryUnavailable()));
         assertEquals(LifecycleState.WITHOUT_LIST, after(10, new LifecycleEvent.Tick()));
         assertEquals(
@@ -56,7 +56,7 @@
         assertEquals(LifecycleState.READY, after(1, new LifecycleEvent.DiscoveryUnavailable()));
         assertEquals(LifecycleState.READY, after(9, new LifecycleEvent.DiscoveryUnavailable()));
         assertEquals(LifecycleState.LIST_LOST, after(1, new LifecycleEvent.Tick()));
-        assertTrue(life.condition().admits());
+        assertTrue(life.state().admits());
     }
 
     @Example
@@ -79,7 +79,7 @@
         assertEquals(LifecycleState.READY, after(1, new LifecycleEvent.DrainCancelled("ann")));
         assertEquals(LifecycleState.LEAVING, after(1, new LifecycleEvent.ShutdownRequested()));
         assertEquals(LifecycleState.LEAVING, after(1, new LifecycleEvent.DrainCancelled("ann")));
-        assertEquals("drained by ann", life.past().get(1).why());
+        assertEquals("drained by ann", life.transitions().get(1).reason());
     }
 
     @Provide
@@ -112,21 +112,22 @@
         Lifecycle any = new Lifecycle(Lifecycle.Thresholds.USUAL);
         int usable = 0;
         boolean left = false;
-        LifecycleState before = any.condition();
+        LifecycleState before = any.state();
         for (LifecycleEvent fact : facts) {
             now += SECOND / 3;
             usable = fact instanceof LifecycleEvent.EndpointListReceived l ? l.usable() : usable;
             left |= fact instanceof LifecycleEvent.ShutdownRequested;
-            LifecycleState after = any.tell(now, fact);
+            LifecycleState after = any.apply(now, fact);
             assertTrue(!left || after == LifecycleState.LEAVING);
             assertTrue(usable > 0 || !after.admits());
             if (after != before) {
-                var last = any.past().get(any.past().size() - 1);
+                var last = any.transitions().get(any.transitions().size() - 1);
                 assertEquals(
-                        List.of(before, after, now), List.of(last.from(), last.to(), last.at()));
+                        List.of(before, after, now),
+                        List.of(last.from(), last.to(), last.atMicros()));
             }
             before = after;
         }
-        assertTrue(any.past().size() <= 64);
+        assertTrue(any.transitions().size() <= 64);
     }
 }
--- a/scenario/src/main/java/milletyoke/scenario/CapturedLoad.java
+++ b/scenario/src/main/java/milletyoke/scenario/CapturedLoad.java
@@ -26,14 +26,14 @@
      * @throws IOException where a capture cannot be read, or names what the day does not have; with
      *     the place
      */
-    static List<LoadProfile.Traced> of(
+    static List<LoadProfile.TracedRequest> of(
             Scenario day,
             List<LoadProfile.RequestClass> kinds,
             List<LoadProfile.Volume> all,
             List<String> names)
             throws IOException {
         Map<String, LoadProfile.Volume> volumes = new LinkedHashMap<>();
-        List<LoadProfile.Traced> trace = new ArrayList<>();
+        List<LoadProfile.TracedRequest> trace = new ArrayList<>();
         List<Path> files = day.load().traffic();
         for (int f = 0; f < files.size(); f++) {
             int n = 0;
@@ -42,14 +42,14 @@
                 String place = files.get(f) + ": access " + ++n;
                 LoadProfile.RequestClass kind =
                         kinds.stream()
-                                .filter(k -> k.name().equals(one.category()))
+                                .filter(k -> k.name().equals(one.requestClass()))
                                 .findFirst()
                                 .orElseThrow(
                                         () ->
                                                 new IOException(
                                                         place
                                                                 + " is of category "
-                                                                + one.category()
+                                                                + one.requestClass()
                                                                 + ", which the day does not have"));
                 if (day.plans().stream().noneMatch(p -> p.plan().name().equals(one.plan()))) {
                     throw new IOException(
@@ -64,30 +64,31 @@
                                     + day.fleet().targets()
                                     + " targets, numbered from 0");
                 }
-                int[] through = new int[Math.max(1, Math.min(one.hosts(), day.initiators()))];
+                int[] through =
+                        new int[Math.max(1, Math.min(one.initiatorCount(), day.initiators()))];
                 LoadProfile.Volume volume =
                         volumes.computeIfAbsent(
                                 one.volume(),
                                 v -> new LoadProfile.Volume(v, one.plan(), 0, new int[0], through));
                 trace.add(
-                        new LoadProfile.Traced(
-                                (long) (one.at() / day.load().speed()),
+                        new LoadProfile.TracedRequest(
+                                (long) (one.atMicros() / day.load().speed()),
                                 kind,
                                 volume,
                                 f % day.initiators(),
                                 one.shard(),
                                 one.extent(),
                                 one.units(),
-                                one.timeLeft()));
+                                one.timeLeftMicros()));
             }
         }
-        trace.sort(Comparator.comparingLong(LoadProfile.Traced::at));
+        trace.sort(Comparator.comparingLong(LoadProfile.TracedRequest::at));
         if (!trace.isEmpty()) { // what came first comes at once; files that began together stay in
             // step
             long first = trace.get(0).at();
             trace.replaceAll(
                     t ->
-                            new LoadProfile.Traced(
+                            new LoadProfile.TracedRequest(
                                     t.at() - first,
                                     t.kind(),
                                     t.volume(),
--- a/scenario/src/main/java/milletyoke/scenario/ScenarioRunner.java
+++ b/scenario/src/main/java/milletyoke/scenario/ScenarioRunner.java
@@ -103,15 +103,15 @@
      *
      * @param unfinished tries still without an answer when all should have had one
      * @param cpuMicros of this process, for each access asked
-     * @param coldUsed the largest part of what a cold target bears that any was sent
+     * @param warmUpBudgetUsed the largest part of what a cold target bears that any was sent
      */
     public record ScenarioResult(
             ServiceLevelRecorder service,
             long unfinished,
             double cpuMicros,
             List<String> counts,
-            boolean leftClean,
-            double coldUsed) {}
+            boolean isShutdownClean,
+            double warmUpBudgetUsed) {}
 
     /**
      * Sets the stage; nothing is asked yet.
@@ -156,7 +156,7 @@
         folder = Files.createTempDirectory("milletyoke-rehearsal");
         plans.addAll(day.plans().stream().map(Scenario.PlanOf::plan).toList());
         fleetFile =
-                day.troubles().stream().anyMatch(t -> t.sort() == Scenario.FaultType.LIMIT)
+                day.faults().stream().anyMatch(t -> t.type() == Scenario.FaultType.LIMIT)
                         ? writeFleet()
                         : null;
         note("stage", Note.Kind.RULES, rules(), 0);
@@ -169,7 +169,7 @@
             Target target = target("t" + (shard + 1), shard);
             target.start(false);
             targets.add(target);
-            discovery.learn(entry(target, Health.ACTIVE));
+            discovery.add(entry(target, Health.ACTIVE));
         }
         for (int i = 0; i < initiators.length; i++) {
             startInitiator(i);
@@ -178,10 +178,10 @@
                 new LoadGenerator(
                         demand(), straight, chance.nextLong(), clockwork, tap("client"), world);
         for (int i = 0; i < initiators.length; i++) {
-            clients.addDoor(initiators[i].name(), "127.0.0.1", ports[i]);
+            clients.addInitiator(initiators[i].name(), "127.0.0.1", ports[i]);
         }
         if (straight) {
-            targets.forEach(t -> clients.addDoor(t.id(), "127.0.0.1", t.port()));
+            targets.forEach(t -> clients.addInitiator(t.id(), "127.0.0.1", t.port()));
         }
         if (!world.isVirtual()) {
             Thread naps = new Thread(this::watchForStandstill, "naps");
@@ -192,14 +192,14 @@
 
     private void refuseWhatSocketsCannot(Scenario day) throws IOException {
         if (!world.isVirtual()) {
-            for (Fault t : day.troubles()) {
-                if (t.sort().virtual()) {
+            for (Fault t : day.faults()) {
+                if (t.type().virtual()) {
                     throw new IOException(
                             day.name()
                                     + ":"
                                     + t.line()
                                     + ": a "
-                                    + t.sort().name().toLowerCase(Locale.ROOT)
+                                    + t.type().name().toLowerCase(Locale.ROOT)
                                     + " is played in the lab alone: bin/milletyoke lab play");
                 }
             }
@@ -216,7 +216,7 @@
     }
 
     private FrameObserver tap(String witness) {
-        return recorder == null ? FrameObserver.NONE : recorder.tap(witness);
+        return recorder == null ? FrameObserver.NONE : recorder.observer(witness);
     }
 
     private void note(String who, Note.Kind kind, String text, double figure) {
@@ -394,7 +394,7 @@
             }
         }
         Scenario.Load l = day.load();
-        List<LoadProfile.Traced> trace =
+        List<LoadProfile.TracedRequest> trace =
                 l.traffic().isEmpty() ? List.of() : CapturedLoad.of(day, kinds, all, volumes);
         return new LoadProfile(
                 l.rate(),
@@ -493,7 +493,7 @@
     public void capture(Path to) throws IOException {
         Files.createDirectories(to);
         for (Initiator i : initiators) {
-            i.capture(to.resolve(i.name() + ".traffic"));
+            i.captureTo(to.resolve(i.name() + ".traffic"));
         }
     }
 
@@ -502,9 +502,10 @@
     /**
      * Plays the day to its end. @param live hears a line of service every second; may do nothing
      */
-    public ScenarioResult play(Consumer<String> live) throws IOException, InterruptedException {
+    public ScenarioResult run(Consumer<String> live) throws IOException, InterruptedException {
         int[] second = new int[1];
-        return play(s -> live.accept(String.format("%3d s  %s", ++second[0], s.brief())), () -> {});
+        return run(
+                s -> live.accept(String.format("%3d s  %s", ++second[0], s.summary())), () -> {});
     }
 
     /**
@@ -513,36 +514,40 @@
      * @param each sees the service so far after every second
      * @param before is run when clients have stopped asking, before the initiators leave
      */
-    public ScenarioResult play(Consumer<ServiceLevelRecorder> each, Runnable before)
+    public ScenarioResult run(Consumer<ServiceLevelRecorder> each, Runnable before)
             throws IOException, InterruptedException {
-        if (!clients.awaitDoors(10_000)) {
+        if (!clients.awaitConnected(10_000)) {
             throw new IOException("the clients found no way in within 10 s");
         }
         world.sleep(300_000); // the list reaches every initiator
         long cpu = cpu();
-        day.troubles().forEach(this::arrange);
+        day.faults().forEach(this::arrange);
         clients.start();
         long start = world.monotonicMicros();
-        for (long second = 1; world.monotonicMicros() < start + day.lasts(); second++) {
-            long until = Math.min(start + second * 1_000_000, start + day.lasts());
+        for (long second = 1; world.monotonicMicros() < start + day.durationMicros(); second++) {
+            long until = Math.min(start + second * 1_000_000, start + day.durationMicros());
             world.sleep(until - world.monotonicMicros());
             each.accept(clients.service());
         }
         before.run();
         long longest = day.kinds().stream().mapToLong(Scenario.Kind::abandon).max().orElse(0);
         int unfinished = clients.stop((longest + day.bounds().answerSlack()) / 1000 + 1_000);
-        double cpuEach = (cpu() - cpu) / 1e3 / Math.max(1, clients.service().askedInAll());
+        double cpuEach = (cpu() - cpu) / 1e3 / Math.max(1, clients.service().totalRequests());
         List<String> counts = new ArrayList<>();
         boolean clean = true;
         for (int n = 0; n < initiators.length; n++) {
             Initiator i = initiators[n];
             if (running[n]) {
-                var p = i.loop().picture();
-                clean &= i.leave(longest / 1000 + 1_000);
+                var p = i.eventLoop().snapshot();
+                clean &= i.shutDown(longest / 1000 + 1_000);
                 counts.add(
                         String.format(
                                 "%s: %s; turns p50 %d us, p99 %d us; pictures take %.2f%% of the loop's time",
-                                i.name(), i.counts(), p.turnP50(), p.turnP99(), 100 * p.costs()));
+                                i.name(),
+                                i.counts(),
+                                p.turnP50Micros(),
+                                p.turnP99Micros(),
+                                100 * p.snapshotCostShare()));
             }
         }
         return new ScenarioResult(
@@ -552,7 +557,7 @@
                 counts,
                 clean,
                 Stream.concat(targets.stream(), replaced.stream())
-                        .mapToDouble(Target::coldUsed)
+                        .mapToDouble(Target::warmUpBudgetUsed)
                         .max()
                         .orElse(0));
     }
@@ -565,15 +570,15 @@
 
     private void arrange(Fault t) {
         if (t.under() > 0) {
-            after(t.at(), () -> await(t, clients.service().sums()));
+            after(t.atMicros(), () -> await(t, clients.service().sums()));
             return;
         }
         after(
-                t.at(),
+                t.atMicros(),
                 () -> {
                     LOG.info(
                             "{} strikes",
-                            t.sort().name().toLowerCase(Locale.ROOT).replace('_', ' '));
+                            t.type().name().toLowerCase(Locale.ROOT).replace('_', ' '));
                     strike(t);
                 });
     }
@@ -593,7 +598,7 @@
                     if (seconds.length == 10 && due > 0 && (now[1] - before[1]) / due < t.under()) {
                         LOG.info(
                                 "{} strikes, service is {}",
-                                t.sort().name().toLowerCase(Locale.ROOT),
+                                t.type().name().toLowerCase(Locale.ROOT),
                                 (now[1] - before[1]) / due);
                         strike(t);
                     } else {
@@ -645,12 +650,12 @@
 
     private List<Target> struckTargets(Fault t) {
         synchronized (targets) {
-            return struck(t.whom(), targets.size()).stream().map(targets::get).toList();
+            return struck(t.selection(), targets.size()).stream().map(targets::get).toList();
         }
     }
 
     private void strike(Fault t) throws Exception {
-        switch (t.sort()) {
+        switch (t.type()) {
             case HANG -> span(t, x -> x.hang(true), x -> x.hang(false));
             case UNREACHABLE ->
                     span(
@@ -660,17 +665,17 @@
                                 x.resetConnections();
                             },
                             x -> x.refuse(false));
-            case SLOW -> span(t, x -> x.slow(t.figure()), x -> x.slow(1));
+            case SLOW -> span(t, x -> x.slow(t.magnitude()), x -> x.slow(1));
             case PAUSES ->
                     span(
                             t,
-                            x -> x.pauses(t.every(), t.range()[0], t.range()[1]),
+                            x -> x.pauses(t.intervalMicros(), t.range()[0], t.range()[1]),
                             x -> x.pauses(0, 0, 0));
-            case ERRORS -> span(t, x -> x.errors(t.figure()), x -> x.errors(0));
-            case LOST -> span(t, x -> x.loses(t.figure()), x -> x.loses(0));
+            case ERRORS -> span(t, x -> x.errors(t.magnitude()), x -> x.errors(0));
+            case LOST -> span(t, x -> x.dropsReplies(t.magnitude()), x -> x.dropsReplies(0));
             case RESETS -> {
                 List<Target> whom = struckTargets(t);
-                for (long in = 0; in < t.span(); in += t.every()) {
+                for (long in = 0; in < t.durationMicros(); in += t.intervalMicros()) {
                     after(in, () -> whom.forEach(Target::resetConnections));
                 }
             }
@@ -685,46 +690,46 @@
             case LIST_LATE -> {
                 discovery.lag(t.range()[0], t.range()[1]);
                 long[] usual = day.fleet().listLag();
-                after(t.span(), () -> discovery.lag(usual[0], usual[1]));
+                after(t.durationMicros(), () -> discovery.lag(usual[0], usual[1]));
             }
             case LIST_PARTIAL -> {
                 Set<String> hidden = new LinkedHashSet<>();
                 struckTargets(t).forEach(x -> hidden.add(x.id()));
                 discovery.hide(hidden);
-                after(t.span(), () -> discovery.hide(Set.of()));
+                after(t.durationMicros(), () -> discovery.hide(Set.of()));
             }
             case LIST_UNAVAILABLE -> {
                 discovery.unavailable(true);
-                after(t.span(), () -> discovery.unavailable(false));
+                after(t.durationMicros(), () -> discovery.unavailable(false));
             }
             case LIST_FLAP -> flap(t);
             case PARTITION -> partition(t);
-            case CLOCK -> world.adjustWallClock(t.span());
+            case CLOCK -> world.adjustWallClock(t.durationMicros());
             case KILL -> struckInitiators(t).forEach(i -> kill(i, between(t.range())));
             case LEAVE -> struckInitiators(t).forEach(i -> leave(i, between(t.range())));
             case STILL ->
                     struckInitiators(t)
                             .forEach(
                                     i ->
-                                            initiators[i].standStill(
-                                                    t.span() / 1000,
+                                            initiators[i].stall(
+                                                    t.durationMicros() / 1000,
                                                     () ->
                                                             note(
                                                                     "initiator-" + (i + 1),
                                                                     Note.Kind.STALLED,
                                                                     "",
-                                                                    t.span())));
+                                                                    t.durationMicros())));
             case SURGE -> {
                 Set<String> whom = new LinkedHashSet<>();
                 struck(new Scenario.Selection(1, 0), volumes.size()).stream()
                         .limit(t.count())
                         .forEach(v -> whom.add(volumes.get(v)));
-                clients.surge(whom, t.figure());
-                after(t.span(), () -> clients.surge(Set.of(), 0));
+                clients.surge(whom, t.magnitude());
+                after(t.durationMicros(), () -> clients.surge(Set.of(), 0));
             }
             case HOTKEY -> {
-                clients.hotKey(t.figure());
-                after(t.span(), () -> clients.hotKey(0));
+                clients.hotKey(t.magnitude());
+                after(t.durationMicros(), () -> clients.hotKey(0));
             }
             case LIMIT -> changeLimit(t);
             case RECONNECT -> {
@@ -739,7 +744,7 @@
     }
 
     private List<Integer> struckInitiators(Fault t) {
-        return struck(t.whom(), initiators.length).stream()
+        return struck(t.selection(), initiators.length).stream()
                 .filter(i -> initiators.length > 0)
                 .toList();
     }
@@ -749,25 +754,25 @@
         Set<String> some = new LinkedHashSet<>();
         struckTargets(t).forEach(x -> some.add(x.id()));
         boolean hide = true;
-        for (long in = 0; in < t.span(); in += t.every()) {
+        for (long in = 0; in < t.durationMicros(); in += t.intervalMicros()) {
             Set<String> next = hide ? some : Set.of();
             after(in, () -> discovery.hide(next));
             hide = !hide;
         }
-        after(t.span(), () -> discovery.hide(Set.of()));
+        after(t.durationMicros(), () -> discovery.hide(Set.of()));
     }
 
     private void partition(Fault t) {
         List<Integer> shards =
-                struck(new Scenario.Selection(t.figure(), t.count()), targets.size());
+                struck(new Scenario.Selection(t.magnitude(), t.count()), targets.size());
         for (int i : struckInitiators(t)) {
             String one = "initiator-" + (i + 1);
             for (int shard : shards) {
                 String other = targets.get(shard).id();
-                boolean work = (t.every() & Scenario.GREY) != 0;
-                world.partition(one, other, work, t.span());
-                if ((t.every() & Scenario.ONE_WAY) == 0) {
-                    world.partition(other, one, work, t.span());
+                boolean work = (t.intervalMicros() & Scenario.GREY) != 0;
+                world.partition(one, other, work, t.durationMicros());
+                if ((t.intervalMicros() & Scenario.ONE_WAY) == 0) {
+                    world.partition(other, one, work, t.durationMicros());
                 }
             }
         }
@@ -799,8 +804,9 @@
                 aside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         String name = ConfigWatcher.name(file);
         Checker.Result checked = Checker.check(new FileSourceProvider(), name);
-        if (!checked.clean()) {
-            throw new IOException("the day cannot be told in the language: " + checked.findings());
+        if (!checked.isValid()) {
+            throw new IOException(
+                    "the day cannot be told in the language: " + checked.diagnostics());
         }
         return new InitiatorConfig.FleetFile(name, checked.fleet(), checked.files());
     }
@@ -813,7 +819,7 @@
                                         p.name(),
                                         p.reservationRate(),
                                         p.weight(),
-                                        t.figure(),
+                                        t.magnitude(),
                                         t.range()[0],
                                         t.range()[1])
                                 : p);
@@ -824,7 +830,7 @@
     private void span(Fault t, Consumer<Target> begins, Consumer<Target> ends) {
         List<Target> whom = struckTargets(t);
         whom.forEach(begins);
-        after(t.span(), () -> whom.forEach(ends));
+        after(t.durationMicros(), () -> whom.forEach(ends));
     }
 
     private void restart(Target target, long down) {
@@ -848,7 +854,7 @@
         for (int i = 0; i < whom.size(); i++) {
             Target old = whom.get(i);
             after(
-                    t.span() * i / whom.size(),
+                    t.durationMicros() * i / whom.size(),
                     () -> {
                         discovery.change(entry(old, Health.DRAINING));
                         Target next = target(old.id() + "n", old.shard());
@@ -860,10 +866,10 @@
                             replaced.add(old);
                         }
                         if (straight) {
-                            clients.moveDoor(old.shard(), next.port());
+                            clients.moveInitiator(old.shard(), next.port());
                         }
                         after(
-                                t.down() + day.fleet().listLag()[1],
+                                t.downtimeMicros() + day.fleet().listLag()[1],
                                 () -> {
                                     old.kill();
                                     discovery.change(entry(old, Health.REMOVED));
@@ -876,16 +882,16 @@
     private void age(Fault t) {
         List<Target> whom = struckTargets(t);
         for (int step = 1; step <= 10; step++) {
-            double factor = 1 + (t.figure() - 1) * step / 10;
-            after(t.span() * step / 10, () -> whom.forEach(x -> x.slow(factor)));
+            double factor = 1 + (t.magnitude() - 1) * step / 10;
+            after(t.durationMicros() * step / 10, () -> whom.forEach(x -> x.slow(factor)));
         }
         after(
-                t.span(),
+                t.durationMicros(),
                 () ->
                         whom.forEach(
                                 x -> {
                                     x.slow(1);
-                                    restart(x, t.down());
+                                    restart(x, t.downtimeMicros());
                                 }));
     }
 
@@ -905,7 +911,7 @@
         }
         running[i] = false;
         note("initiator-" + (i + 1), Note.Kind.SHUTTING_DOWN, "", 0);
-        initiators[i].leaveLater(30_000, () -> after(down, () -> startInitiator(i)));
+        initiators[i].beginShutdown(30_000, () -> after(down, () -> startInitiator(i)));
     }
 
     @Override
--- a/scenario/src/main/java/milletyoke/scenario/audit/Audit.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/Audit.java
@@ -44,8 +44,8 @@
 
     /** The findings of one audit. */
     public record Report(List<Verdict> verdicts, int records) {
-        public boolean clean() {
-            return verdicts.stream().allMatch(v -> v.breaches() == 0);
+        public boolean isClean() {
+            return verdicts.stream().allMatch(v -> v.violations() == 0);
         }
 
         public Verdict rule(int number) {
@@ -59,8 +59,8 @@
             StringBuilder text = new StringBuilder();
             for (Verdict v : verdicts) {
                 String word =
-                        v.breaches() > 0
-                                ? v.breaches() + " BREACHES"
+                        v.violations() > 0
+                                ? v.violations() + " BREACHES"
                                 : v.tested() == 0 ? "untested here" : "kept";
                 text.append(
                         String.format(
@@ -86,19 +86,19 @@
             int rule,
             String name,
             long tested,
-            long breaches,
+            long violations,
             long excused,
             String nearest,
             List<String> shown) {}
 
-    public static Report of(Path recording) throws IOException {
-        return of(Recorder.readAll(recording));
+    public static Report recording(Path recording) throws IOException {
+        return recording(Recorder.readAll(recording));
     }
 
     /**
      * @throws IllegalArgumentException where the recording has no rules, or cannot be followed
      */
-    public static Report of(List<Record> records) {
+    public static Report recording(List<Record> records) {
         return new Audit(records).judge();
     }
 
--- a/scenario/src/main/java/milletyoke/scenario/script/Scenario.java
+++ b/scenario/src/main/java/milletyoke/scenario/script/Scenario.java
@@ -11,7 +11,7 @@
  * A day to be played: who is there, what is asked, and what goes wrong when. Times are
  * microseconds.
  *
- * @param lasts how long clients ask
+ * @param durationMicros how long clients ask
  * @param held most accesses that one initiator holds
  * @param unit work of one unit at a core of speed 1
  * @param speeds of cores, least and most; each target draws one
@@ -19,7 +19,7 @@
 public record Scenario(
         String name,
         long seed,
-        long lasts,
+        long durationMicros,
         int initiators,
         int held,
         Fleet fleet,
@@ -31,7 +31,7 @@
         boolean listAsked,
         Load load,
         Network network,
-        List<Fault> troubles) {
+        List<Fault> faults) {
 
     /**
      * What the lab's network and machines are like; sockets have what they have.
@@ -42,8 +42,8 @@
     public record Network(long[] travel, long turn) {}
 
     /**
-     * How a partition cuts, added up in {@link Fault#every}: towards the targets alone; work alone,
-     * not probes.
+     * How a partition cuts, added up in {@link Fault#intervalMicros}: towards the targets alone;
+     * work alone, not probes.
      */
     public static final long ONE_WAY = 1, GREY = 2;
 
@@ -112,49 +112,72 @@
     /**
      * Something that goes wrong.
      *
-     * @param at since the start
+     * @param atMicros since the start
      * @param line of the script, for messages
-     * @param count of volumes; of a partition the number of its target, 0 where {@code figure} is
-     *     the part of them
-     * @param name of the plan whose limit changes: {@code figure} is its rate, {@code range} depth
-     *     and slack
-     * @param under 0, or from {@code at} on it comes when service of the last second is under this
-     *     part, once
+     * @param count of volumes; of a partition the number of its target, 0 where {@code magnitude}
+     *     is the part of them
+     * @param name of the plan whose limit changes: {@code magnitude} is its rate, {@code range}
+     *     depth and slack
+     * @param under 0, or from {@code atMicros} on it comes when service of the last second is under
+     *     this part, once
      */
     public record Fault(
-            long at,
+            long atMicros,
             int line,
-            FaultType sort,
-            Selection whom,
-            long span,
-            double figure,
+            FaultType type,
+            Selection selection,
+            long durationMicros,
+            double magnitude,
             long[] range,
-            long every,
+            long intervalMicros,
             int count,
-            long down,
+            long downtimeMicros,
             String name,
             double under) {
 
         /** One at its time, whatever service is. */
         public Fault(
-                long at,
+                long atMicros,
                 int line,
-                FaultType sort,
-                Selection whom,
-                long span,
-                double figure,
+                FaultType type,
+                Selection selection,
+                long durationMicros,
+                double magnitude,
                 long[] range,
-                long every,
+                long intervalMicros,
                 int count,
-                long down,
+                long downtimeMicros,
                 String name) {
-            this(at, line, sort, whom, span, figure, range, every, count, down, name, 0);
+            this(
+                    atMicros,
+                    line,
+                    type,
+                    selection,
+                    durationMicros,
+                    magnitude,
+                    range,
+                    intervalMicros,
+                    count,
+                    downtimeMicros,
+                    name,
+                    0);
         }
 
         /** The same, once service of the last second is under a part. */
         Fault under(double part) {
             return new Fault(
-                    at, line, sort, whom, span, figure, range, every, count, down, name, part);
+                    atMicros,
+                    line,
+                    type,
+                    selection,
+                    durationMicros,
+                    magnitude,
+                    range,
+                    intervalMicros,
+                    count,
+                    downtimeMicros,
+                    name,
+                    part);
         }
     }
 
@@ -230,7 +253,7 @@
         return new Scenario(
                 called,
                 otherSeed,
-                lasts,
+                durationMicros,
                 initiators,
                 held,
                 fleet,
@@ -262,7 +285,7 @@
         return new Scenario(
                 name,
                 seed,
-                lasts,
+                durationMicros,
                 initiators,
                 held,
                 fleet,
@@ -274,7 +297,7 @@
                 listAsked,
                 other,
                 network,
-                troubles);
+                faults);
     }
 
     /** How clients know the repeats of a category. */
--- a/scenario/src/main/java/milletyoke/scenario/script/ScenarioParser.java
+++ b/scenario/src/main/java/milletyoke/scenario/script/ScenarioParser.java
@@ -114,7 +114,8 @@
                     throw w.wrong("then follows a trouble, and none stands before it");
                 }
                 long after = w.time("then", w.next("how long after"), true);
-                troubles.add(trouble(w, troubles.get(troubles.size() - 1).at() + after, line));
+                troubles.add(
+                        trouble(w, troubles.get(troubles.size() - 1).atMicros() + after, line));
             }
             default ->
                     throw w.wrong(
@@ -183,17 +184,17 @@
                                     p ->
                                             p.plan().name().equals(t.name())
                                                     && p.plan().limitRate() > 0);
-            if (t.sort() == FaultType.LIMIT && !known) {
+            if (t.type() == FaultType.LIMIT && !known) {
                 throw new ScenarioFormatException(
                         file + ":" + t.line() + ": no plan with a limit is called " + t.name());
             }
             boolean initiator =
-                    t.sort() == FaultType.KILL
-                            || t.sort() == FaultType.STILL
-                            || t.sort() == FaultType.LEAVE
-                            || t.sort() == FaultType.PARTITION;
+                    t.type() == FaultType.KILL
+                            || t.type() == FaultType.STILL
+                            || t.type() == FaultType.LEAVE
+                            || t.type() == FaultType.PARTITION;
             int most = initiator ? initiators : fleet.targets();
-            if (t.sort() == FaultType.PARTITION && t.count() > fleet.targets()) {
+            if (t.type() == FaultType.PARTITION && t.count() > fleet.targets()) {
                 throw new ScenarioFormatException(
                         file
                                 + ":"
@@ -203,7 +204,7 @@
                                 + " targets, none has number "
                                 + t.count());
             }
-            if (t.whom().number() > most) {
+            if (t.selection().number() > most) {
                 throw new ScenarioFormatException(
                         file
                                 + ":"
@@ -211,7 +212,7 @@
                                 + ": there are "
                                 + most
                                 + ", none has number "
-                                + t.whom().number());
+                                + t.selection().number());
             }
         }
         return new Scenario(
--- a/scenario/src/test/java/milletyoke/scenario/AuditTest.java
+++ b/scenario/src/test/java/milletyoke/scenario/AuditTest.java
@@ -36,7 +36,7 @@
         try (ScenarioRunner stage =
                 new ScenarioRunner(
                         ScenarioParser.read(Path.of("days/all-rules.day")), recording, false)) {
-            played = stage.play(line -> {});
+            played = stage.run(line -> {});
         }
         clean = Recorder.readAll(recording);
         Files.delete(recording);
@@ -44,12 +44,12 @@
 
     @Test
     void aDayThatTestsEveryRuleKeepsThem() {
-        Audit.Report report = Audit.of(clean);
-        assertTrue(report.clean(), () -> report.text(true));
+        Audit.Report report = Audit.recording(clean);
+        assertTrue(report.isClean(), () -> report.text(true));
         report.verdicts()
                 .forEach(v -> assertTrue(v.tested() > 0, () -> "untested:\n" + report.text(false)));
         assertEquals(0, played.unfinished());
-        assertTrue(played.leftClean());
+        assertTrue(played.isShutdownClean());
     }
 
     @Test
@@ -327,7 +327,7 @@
                                                                 "\"depth\":40.0", "\"depth\":1.0")))
                         .build());
         named(7, "beyond its limit", bad);
-        Audit.Report report = Audit.of(bad);
+        Audit.Report report = Audit.recording(bad);
         assertTrue(
                 report.rule(7).nearest().startsWith("1 changes of limits"),
                 report.rule(7).nearest());
@@ -337,14 +337,14 @@
     void recordingWithoutItsRulesIsRefused() {
         List<Record> bad =
                 clean.stream().filter(r -> r.getNote().getKind() != Note.Kind.RULES).toList();
-        assertThrows(IllegalArgumentException.class, () -> Audit.of(bad));
+        assertThrows(IllegalArgumentException.class, () -> Audit.recording(bad));
     }
 
     // ---- Finding and forging records ----
 
     private static void named(int rule, String what, List<Record> bad) {
-        Audit.Report report = Audit.of(bad);
-        assertTrue(report.rule(rule).breaches() > 0, () -> "not found:\n" + report.text(true));
+        Audit.Report report = Audit.recording(bad);
+        assertTrue(report.rule(rule).violations() > 0, () -> "not found:\n" + report.text(true));
         assertTrue(
                 report.rule(rule).shown().stream().anyMatch(s -> s.contains(what)),
                 () -> report.text(true));
--- a/scenario/src/test/java/milletyoke/scenario/BrowserTest.java
+++ b/scenario/src/test/java/milletyoke/scenario/BrowserTest.java
@@ -39,7 +39,7 @@
                                 false,
                                 Viewer.tokens(folder));
                 Browser browser = new Browser(folder.resolve("profile"))) {
-            beside.submit(() -> stage.play(line -> {}));
+            beside.submit(() -> stage.run(line -> {}));
             int port = stage.initiator(0).consolePort();
             String base = "http://127.0.0.1:" + port;
             browser.open(base + "/");
--- a/scenario/src/test/java/milletyoke/scenario/ConsoleTest.java
+++ b/scenario/src/test/java/milletyoke/scenario/ConsoleTest.java
@@ -61,7 +61,7 @@
     /** Plays the day beside the test's own deeds. */
     private static Future<ScenarioRunner.ScenarioResult> play(
             ExecutorService beside, ScenarioRunner stage) {
-        return beside.submit(() -> stage.play(line -> {}));
+        return beside.submit(() -> stage.run(line -> {}));
     }
 
     @Test
@@ -293,7 +293,7 @@
                 Viewer operator = new Viewer(stage.initiator(0).consolePort(), Viewer.OPERATOR);
                 Thread.sleep(1500);
                 assertEquals(202, operator.send("POST", "/api/v1/drain").statusCode());
-                drainedAt = milletyoke.wire.SocketNetwork.micros();
+                drainedAt = milletyoke.wire.SocketNetwork.monotonicMicros();
                 ScriptedPeers.until(
                         () ->
                                 operator.view("overview")
@@ -304,9 +304,9 @@
                         "what was held is finished");
                 result = played.get();
             }
-            Audit.Report report = Audit.of(folder.resolve("recording"));
-            assertTrue(report.clean(), () -> report.text(true));
-            assertTrue(result.leftClean());
+            Audit.Report report = Audit.recording(folder.resolve("recording"));
+            assertTrue(report.isClean(), () -> report.text(true));
+            assertTrue(result.isShutdownClean());
             int turnedAway = 0;
             for (Record r : Recorder.readAll(folder.resolve("recording"))) {
                 if (r.getObserver().equals("initiator-1")
@@ -437,8 +437,8 @@
             ScenarioRunner.ScenarioResult result = played.get(60, TimeUnit.SECONDS);
             assertEquals(0, result.unfinished());
             assertTrue(
-                    result.service().whole() < 0.9,
-                    "it was not flooded: " + result.service().whole());
+                    result.service().overall() < 0.9,
+                    "it was not flooded: " + result.service().overall());
         } finally {
             beside.shutdownNow();
         }
@@ -450,7 +450,7 @@
                 times.getValueAtPercentile(99.9) / 1e3);
         assertTrue(pages.get() > 500, "only " + pages.get() + " pages came");
         assertEquals(100, streamed.get(), "five messages on each of twenty streams");
-        Audit.Report report = Audit.of(folder.resolve("recording"));
-        assertTrue(report.clean(), () -> report.text(true));
+        Audit.Report report = Audit.recording(folder.resolve("recording"));
+        assertTrue(report.isClean(), () -> report.text(true));
     }
 }
--- a/scenario/src/test/java/milletyoke/scenario/HardCasesTest.java
+++ b/scenario/src/test/java/milletyoke/scenario/HardCasesTest.java
@@ -44,7 +44,7 @@
             a.nextRelay().peer().reset();
             assertEquals(ResponseStatus.FAILED, p.client.nextAnswer(3000).getStatus());
             assertNull(p.client.next(300));
-            assertEquals(0, p.count(Counter.RELAYS_FURTHER));
+            assertEquals(0, p.count(Counter.RETRIES));
         }
     }
 
@@ -122,7 +122,7 @@
                         new Thread(
                                 () -> {
                                     try {
-                                        p.initiator.leave(5000);
+                                        p.initiator.shutDown(5000);
                                     } catch (InterruptedException stopped) {
                                         Thread.currentThread().interrupt();
                                     }
@@ -238,7 +238,7 @@
                                                                     .setPayload(large))
                                                     .build());
                         }
-                        return relay == null && p.count(Counter.CLIENTS_LEFT) > 0;
+                        return relay == null && p.count(Counter.CANCELLED_BY_CLIENT) > 0;
                     },
                     "the deaf client is closed");
             deaf.setSoTimeout(5000);
@@ -330,7 +330,7 @@
     void loopBehindBySecondsAnswersOnceAndSendsNothingStale() throws Exception {
         try (ScriptedPeers p = new ScriptedPeers()) {
             ScriptedPeers.End a = p.target("a", 0);
-            p.initiator.standStill(1500, () -> {});
+            p.initiator.stall(1500, () -> {});
             p.ask(p.client, "write", 0, 300);
             p.ask(p.client, "slow", 0, 8000);
             Response first = p.client.nextAnswer(4000);
@@ -355,7 +355,7 @@
                         new InitiatorConfig.CapacityLimits(100_000, 64, 10, 1e6, 1L << 40),
                         null)) {
             p.target("a", 0);
-            p.initiator.standStill(700, () -> {});
+            p.initiator.stall(700, () -> {});
             for (int i = 0; i < 500; i++) {
                 p.ask(
                         p.client, "read", 3,
@@ -443,7 +443,7 @@
                     new Thread(
                             () -> {
                                 try {
-                                    clean[0] = p.initiator.leave(10_000);
+                                    clean[0] = p.initiator.shutDown(10_000);
                                 } catch (InterruptedException stopped) {
                                     Thread.currentThread().interrupt();
                                 }
@@ -514,17 +514,17 @@
             p.ask(p.client, "slow", 0, 8000);
             ScriptedPeers.Got relay = a.nextRelay();
             ScriptedPeers.until(
-                    () -> p.initiator.loop().picture().volumes().containsKey("v"),
+                    () -> p.initiator.eventLoop().snapshot().volumes().containsKey("v"),
                     "the volume is accounted");
             assertEquals(
                     "other",
-                    p.initiator.loop().picture().volumes().get("v").plan(),
+                    p.initiator.eventLoop().snapshot().volumes().get("v").plan(),
                     "the file's, not the client's");
             java.nio.file.Files.writeString(
                     file, rest + "category fresh { repeats harmless; agreed 1s; }\n");
             ScriptedPeers.until(
                     () ->
-                            p.initiator.loop().picture().events().stream()
+                            p.initiator.eventLoop().snapshot().events().stream()
                                     .anyMatch(e -> e.kind().equals("configuration")),
                     "the new version holds");
             ScriptedPeers.reply(relay, Outcome.SUCCEEDED);
--- a/scenario/src/test/java/milletyoke/scenario/ScenariosTest.java
+++ b/scenario/src/test/java/milletyoke/scenario/ScenariosTest.java
@@ -37,13 +37,13 @@
                             ScenarioParser.read(Path.of("days", name + ".day")),
                             recording,
                             false)) {
-                played = stage.play(line -> {});
+                played = stage.run(line -> {});
             }
-            Audit.Report report = Audit.of(recording);
-            assertTrue(report.clean(), () -> report.text(true));
+            Audit.Report report = Audit.recording(recording);
+            assertTrue(report.isClean(), () -> report.text(true));
             assertTrue(report.rule(1).tested() > 1000, "hardly anything was asked");
             assertEquals(0, played.unfinished());
-            assertTrue(played.leftClean());
+            assertTrue(played.isShutdownClean());
         } finally {
             Files.delete(recording);
         }
--- a/scenario/src/test/java/milletyoke/scenario/ScriptedPeers.java
+++ b/scenario/src/test/java/milletyoke/scenario/ScriptedPeers.java
@@ -173,9 +173,9 @@
     }
 
     void list(String id, int shard, int port, Health health) throws Exception {
-        long lists = initiator.counts().of(Counter.LISTS);
-        until(() -> initiator.counts().of(Counter.LISTS) > 0, "the first list has come");
-        discovery.learn(
+        long lists = initiator.counts().get(Counter.ENDPOINT_LISTS);
+        until(() -> initiator.counts().get(Counter.ENDPOINT_LISTS) > 0, "the first list has come");
+        discovery.add(
                 Target.newBuilder()
                         .setId(id)
                         .setShard(shard)
@@ -184,7 +184,7 @@
                         .setHost("127.0.0.1")
                         .setPort(port)
                         .build());
-        until(() -> initiator.counts().of(Counter.LISTS) > lists, "the list has come");
+        until(() -> initiator.counts().get(Counter.ENDPOINT_LISTS) > lists, "the list has come");
         Thread.sleep(20);
     }
 
@@ -218,13 +218,13 @@
     }
 
     long count(Counter count) {
-        return initiator.counts().of(count);
+        return initiator.counts().get(count);
     }
 
     /** What the loop holds now. */
     int held() throws InterruptedException {
         LinkedBlockingQueue<Integer> shown = new LinkedBlockingQueue<>();
-        initiator.loop().show(f -> shown.add(f.held()));
+        initiator.eventLoop().show(f -> shown.add(f.pendingRequests()));
         return shown.take();
     }
 
--- a/simulation/src/main/java/milletyoke/simulation/environment/SimulatedNetwork.java
+++ b/simulation/src/main/java/milletyoke/simulation/environment/SimulatedNetwork.java
@@ -181,7 +181,7 @@
         void open(Role role, String ownName) {
             isOpened = true;
             tap.onFrame(this, Direction.OPENED, null);
-            greet(role, ownName);
+            sendHello(role, ownName);
             early.forEach(Runnable::run);
             early.clear();
         }
@@ -218,7 +218,7 @@
                         ((long) id() << 40)
                                 + ((long) frame.getBodyCase().getNumber() << 32)
                                 + frame.getSerializedSize());
-                got(frame);
+                handleFrame(frame);
             }
         }
 
--- a/simulation/src/main/java/milletyoke/simulation/experiment/Experiment.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/Experiment.java
@@ -64,19 +64,20 @@
         Path base = file.toAbsolutePath().getParent();
         List<Arm> arms = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (SettingsReader a : f.forms("arms", true)) {
+        for (SettingsReader a : f.sections("arms", true)) {
             String name = a.text("name", null);
             if (!names.add(name)) {
-                throw a.wrong("name", "\"" + name + "\" is the name of an arm already");
+                throw a.error("name", "\"" + name + "\" is the name of an arm already");
             }
             arms.add(
                     new Arm(
                             name,
                             statements(a.text("set", "")),
                             a.flag("straight", false),
-                            a.word("scheduler", SchedulerChoice.class, SchedulerChoice.MILLETYOKE),
+                            a.keyword(
+                                    "scheduler", SchedulerChoice.class, SchedulerChoice.MILLETYOKE),
                             a.text("variant", "")));
-            a.done();
+            a.rejectUnknown();
         }
         Experiment made =
                 new Experiment(
@@ -87,9 +88,9 @@
                         List.of(f.text("values", "").trim().split("\\s+")),
                         f.text("axis", "value"),
                         f.has("source") ? base.resolve(f.text("source", null)) : null);
-        f.done();
+        f.rejectUnknown();
         if (made.source() == null && arms.stream().anyMatch(a -> !a.variant().isEmpty())) {
-            throw f.wrong("source", "must name RequestScheduler.java where an arm is a variant");
+            throw f.error("source", "must name RequestScheduler.java where an arm is a variant");
         }
         try {
             for (Run run : made.runs()) {
@@ -98,7 +99,7 @@
                 }
             }
         } catch (ScenarioFormatException | IOException wrong) {
-            throw f.wrong("arms", wrong.getMessage());
+            throw f.error("arms", wrong.getMessage());
         }
         return made;
     }
@@ -139,7 +140,7 @@
         return read.with(
                 called,
                 read.seed() + 7919L * run.seed(),
-                set.contains("calm") ? List.of() : read.troubles());
+                set.contains("calm") ? List.of() : read.faults());
     }
 
     private static String patched(List<String> lines, List<String> set) {
--- a/simulation/src/main/java/milletyoke/simulation/experiment/ExperimentRunner.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/ExperimentRunner.java
@@ -83,12 +83,12 @@
                 SimulationRun.of(experiment.dayOf(run), null, arm.straight(), decisions);
         ServiceLevelRecorder s = came.service();
         Map<String, Double> categories = new LinkedHashMap<>();
-        s.lines().forEach((name, line) -> categories.put(name, line.service()));
+        s.requestClasses().forEach((name, line) -> categories.put(name, line.service()));
         return new ResultRow(
                 arm.name(),
                 run.value(),
                 run.seed(),
-                s.whole(),
+                s.overall(),
                 categories,
                 s.inTimeByPlan(),
                 came.seconds(),
@@ -96,7 +96,7 @@
                 s.times().getValueAtPercentile(99) / 1e3,
                 s.evenness(),
                 came.coldUsed(),
-                s.askedInAll(),
+                s.totalRequests(),
                 came.unfinished(),
                 String.format("%016x", came.digest()),
                 came.events(),
--- a/simulation/src/main/java/milletyoke/simulation/faults/FaultFormatter.java
+++ b/simulation/src/main/java/milletyoke/simulation/faults/FaultFormatter.java
@@ -15,60 +15,75 @@
      * @throws IllegalArgumentException for a trouble that storms do not draw
      */
     public static String of(Fault t) {
-        String whom = t.whom().number() > 0 ? "" + t.whom().number() : percent(t.whom().part());
-        String span = " for=" + time(t.span());
+        String whom =
+                t.selection().number() > 0
+                        ? "" + t.selection().number()
+                        : percent(t.selection().part());
+        String span = " for=" + time(t.durationMicros());
         String start =
                 t.under() > 0
-                        ? "when service under=" + percent(t.under()) + " from=" + time(t.at()) + " "
-                        : "at " + time(t.at()) + " ";
+                        ? "when service under="
+                                + percent(t.under())
+                                + " from="
+                                + time(t.atMicros())
+                                + " "
+                        : "at " + time(t.atMicros()) + " ";
         return start
-                + switch (t.sort()) {
+                + switch (t.type()) {
                     case HANG, UNREACHABLE, DRAIN, STILL -> name(t) + " " + whom + span;
-                    case SLOW -> "slow " + whom + " by=" + t.figure() + span;
+                    case SLOW -> "slow " + whom + " by=" + t.magnitude() + span;
                     case PAUSES ->
                             "pauses "
                                     + whom
                                     + " of="
                                     + times(t.range())
                                     + " every="
-                                    + time(t.every())
+                                    + time(t.intervalMicros())
                                     + span;
                     case ERRORS, LOST ->
-                            name(t) + " " + whom + " part=" + percent(t.figure()) + span;
-                    case RESETS -> "resets " + whom + " every=" + time(t.every()) + span;
+                            name(t) + " " + whom + " part=" + percent(t.magnitude()) + span;
+                    case RESETS -> "resets " + whom + " every=" + time(t.intervalMicros()) + span;
                     case RESTART -> "restart " + whom + " down=" + times(t.range());
                     case ROLL ->
-                            "roll " + whom + " over=" + time(t.span()) + " down=" + time(t.down());
+                            "roll "
+                                    + whom
+                                    + " over="
+                                    + time(t.durationMicros())
+                                    + " down="
+                                    + time(t.downtimeMicros());
                     case AGE ->
                             "age "
                                     + whom
                                     + " to="
-                                    + t.figure()
+                                    + t.magnitude()
                                     + " over="
-                                    + time(t.span())
+                                    + time(t.durationMicros())
                                     + " down="
-                                    + time(t.down());
+                                    + time(t.downtimeMicros());
                     case LIST_LATE -> "list late by=" + times(t.range()) + span;
                     case LIST_PARTIAL -> "list partial " + whom + span;
-                    case LIST_FLAP -> "list flap " + whom + " every=" + time(t.every()) + span;
+                    case LIST_FLAP ->
+                            "list flap " + whom + " every=" + time(t.intervalMicros()) + span;
                     case LIST_UNAVAILABLE -> "list unavailable" + span;
                     case KILL, LEAVE -> name(t) + " " + whom + " down=" + times(t.range());
                     case SURGE ->
-                            "surge volumes=" + t.count() + " by=" + percent(t.figure()) + span;
-                    case HOTKEY -> "hotkey part=" + percent(t.figure()) + span;
+                            "surge volumes=" + t.count() + " by=" + percent(t.magnitude()) + span;
+                    case HOTKEY -> "hotkey part=" + percent(t.magnitude()) + span;
                     case RECONNECT -> "reconnect";
                     case PARTITION ->
                             "partition "
                                     + whom
                                     + " targets="
-                                    + (t.count() > 0 ? "" + t.count() : percent(t.figure()))
-                                    + ((t.every() & Scenario.ONE_WAY) != 0 ? " oneway" : "")
-                                    + ((t.every() & Scenario.GREY) != 0 ? " grey" : "")
+                                    + (t.count() > 0 ? "" + t.count() : percent(t.magnitude()))
+                                    + ((t.intervalMicros() & Scenario.ONE_WAY) != 0
+                                            ? " oneway"
+                                            : "")
+                                    + ((t.intervalMicros() & Scenario.GREY) != 0 ? " grey" : "")
                                     + span;
                     case CLOCK ->
                             "clock "
-                                    + (t.span() < 0 ? "back=" : "ahead=")
-                                    + time(Math.abs(t.span()));
+                                    + (t.durationMicros() < 0 ? "back=" : "ahead=")
+                                    + time(Math.abs(t.durationMicros()));
                     case LIMIT ->
                             throw new IllegalArgumentException(
                                     "a change of a limit is written by hand");
@@ -76,7 +91,7 @@
     }
 
     private static String name(Fault t) {
-        return t.sort().name().toLowerCase(Locale.ROOT);
+        return t.type().name().toLowerCase(Locale.ROOT);
     }
 
     private static String percent(double part) {
--- a/simulation/src/main/java/milletyoke/simulation/faults/FaultGenerator.java
+++ b/simulation/src/main/java/milletyoke/simulation/faults/FaultGenerator.java
@@ -81,10 +81,10 @@
             at =
                     cascade
                             ? at + 1000 * (1 + chance.nextLong(1500))
-                            : 1000 * chance.nextLong(base.lasts() * 8 / 10_000);
+                            : 1000 * chance.nextLong(base.durationMicros() * 8 / 10_000);
             all.add(trouble(chance, at, ranges, base));
         }
-        all.sort(Comparator.comparingLong(Fault::at));
+        all.sort(Comparator.comparingLong(Fault::atMicros));
         return base.with(
                 base.name() + "-storm-" + Long.toUnsignedString(seed, 36), base.seed() + seed, all);
     }
@@ -109,7 +109,15 @@
                                         / 10.0,
                                 0);
         long span =
-                1000 * (500 + c.nextLong(Math.max(1, (long) (base.lasts() * in.longest() / 1000))));
+                1000
+                        * (500
+                                + c.nextLong(
+                                        Math.max(
+                                                1,
+                                                (long)
+                                                        (base.durationMicros()
+                                                                * in.longest()
+                                                                / 1000))));
         double figure =
                 switch (sort) {
                     case SLOW, AGE -> 2 + c.nextInt(7);
--- a/simulation/src/main/java/milletyoke/simulation/faults/FaultSearch.java
+++ b/simulation/src/main/java/milletyoke/simulation/faults/FaultSearch.java
@@ -80,11 +80,11 @@
             String why =
                     came.unfinished() > 0
                             ? came.unfinished() + " without an answer"
-                            : !came.clean() ? "not left clean" : "";
+                            : !came.isClean() ? "not left clean" : "";
             if (audited && why.isEmpty()) {
-                Audit.Report report = Audit.of(recording);
+                Audit.Report report = Audit.recording(recording);
                 why =
-                        report.clean()
+                        report.isClean()
                                 ? ""
                                 : report.text(false)
                                         .lines()
@@ -93,7 +93,7 @@
                                         .orElse("a rule was broken")
                                         .strip();
             }
-            return new Failure(day, came.service().whole(), !why.isEmpty(), why);
+            return new Failure(day, came.service().overall(), !why.isEmpty(), why);
         } catch (IOException failed) {
             throw new UncheckedIOException(failed);
         } catch (RuntimeException fault) {
@@ -144,7 +144,7 @@
                                                 && !l.strip().startsWith("#"))
                         .collect(Collectors.joining("\n"));
         String troubles =
-                found.day().troubles().stream()
+                found.day().faults().stream()
                         .map(FaultFormatter::of)
                         .collect(Collectors.joining("\n"));
         String said =
--- a/simulation/src/main/java/milletyoke/simulation/faults/ScenarioShrinker.java
+++ b/simulation/src/main/java/milletyoke/simulation/faults/ScenarioShrinker.java
@@ -38,7 +38,7 @@
     }
 
     private Scenario less(Scenario day) {
-        List<Fault> all = day.troubles();
+        List<Fault> all = day.faults();
         for (int n = 0; n < all.size() && all.size() > 1; n++) {
             List<Fault> fewer = new ArrayList<>(all);
             fewer.remove(n);
@@ -65,35 +65,35 @@
 
     private static List<Fault> smaller(Fault t) {
         List<Fault> all = new ArrayList<>();
-        if (t.span() > 400_000) {
+        if (t.durationMicros() > 400_000) {
             all.add(
                     new Fault(
-                            t.at(),
+                            t.atMicros(),
                             t.line(),
-                            t.sort(),
-                            t.whom(),
-                            t.span() / 2000 * 1000,
-                            t.figure(),
+                            t.type(),
+                            t.selection(),
+                            t.durationMicros() / 2000 * 1000,
+                            t.magnitude(),
                             t.range(),
-                            t.every(),
+                            t.intervalMicros(),
                             t.count(),
-                            t.down(),
+                            t.downtimeMicros(),
                             t.name(),
                             t.under()));
         }
-        if (t.whom().part() > 0.2) {
+        if (t.selection().part() > 0.2) {
             all.add(
                     new Fault(
-                            t.at(),
+                            t.atMicros(),
                             t.line(),
-                            t.sort(),
-                            new Selection(Math.rint(5 * t.whom().part()) / 10, 0),
-                            t.span(),
-                            t.figure(),
+                            t.type(),
+                            new Selection(Math.rint(5 * t.selection().part()) / 10, 0),
+                            t.durationMicros(),
+                            t.magnitude(),
                             t.range(),
-                            t.every(),
+                            t.intervalMicros(),
                             t.count(),
-                            t.down(),
+                            t.downtimeMicros(),
                             t.name(),
                             t.under()));
         }
