--- a/simulation/src/main/java/milletyoke/simulation/run/SimulationRun.java
+++ b/simulation/src/main/java/milletyoke/simulation/run/SimulationRun.java
@@ -23,7 +23,7 @@
      *
      * @param seconds service of each second's asking so far, in the order of time
      * @param unfinished tries still without an answer when all should have had one
-     * @param clean every initiator that was there at the end left with nothing unanswered
+     * @param isClean every initiator that was there at the end left with nothing unanswered
      * @param coldUsed the largest part of what a cold target bears that any was sent
      * @param digest stands for all that travelled and when
      * @param events that happened
@@ -33,7 +33,7 @@
             ServiceLevelRecorder service,
             List<Double> seconds,
             long unfinished,
-            boolean clean,
+            boolean isClean,
             double coldUsed,
             long digest,
             long events,
@@ -73,13 +73,13 @@
                 new ScenarioRunner(day, recording, straight, null, world, instead)) {
             List<Double> seconds = new ArrayList<>();
             ScenarioRunner.ScenarioResult played =
-                    stage.play(service -> seconds.add(service.whole()), () -> {});
+                    stage.run(service -> seconds.add(service.overall()), () -> {});
             return new Came(
                     played.service(),
                     seconds,
                     played.unfinished(),
-                    played.leftClean(),
-                    played.coldUsed(),
+                    played.isShutdownClean(),
+                    played.warmUpBudgetUsed(),
                     world.digest(),
                     world.happened(),
                     (System.nanoTime() - began) / 1000);
--- a/simulation/src/test/java/milletyoke/simulation/ExperimentTest.java
+++ b/simulation/src/test/java/milletyoke/simulation/ExperimentTest.java
@@ -182,9 +182,9 @@
         for (long seed = 1; day == null; seed++) { // one with a kill among others
             Scenario drawn = FaultGenerator.over(base, seed, FaultGenerator.Ranges.usual(8));
             day =
-                    drawn.troubles().size() > 4
-                                    && drawn.troubles().stream()
-                                            .anyMatch(t -> t.sort() == FaultType.KILL)
+                    drawn.faults().size() > 4
+                                    && drawn.faults().stream()
+                                            .anyMatch(t -> t.type() == FaultType.KILL)
                             ? drawn
                             : null;
         }
@@ -192,13 +192,13 @@
         Scenario small =
                 new ScenarioShrinker(
                                 d -> {
-                                    seen.add(d.troubles().size());
-                                    return d.troubles().stream()
-                                            .anyMatch(t -> t.sort() == FaultType.KILL);
+                                    seen.add(d.faults().size());
+                                    return d.faults().stream()
+                                            .anyMatch(t -> t.type() == FaultType.KILL);
                                 })
                         .smallest(day);
-        assertEquals(1, small.troubles().size());
-        assertEquals(FaultType.KILL, small.troubles().get(0).sort());
+        assertEquals(1, small.faults().size());
+        assertEquals(FaultType.KILL, small.faults().get(0).type());
         assertTrue(seen.size() < 100);
     }
 
@@ -208,12 +208,13 @@
                 new FaultGenerator.Ranges(
                         List.of(FaultType.HANG, FaultType.SLOW), 3, 0.2, 0.4, 0.25);
         for (long seed = 0; seed < 200; seed++) {
-            for (var t : FaultGenerator.over(ScenarioParser.read(DAY), seed, in).troubles()) {
+            for (var t : FaultGenerator.over(ScenarioParser.read(DAY), seed, in).faults()) {
                 assertTrue(
-                        in.sorts().contains(t.sort())
-                                && t.whom().part() >= 0.2
-                                && t.whom().part() <= 0.4
-                                && t.span() <= 500_000 + ScenarioParser.read(DAY).lasts() / 4,
+                        in.sorts().contains(t.type())
+                                && t.selection().part() >= 0.2
+                                && t.selection().part() <= 0.4
+                                && t.durationMicros()
+                                        <= 500_000 + ScenarioParser.read(DAY).durationMicros() / 4,
                         "" + t);
             }
         }
@@ -259,10 +260,10 @@
         Set<FaultType> met = new HashSet<>();
         for (long seed = 1; seed <= 40; seed++) {
             Scenario day = FaultGenerator.over(base, seed, FaultGenerator.Ranges.usual(6));
-            day.troubles().forEach(t -> met.add(t.sort()));
+            day.faults().forEach(t -> met.add(t.type()));
             String script = FaultSearch.script(text, new FaultSearch.Failure(day, 0.5, false, ""));
             Scenario again = ScenarioParser.read("found.day", day.name(), script);
-            assertEquals(day.troubles().size(), again.troubles().size(), script);
+            assertEquals(day.faults().size(), again.faults().size(), script);
             if (seed <= 4) {
                 assertEquals(
                         SimulationRun.of(day, null).digest(),
--- a/simulation/src/test/java/milletyoke/simulation/SimulationTest.java
+++ b/simulation/src/test/java/milletyoke/simulation/SimulationTest.java
@@ -63,13 +63,13 @@
     private Audit.Report kept(Scenario day) throws Exception {
         Path recording = folder.resolve("recording");
         SimulationRun.Came came = SimulationRun.of(day, recording);
-        Audit.Report report = Audit.of(recording);
-        assertTrue(report.clean(), () -> day.name() + "\n" + report.text(true));
+        Audit.Report report = Audit.recording(recording);
+        assertTrue(report.isClean(), () -> day.name() + "\n" + report.text(true));
         assertEquals(0, came.unfinished(), "every access has its answer");
         assertTrue(
                 came.coldUsed() <= 1,
                 "no cold target is sent more than it bears: " + came.coldUsed());
-        assertTrue(came.clean(), "every initiator left with nothing unanswered");
+        assertTrue(came.isClean(), "every initiator left with nothing unanswered");
         return report;
     }
 
@@ -125,7 +125,7 @@
         }
         assertNotEquals(
                 alone.digest(),
-                SimulationRun.of(day.with("other", day.seed() + 1, day.troubles()), null).digest());
+                SimulationRun.of(day.with("other", day.seed() + 1, day.faults()), null).digest());
     }
 
     @Test
@@ -134,8 +134,8 @@
         double quiet =
                 SimulationRun.of(cut.with(cut.name(), cut.seed(), List.of()), null)
                         .service()
-                        .whole();
-        double grey = SimulationRun.of(cut, null).service().whole();
+                        .overall();
+        double grey = SimulationRun.of(cut, null).service().overall();
         assertTrue(quiet - grey > 0.005, "it costs something: " + quiet + ", " + grey);
         assertTrue(
                 quiet - grey < 0.15,
@@ -153,11 +153,11 @@
             Path recording = folder.resolve("recording");
             SimulationRun.Came came =
                     SimulationRun.of(day, recording, false, scheduler.decisions());
-            Audit.Report report = Audit.of(recording);
+            Audit.Report report = Audit.recording(recording);
             for (int rule : new int[] {1, 2, 7}) {
                 assertEquals(
                         0,
-                        report.rule(rule).breaches(),
+                        report.rule(rule).violations(),
                         () -> scheduler + "\n" + report.text(true));
             }
             assertEquals(0, came.unfinished());
@@ -207,7 +207,7 @@
                 crowded < plain - 0.05,
                 "targets that lose to a crowd do less: " + crowded + ", " + plain);
         assertTrue(
-                SimulationRun.of(ScenarioParser.read("d", "d", crowd), null).service().whole()
+                SimulationRun.of(ScenarioParser.read("d", "d", crowd), null).service().overall()
                         > crowded + 0.05,
                 "windows leave them less of one");
         Scenario cold = ScenarioParser.read(OWN.resolve("cold-restart-40.day"));
@@ -215,19 +215,19 @@
                 Files.readString(OWN.resolve("cold-restart-40.day"))
                         .replaceAll("(?m)^targets .*$", "$0 warmunits=20");
         assertTrue(
-                SimulationRun.of(ScenarioParser.read("d", "d", byWork), null).service().whole()
-                        > SimulationRun.of(cold, null).service().whole(),
+                SimulationRun.of(ScenarioParser.read("d", "d", byWork), null).service().overall()
+                        > SimulationRun.of(cold, null).service().overall(),
                 "targets that are warm after twenty units do more");
         String costly =
                 Files.readString(REHEARSALS.resolve("reconnect.day"))
                         .replaceAll("(?m)^targets .*$", "$0 connecting=200ms");
         assertTrue(
-                SimulationRun.of(ScenarioParser.read("d", "d", costly), null).service().whole()
+                SimulationRun.of(ScenarioParser.read("d", "d", costly), null).service().overall()
                         < SimulationRun.of(
                                         ScenarioParser.read(REHEARSALS.resolve("reconnect.day")),
                                         null)
                                 .service()
-                                .whole());
+                                .overall());
     }
 
     @Test
@@ -257,7 +257,7 @@
                         false,
                         SchedulerChoice.AT_ONCE.decisions())
                 .service()
-                .whole();
+                .overall();
     }
 
     /**
@@ -277,14 +277,14 @@
                         new SimulatedEnvironment(3, SimulatedEnvironment.Physics.LOOPBACK),
                         null)) {
             stage.capture(folder.resolve("traffic"));
-            firstTries = stage.play(s -> {}).service().askedInAll();
+            firstTries = stage.run(s -> {}).service().totalRequests();
         }
         Map<String, Integer> came = new HashMap<>();
         for (int i = 1; i <= 3; i++) {
             CapturedTraffic traffic =
                     CapturedTraffic.read(folder.resolve("traffic/initiator-" + i + ".traffic"));
             assertTrue(traffic.complete());
-            traffic.requests().forEach(a -> came.merge(a.category(), 1, Integer::sum));
+            traffic.requests().forEach(a -> came.merge(a.requestClass(), 1, Integer::sum));
         }
         int all = came.values().stream().mapToInt(n -> n).sum();
         assertTrue(
@@ -305,7 +305,9 @@
             SimulationRun.Came replayed = SimulationRun.of(again, null);
             came.forEach(
                     (category, n) ->
-                            assertEquals(n.longValue(), replayed.service().line(category).asked));
+                            assertEquals(
+                                    n.longValue(),
+                                    replayed.service().requestClass(category).requests));
             assertEquals(0, replayed.unfinished());
         }
         Scenario small =
@@ -352,11 +354,11 @@
                                     }
                                     return List.of();
                                 })) {
-            ScenarioRunner.ScenarioResult played = stage.play(s -> {});
+            ScenarioRunner.ScenarioResult played = stage.run(s -> {});
             assertEquals(0, played.unfinished());
-            assertFalse(played.leftClean(), "a loop that failed says so");
+            assertFalse(played.isShutdownClean(), "a loop that failed says so");
         }
-        assertEquals(0, Audit.of(recording).rule(1).breaches());
+        assertEquals(0, Audit.recording(recording).rule(1).violations());
     }
 
     /** A loop that took more than one turn's part at once dropped what stood next in its queue. */
@@ -400,7 +402,7 @@
                         world,
                         1,
                         null);
-        discovery.learn(
+        discovery.add(
                 milletyoke.wire.proto.Target.newBuilder()
                         .setId("t")
                         .setShard(0)
--- a/standins/src/main/java/milletyoke/standins/Discovery.java
+++ b/standins/src/main/java/milletyoke/standins/Discovery.java
@@ -106,11 +106,11 @@
                         now
                                 + leastLag
                                 + (mostLag > leastLag ? chance.nextLong(mostLag - leastLag) : 0));
-        clockwork.schedule(() -> learn(entry), lastDue - now, TimeUnit.MICROSECONDS);
+        clockwork.schedule(() -> add(entry), lastDue - now, TimeUnit.MICROSECONDS);
     }
 
     /** What is known from the outset. */
-    public synchronized void learn(milletyoke.wire.proto.Target entry) {
+    public synchronized void add(milletyoke.wire.proto.Target entry) {
         version++;
         if (entry.getHealth() == Health.REMOVED) {
             known.remove(entry.getId());
--- a/standins/src/main/java/milletyoke/standins/LoadGenerator.java
+++ b/standins/src/main/java/milletyoke/standins/LoadGenerator.java
@@ -255,14 +255,14 @@
         pace.setDaemon(true);
     }
 
-    public void addDoor(String name, String host, int port) {
+    public void addInitiator(String name, String host, int port) {
         Door door = new Door(name, host, port);
         doors.add(door);
         door.connect();
     }
 
     /** A door moved, as an initiator or target does that comes back elsewhere. */
-    public void moveDoor(int door, int port) {
+    public void moveInitiator(int door, int port) {
         doors.get(door).port = port;
     }
 
@@ -271,7 +271,7 @@
     }
 
     /** Waits until every door is open; false where one is not in time. */
-    public boolean awaitDoors(long millis) throws InterruptedException {
+    public boolean awaitConnected(long millis) throws InterruptedException {
         long until = world.monotonicMicros() + millis * 1000;
         while (doors.stream().anyMatch(d -> d.peer == null)) {
             if (world.monotonicMicros() > until) {
@@ -400,7 +400,7 @@
      */
     private void traceNext() {
         while (!stopped && traced < demand.trace().size()) {
-            LoadProfile.Traced next = demand.trace().get(traced);
+            LoadProfile.TracedRequest next = demand.trace().get(traced);
             due = beganAt + next.at();
             if (due > world.monotonicMicros()) {
                 clockwork.schedule(
--- a/standins/src/main/java/milletyoke/standins/LoadProfile.java
+++ b/standins/src/main/java/milletyoke/standins/LoadProfile.java
@@ -30,7 +30,7 @@
         long answerSlack,
         int closed,
         long think,
-        List<Traced> trace) {
+        List<TracedRequest> trace) {
 
     /**
      * One captured access.
@@ -38,7 +38,7 @@
      * @param at since the start (microseconds)
      * @param shard -1 for a new object
      */
-    public record Traced(
+    public record TracedRequest(
             long at,
             RequestClass kind,
             Volume volume,
--- a/standins/src/main/java/milletyoke/standins/ServiceLevelRecorder.java
+++ b/standins/src/main/java/milletyoke/standins/ServiceLevelRecorder.java
@@ -10,24 +10,24 @@
  */
 public final class ServiceLevelRecorder {
     /** One category's figures. */
-    public static final class Line {
-        public long asked, answered, inTime, rejected, brokenOff, unanswered, unreachable;
+    public static final class ClassStatistics {
+        public long requests, answered, inTime, rejected, brokenOff, unanswered, unreachable;
         public final Histogram times = new Histogram(3_600_000_000L, 3);
         private final double importance;
 
-        Line(double importance) {
+        ClassStatistics(double importance) {
             this.importance = importance;
         }
 
         public double service() {
-            return asked == 0 ? 1 : inTime / (double) asked;
+            return requests == 0 ? 1 : inTime / (double) requests;
         }
 
         private String text() {
             return String.format(
                     "%9d asked  %5.1f%% in time  %5.1f%% answered  %5.1f%% rejected  %5.2f%% broken off"
                             + "  %d unanswered  p50 %.1f  p99 %.1f  p99.9 %.1f ms",
-                    asked,
+                    requests,
                     100 * service(),
                     part(answered),
                     part(rejected),
@@ -39,11 +39,11 @@
         }
 
         private double part(long count) {
-            return 100.0 * count / Math.max(1, asked);
+            return 100.0 * count / Math.max(1, requests);
         }
     }
 
-    private final Map<String, Line> lines = new LinkedHashMap<>();
+    private final Map<String, ClassStatistics> requestClasses = new LinkedHashMap<>();
 
     /** By plan: asked and answered in time. */
     private final Map<String, long[]> plans = new LinkedHashMap<>();
@@ -54,7 +54,8 @@
     private final Map<String, long[]> volumes = new LinkedHashMap<>();
 
     ServiceLevelRecorder(LoadProfile demand) {
-        demand.kinds().forEach(k -> lines.put(k.name(), new Line(k.importance())));
+        demand.kinds()
+                .forEach(k -> requestClasses.put(k.name(), new ClassStatistics(k.importance())));
         demand.volumes()
                 .forEach(
                         v -> {
@@ -65,7 +66,7 @@
     }
 
     synchronized void asked(String kind, String volume) {
-        lines.get(kind).asked++;
+        requestClasses.get(kind).requests++;
         volumes.get(volume)[0]++;
         plans.get(planOf.get(volume))[0]++;
     }
@@ -76,34 +77,34 @@
     synchronized void answered(String kind, String volume, long micros, boolean inTime) {
         volumes.get(volume)[1] += inTime ? 1 : 0;
         plans.get(planOf.get(volume))[1] += inTime ? 1 : 0;
-        Line line = lines.get(kind);
+        ClassStatistics line = requestClasses.get(kind);
         line.answered++;
         line.inTime += inTime ? 1 : 0;
         line.times.recordValue(Math.min(3_600_000_000L, Math.max(0, micros)));
     }
 
     synchronized void rejected(String kind) {
-        lines.get(kind).rejected++;
+        requestClasses.get(kind).rejected++;
     }
 
     synchronized void brokenOff(String kind) {
-        lines.get(kind).brokenOff++;
+        requestClasses.get(kind).brokenOff++;
     }
 
     synchronized void unanswered(String kind) {
-        lines.get(kind).unanswered++;
+        requestClasses.get(kind).unanswered++;
     }
 
     synchronized void unreachable(String kind) {
-        lines.get(kind).unreachable++;
+        requestClasses.get(kind).unreachable++;
     }
 
-    public synchronized Line line(String kind) {
-        return lines.get(kind);
+    public synchronized ClassStatistics requestClass(String kind) {
+        return requestClasses.get(kind);
     }
 
     /** Importance answered in its agreed time over the importance asked for. */
-    public synchronized double whole() {
+    public synchronized double overall() {
         double[] sums = sums();
         return sums[0] == 0 ? 1 : sums[1] / sums[0];
     }
@@ -134,46 +135,46 @@
         return all;
     }
 
-    public synchronized Map<String, Line> lines() {
-        return new LinkedHashMap<>(lines);
+    public synchronized Map<String, ClassStatistics> requestClasses() {
+        return new LinkedHashMap<>(requestClasses);
     }
 
     /** Importance asked for and importance answered in its agreed time, so far. */
     public synchronized double[] sums() {
         double[] sums = new double[2];
-        for (Line line : lines.values()) {
-            sums[0] += line.importance * line.asked;
+        for (ClassStatistics line : requestClasses.values()) {
+            sums[0] += line.importance * line.requests;
             sums[1] += line.importance * line.inTime;
         }
         return sums;
     }
 
-    public synchronized long askedInAll() {
-        return lines.values().stream().mapToLong(l -> l.asked).sum();
+    public synchronized long totalRequests() {
+        return requestClasses.values().stream().mapToLong(l -> l.requests).sum();
     }
 
     public synchronized Histogram times() {
         Histogram all = new Histogram(3_600_000_000L, 3);
-        lines.values().forEach(l -> all.add(l.times));
+        requestClasses.values().forEach(l -> all.add(l.times));
         return all;
     }
 
     public synchronized String text() {
         StringBuilder text = new StringBuilder();
-        lines.forEach(
+        requestClasses.forEach(
                 (name, line) -> text.append(String.format("  %-16s %s%n", name, line.text())));
-        return text.append(String.format("  service %.3f%n", whole())).toString();
+        return text.append(String.format("  service %.3f%n", overall())).toString();
     }
 
     /** One short line for a live view. */
-    public synchronized String brief() {
+    public synchronized String summary() {
         StringBuilder text = new StringBuilder();
-        lines.forEach(
+        requestClasses.forEach(
                 (name, line) ->
                         text.append(
                                 String.format(
                                         "  %s %d asked, %.1f%% in time",
-                                        name, line.asked, 100 * line.service())));
+                                        name, line.requests, 100 * line.service())));
         return text.toString().trim();
     }
 }
--- a/standins/src/main/java/milletyoke/standins/Target.java
+++ b/standins/src/main/java/milletyoke/standins/Target.java
@@ -59,7 +59,7 @@
     private final Set<PeerConnection> peers = new LinkedHashSet<>();
     private double coldUnits;
     private double unitsDone;
-    private double coldUsed;
+    private double warmUpBudgetUsed;
     private double putOffWork;
     private long stillUntil;
 
@@ -68,7 +68,7 @@
     private volatile boolean refuses;
     private volatile double slow = 1;
     private volatile double errors;
-    private volatile double loses;
+    private volatile double dropsReplies;
     private volatile long pauseEvery, pauseLeast, pauseMost;
 
     private record Job(PeerConnection peer, Attempt relay, long came, int life) {}
@@ -230,8 +230,8 @@
     }
 
     /** Never answers this part of what it gets; half of those were run. */
-    public void loses(double part) {
-        loses = part;
+    public void dropsReplies(double part) {
+        dropsReplies = part;
     }
 
     /** Stands still now and then; 0 ends it. Times are microseconds. */
@@ -358,7 +358,7 @@
             }
             return Outcome.ERROR;
         }
-        if (loses > 0 && chance.nextDouble() < loses) {
+        if (dropsReplies > 0 && chance.nextDouble() < dropsReplies) {
             if (chance.nextBoolean()) {
                 effect(relay, now);
             }
@@ -389,7 +389,7 @@
             coldUnits -= Double.longBitsToDouble(coldSent.removeFirst()[1]);
         }
         double bears = nature.tipMultiple() * nature.capacity() * warmth(now) * nature.fall() / 1e6;
-        coldUsed = nature.fall() > 0 ? Math.max(coldUsed, coldUnits / bears) : 0;
+        warmUpBudgetUsed = nature.fall() > 0 ? Math.max(warmUpBudgetUsed, coldUnits / bears) : 0;
         if (nature.fall() > 0 && coldUnits > bears && !fallen) {
             fallen = true;
             witness.note(id, Note.Kind.OVERLOAD_COLLAPSE, "", coldUnits / bears);
@@ -533,8 +533,8 @@
      * The largest part of what a cold start bears that was ever sent to it within the fall time;
      * over 1 it fell over.
      */
-    public synchronized double coldUsed() {
-        return coldUsed;
+    public synchronized double warmUpBudgetUsed() {
+        return warmUpBudgetUsed;
     }
 
     /** What is there, for a look from outside. */
--- a/standins/src/main/java/milletyoke/standins/http/ScriptedHttpServer.java
+++ b/standins/src/main/java/milletyoke/standins/http/ScriptedHttpServer.java
@@ -23,7 +23,7 @@
 
     private final HttpTransport net;
     private final HttpTransport.Listener listener;
-    private final List<HttpMessage> asked = new CopyOnWriteArrayList<>();
+    private final List<HttpMessage> requests = new CopyOnWriteArrayList<>();
     private final List<HttpConnection> open = new CopyOnWriteArrayList<>();
     private volatile Script script;
 
@@ -42,8 +42,8 @@
     }
 
     /** Every request that came whole, in the order of their ends. */
-    public List<HttpMessage> asked() {
-        return asked;
+    public List<HttpMessage> requests() {
+        return requests;
     }
 
     /** Connections that are open now. */
@@ -53,7 +53,7 @@
 
     public static void answer(HttpConnection conn, int status, byte[] body) {
         conn.write(
-                HeaderWriter.answer(status).withLength(body.length).end(),
+                HeaderWriter.response(status).contentLength(body.length).toBuffer(),
                 ByteBuffer.wrap(body),
                 () -> {});
     }
@@ -73,7 +73,7 @@
     private final class Ear implements HttpTransport.Handler {
         private final HttpMessageDecoder decoder =
                 new HttpMessageDecoder(
-                        HttpMessageDecoder.Side.REQUESTS, HttpMessageDecoder.Limits.USUAL);
+                        HttpMessageDecoder.Side.REQUESTS, HttpMessageDecoder.Limits.DEFAULT);
 
         @Override
         public void opened(HttpConnection conn) {
@@ -83,8 +83,8 @@
         @Override
         public void read(HttpConnection conn, ByteBuffer in) {
             try {
-                for (HttpMessage m = decoder.take(in); m != null; m = decoder.take(in)) {
-                    asked.add(m);
+                for (HttpMessage m = decoder.decode(in); m != null; m = decoder.decode(in)) {
+                    requests.add(m);
                     script.asked(conn, m);
                 }
             } catch (HttpParseException bad) {
--- a/wire/src/main/java/milletyoke/wire/PeerConnection.java
+++ b/wire/src/main/java/milletyoke/wire/PeerConnection.java
@@ -46,9 +46,9 @@
     private volatile int speaks;
     private volatile long lastUse;
     private volatile long partialSince;
-    private volatile String fault;
+    private volatile String failProtocol;
     private volatile boolean refused;
-    private volatile boolean tookNothing;
+    private volatile boolean hasProcessedNothing;
 
     /**
      * @param id unique in its world; a set of peers that is gone over goes in an order that follows
@@ -89,13 +89,13 @@
     }
 
     /** What this peer did that its connection was closed for; null where it did nothing wrong. */
-    public String fault() {
-        return fault;
+    public String failProtocol() {
+        return failProtocol;
     }
 
     /** Tells the peer what it did wrong and closes. */
     void blame(String what) {
-        fault = what;
+        failProtocol = what;
         closeWithReason(what);
     }
 
@@ -158,8 +158,9 @@
             // Guards the memory of this process against a peer that asks and does not read. Could
             // harm a peer that
             // stands still for long with much on its way to it; it may connect again.
-            fault = "reads too slowly: over " + bounds.maxUnsentBytes() + " bytes wait for it";
-            close(fault);
+            failProtocol =
+                    "reads too slowly: over " + bounds.maxUnsentBytes() + " bytes wait for it";
+            close(failProtocol);
             return 0;
         }
         lastUse = clock.getAsLong();
@@ -202,8 +203,8 @@
     }
 
     /** Whether the other end said that it has taken nothing of what was sent on this connection. */
-    public boolean tookNothing() {
-        return tookNothing;
+    public boolean hasProcessedNothing() {
+        return hasProcessedNothing;
     }
 
     @Override
@@ -218,15 +219,15 @@
      *
      * @return whether the peer knows what that means; else only {@link #bye} remains
      */
-    public boolean goingAway(String why) {
-        return knowsGoingAway()
+    public boolean announceShutdown(String why) {
+        return supportsGoingAway()
                 && send(
                         Frame.newBuilder()
                                 .setGoingAway(GoingAway.newBuilder().setReason(why))
                                 .build());
     }
 
-    public boolean knowsGoingAway() {
+    public boolean supportsGoingAway() {
         return speaks >= GOING_AWAY;
     }
 
@@ -254,7 +255,7 @@
         }
     }
 
-    protected final void greet(Role own, String ownName) {
+    protected final void sendHello(Role own, String ownName) {
         send(
                 Frame.newBuilder()
                         .setHello(
@@ -266,7 +267,7 @@
                         .build());
     }
 
-    protected final void got(Frame frame) {
+    protected final void handleFrame(Frame frame) {
         lastUse = clock.getAsLong();
         partialSince = 0;
         if (closed.get() || refused) {
@@ -278,7 +279,7 @@
                 welcome(frame);
                 handler.onReady(this);
             } else if (frame.getBodyCase() == Frame.BodyCase.CLOSE) {
-                tookNothing = frame.getClose().getNothingProcessed();
+                hasProcessedNothing = frame.getClose().getNothingProcessed();
                 close("the peer left: " + frame.getClose().getReason());
             } else if (frame.getBodyCase() == Frame.BodyCase.GOING_AWAY) {
                 handler.onGoingAway(this, frame.getGoingAway().getReason());
--- a/wire/src/main/java/milletyoke/wire/PeerFilter.java
+++ b/wire/src/main/java/milletyoke/wire/PeerFilter.java
@@ -69,13 +69,13 @@
                     peer.close(
                             "the connection closed (" + String.valueOf(type).toLowerCase() + ")");
                 });
-        peer.greet(role, name);
+        peer.sendHello(role, name);
     }
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) throws IOException {
         Frame frame = ctx.getMessage();
-        peerOf(ctx.getConnection()).got(frame);
+        peerOf(ctx.getConnection()).handleFrame(frame);
         return ctx.getStopAction();
     }
 
--- a/wire/src/main/java/milletyoke/wire/SocketEnvironment.java
+++ b/wire/src/main/java/milletyoke/wire/SocketEnvironment.java
@@ -12,7 +12,7 @@
 public final class SocketEnvironment implements ExecutionEnvironment {
     @Override
     public long monotonicMicros() {
-        return SocketNetwork.micros();
+        return SocketNetwork.monotonicMicros();
     }
 
     @Override
--- a/wire/src/main/java/milletyoke/wire/SocketNetwork.java
+++ b/wire/src/main/java/milletyoke/wire/SocketNetwork.java
@@ -80,11 +80,14 @@
                             return thread;
                         });
         looks.scheduleWithFixedDelay(
-                () -> peers.forEach(p -> p.look(micros())), 250, 250, TimeUnit.MILLISECONDS);
+                () -> peers.forEach(p -> p.look(monotonicMicros())),
+                250,
+                250,
+                TimeUnit.MILLISECONDS);
     }
 
     /** The monotonic clock that all times of the product are told on (microseconds). */
-    public static long micros() {
+    public static long monotonicMicros() {
         return System.nanoTime() / 1000;
     }
 
@@ -182,8 +185,8 @@
         looks.shutdownNow();
         transport.unbindAll();
         peers.forEach(p -> p.send(PeerConnection.byeFrame("shutting down")));
-        long until = micros() + LAST_WRITES;
-        while (micros() < until
+        long until = monotonicMicros() + LAST_WRITES;
+        while (monotonicMicros() < until
                 && peers.stream().anyMatch(p -> p.isOpen() && p.waitingBytes() > 0)) {
             java.util.concurrent.locks.LockSupport.parkNanos(1_000_000);
         }
--- a/wire/src/main/java/milletyoke/wire/SocketPeerConnection.java
+++ b/wire/src/main/java/milletyoke/wire/SocketPeerConnection.java
@@ -21,7 +21,7 @@
     @SuppressWarnings("unchecked") // a TCP connection's addresses are socket addresses
     SocketPeerConnection(
             Connection<?> connection, PeerListener handler, FrameLimits bounds, FrameObserver tap) {
-        super(NEXT.incrementAndGet(), handler, bounds, tap, SocketNetwork::micros);
+        super(NEXT.incrementAndGet(), handler, bounds, tap, SocketNetwork::monotonicMicros);
         this.connection = (Connection<SocketAddress>) connection;
     }
 
--- a/wire/src/main/java/milletyoke/wire/capture/CaptureWriter.java
+++ b/wire/src/main/java/milletyoke/wire/capture/CaptureWriter.java
@@ -56,7 +56,7 @@
     }
 
     /** An access came. @param now microseconds, on one clock for all calls */
-    public synchronized void came(long now, Request a) {
+    public synchronized void record(long now, Request a) {
         if (block.getCameCount() >= MOST_WAITING || waitingText >= MOST_WAITING_TEXT) {
             block.setLeftOut(block.getLeftOut() + 1);
             return;
--- a/wire/src/main/java/milletyoke/wire/capture/CapturedTraffic.java
+++ b/wire/src/main/java/milletyoke/wire/capture/CapturedTraffic.java
@@ -27,19 +27,19 @@
     /**
      * One access.
      *
-     * @param at microseconds since the capture began
+     * @param atMicros microseconds since the capture began
      * @param shard -1 for a new object
      */
     public record CapturedRequest(
-            long at,
+            long atMicros,
             String volume,
             String plan,
-            String category,
+            String requestClass,
             String extent,
             int shard,
-            int hosts,
+            int initiatorCount,
             double units,
-            long timeLeft,
+            long timeLeftMicros,
             boolean write,
             int payload) {}
 
--- a/wire/src/main/java/milletyoke/wire/recording/Recorder.java
+++ b/wire/src/main/java/milletyoke/wire/recording/Recorder.java
@@ -46,7 +46,7 @@
     }
 
     /** What one participant's connections see is recorded under its name. */
-    public FrameObserver tap(String witness) {
+    public FrameObserver observer(String witness) {
         return (peer, direction, frame) -> saw(witness, peer, direction, frame);
     }
 
--- a/wire/src/test/java/milletyoke/wire/CaptureTest.java
+++ b/wire/src/test/java/milletyoke/wire/CaptureTest.java
@@ -36,7 +36,7 @@
                                     .setInitiatorCount(2)
                                     .setTimeLeftMicros(100 + n)
                                     .setPayload(ByteString.copyFrom(new byte[n]));
-                    writer.came(
+                    writer.record(
                             5_000 + b * 1_000L + n,
                             n % 3 == 0 ? a.build() : a.setShard(n).setExtent("x" + n).build());
                 }
@@ -53,7 +53,7 @@
         assertTrue(t.complete());
         assertEquals(150, t.requests().size());
         CapturedTraffic.CapturedRequest one = t.requests().get(101);
-        assertEquals(2_001, one.at());
+        assertEquals(2_001, one.atMicros());
         assertEquals(1, one.shard());
         assertEquals("x1", one.extent());
         assertEquals(1, one.payload());
@@ -71,7 +71,7 @@
         int asked = 40_000;
         try (CaptureWriter writer = new CaptureWriter(file, "i", 0)) {
             for (int n = 0; n < asked; n++) {
-                writer.came(
+                writer.record(
                         n,
                         Request.newBuilder()
                                 .setVolume("v" + n + "x".repeat(500))
