--- a/gateway/src/test/java/milletyoke/gateway/loop/EndpointRegistryTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/loop/EndpointRegistryTest.java
@@ -51,11 +51,11 @@
 
     @Test
     void onlyWhoDrainsOrIsLeftOutTakesNothingNew() {
-        list(Scope.REPLACE, "a ON", "b ON", "c ON");
+        list(Scope.REPLACE, "a ACTIVE", "b ACTIVE", "c ACTIVE");
         assertEquals(List.of("listed a", "listed b", "listed c"), told);
-        list(Scope.REPLACE, "a ON", "b DRAINING");
+        list(Scope.REPLACE, "a ACTIVE", "b DRAINING");
         assertEquals(List.of("listed a", "listed b", "draining b", "unlisted c"), told);
-        list(Scope.UPDATE, "a GONE");
+        list(Scope.UPDATE, "a REMOVED");
         assertEquals(List.of("unlisted a"), told);
         list(Scope.REPLACE);
         assertEquals(List.of("unlisted b"), told);
