--- a/core/src/main/java/milletyoke/scheduler/DispatchQueue.java
+++ b/core/src/main/java/milletyoke/scheduler/DispatchQueue.java
@@ -11,13 +11,6 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import milletyoke.scheduler.State.Held;
-import milletyoke.scheduler.State.Kept;
-import milletyoke.scheduler.State.Node;
-import milletyoke.scheduler.State.Reservation;
-import milletyoke.scheduler.State.Store;
-import milletyoke.scheduler.State.Turns;
-import milletyoke.scheduler.State.Volume;
 import milletyoke.scheduler.api.Event;
 
 /**
@@ -26,27 +19,27 @@
  * served for no reason does nothing.
  */
 final class DispatchQueue {
-    private final Map<Integer, Node> nodes = new LinkedHashMap<>();
-    private final Map<String, Volume> volumes = new LinkedHashMap<>();
+    private final Map<Integer, ShardQueue> nodes = new LinkedHashMap<>();
+    private final Map<String, VolumeState> volumes = new LinkedHashMap<>();
 
     /**
      * A limit's store of each plan, as it is for a volume that was not seen or was forgotten, were
      * there one host.
      */
-    private final Map<String, Store> unseen = new LinkedHashMap<>();
+    private final Map<String, TokenBucket> defaultLimitBuckets = new LinkedHashMap<>();
 
     /** Nodes by slot, null where one was forgotten; and the slots that are free. */
-    private final List<Node> slots = new ArrayList<>();
+    private final List<ShardQueue> slots = new ArrayList<>();
 
-    private final ArrayDeque<Integer> free = new ArrayDeque<>();
+    private final ArrayDeque<Integer> freeSlots = new ArrayDeque<>();
 
     /** Volumes and reservations, those that were longest not looked at first. */
-    final ArrayDeque<Kept> kept = new ArrayDeque<>();
+    final ArrayDeque<EvictionCandidate> kept = new ArrayDeque<>();
 
     private int made;
-    private final TreeSet<Node> touched = new TreeSet<>(Comparator.comparingInt(n -> n.made));
-    private final IndexedTimerQueue due = new IndexedTimerQueue();
-    private final Set<Node> forBudget = new LinkedHashSet<>();
+    private final TreeSet<ShardQueue> touched = new TreeSet<>(Comparator.comparingInt(n -> n.made));
+    private final IndexedTimerQueue serviceTimes = new IndexedTimerQueue();
+    private final Set<ShardQueue> forBudget = new LinkedHashSet<>();
     private long reservationsMade;
     private long queued;
 
@@ -54,7 +47,7 @@
     int waiting;
 
     /** All, in the order of making. */
-    Collection<Node> nodes() {
+    Collection<ShardQueue> nodes() {
         return nodes.values();
     }
 
@@ -66,19 +59,19 @@
     /**
      * One node, all with equal odds; null where the lot fell on a slot whose node was forgotten.
      */
-    Node lot(SplittableRandom chance) {
+    ShardQueue lot(SplittableRandom chance) {
         return slots.get(chance.nextInt(slots.size()));
     }
 
-    Map<Integer, Node> byShard() {
+    Map<Integer, ShardQueue> byShard() {
         return nodes;
     }
 
-    Node node(int shard) {
-        Node known = nodes.get(shard);
+    ShardQueue node(int shard) {
+        ShardQueue known = nodes.get(shard);
         if (known == null) {
-            int slot = free.isEmpty() ? slots.size() : free.poll();
-            known = new Node(made++, slot, shard);
+            int slot = freeSlots.isEmpty() ? slots.size() : freeSlots.poll();
+            known = new ShardQueue(made++, slot, shard);
             if (slot == slots.size()) {
                 slots.add(known);
             }
@@ -88,19 +81,19 @@
         return known;
     }
 
-    void forget(Node node) {
+    void forget(ShardQueue node) {
         nodes.remove(node.shard);
         touched.remove(node);
         forBudget.remove(node);
-        due.set(node.slot, IndexedTimerQueue.NEVER);
+        serviceTimes.set(node.slot, IndexedTimerQueue.NEVER);
         slots.set(node.slot, null);
-        free.add(node.slot);
+        freeSlots.add(node.slot);
     }
 
     /** The stores of all limits, those that stand for volumes not seen among them. */
-    List<Store> limits() {
-        List<Store> all = new ArrayList<>(unseen.values());
-        for (Volume v : volumes.values()) {
+    List<TokenBucket> limits() {
+        List<TokenBucket> all = new ArrayList<>(defaultLimitBuckets.values());
+        for (VolumeState v : volumes.values()) {
             if (v.limit != null) {
                 all.add(v.limit);
             }
@@ -110,33 +103,35 @@
 
     /** A plan is known from now on, at the latest: what it limits starts empty. */
     void unseen(String plan, long now) {
-        unseen.computeIfAbsent(plan, p -> new Store(p, now));
+        defaultLimitBuckets.computeIfAbsent(plan, p -> new TokenBucket(p, now));
     }
 
     /** The store of a volume's limit; one as for a volume not seen before where there is none. */
-    Store limit(Held h) {
-        Volume v = h.volume;
+    TokenBucket limit(PendingRequest h) {
+        VolumeState v = h.volume;
         if (v.limit == null) {
-            v.limit = new Store(unseen.get(h.access.plan()), h.access.plan(), h.hosts());
+            v.limit =
+                    new TokenBucket(
+                            defaultLimitBuckets.get(h.access.plan()), h.access.plan(), h.hosts());
         }
         return v.limit;
     }
 
     /** A store as it would be opened now for the same plan, and among as many hosts. */
-    Store opened(Store like) {
-        return new Store(unseen.get(like.plan), like.plan, like.hosts);
+    TokenBucket opened(TokenBucket like) {
+        return new TokenBucket(defaultLimitBuckets.get(like.plan), like.plan, like.hosts);
     }
 
     /** What is kept of a volume, null where nothing is. */
-    Volume volume(String name) {
+    VolumeState volume(String name) {
         return volumes.get(name);
     }
 
     /** The volume of an access that is taken now; a new one where it is not known. */
-    Volume volume(Event.RequestReceived access, long now) {
-        Volume known = volumes.get(access.volume());
+    VolumeState volume(Event.RequestReceived access, long now) {
+        VolumeState known = volumes.get(access.volume());
         if (known == null) {
-            known = new Volume(access.volume());
+            known = new VolumeState(access.volume());
             volumes.put(access.volume(), known);
             known.lookedAt = now;
             kept.addLast(known);
@@ -147,30 +142,30 @@
         return known;
     }
 
-    void forget(Volume volume) {
+    void forget(VolumeState volume) {
         volumes.remove(volume.name);
     }
 
     /** Something changed that may let accesses leave here. */
-    void touch(Node node) {
+    void touch(ShardQueue node) {
         touched.add(node);
     }
 
     /**
      * The same, for more than room: what was found of any access that waits here may be otherwise.
      */
-    void upset(Node node) {
+    void upset(ShardQueue node) {
         node.changed = true;
         touched.add(node);
     }
 
     /** The same, for the accesses of one volume here. */
-    void upset(Reservation r) {
+    void upset(FlowQueue r) {
         r.node.unpark(r);
         touched.add(r.node);
     }
 
-    void upset(Volume volume) {
+    void upset(VolumeState volume) {
         List.copyOf(volume.waiting).forEach(this::upset);
     }
 
@@ -179,7 +174,7 @@
     }
 
     /** What was found here rests on the relay budget. */
-    void restsOnBudget(Node node) {
+    void restsOnBudget(ShardQueue node) {
         forBudget.add(node);
     }
 
@@ -190,12 +185,12 @@
     }
 
     /** Serve this node at that time too, if nothing happens before. */
-    void due(Node node, long time) {
-        due.set(node.slot, time);
+    void due(ShardQueue node, long time) {
+        serviceTimes.set(node.slot, time);
     }
 
     void come(long now) {
-        for (int n : due.due(now)) {
+        for (int n : serviceTimes.due(now)) {
             touched.add(slots.get(n));
         }
     }
@@ -206,8 +201,8 @@
      *
      * @param after the one before, null for the first
      */
-    Node next(Node after) {
-        Node next =
+    ShardQueue next(ShardQueue after) {
+        ShardQueue next =
                 after == null
                         ? (touched.isEmpty() ? null : touched.first())
                         : touched.higher(after);
@@ -218,10 +213,10 @@
     }
 
     /** The volume's reservation queue at the node; a new one where there is none. */
-    Reservation reservation(Node node, Volume volume, long now) {
-        Reservation known = node.reservations.get(volume);
+    FlowQueue reservation(ShardQueue node, VolumeState volume, long now) {
+        FlowQueue known = node.reservations.get(volume);
         if (known == null) {
-            known = new Reservation(reservationsMade++, node, volume);
+            known = new FlowQueue(reservationsMade++, node, volume);
             known.extra = node.firstExtra;
             node.reservations.put(volume, known);
             volume.reservations++;
@@ -233,7 +228,7 @@
     }
 
     /** Puts an access into its queue, and the reservation where its tags then have it. */
-    void queue(Held h, Reservation r) {
+    void queue(PendingRequest h, FlowQueue r) {
         if (r.weight != h.weight()) {
             r.node.unfile(r);
             r.weight = h.weight();
@@ -247,9 +242,9 @@
     }
 
     /** Takes an access out of the queue it waits in, if it waits. */
-    void unqueue(Held h) {
+    void unqueue(PendingRequest h) {
         if (h.waits()) {
-            Reservation r = h.reservation;
+            FlowQueue r = h.reservation;
             r.node.unqueue(h, r);
             r.node.refile(r);
             waiting--;
@@ -257,7 +252,7 @@
     }
 
     /** An access gives up its place among those of its key; the next one may have its turn. */
-    void leave(Turns turns, Held h) {
+    void leave(KeySequence turns, PendingRequest h) {
         turns.order.remove(h);
         if (!turns.order.isEmpty() && turns.order.first().waits()) {
             upset(turns.order.first().reservation);
--- a/core/src/main/java/milletyoke/scheduler/IdleStateEviction.java
+++ b/core/src/main/java/milletyoke/scheduler/IdleStateEviction.java
@@ -8,14 +8,6 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.function.ToDoubleFunction;
-import milletyoke.scheduler.State.Held;
-import milletyoke.scheduler.State.Kept;
-import milletyoke.scheduler.State.Node;
-import milletyoke.scheduler.State.Reservation;
-import milletyoke.scheduler.State.Store;
-import milletyoke.scheduler.State.Targets;
-import milletyoke.scheduler.State.Turns;
-import milletyoke.scheduler.State.Volume;
 
 /**
  * Lets go of what volumes, keys, targets and shards leave behind, so that years of service need no
@@ -50,27 +42,27 @@
     private static final int A_TURN = 8, AN_EVENT = 4;
 
     private final DispatchQueue agenda;
-    private final Targets targets;
+    private final TargetTable targets;
     private final Map<String, Integer> indexOf;
-    private final Map<String, Turns> turns;
-    private final Collection<Held> held;
+    private final Map<String, KeySequence> turns;
+    private final Collection<PendingRequest> held;
 
     /** What stores hold now, by the plans that fill them. */
-    private final ToDoubleFunction<Store> limits;
+    private final ToDoubleFunction<TokenBucket> limits;
 
-    private final ToDoubleFunction<Store> reserves;
-    private final PriorityQueue<Turns> resting =
+    private final ToDoubleFunction<TokenBucket> reserves;
+    private final PriorityQueue<KeySequence> resting =
             new PriorityQueue<>((a, b) -> Long.compare(a.lookAt, b.lookAt));
     private long sweepAt;
 
     IdleStateEviction(
             DispatchQueue agenda,
-            Targets targets,
+            TargetTable targets,
             Map<String, Integer> indexOf,
-            Map<String, Turns> turns,
-            Collection<Held> held,
-            ToDoubleFunction<Store> limits,
-            ToDoubleFunction<Store> reserves) {
+            Map<String, KeySequence> turns,
+            Collection<PendingRequest> held,
+            ToDoubleFunction<TokenBucket> limits,
+            ToDoubleFunction<TokenBucket> reserves) {
         this.agenda = agenda;
         this.targets = targets;
         this.indexOf = indexOf;
@@ -81,7 +73,7 @@
     }
 
     /** The last access of a key left; the key may still rest. */
-    void left(Turns key) {
+    void left(KeySequence key) {
         if (key.lookAt == 0) {
             key.lookAt = Math.max(1, key.restUntil);
             resting.add(key);
@@ -95,7 +87,7 @@
      */
     private void lookAtKeys(long now) {
         while (!resting.isEmpty() && resting.peek().lookAt <= now) {
-            Turns key = resting.poll();
+            KeySequence key = resting.poll();
             key.lookAt = 0;
             if (key.order.isEmpty() && key.restUntil <= now) {
                 turns.remove(key.extent, key);
@@ -114,12 +106,12 @@
         for (int i = 0;
                 i < looks && !agenda.kept.isEmpty() && agenda.kept.peekFirst().lookAt(AFTER) <= now;
                 i++) {
-            Kept oldest = agenda.kept.pollFirst();
+            EvictionCandidate oldest = agenda.kept.pollFirst();
             boolean gone =
                     oldest.usedAt + AFTER <= now
-                            && (oldest instanceof Volume v
+                            && (oldest instanceof VolumeState v
                                     ? forgets(v)
-                                    : forgets((Reservation) oldest));
+                                    : forgets((FlowQueue) oldest));
             if (!gone) {
                 oldest.lookedAt = now;
                 agenda.kept.addLast(oldest);
@@ -131,11 +123,11 @@
         }
     }
 
-    private boolean forgets(Volume v) {
+    private boolean forgets(VolumeState v) {
         boolean gains =
                 v.limit != null && holdsLess(limits, v.limit, agenda.opened(v.limit))
                         || v.reserve != null
-                                && holdsLess(reserves, v.reserve, new Store(v.reserve));
+                                && holdsLess(reserves, v.reserve, new TokenBucket(v.reserve));
         boolean gone = v.held == 0 && v.reservations == 0 && !gains;
         if (gone) {
             agenda.forget(v);
@@ -143,12 +135,13 @@
         return gone;
     }
 
-    private static boolean holdsLess(ToDoubleFunction<Store> holds, Store kept, Store opened) {
+    private static boolean holdsLess(
+            ToDoubleFunction<TokenBucket> holds, TokenBucket kept, TokenBucket opened) {
         return holds.applyAsDouble(kept) < holds.applyAsDouble(opened);
     }
 
-    private boolean forgets(Reservation r) {
-        Node node = r.node;
+    private boolean forgets(FlowQueue r) {
+        ShardQueue node = r.node;
         boolean quiet = node.waiting == 0;
         boolean behind =
                 r.finish <= node.virtualTime && !quiet && r.extra <= node.byExtra.first().extra;
@@ -164,8 +157,8 @@
 
     private void sweep(long now) {
         BitSet needed = new BitSet(targets.count);
-        Set<Node> nodesNeeded = new HashSet<>();
-        for (Held h : held) {
+        Set<ShardQueue> nodesNeeded = new HashSet<>();
+        for (PendingRequest h : held) {
             if (h.outAt >= 0) {
                 needed.set(h.outAt);
             }
@@ -187,7 +180,7 @@
                 targets.free(t);
             }
         }
-        for (Node n : List.copyOf(agenda.nodes())) {
+        for (ShardQueue n : List.copyOf(agenda.nodes())) {
             if (n.waiting == 0
                     && n.listed.isEmpty()
                     && n.reservations.isEmpty()
--- a/core/src/main/java/milletyoke/scheduler/RequestScheduler.java
+++ b/core/src/main/java/milletyoke/scheduler/RequestScheduler.java
@@ -1,7 +1,6 @@
 package milletyoke.scheduler;
 
 import java.util.*;
-import milletyoke.scheduler.State.*;
 import milletyoke.scheduler.api.Action;
 import milletyoke.scheduler.api.Event;
 import milletyoke.scheduler.api.Outcome;
@@ -67,7 +66,7 @@
      */
     private static final double COLD_QUEUE = 1.0 / 8;
 
-    private static final TreeSet<Held> NONE = new TreeSet<>(Held.AT_NODE);
+    private static final TreeSet<PendingRequest> NONE = new TreeSet<>(PendingRequest.AT_NODE);
     private static final Set<Outcome> MAY_STILL_RUN =
             EnumSet.of(Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED);
 
@@ -97,7 +96,7 @@
     private long resumedAt;
 
     private final Map<String, Integer> indexOf = new HashMap<>();
-    final Targets targets = new Targets();
+    final TargetTable targets = new TargetTable();
 
     private long askAt = Long.MAX_VALUE, askWait = FIRST_ASK;
 
@@ -109,11 +108,11 @@
      */
     private long again;
 
-    private final Ceiling aloneMost = new Ceiling(), unitsMost = new Ceiling();
+    private final HighWaterMark aloneMost = new HighWaterMark(), unitsMost = new HighWaterMark();
     private boolean suspected, hadBudget;
-    private final Map<String, Held> held = new LinkedHashMap<>();
+    private final Map<String, PendingRequest> held = new LinkedHashMap<>();
     private long takenInAll;
-    private final Map<String, Turns> turns = new HashMap<>();
+    private final Map<String, KeySequence> turns = new HashMap<>();
     private final IdleStateEviction forgetting =
             new IdleStateEviction(
                     agenda,
@@ -124,7 +123,8 @@
                     this::settled,
                     this::reserveHolds);
     private final Map<String, Long> longestTtl = new HashMap<>();
-    private final Span taken = new Span(), further = new Span();
+    private final SlidingWindowCounter taken = new SlidingWindowCounter(),
+            further = new SlidingWindowCounter();
     double furtherSuccess = 1, lateShare;
 
     /** What an access takes at a target where no other waits. */
@@ -201,16 +201,16 @@
         provision(next);
         agenda.limits().forEach(this::settle);
         held.values().forEach(h -> h.plan = plans.get(h.access.plan()));
-        agenda.nodes().forEach(Node::reweigh);
+        agenda.nodes().forEach(ShardQueue::reweigh);
         agenda.upsetAll();
         targets.due.all(targets.count, now);
     }
 
-    private void settle(Store s) {
+    private void settle(TokenBucket s) {
         s.set(settled(s), now);
     }
 
-    double settled(Store s) {
+    double settled(TokenBucket s) {
         ServicePlan plan = plans.get(s.plan);
         boolean limited = plan != null && plan.limitRate() > 0;
         return limited ? level(s, plan.limitRate() / s.hosts, limitDepth(plan) / s.hosts) : s.units;
@@ -251,7 +251,7 @@
     }
 
     /** The node that a target holds, or would. */
-    private Node nodeOf(int t) {
+    private ShardQueue nodeOf(int t) {
         return agenda.node(targets.shardOf[t]);
     }
 
@@ -276,7 +276,7 @@
         long silent = Math.max(resumedAt, targets.heardAt[t]) + (long) patience(t) + 1;
         long due = targets.out[t] > 0 ? silent : IndexedTimerQueue.NEVER;
         due = targets.nextTrial[t] > 0 ? targets.nextTrial[t] : due;
-        for (Held h : targets.outs.get(t)) {
+        for (PendingRequest h : targets.outs.get(t)) {
             double most =
                     PATIENCE * targets.lag[t] * Math.max(1, h.access.units() / unitsMost.most);
             boolean overtaken = targets.answeredSent[t] > h.sentAt;
@@ -287,12 +287,12 @@
 
     private void watchOwing() {
         int[] due = targets.due.due(now);
-        List<Held> owed = new ArrayList<>();
+        List<PendingRequest> owed = new ArrayList<>();
         for (int t : due) {
             watchForSilence(t);
             owed.addAll(targets.outs.get(t));
         }
-        owed.sort(Held.BY_TAKING);
+        owed.sort(PendingRequest.BY_TAKING);
         owed.forEach(this::watchForLoss);
         for (int t : due) {
             watch(t);
@@ -302,7 +302,7 @@
     private void serveNodes() {
         agenda.come(now);
         noticeBudget();
-        for (Node n = agenda.next(null); n != null; n = agenda.next(n)) {
+        for (ShardQueue n = agenda.next(null); n != null; n = agenda.next(n)) {
             serve(n);
         }
     }
@@ -327,7 +327,7 @@
 
     private void listed(Event.Target target) {
         int t = indexOf.computeIfAbsent(target.id(), targets::add);
-        Node before = targets.life[t] == 0 ? agenda.node(target.shard()) : nodeOf(t);
+        ShardQueue before = targets.life[t] == 0 ? agenda.node(target.shard()) : nodeOf(t);
         targets.relist(t, target);
         before.listed.remove(t);
         nodeOf(t).listed.add(t);
@@ -340,7 +340,7 @@
         watch(t);
     }
 
-    private void findHolder(Node node) {
+    private void findHolder(ShardQueue node) {
         node.target = -1;
         for (int t : node.listed) {
             boolean newer = node.target < 0 || targets.launched[t] >= targets.launched[node.target];
@@ -353,7 +353,9 @@
 
     private void take(Event.RequestReceived e) {
         RequestClass category = categories.get(e.requestClass());
-        Held h = new Held(e, takenInAll++, category, agenda.volume(e, now), plans.get(e.plan()));
+        PendingRequest h =
+                new PendingRequest(
+                        e, takenInAll++, category, agenda.volume(e, now), plans.get(e.plan()));
         h.abandonAt = now + e.timeLeftMicros();
         long longest = longestTtl.merge(category.name(), e.timeLeftMicros(), Math::max);
         boolean impatient =
@@ -373,7 +375,7 @@
         }
         meanUnits += (e.units() - meanUnits) * (meanUnits == 0 ? 1 : SMOOTHING);
         if (category.keyOrdered() && e.extent() != null) {
-            turns.computeIfAbsent(e.extent(), k -> new Turns(k)).order.add(h);
+            turns.computeIfAbsent(e.extent(), k -> new KeySequence(k)).order.add(h);
         }
         h.node = e.shard() < 0 ? draw() : agenda.node(e.shard());
         enqueue(h);
@@ -383,32 +385,32 @@
      * A new object goes to a target drawn at random, odds in step with the room each is thought to
      * have.
      */
-    private Node draw() {
+    private ShardQueue draw() {
         for (int lot = 0; agenda.places() > LOTS && lot < LOTS; lot++) { // same odds, not over all
-            Node n = agenda.lot(chance);
+            ShardQueue n = agenda.lot(chance);
             if (n != null && chance.nextDouble() * WINDOW_CEILING < room(n)) {
                 return n;
             }
         }
         double left = chance.nextDouble() * agenda.nodes().stream().mapToDouble(this::room).sum();
-        Node drawn = null;
-        for (Node n : agenda.nodes()) {
+        ShardQueue drawn = null;
+        for (ShardQueue n : agenda.nodes()) {
             drawn = drawn == null || left > 0 && room(n) > 0 ? n : drawn;
             left -= room(n);
         }
         return drawn == null ? agenda.node(0) : drawn;
     }
 
-    private double room(Node n) {
+    private double room(ShardQueue n) {
         int t = n.target;
         boolean none = t < 0 || targets.nextTrial[t] > 0 || isCold(t);
         double others = isTold(t) ? targets.crowd[t] / Math.max(1, aloneLag) : 0;
         return none ? 0 : targets.window[t] / (1 + targets.out[t] + n.waiting + others);
     }
 
-    private void enqueue(Held h) {
-        Node node = h.node;
-        Reservation r = agenda.reservation(node, h.volume, now);
+    private void enqueue(PendingRequest h) {
+        ShardQueue node = h.node;
+        FlowQueue r = agenda.reservation(node, h.volume, now);
         if (r.queue.isEmpty()) {
             r.start = Math.max(node.virtualTime, r.finish);
             r.extra =
@@ -427,14 +429,14 @@
      * that would make all that comes after it late too. Could harm where the lag is thought longer
      * than it is.
      */
-    private void serve(Node node) {
+    private void serve(ShardQueue node) {
         boolean asking = mustAsk(node.target);
-        List<Held> late = node.lateBy(now + expected(node.target));
+        List<PendingRequest> late = node.lateBy(now + expected(node.target));
         late.forEach(agenda::unqueue);
         while (!asking && batch(node)) {
             continue;
         }
-        for (Held h : late) {
+        for (PendingRequest h : late) {
             boolean room = !asking && roomAt(node) > 0 && fits(h, node.target);
             boolean spares = now <= h.agreedAt || !crowd && (h.relays > 0 || !h.hasLimit());
             if (!room || !spares || !relay(h, node.target)) {
@@ -448,7 +450,7 @@
      * When time alone may change what was just done here: lateness, a cold time's end, what is
      * parked.
      */
-    private void arrangeServing(Node node, boolean asking) {
+    private void arrangeServing(ShardQueue node, boolean asking) {
         again = IndexedTimerQueue.NEVER;
         double expected = expected(node.target) + aloneMost.most - aloneLag;
         if (node.target >= 0 && isCold(node.target)) {
@@ -498,7 +500,7 @@
      * Whether an access may join what is said to wait at the target; the draw keeps hosts out of
      * step.
      */
-    private boolean fits(Held h, int t) {
+    private boolean fits(PendingRequest h, int t) {
         double part = isOwed(h) ? JOIN_OWED : JOIN_OTHERS * targets.bar[t];
         return !isTold(t) || targets.crowd[t] <= part * shortestAgreed;
     }
@@ -507,28 +509,28 @@
      * One base batch by least finish tag, beside each of it the inserts that may join; false if
      * empty.
      */
-    private boolean batch(Node node) {
+    private boolean batch(ShardQueue node) {
         int room = roomAt(node);
         int most = Math.min(BASE_BATCH, (room + 1) / 2);
-        List<Held> base = new ArrayList<>();
+        List<PendingRequest> base = new ArrayList<>();
         if (most <= 0) {
             return false; // no room, or nobody holds the shard
         }
-        for (Reservation r = leastFinish(node);
+        for (FlowQueue r = leastFinish(node);
                 base.size() < most && r != null;
                 r = leastFinish(node)) {
-            Held h = sendable(node, r);
+            PendingRequest h = sendable(node, r);
             node.virtualTime = r.start;
             r.start = r.finish;
             agenda.unqueue(h);
             base.add(h);
         }
         room -= base.size();
-        for (Held h : base) {
+        for (PendingRequest h : base) {
             if (!relay(h, node.target)) {
                 enqueue(h); // one before it took the last of a limit or of a cold target's part
             }
-            for (Held beside = insert(node, h, room);
+            for (PendingRequest beside = insert(node, h, room);
                     beside != null;
                     beside = insert(node, h, room)) {
                 relay(beside, node.target);
@@ -543,19 +545,19 @@
      * reserves where many ask for more; could harm the shares by weight if reserves took the whole
      * node for long.
      */
-    private Reservation leastFinish(Node node) {
+    private FlowQueue leastFinish(ShardQueue node) {
         node.refresh(now);
         while (!node.owed.isEmpty()) {
-            Reservation r = node.owed.first();
+            FlowQueue r = node.owed.first();
             again = IndexedTimerQueue.NEVER;
-            Held h = sendable(node, r);
+            PendingRequest h = sendable(node, r);
             if (h != null && isOwed(h)) {
                 return r;
             }
             node.park(r, h != null, again);
         }
         while (!node.ready.isEmpty()) {
-            Reservation r = node.ready.first();
+            FlowQueue r = node.ready.first();
             again = IndexedTimerQueue.NEVER;
             if (sendable(node, r) != null) {
                 return r;
@@ -565,7 +567,7 @@
         return null;
     }
 
-    private Held sendable(Node node, Reservation r) {
+    private PendingRequest sendable(ShardQueue node, FlowQueue r) {
         int t = node.target;
         return r.first(h -> mayRelay(h, t) && fits(h, t));
     }
@@ -574,7 +576,7 @@
      * What this host owes a volume of its reserve: at most a second, and an access of twice the
      * mean.
      */
-    private boolean isOwed(Held h) {
+    private boolean isOwed(PendingRequest h) {
         double rate = h.reserve(), units = h.access.units();
         double missing = units - level(h.volume.reserve, rate, reserveDepth(h));
         boolean bySize =
@@ -592,17 +594,17 @@
                 : IndexedTimerQueue.NEVER;
     }
 
-    private double reserveDepth(Held h) {
+    private double reserveDepth(PendingRequest h) {
         return h.reserve() + 2 * meanUnits;
     }
 
-    private Held insert(Node node, Held beside, int room) {
+    private PendingRequest insert(ShardQueue node, PendingRequest beside, int room) {
         String extent = beside.access.extent();
         if (room <= 0 || extent == null || beside.category.keyOrdered()) {
             return null;
         }
-        for (Held h : node.byExtent.getOrDefault(extent, NONE)) {
-            Reservation r = h.reservation;
+        for (PendingRequest h : node.byExtent.getOrDefault(extent, NONE)) {
+            FlowQueue r = h.reservation;
             if (mayRelay(h, node.target)
                     && fits(h, node.target)
                     && withinMargin(node, r, r.step(h))) {
@@ -618,11 +620,11 @@
     /**
      * Whether the widest gap of waiting volumes' extra tags stays within the margin after one step.
      */
-    private boolean withinMargin(Node node, Reservation one, double step) {
+    private boolean withinMargin(ShardQueue node, FlowQueue one, double step) {
         return node.gap(one, step) <= MARGIN_STEPS * meanUnits / node.lightest();
     }
 
-    private int roomAt(Node node) {
+    private int roomAt(ShardQueue node) {
         int t = node.target;
         int trial = t >= 0 && targets.mayTry[t] ? 1 : 0;
         return t < 0 || targets.nextTrial[t] > 0 ? trial : (int) targets.window[t] - targets.out[t];
@@ -630,7 +632,7 @@
 
     // ---- The rules: every send passes relay, which asks mayRelay ----
 
-    private boolean relay(Held h, int t) {
+    private boolean relay(PendingRequest h, int t) {
         if (!mayRelay(h, t)) {
             return false;
         }
@@ -642,7 +644,7 @@
         }
         drawOnReserve(h);
         if (isCold(t)) {
-            targets.coldSpent.get(t).addLast(new Spent(now, h.access.units()));
+            targets.coldSpent.get(t).addLast(new WarmUpSend(now, h.access.units()));
             targets.toldUntil[t] = 0;
             agenda.upset(nodeOf(t));
         }
@@ -661,7 +663,7 @@
         return true;
     }
 
-    private boolean mayRelay(Held h, int t) {
+    private boolean mayRelay(PendingRequest h, int t) {
         boolean inTime = !h.answered && now < h.abandonAt - ANSWER_AHEAD;
         againAt(inTime ? h.abandonAt - ANSWER_AHEAD : again);
         return t >= 0
@@ -674,7 +676,7 @@
                 && withinLimit(h);
     }
 
-    private boolean noSecondEffect(Held h, int t) {
+    private boolean noSecondEffect(PendingRequest h, int t) {
         if (h.outAt >= 0 || h.relays >= given.capabilities().maxAttempts()) {
             return false;
         }
@@ -688,7 +690,7 @@
         return mayRunAgain(h) && (sameGroup || h.category.idempotency() == Idempotency.IDEMPOTENT);
     }
 
-    private boolean mayRunAgain(Held h) {
+    private boolean mayRunAgain(PendingRequest h) {
         long until = h.ranSince + h.category.deduplicationWindowMicros();
         boolean stamped =
                 h.ranAt >= 0
@@ -709,7 +711,7 @@
      * it. It may have more if a probe just told how little waits: what all sent was then served,
      * within its capacity.
      */
-    private boolean coldBears(Held h, int t) {
+    private boolean coldBears(PendingRequest h, int t) {
         if (!isCold(t)) {
             return true;
         }
@@ -751,20 +753,20 @@
         return bounds.warmUpBudgetUnits() * grown / Math.max(1, given.initiatorCount());
     }
 
-    private boolean itsTurn(Held h) {
-        Turns k = turnsOf(h);
+    private boolean itsTurn(PendingRequest h) {
+        KeySequence k = turnsOf(h);
         boolean first = k == null || k.order.first() == h;
         againAt(k != null && first && now < k.restUntil ? k.restUntil : again);
         return first && (k == null || now >= k.restUntil);
     }
 
-    private Turns turnsOf(Held h) {
+    private KeySequence turnsOf(PendingRequest h) {
         return h.category.keyOrdered() && h.access.extent() != null
                 ? turns.get(h.access.extent())
                 : null;
     }
 
-    private boolean withinBudget(Held h) {
+    private boolean withinBudget(PendingRequest h) {
         if (h.relays > 0 && bounds.retryWindowMicros() > 0) {
             agenda.restsOnBudget(h.node);
         }
@@ -785,7 +787,7 @@
                         <= bounds.freeRetries() + bounds.retryShare() * taken.after(since);
     }
 
-    private boolean withinLimit(Held h) {
+    private boolean withinLimit(PendingRequest h) {
         double missing = h.relays > 0 || !h.hasLimit() ? 0 : h.access.units() - limitLeft(h);
         if (missing > 0) {
             againAt(agenda.limit(h).follows(h.access) ? filledAt(missing, h.limitRate()) : now);
@@ -797,31 +799,31 @@
      * A store follows the plan and hosts that are asked with: the time before is paid as those
      * were.
      */
-    private void openLimit(Held h) {
+    private void openLimit(PendingRequest h) {
         settle(agenda.limit(h));
         follow(agenda.limit(h), h);
     }
 
-    private void follow(Store s, Held h) {
+    private void follow(TokenBucket s, PendingRequest h) {
         if (h.volume.mixed || h.hasLimit() && h.reserve() > 0) {
             agenda.upset(h.volume);
         }
         s.follow(h.access);
     }
 
-    private double limitLeft(Held h) {
-        Store s = agenda.limit(h);
+    private double limitLeft(PendingRequest h) {
+        TokenBucket s = agenda.limit(h);
         double whole = s.follows(h.access) ? level(s, h.limitRate(), limitDepth(h)) : settled(s);
         return Math.min(limitDepth(h), whole);
     }
 
-    private void drawOnLimit(Held h) {
-        Store s = agenda.limit(h);
+    private void drawOnLimit(PendingRequest h) {
+        TokenBucket s = agenda.limit(h);
         s.set(limitLeft(h) - h.access.units(), now);
         follow(s, h);
     }
 
-    private static double limitDepth(Held h) {
+    private static double limitDepth(PendingRequest h) {
         return limitDepth(h.plan) / h.hosts();
     }
 
@@ -830,20 +832,20 @@
     }
 
     /** What a reserve holds, for accesses of up to eight times the mean. */
-    private double reserveHolds(Store s) {
+    private double reserveHolds(TokenBucket s) {
         double rate = plans.containsKey(s.plan) ? plans.get(s.plan).reservationRate() : 0;
         return level(s, rate, 8 * (rate + 2 * meanUnits));
     }
 
     /** What a store holds now. It is filled by time alone: to look at it changes nothing. */
-    private double level(Store s, double rate, double depth) {
+    private double level(TokenBucket s, double rate, double depth) {
         double units = s == null ? 0 : s.units;
         return Math.min(
                 depth, units + rate * (now - Math.max(s == null ? 0 : s.at, startedAt)) / 1e6);
     }
 
-    private void drawOnReserve(Held h) {
-        Store s = h.volume.reserveFor(h.access);
+    private void drawOnReserve(PendingRequest h) {
+        TokenBucket s = h.volume.reserveFor(h.access);
         s.set(Math.max(0, level(s, h.reserve(), reserveDepth(h)) - h.access.units()), now);
         follow(s, h);
     }
@@ -851,7 +853,7 @@
     // ---- Outcomes ----
 
     private void ended(Event.AttemptEnded e) {
-        Held h = held.get(e.id());
+        PendingRequest h = held.get(e.id());
         if (h == null || h.outAt < 0 || h.relays - 1 != e.attemptNumber()) {
             return;
         }
@@ -862,7 +864,7 @@
         judge(t, h, e);
         watch(t);
         boolean mayStillRun = MAY_STILL_RUN.contains(e.outcome());
-        Turns k = turnsOf(h);
+        KeySequence k = turnsOf(h);
         if (k != null && mayStillRun) {
             k.restUntil = Math.max(k.restUntil, now + bounds.keyQuietMicros());
         }
@@ -882,12 +884,12 @@
         }
     }
 
-    private void giveRoom(Held h, int t) {
+    private void giveRoom(PendingRequest h, int t) {
         targets.out[t] -= !h.lost && h.outLife == targets.life[t] ? 1 : 0;
         agenda.touch(nodeOf(t));
     }
 
-    private void judge(int t, Held h, Event.AttemptEnded e) {
+    private void judge(int t, PendingRequest h, Event.AttemptEnded e) {
         switch (e.outcome()) {
             case SUCCEEDED -> succeeded(t, h, e.latencyMicros());
             case ERROR -> heard(t);
@@ -900,7 +902,7 @@
         }
     }
 
-    private void succeeded(int t, Held h, long took) {
+    private void succeeded(int t, PendingRequest h, long took) {
         heard(t);
         targets.answeredSent[t] = Math.max(targets.answeredSent[t], h.sentAt);
         if (now == resumedAt) {
@@ -928,7 +930,7 @@
      * own is out tells of a queue that others fill: the target then rests, ever longer, for what
      * does not fit. Could harm where answers are late by chance.
      */
-    private void late(int t, Held h, long took) {
+    private void late(int t, PendingRequest h, long took) {
         if (h.sentAt < targets.halvedAt[t]) {
             return;
         }
@@ -980,7 +982,7 @@
      * whatever vanishes one by one. Could harm where a target serves in no order; so one-shot
      * accesses are let wait.
      */
-    private void watchForLoss(Held h) {
+    private void watchForLoss(PendingRequest h) {
         int t = h.outAt;
         boolean overtaken = t >= 0 && !h.lost && targets.answeredSent[t] > h.sentAt;
         double size = overtaken ? Math.max(1, h.access.units() / meanUnits) : 0;
@@ -1027,7 +1029,7 @@
     }
 
     /** Further relays are made as often as recent ones succeeded. */
-    private boolean worthAnother(Held h, int t) {
+    private boolean worthAnother(PendingRequest h, int t) {
         boolean inTime = now + targets.lag[t] < h.agreedAt;
         return mayRunAgain(h)
                 && h.relays < given.capabilities().maxAttempts()
@@ -1037,7 +1039,7 @@
 
     // ---- Final answers ----
 
-    private void giveUp(Held h) {
+    private void giveUp(PendingRequest h) {
         Idempotency kind = h.category.idempotency();
         boolean dropsRepeats =
                 kind == Idempotency.IDEMPOTENCY_KEY
@@ -1057,13 +1059,13 @@
                 : 0;
     }
 
-    private void leave(Held h) {
+    private void leave(PendingRequest h) {
         h.answered = true;
         agenda.unqueue(h);
         if (h.outAt < 0) {
             held.remove(h.access.id());
             h.volume.held--;
-            Turns k = turnsOf(h);
+            KeySequence k = turnsOf(h);
             if (k != null) {
                 agenda.leave(k, h);
                 if (k.order.isEmpty()) {
--- a/core/src/main/java/milletyoke/scheduler/SchedulerView.java
+++ b/core/src/main/java/milletyoke/scheduler/SchedulerView.java
@@ -84,8 +84,8 @@
 
     public static List<ShardView> shards(RequestScheduler d) {
         List<ShardView> all = new ArrayList<>(d.agenda.byShard().size());
-        for (Map.Entry<Integer, State.Node> entry : d.agenda.byShard().entrySet()) {
-            State.Node n = entry.getValue();
+        for (Map.Entry<Integer, ShardQueue> entry : d.agenda.byShard().entrySet()) {
+            ShardQueue n = entry.getValue();
             all.add(
                     new ShardView(
                             entry.getKey(),
@@ -97,7 +97,7 @@
     }
 
     public static VolumeView volume(RequestScheduler d, String volume) {
-        State.Volume v = d.agenda.volume(volume);
+        VolumeState v = d.agenda.volume(volume);
         if (v == null) {
             return new VolumeView(-1, 0, 0);
         }
--- /dev/null
+++ b/core/src/main/java/milletyoke/scheduler/WarmUpSend.java
@@ -0,0 +1,4 @@
+package milletyoke.scheduler;
+
+/** What a cold target was sent, and when. */
+record WarmUpSend(long at, double units) {}
--- a/core/src/test/java/milletyoke/scheduler/IdleStateEvictionTest.java
+++ b/core/src/test/java/milletyoke/scheduler/IdleStateEvictionTest.java
@@ -272,7 +272,7 @@
             }
             service.answer();
             service.answer();
-            State.Node node = service.decide.agenda.node(0);
+            ShardQueue node = service.decide.agenda.node(0);
             node.reservations.forEach(
                     (v, r) ->
                             before.put(
@@ -283,7 +283,7 @@
             forgotten += node.reservations.isEmpty() ? before.size() : 0;
             for (String v : before.keySet()) {
                 service.access(v, 0, "free", null, 1);
-                State.Reservation r = node.reservations.get(service.decide.agenda.volume(v));
+                FlowQueue r = node.reservations.get(service.decide.agenda.volume(v));
                 assertTrue(r.finish >= before.get(v)[0] && r.extra >= before.get(v)[1], v);
             }
         }
@@ -300,17 +300,17 @@
         IdleStateEviction forgetting =
                 new IdleStateEviction(
                         agenda,
-                        new State.Targets(),
+                        new TargetTable(),
                         new HashMap<>(),
                         new HashMap<>(),
                         List.of(),
                         s -> 0,
                         s -> 0);
-        State.Node node = agenda.node(0);
+        ShardQueue node = agenda.node(0);
         Event.RequestReceived access =
                 new Event.RequestReceived("a", 0, null, "ahead", 1_000, "free", "read", 1, 1);
-        State.Volume ahead = agenda.volume(access, 0);
-        State.Reservation tags = agenda.reservation(node, ahead, 0);
+        VolumeState ahead = agenda.volume(access, 0);
+        FlowQueue tags = agenda.reservation(node, ahead, 0);
         tags.finish = 100;
         ahead.held--;
         RequestClass read =
@@ -324,7 +324,7 @@
                         2);
         Event.RequestReceived other =
                 new Event.RequestReceived("b", 0, null, "waits", 1_000, "free", "read", 1, 1);
-        State.Held waits = new State.Held(other, 0, read, agenda.volume(other, 0), null);
+        PendingRequest waits = new PendingRequest(other, 0, read, agenda.volume(other, 0), null);
         waits.node = node;
         agenda.queue(waits, agenda.reservation(node, waits.volume, 0));
         for (long now = 0; now < 5 * IdleStateEviction.AFTER; now += MINUTE) {
@@ -348,22 +348,22 @@
      */
     @Test
     void aKeyThatKeepsTimingOutHoldsNoOthersBack() {
-        Map<String, State.Turns> turns = new HashMap<>();
+        Map<String, KeySequence> turns = new HashMap<>();
         IdleStateEviction forgetting =
                 new IdleStateEviction(
                         new DispatchQueue(),
-                        new State.Targets(),
+                        new TargetTable(),
                         new HashMap<>(),
                         turns,
                         List.of(),
                         s -> 0,
                         s -> 0);
-        State.Turns stuck = new State.Turns("stuck");
+        KeySequence stuck = new KeySequence("stuck");
         turns.put("stuck", stuck);
         stuck.restUntil = 10;
         forgetting.left(stuck);
         for (int k = 0; k < 50; k++) {
-            State.Turns key = new State.Turns("k" + k);
+            KeySequence key = new KeySequence("k" + k);
             key.restUntil = 20 + k;
             turns.put(key.extent, key);
             forgetting.left(key);
--- a/core/src/test/java/milletyoke/scheduler/IndexedTimerQueueTest.java
+++ b/core/src/test/java/milletyoke/scheduler/IndexedTimerQueueTest.java
@@ -48,7 +48,7 @@
     @Test
     void aCeilingNeverRisesUnnoticed() {
         SplittableRandom chance = new SplittableRandom(6);
-        State.Ceiling ceiling = new State.Ceiling();
+        HighWaterMark ceiling = new HighWaterMark();
         double figure = 100;
         boolean lowered = false;
         for (long now = 0; now < 100_000_000L; now += chance.nextInt(40_000)) {
