--- a/core/src/main/java/milletyoke/scheduler/DispatchQueue.java
+++ b/core/src/main/java/milletyoke/scheduler/DispatchQueue.java
@@ -19,7 +19,7 @@
  * served for no reason does nothing.
  */
 final class DispatchQueue {
-    private final Map<Integer, ShardQueue> nodes = new LinkedHashMap<>();
+    private final Map<Integer, ShardQueue> shardQueues = new LinkedHashMap<>();
     private final Map<String, VolumeState> volumes = new LinkedHashMap<>();
 
     /**
@@ -34,92 +34,95 @@
     private final ArrayDeque<Integer> freeSlots = new ArrayDeque<>();
 
     /** Volumes and reservations, those that were longest not looked at first. */
-    final ArrayDeque<EvictionCandidate> kept = new ArrayDeque<>();
+    final ArrayDeque<EvictionCandidate> evictionCandidates = new ArrayDeque<>();
 
-    private int made;
-    private final TreeSet<ShardQueue> touched = new TreeSet<>(Comparator.comparingInt(n -> n.made));
+    private int nextShardQueueNumber;
+    private final TreeSet<ShardQueue> toServe =
+            new TreeSet<>(Comparator.comparingInt(shardQueue -> shardQueue.creationNumber));
     private final IndexedTimerQueue serviceTimes = new IndexedTimerQueue();
-    private final Set<ShardQueue> forBudget = new LinkedHashSet<>();
-    private long reservationsMade;
-    private long queued;
+    private final Set<ShardQueue> retryBudgetDependents = new LinkedHashSet<>();
+    private long nextFlowNumber;
+    private long nextEnqueueNumber;
 
     /** Accesses that wait, at all nodes. */
-    int waiting;
+    int queuedCount;
 
     /** All, in the order of making. */
-    Collection<ShardQueue> nodes() {
-        return nodes.values();
+    Collection<ShardQueue> shardQueues() {
+        return shardQueues.values();
     }
 
     /** Slots that a lot is drawn over. */
-    int places() {
+    int slotCount() {
         return slots.size();
     }
 
     /**
      * One node, all with equal odds; null where the lot fell on a slot whose node was forgotten.
      */
-    ShardQueue lot(SplittableRandom chance) {
+    ShardQueue randomShard(SplittableRandom chance) {
         return slots.get(chance.nextInt(slots.size()));
     }
 
     Map<Integer, ShardQueue> byShard() {
-        return nodes;
+        return shardQueues;
     }
 
-    ShardQueue node(int shard) {
-        ShardQueue known = nodes.get(shard);
+    ShardQueue shardQueue(int shard) {
+        ShardQueue known = shardQueues.get(shard);
         if (known == null) {
             int slot = freeSlots.isEmpty() ? slots.size() : freeSlots.poll();
-            known = new ShardQueue(made++, slot, shard);
+            known = new ShardQueue(nextShardQueueNumber++, slot, shard);
             if (slot == slots.size()) {
                 slots.add(known);
             }
             slots.set(slot, known);
-            nodes.put(shard, known);
+            shardQueues.put(shard, known);
         }
         return known;
     }
 
-    void forget(ShardQueue node) {
-        nodes.remove(node.shard);
-        touched.remove(node);
-        forBudget.remove(node);
-        serviceTimes.set(node.slot, IndexedTimerQueue.NEVER);
-        slots.set(node.slot, null);
-        freeSlots.add(node.slot);
+    void evict(ShardQueue shardQueue) {
+        shardQueues.remove(shardQueue.shard);
+        toServe.remove(shardQueue);
+        retryBudgetDependents.remove(shardQueue);
+        serviceTimes.set(shardQueue.slot, IndexedTimerQueue.NEVER);
+        slots.set(shardQueue.slot, null);
+        freeSlots.add(shardQueue.slot);
     }
 
     /** The stores of all limits, those that stand for volumes not seen among them. */
-    List<TokenBucket> limits() {
+    List<TokenBucket> limitBuckets() {
         List<TokenBucket> all = new ArrayList<>(defaultLimitBuckets.values());
-        for (VolumeState v : volumes.values()) {
-            if (v.limit != null) {
-                all.add(v.limit);
+        for (VolumeState volume : volumes.values()) {
+            if (volume.limitBucket != null) {
+                all.add(volume.limitBucket);
             }
         }
         return all;
     }
 
     /** A plan is known from now on, at the latest: what it limits starts empty. */
-    void unseen(String plan, long now) {
+    void addPlan(String plan, long now) {
         defaultLimitBuckets.computeIfAbsent(plan, p -> new TokenBucket(p, now));
     }
 
     /** The store of a volume's limit; one as for a volume not seen before where there is none. */
-    TokenBucket limit(PendingRequest h) {
-        VolumeState v = h.volume;
-        if (v.limit == null) {
-            v.limit =
+    TokenBucket limitBucket(PendingRequest request) {
+        VolumeState volume = request.volume;
+        if (volume.limitBucket == null) {
+            volume.limitBucket =
                     new TokenBucket(
-                            defaultLimitBuckets.get(h.access.plan()), h.access.plan(), h.hosts());
+                            defaultLimitBuckets.get(request.received.plan()),
+                            request.received.plan(),
+                            request.initiatorCount());
         }
-        return v.limit;
+        return volume.limitBucket;
     }
 
     /** A store as it would be opened now for the same plan, and among as many hosts. */
-    TokenBucket opened(TokenBucket like) {
-        return new TokenBucket(defaultLimitBuckets.get(like.plan), like.plan, like.hosts);
+    TokenBucket newLimitBucketLike(TokenBucket like) {
+        return new TokenBucket(defaultLimitBuckets.get(like.plan), like.plan, like.initiatorCount);
     }
 
     /** What is kept of a volume, null where nothing is. */
@@ -133,65 +136,65 @@
         if (known == null) {
             known = new VolumeState(access.volume());
             volumes.put(access.volume(), known);
-            known.lookedAt = now;
-            kept.addLast(known);
+            known.lastCheckedAt = now;
+            evictionCandidates.addLast(known);
         }
-        known.usedAt = now;
-        known.asks(access);
-        known.held++;
+        known.lastUsedAt = now;
+        known.recordPlan(access);
+        known.pendingCount++;
         return known;
     }
 
-    void forget(VolumeState volume) {
+    void evict(VolumeState volume) {
         volumes.remove(volume.name);
     }
 
     /** Something changed that may let accesses leave here. */
-    void touch(ShardQueue node) {
-        touched.add(node);
+    void markForService(ShardQueue shardQueue) {
+        toServe.add(shardQueue);
     }
 
     /**
      * The same, for more than room: what was found of any access that waits here may be otherwise.
      */
-    void upset(ShardQueue node) {
-        node.changed = true;
-        touched.add(node);
+    void invalidate(ShardQueue shardQueue) {
+        shardQueue.mustRecheckAll = true;
+        toServe.add(shardQueue);
     }
 
     /** The same, for the accesses of one volume here. */
-    void upset(FlowQueue r) {
-        r.node.unpark(r);
-        touched.add(r.node);
+    void invalidate(FlowQueue flow) {
+        flow.shardQueue.unpark(flow);
+        toServe.add(flow.shardQueue);
     }
 
-    void upset(VolumeState volume) {
-        List.copyOf(volume.waiting).forEach(this::upset);
+    void invalidate(VolumeState volume) {
+        List.copyOf(volume.queuedFlows).forEach(this::invalidate);
     }
 
-    void upsetAll() {
-        nodes.values().forEach(this::upset);
+    void invalidateAll() {
+        shardQueues.values().forEach(this::invalidate);
     }
 
     /** What was found here rests on the relay budget. */
-    void restsOnBudget(ShardQueue node) {
-        forBudget.add(node);
+    void markRetryBudgetDependent(ShardQueue shardQueue) {
+        retryBudgetDependents.add(shardQueue);
     }
 
     /** There is a relay budget left again, or none any more. */
-    void budgetTurned() {
-        forBudget.forEach(this::upset);
-        forBudget.clear();
+    void retryBudgetChanged() {
+        retryBudgetDependents.forEach(this::invalidate);
+        retryBudgetDependents.clear();
     }
 
     /** Serve this node at that time too, if nothing happens before. */
-    void due(ShardQueue node, long time) {
-        serviceTimes.set(node.slot, time);
+    void serveAt(ShardQueue shardQueue, long time) {
+        serviceTimes.set(shardQueue.slot, time);
     }
 
-    void come(long now) {
-        for (int n : serviceTimes.due(now)) {
-            touched.add(slots.get(n));
+    void collectDue(long now) {
+        for (int n : serviceTimes.removeDue(now)) {
+            toServe.add(slots.get(n));
         }
     }
 
@@ -204,58 +207,58 @@
     ShardQueue next(ShardQueue after) {
         ShardQueue next =
                 after == null
-                        ? (touched.isEmpty() ? null : touched.first())
-                        : touched.higher(after);
-        while (next != null && touched.remove(next) && next.waiting == 0) {
-            next = touched.higher(next);
+                        ? (toServe.isEmpty() ? null : toServe.first())
+                        : toServe.higher(after);
+        while (next != null && toServe.remove(next) && next.queuedCount == 0) {
+            next = toServe.higher(next);
         }
         return next;
     }
 
     /** The volume's reservation queue at the node; a new one where there is none. */
-    FlowQueue reservation(ShardQueue node, VolumeState volume, long now) {
-        FlowQueue known = node.reservations.get(volume);
+    FlowQueue flow(ShardQueue shardQueue, VolumeState volume, long now) {
+        FlowQueue known = shardQueue.flows.get(volume);
         if (known == null) {
-            known = new FlowQueue(reservationsMade++, node, volume);
-            known.extra = node.firstExtra;
-            node.reservations.put(volume, known);
-            volume.reservations++;
-            known.lookedAt = now;
-            kept.addLast(known);
+            known = new FlowQueue(nextFlowNumber++, shardQueue, volume);
+            known.extraTag = shardQueue.initialExtraTag;
+            shardQueue.flows.put(volume, known);
+            volume.flowCount++;
+            known.lastCheckedAt = now;
+            evictionCandidates.addLast(known);
         }
-        known.usedAt = now;
+        known.lastUsedAt = now;
         return known;
     }
 
     /** Puts an access into its queue, and the reservation where its tags then have it. */
-    void queue(PendingRequest h, FlowQueue r) {
-        if (r.weight != h.weight()) {
-            r.node.unfile(r);
-            r.weight = h.weight();
+    void enqueue(PendingRequest request, FlowQueue flow) {
+        if (flow.weight != request.weight()) {
+            flow.shardQueue.removeFromOrders(flow);
+            flow.weight = request.weight();
         }
-        h.queued = queued++;
-        h.reservation = r;
-        r.node.queue(h, r);
-        r.node.refile(r);
-        waiting++;
-        touched.add(r.node);
+        request.enqueueNumber = nextEnqueueNumber++;
+        request.flow = flow;
+        flow.shardQueue.add(request, flow);
+        flow.shardQueue.updateOrders(flow);
+        queuedCount++;
+        toServe.add(flow.shardQueue);
     }
 
     /** Takes an access out of the queue it waits in, if it waits. */
-    void unqueue(PendingRequest h) {
-        if (h.waits()) {
-            FlowQueue r = h.reservation;
-            r.node.unqueue(h, r);
-            r.node.refile(r);
-            waiting--;
+    void dequeue(PendingRequest request) {
+        if (request.isQueued()) {
+            FlowQueue flow = request.flow;
+            flow.shardQueue.remove(request, flow);
+            flow.shardQueue.updateOrders(flow);
+            queuedCount--;
         }
     }
 
     /** An access gives up its place among those of its key; the next one may have its turn. */
-    void leave(KeySequence turns, PendingRequest h) {
-        turns.order.remove(h);
-        if (!turns.order.isEmpty() && turns.order.first().waits()) {
-            upset(turns.order.first().reservation);
+    void removeFromKey(KeySequence turns, PendingRequest request) {
+        turns.requests.remove(request);
+        if (!turns.requests.isEmpty() && turns.requests.first().isQueued()) {
+            invalidate(turns.requests.first().flow);
         }
     }
 }
--- a/core/src/main/java/milletyoke/scheduler/EvictionCandidate.java
+++ b/core/src/main/java/milletyoke/scheduler/EvictionCandidate.java
@@ -3,11 +3,11 @@
 /** What is kept for when its owner returns. */
 abstract class EvictionCandidate {
     /** When it was last used, and last looked at by who forgets. */
-    long usedAt;
+    long lastUsedAt;
 
-    long lookedAt;
+    long lastCheckedAt;
 
-    long lookAt(long after) {
-        return lookedAt + after;
+    long nextCheckAt(long after) {
+        return lastCheckedAt + after;
     }
 }
--- a/core/src/main/java/milletyoke/scheduler/FlowQueue.java
+++ b/core/src/main/java/milletyoke/scheduler/FlowQueue.java
@@ -6,64 +6,65 @@
 
 /** A volume's reservation queue at one node, with its three tags. */
 final class FlowQueue extends EvictionCandidate {
-    static final Comparator<FlowQueue> BY_MAKING = (a, b) -> Long.compare(a.made, b.made);
+    static final Comparator<FlowQueue> BY_CREATION =
+            (a, b) -> Long.compare(a.creationNumber, b.creationNumber);
 
     /** The one tie-break of tags: who was made first. */
-    static final Comparator<FlowQueue> BY_FINISH =
-            (a, b) -> order(Double.compare(a.finish, b.finish), a, b);
+    static final Comparator<FlowQueue> BY_FINISH_TAG =
+            (a, b) -> breakTie(Double.compare(a.finishTag, b.finishTag), a, b);
 
-    static final Comparator<FlowQueue> BY_EXTRA =
-            (a, b) -> order(Double.compare(a.extra, b.extra), a, b);
-    static final Comparator<FlowQueue> BY_LOOK =
-            (a, b) -> order(Long.compare(a.lookAt, b.lookAt), a, b);
+    static final Comparator<FlowQueue> BY_EXTRA_TAG =
+            (a, b) -> breakTie(Double.compare(a.extraTag, b.extraTag), a, b);
+    static final Comparator<FlowQueue> BY_CHECK_TIME =
+            (a, b) -> breakTie(Long.compare(a.parkedUntil, b.parkedUntil), a, b);
 
     /** Its place in the order of making, over all nodes. */
-    final long made;
+    final long creationNumber;
 
-    final ShardQueue node;
+    final ShardQueue shardQueue;
     final VolumeState volume;
-    final TreeSet<PendingRequest> queue = new TreeSet<>(PendingRequest.INSIDE);
+    final TreeSet<PendingRequest> requests = new TreeSet<>(PendingRequest.WITHIN_VOLUME);
     double weight;
-    double start;
-    double finish;
-    double extra;
+    double startTag;
+    double finishTag;
+    double extraTag;
 
     /** While it is parked: when to look at it again. */
-    long lookAt;
+    long parkedUntil;
 
     /** In which orders of its node it is now. */
-    boolean filed;
+    boolean isOrdered;
 
     boolean isReady;
-    boolean isOwed;
+    boolean isBelowReservation;
     boolean isParked;
 
-    FlowQueue(long made, ShardQueue node, VolumeState volume) {
-        this.made = made;
-        this.node = node;
+    FlowQueue(long made, ShardQueue shardQueue, VolumeState volume) {
+        this.creationNumber = made;
+        this.shardQueue = shardQueue;
         this.volume = volume;
     }
 
-    void retag() {
-        finish = queue.isEmpty() ? finish : start + step(queue.first());
+    void updateFinishTag() {
+        finishTag = requests.isEmpty() ? finishTag : startTag + tagStep(requests.first());
     }
 
     /** The first that waits and passes, null for none. */
-    PendingRequest first(Predicate<PendingRequest> passes) {
-        for (PendingRequest h : queue) {
-            if (passes.test(h)) {
-                return h;
+    PendingRequest firstMatching(Predicate<PendingRequest> passes) {
+        for (PendingRequest request : requests) {
+            if (passes.test(request)) {
+                return request;
             }
         }
         return null;
     }
 
     /** How far one access moves a tag. */
-    double step(PendingRequest h) {
-        return h.access.units() / weight;
+    double tagStep(PendingRequest request) {
+        return request.received.units() / weight;
     }
 
-    private static int order(int byTag, FlowQueue a, FlowQueue b) {
-        return byTag != 0 ? byTag : Long.compare(a.made, b.made);
+    private static int breakTie(int byTag, FlowQueue a, FlowQueue b) {
+        return byTag != 0 ? byTag : Long.compare(a.creationNumber, b.creationNumber);
     }
 }
--- a/core/src/main/java/milletyoke/scheduler/HighWaterMark.java
+++ b/core/src/main/java/milletyoke/scheduler/HighWaterMark.java
@@ -7,20 +7,20 @@
  * accesses waiting past their agreed time for milliseconds.
  */
 final class HighWaterMark {
-    private static final double ABOVE = 1.25;
-    private static final long LOWER_EVERY = 1_000_000;
-    double most;
-    private long lowerAt;
+    private static final double HEADROOM = 1.25;
+    private static final long LOWER_INTERVAL_MICROS = 1_000_000;
+    double bound;
+    private long mayLowerAt;
 
     /**
      * Whether the figure is above; the bound is then raised, and what rests on it is to be looked
      * at again.
      */
-    boolean outgrownBy(double figure, long now) {
-        boolean outgrown = figure > most;
-        if (outgrown || now >= lowerAt) {
-            most = outgrown ? ABOVE * figure : Math.min(most, ABOVE * figure);
-            lowerAt = now + LOWER_EVERY;
+    boolean raiseFor(double figure, long now) {
+        boolean outgrown = figure > bound;
+        if (outgrown || now >= mayLowerAt) {
+            bound = outgrown ? HEADROOM * figure : Math.min(bound, HEADROOM * figure);
+            mayLowerAt = now + LOWER_INTERVAL_MICROS;
         }
         return outgrown;
     }
--- a/core/src/main/java/milletyoke/scheduler/IdleStateEviction.java
+++ b/core/src/main/java/milletyoke/scheduler/IdleStateEviction.java
@@ -29,31 +29,31 @@
  */
 final class IdleStateEviction {
     /** Volumes and targets are kept at least this long after their last use (microseconds). */
-    static final long AFTER = 600_000_000;
+    static final long IDLE_MICROS = 600_000_000;
 
     /** Between looks at targets and shards. */
-    static final long SWEEP = AFTER / 10;
+    static final long SWEEP_INTERVAL_MICROS = IDLE_MICROS / 10;
 
     /**
      * So many volumes and reservations are looked at in a turn, and for each event of it: no turn
      * pays for what a quiet hour left, and what large turns bring goes as fast as it comes (an
      * event makes two at most, and each may need two looks).
      */
-    private static final int A_TURN = 8, AN_EVENT = 4;
+    private static final int CHECKS_PER_TURN = 8, CHECKS_PER_EVENT = 4;
 
-    private final DispatchQueue agenda;
+    private final DispatchQueue dispatchQueue;
     private final TargetTable targets;
     private final Map<String, Integer> indexOf;
-    private final Map<String, KeySequence> turns;
-    private final Collection<PendingRequest> held;
+    private final Map<String, KeySequence> keySequences;
+    private final Collection<PendingRequest> pendingRequests;
 
     /** What stores hold now, by the plans that fill them. */
-    private final ToDoubleFunction<TokenBucket> limits;
+    private final ToDoubleFunction<TokenBucket> limitLevel;
 
-    private final ToDoubleFunction<TokenBucket> reserves;
-    private final PriorityQueue<KeySequence> resting =
-            new PriorityQueue<>((a, b) -> Long.compare(a.lookAt, b.lookAt));
-    private long sweepAt;
+    private final ToDoubleFunction<TokenBucket> reservationLevel;
+    private final PriorityQueue<KeySequence> emptyKeys =
+            new PriorityQueue<>((a, b) -> Long.compare(a.evictionCheckAt, b.evictionCheckAt));
+    private long nextSweepAt;
 
     IdleStateEviction(
             DispatchQueue agenda,
@@ -63,20 +63,20 @@
             Collection<PendingRequest> held,
             ToDoubleFunction<TokenBucket> limits,
             ToDoubleFunction<TokenBucket> reserves) {
-        this.agenda = agenda;
+        this.dispatchQueue = agenda;
         this.targets = targets;
         this.indexOf = indexOf;
-        this.turns = turns;
-        this.held = held;
-        this.limits = limits;
-        this.reserves = reserves;
+        this.keySequences = turns;
+        this.pendingRequests = held;
+        this.limitLevel = limits;
+        this.reservationLevel = reserves;
     }
 
     /** The last access of a key left; the key may still rest. */
-    void left(KeySequence key) {
-        if (key.lookAt == 0) {
-            key.lookAt = Math.max(1, key.restUntil);
-            resting.add(key);
+    void scheduleKeyCheck(KeySequence key) {
+        if (key.evictionCheckAt == 0) {
+            key.evictionCheckAt = Math.max(1, key.quietUntil);
+            emptyKeys.add(key);
         }
     }
 
@@ -85,14 +85,14 @@
      * before others for as long as it keeps timing out, and none of them would go. So the time of a
      * look stays as it was set, and is set anew then.
      */
-    private void lookAtKeys(long now) {
-        while (!resting.isEmpty() && resting.peek().lookAt <= now) {
-            KeySequence key = resting.poll();
-            key.lookAt = 0;
-            if (key.order.isEmpty() && key.restUntil <= now) {
-                turns.remove(key.extent, key);
-            } else if (key.order.isEmpty()) {
-                left(key);
+    private void evictKeys(long now) {
+        while (!emptyKeys.isEmpty() && emptyKeys.peek().evictionCheckAt <= now) {
+            KeySequence key = emptyKeys.poll();
+            key.evictionCheckAt = 0;
+            if (key.requests.isEmpty() && key.quietUntil <= now) {
+                keySequences.remove(key.key, key);
+            } else if (key.requests.isEmpty()) {
+                scheduleKeyCheck(key);
             }
         }
     }
@@ -100,37 +100,47 @@
     /**
      * @param events of this turn
      */
-    void turn(long now, int events) {
-        lookAtKeys(now);
-        int looks = A_TURN + AN_EVENT * events;
+    void evictIdle(long now, int events) {
+        evictKeys(now);
+        int looks = CHECKS_PER_TURN + CHECKS_PER_EVENT * events;
         for (int i = 0;
-                i < looks && !agenda.kept.isEmpty() && agenda.kept.peekFirst().lookAt(AFTER) <= now;
+                i < looks
+                        && !dispatchQueue.evictionCandidates.isEmpty()
+                        && dispatchQueue.evictionCandidates.peekFirst().nextCheckAt(IDLE_MICROS)
+                                <= now;
                 i++) {
-            EvictionCandidate oldest = agenda.kept.pollFirst();
+            EvictionCandidate oldest = dispatchQueue.evictionCandidates.pollFirst();
             boolean gone =
-                    oldest.usedAt + AFTER <= now
-                            && (oldest instanceof VolumeState v
-                                    ? forgets(v)
-                                    : forgets((FlowQueue) oldest));
+                    oldest.lastUsedAt + IDLE_MICROS <= now
+                            && (oldest instanceof VolumeState volume
+                                    ? evictIfIdle(volume)
+                                    : evictIfIdle((FlowQueue) oldest));
             if (!gone) {
-                oldest.lookedAt = now;
-                agenda.kept.addLast(oldest);
+                oldest.lastCheckedAt = now;
+                dispatchQueue.evictionCandidates.addLast(oldest);
             }
         }
-        if (now >= sweepAt) {
-            sweepAt = now + SWEEP;
+        if (now >= nextSweepAt) {
+            nextSweepAt = now + SWEEP_INTERVAL_MICROS;
             sweep(now);
         }
     }
 
-    private boolean forgets(VolumeState v) {
+    private boolean evictIfIdle(VolumeState volume) {
         boolean gains =
-                v.limit != null && holdsLess(limits, v.limit, agenda.opened(v.limit))
-                        || v.reserve != null
-                                && holdsLess(reserves, v.reserve, new TokenBucket(v.reserve));
-        boolean gone = v.held == 0 && v.reservations == 0 && !gains;
+                volume.limitBucket != null
+                                && holdsLess(
+                                        limitLevel,
+                                        volume.limitBucket,
+                                        dispatchQueue.newLimitBucketLike(volume.limitBucket))
+                        || volume.reservationBucket != null
+                                && holdsLess(
+                                        reservationLevel,
+                                        volume.reservationBucket,
+                                        new TokenBucket(volume.reservationBucket));
+        boolean gone = volume.pendingCount == 0 && volume.flowCount == 0 && !gains;
         if (gone) {
-            agenda.forget(v);
+            dispatchQueue.evict(volume);
         }
         return gone;
     }
@@ -140,52 +150,54 @@
         return holds.applyAsDouble(kept) < holds.applyAsDouble(opened);
     }
 
-    private boolean forgets(FlowQueue r) {
-        ShardQueue node = r.node;
-        boolean quiet = node.waiting == 0;
+    private boolean evictIfIdle(FlowQueue flow) {
+        ShardQueue shardQueue = flow.shardQueue;
+        boolean quiet = shardQueue.queuedCount == 0;
         boolean behind =
-                r.finish <= node.virtualTime && !quiet && r.extra <= node.byExtra.first().extra;
-        if (!r.queue.isEmpty() || !quiet && !behind) {
+                flow.finishTag <= shardQueue.virtualTime
+                        && !quiet
+                        && flow.extraTag <= shardQueue.byExtraTag.first().extraTag;
+        if (!flow.requests.isEmpty() || !quiet && !behind) {
             return false;
         }
-        node.virtualTime = Math.max(node.virtualTime, r.finish);
-        node.firstExtra = Math.max(node.firstExtra, r.extra);
-        node.reservations.remove(r.volume);
-        r.volume.reservations--;
+        shardQueue.virtualTime = Math.max(shardQueue.virtualTime, flow.finishTag);
+        shardQueue.initialExtraTag = Math.max(shardQueue.initialExtraTag, flow.extraTag);
+        shardQueue.flows.remove(flow.volume);
+        flow.volume.flowCount--;
         return true;
     }
 
     private void sweep(long now) {
         BitSet needed = new BitSet(targets.count);
         Set<ShardQueue> nodesNeeded = new HashSet<>();
-        for (PendingRequest h : held) {
-            if (h.outAt >= 0) {
-                needed.set(h.outAt);
+        for (PendingRequest request : pendingRequests) {
+            if (request.inFlightTarget >= 0) {
+                needed.set(request.inFlightTarget);
             }
-            if (h.ranAt >= 0) {
-                needed.set(h.ranAt);
+            if (request.executedOn >= 0) {
+                needed.set(request.executedOn);
             }
-            nodesNeeded.add(h.node);
+            nodesNeeded.add(request.shardQueue);
         }
         for (int t = 0; t < targets.count; t++) {
             boolean kept =
                     targets.id[t] == null
                             || targets.usable[t]
                             || needed.get(t)
-                            || targets.usableAt[t] == 0;
-            targets.usableAt[t] = kept ? now : targets.usableAt[t];
-            if (now - targets.usableAt[t] >= AFTER) {
+                            || targets.lastUsableAt[t] == 0;
+            targets.lastUsableAt[t] = kept ? now : targets.lastUsableAt[t];
+            if (now - targets.lastUsableAt[t] >= IDLE_MICROS) {
                 indexOf.remove(targets.id[t]);
-                agenda.node(targets.shardOf[t]).listed.remove(t);
-                targets.free(t);
+                dispatchQueue.shardQueue(targets.shardOf[t]).listedTargets.remove(t);
+                targets.remove(t);
             }
         }
-        for (ShardQueue n : List.copyOf(agenda.nodes())) {
-            if (n.waiting == 0
-                    && n.listed.isEmpty()
-                    && n.reservations.isEmpty()
-                    && !nodesNeeded.contains(n)) {
-                agenda.forget(n);
+        for (ShardQueue shardQueue : List.copyOf(dispatchQueue.shardQueues())) {
+            if (shardQueue.queuedCount == 0
+                    && shardQueue.listedTargets.isEmpty()
+                    && shardQueue.flows.isEmpty()
+                    && !nodesNeeded.contains(shardQueue)) {
+                dispatchQueue.evict(shardQueue);
             }
         }
     }
--- a/core/src/main/java/milletyoke/scheduler/IndexedTimerQueue.java
+++ b/core/src/main/java/milletyoke/scheduler/IndexedTimerQueue.java
@@ -11,58 +11,58 @@
     /** Set for what is not due at all. */
     static final long NEVER = Long.MAX_VALUE;
 
-    private long[] at = {};
-    private int[] place = {};
+    private long[] timeOf = {};
+    private int[] position = {};
     private int[] heap = new int[16];
     private int size;
 
     /** From now on {@code index} is due at {@code time}, whatever was set before. */
     void set(int index, long time) {
-        if (index >= at.length) {
-            int from = at.length;
+        if (index >= timeOf.length) {
+            int from = timeOf.length;
             int room = Math.max(16, Math.max(index + 1, 2 * from));
-            at = Arrays.copyOf(at, room);
-            place = Arrays.copyOf(place, room);
-            Arrays.fill(at, from, room, NEVER);
-            Arrays.fill(place, from, room, -1);
+            timeOf = Arrays.copyOf(timeOf, room);
+            position = Arrays.copyOf(position, room);
+            Arrays.fill(timeOf, from, room, NEVER);
+            Arrays.fill(position, from, room, -1);
         }
-        long before = at[index];
-        at[index] = time;
-        if (place[index] < 0) {
+        long before = timeOf[index];
+        timeOf[index] = time;
+        if (position[index] < 0) {
             if (time == NEVER) {
                 return;
             }
             heap = size == heap.length ? Arrays.copyOf(heap, 2 * size) : heap;
             put(size, index);
-            up(size++);
+            siftUp(size++);
         } else if (time == NEVER) {
-            takeOut(index);
+            remove(index);
         } else if (time < before) {
-            up(place[index]);
+            siftUp(position[index]);
         } else if (time > before) {
-            down(place[index]);
+            siftDown(position[index]);
         }
     }
 
     /** The first {@code count} indexes are all due at {@code time}. */
-    void all(int count, long time) {
+    void setAll(int count, long time) {
         for (int i = 0; i < count; i++) {
             set(i, time);
         }
     }
 
     /** The time set for {@code index}, {@link #NEVER} for none. */
-    long of(int index) {
-        return index < at.length ? at[index] : NEVER;
+    long get(int index) {
+        return index < timeOf.length ? timeOf[index] : NEVER;
     }
 
     /** The earliest time that is set. */
     long first() {
-        return size == 0 ? NEVER : at[heap[0]];
+        return size == 0 ? NEVER : timeOf[heap[0]];
     }
 
     /** Takes out all that are due at {@code now} or before, lowest index first. */
-    int[] due(long now) {
+    int[] removeDue(long now) {
         if (first() > now) {
             return NONE;
         }
@@ -80,37 +80,37 @@
 
     private static final int[] NONE = {};
 
-    private void takeOut(int index) {
-        int hole = place[index];
-        place[index] = -1;
+    private void remove(int index) {
+        int hole = position[index];
+        position[index] = -1;
         int last = heap[--size];
         if (last != index) {
             put(hole, last);
-            up(hole);
-            down(place[last]);
+            siftUp(hole);
+            siftDown(position[last]);
         }
     }
 
     private void put(int where, int index) {
         heap[where] = index;
-        place[index] = where;
+        position[index] = where;
     }
 
-    private void up(int where) {
+    private void siftUp(int where) {
         int index = heap[where];
-        while (where > 0 && at[heap[(where - 1) / 2]] > at[index]) {
+        while (where > 0 && timeOf[heap[(where - 1) / 2]] > timeOf[index]) {
             put(where, heap[(where - 1) / 2]);
             where = (where - 1) / 2;
         }
         put(where, index);
     }
 
-    private void down(int where) {
+    private void siftDown(int where) {
         int index = heap[where];
         while (2 * where + 1 < size) {
             int child = 2 * where + 1;
-            child += child + 1 < size && at[heap[child + 1]] < at[heap[child]] ? 1 : 0;
-            if (at[heap[child]] >= at[index]) {
+            child += child + 1 < size && timeOf[heap[child + 1]] < timeOf[heap[child]] ? 1 : 0;
+            if (timeOf[heap[child]] >= timeOf[index]) {
                 break;
             }
             put(where, heap[child]);
--- a/core/src/main/java/milletyoke/scheduler/KeySequence.java
+++ b/core/src/main/java/milletyoke/scheduler/KeySequence.java
@@ -4,14 +4,14 @@
 
 /** The accesses of one key in the order they were taken, and until when the key rests. */
 final class KeySequence {
-    final TreeSet<PendingRequest> order = new TreeSet<>(PendingRequest.BY_TAKING);
-    final String extent;
-    long restUntil;
+    final TreeSet<PendingRequest> requests = new TreeSet<>(PendingRequest.BY_ADMISSION);
+    final String key;
+    long quietUntil;
 
     /** When who forgets looks at it next; 0 where it does not. */
-    long lookAt;
+    long evictionCheckAt;
 
     KeySequence(String extent) {
-        this.extent = extent;
+        this.key = extent;
     }
 }
--- a/core/src/main/java/milletyoke/scheduler/PendingRequest.java
+++ b/core/src/main/java/milletyoke/scheduler/PendingRequest.java
@@ -7,52 +7,56 @@
 
 /** One access from taking to its final answer, and on until its last relay has an outcome. */
 final class PendingRequest {
-    static final Comparator<PendingRequest> BY_TAKING = (a, b) -> Long.compare(a.taken, b.taken);
+    static final Comparator<PendingRequest> BY_ADMISSION =
+            (a, b) -> Long.compare(a.admissionNumber, b.admissionNumber);
 
     /**
      * Inside one volume importance goes first, then the newest; then who came to the queue first.
      */
-    static final Comparator<PendingRequest> INSIDE =
+    static final Comparator<PendingRequest> WITHIN_VOLUME =
             (a, b) -> {
                 int byImportance =
-                        Double.compare(b.category.priorityWeight(), a.category.priorityWeight());
+                        Double.compare(
+                                b.requestClass.priorityWeight(), a.requestClass.priorityWeight());
                 int byAge =
-                        byImportance != 0 ? byImportance : Long.compare(b.firstTaken, a.firstTaken);
-                return byAge != 0 ? byAge : Long.compare(a.queued, b.queued);
+                        byImportance != 0
+                                ? byImportance
+                                : Long.compare(b.firstReceivedAt, a.firstReceivedAt);
+                return byAge != 0 ? byAge : Long.compare(a.enqueueNumber, b.enqueueNumber);
             };
 
     /** At one node: by the order in which reservations were made, then as inside a volume. */
-    static final Comparator<PendingRequest> AT_NODE =
+    static final Comparator<PendingRequest> WITHIN_SHARD =
             (a, b) -> {
-                int byVolume = Long.compare(a.reservation.made, b.reservation.made);
-                return byVolume != 0 ? byVolume : INSIDE.compare(a, b);
+                int byVolume = Long.compare(a.flow.creationNumber, b.flow.creationNumber);
+                return byVolume != 0 ? byVolume : WITHIN_VOLUME.compare(a, b);
             };
 
-    static final Comparator<PendingRequest> BY_AGREED =
+    static final Comparator<PendingRequest> BY_OBJECTIVE =
             (a, b) -> {
-                int byTime = Long.compare(a.agreedAt, b.agreedAt);
-                return byTime != 0 ? byTime : Long.compare(a.queued, b.queued);
+                int byTime = Long.compare(a.objectiveAt, b.objectiveAt);
+                return byTime != 0 ? byTime : Long.compare(a.enqueueNumber, b.enqueueNumber);
             };
 
-    final Event.RequestReceived access;
+    final Event.RequestReceived received;
 
     /**
      * Its place in the order of taking, and among all that came to a queue, the latest time it did.
      */
-    final long taken;
+    final long admissionNumber;
 
-    long queued;
-    final RequestClass category;
+    long enqueueNumber;
+    final RequestClass requestClass;
     final VolumeState volume;
     ServicePlan plan;
-    ShardQueue node;
+    ShardQueue shardQueue;
 
     /** Where it waits or last waited; null before. */
-    FlowQueue reservation;
+    FlowQueue flow;
 
-    long firstTaken;
-    long agreedAt;
-    long abandonAt;
+    long firstReceivedAt;
+    long objectiveAt;
+    long deadlineAt;
 
     /**
      * When, to which target and in which life of it the latest relay left; -1 once that has its
@@ -60,21 +64,21 @@
      */
     long sentAt;
 
-    int outAt = -1;
-    int outLife;
-    int relays;
+    int inFlightTarget = -1;
+    int inFlightIncarnation;
+    int attempts;
 
     /**
      * The target of the first relay that may have run, -1 while there is none, and when that relay
      * left.
      */
-    int ranAt = -1;
+    int executedOn = -1;
 
-    long ranSince;
+    long executedSince;
     boolean answered;
 
     /** Its relay is out, and presumed lost. */
-    boolean lost;
+    boolean presumedLost;
 
     PendingRequest(
             Event.RequestReceived access,
@@ -82,28 +86,28 @@
             RequestClass category,
             VolumeState volume,
             ServicePlan plan) {
-        this.access = access;
-        this.taken = taken;
-        this.category = category;
+        this.received = access;
+        this.admissionNumber = taken;
+        this.requestClass = category;
         this.volume = volume;
         this.plan = plan;
     }
 
-    boolean hasLimit() {
+    boolean hasRateLimit() {
         return plan != null && plan.limitRate() > 0;
     }
 
     /** Through how many hosts its volume comes; each keeps its part of what is limited. */
-    double hosts() {
-        return Math.max(1, access.initiatorCount());
+    double initiatorCount() {
+        return Math.max(1, received.initiatorCount());
     }
 
     /** This host's part of its volume's limit, units a second. */
     double limitRate() {
-        return plan.limitRate() / hosts();
+        return plan.limitRate() / initiatorCount();
     }
 
-    double reserve() {
+    double reservationRate() {
         return plan == null ? 0 : plan.reservationRate();
     }
 
@@ -111,7 +115,7 @@
         return plan == null || plan.weight() <= 0 ? 1 : plan.weight();
     }
 
-    boolean waits() {
-        return reservation != null && reservation.queue.contains(this);
+    boolean isQueued() {
+        return flow != null && flow.requests.contains(this);
     }
 }
--- a/core/src/main/java/milletyoke/scheduler/RequestScheduler.java
+++ b/core/src/main/java/milletyoke/scheduler/RequestScheduler.java
@@ -66,7 +66,7 @@
      */
     private static final double COLD_QUEUE = 1.0 / 8;
 
-    private static final TreeSet<PendingRequest> NONE = new TreeSet<>(PendingRequest.AT_NODE);
+    private static final TreeSet<PendingRequest> NONE = new TreeSet<>(PendingRequest.WITHIN_SHARD);
     private static final Set<Outcome> MAY_STILL_RUN =
             EnumSet.of(Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED);
 
@@ -100,7 +100,7 @@
 
     private long askAt = Long.MAX_VALUE, askWait = FIRST_ASK;
 
-    final DispatchQueue agenda = new DispatchQueue();
+    final DispatchQueue dispatchQueue = new DispatchQueue();
 
     /**
      * The earliest time at which what was just found to be so, or not, may be otherwise by time
@@ -115,7 +115,7 @@
     private final Map<String, KeySequence> turns = new HashMap<>();
     private final IdleStateEviction forgetting =
             new IdleStateEviction(
-                    agenda,
+                    dispatchQueue,
                     targets,
                     indexOf,
                     turns,
@@ -147,7 +147,7 @@
         serveNodes();
         followList();
         arrangeWake();
-        forgetting.turn(now, happened.size());
+        forgetting.evictIdle(now, happened.size());
         return todo;
     }
 
@@ -187,7 +187,7 @@
                         .min()
                         .orElse(0);
         given.plans().forEach(p -> plans.put(p.name(), p));
-        given.plans().forEach(p -> agenda.unseen(p.name(), now));
+        given.plans().forEach(p -> dispatchQueue.addPlan(p.name(), now));
     }
 
     /**
@@ -197,30 +197,35 @@
      * none but a volume whose limit rises: its store fills as time goes on.
      */
     private void reprovision(SchedulerSettings next) {
-        agenda.limits().forEach(this::settle);
+        dispatchQueue.limitBuckets().forEach(this::settle);
         provision(next);
-        agenda.limits().forEach(this::settle);
-        held.values().forEach(h -> h.plan = plans.get(h.access.plan()));
-        agenda.nodes().forEach(ShardQueue::reweigh);
-        agenda.upsetAll();
-        targets.due.all(targets.count, now);
+        dispatchQueue.limitBuckets().forEach(this::settle);
+        held.values().forEach(request -> request.plan = plans.get(request.received.plan()));
+        dispatchQueue.shardQueues().forEach(ShardQueue::applyPlanWeights);
+        dispatchQueue.invalidateAll();
+        targets.checkTimes.setAll(targets.count, now);
     }
 
-    private void settle(TokenBucket s) {
-        s.set(settled(s), now);
+    private void settle(TokenBucket bucket) {
+        bucket.set(settled(bucket), now);
     }
 
-    double settled(TokenBucket s) {
-        ServicePlan plan = plans.get(s.plan);
+    double settled(TokenBucket bucket) {
+        ServicePlan plan = plans.get(bucket.plan);
         boolean limited = plan != null && plan.limitRate() > 0;
-        return limited ? level(s, plan.limitRate() / s.hosts, limitDepth(plan) / s.hosts) : s.units;
+        return limited
+                ? level(
+                        bucket,
+                        plan.limitRate() / bucket.initiatorCount,
+                        limitDepth(plan) / bucket.initiatorCount)
+                : bucket.units;
     }
 
     private void arrangeWake() {
         long look =
                 held.isEmpty()
                         ? Long.MAX_VALUE
-                        : now + (agenda.waiting > 0 ? LOOK_WAITING : LOOK_IDLE);
+                        : now + (dispatchQueue.queuedCount > 0 ? LOOK_WAITING : LOOK_IDLE);
         if (Math.min(askAt, look) < wakeAt) {
             wakeAt = Math.min(askAt, look);
             todo.add(new Action.ScheduleWakeUp(Math.max(1, wakeAt - now)));
@@ -240,7 +245,9 @@
         }
         e.targets().forEach(this::listed);
         boolean part = e.scope() == Event.ListScope.UPDATE;
-        (part ? e.targets().stream().map(t -> agenda.node(t.shard())) : agenda.nodes().stream())
+        (part
+                        ? e.targets().stream().map(t -> dispatchQueue.shardQueue(t.shard()))
+                        : dispatchQueue.shardQueues().stream())
                 .forEach(this::findHolder);
     }
 
@@ -252,7 +259,7 @@
 
     /** The node that a target holds, or would. */
     private ShardQueue nodeOf(int t) {
-        return agenda.node(targets.shardOf[t]);
+        return dispatchQueue.shardQueue(targets.shardOf[t]);
     }
 
     /**
@@ -260,11 +267,11 @@
      * again.
      */
     private void noticeDrift() {
-        boolean grown = aloneMost.outgrownBy(aloneLag, now) | unitsMost.outgrownBy(meanUnits, now);
+        boolean grown = aloneMost.raiseFor(aloneLag, now) | unitsMost.raiseFor(meanUnits, now);
         if (grown || suspected != lateShare >= SUSPECT) {
             suspected = lateShare >= SUSPECT;
-            agenda.upsetAll();
-            targets.due.all(targets.count, now);
+            dispatchQueue.invalidateAll();
+            targets.checkTimes.setAll(targets.count, now);
         }
     }
 
@@ -273,26 +280,31 @@
      * lost.
      */
     private void watch(int t) {
-        long silent = Math.max(resumedAt, targets.heardAt[t]) + (long) patience(t) + 1;
-        long due = targets.out[t] > 0 ? silent : IndexedTimerQueue.NEVER;
-        due = targets.nextTrial[t] > 0 ? targets.nextTrial[t] : due;
-        for (PendingRequest h : targets.outs.get(t)) {
+        long silent = Math.max(resumedAt, targets.lastAnswerAt[t]) + (long) patience(t) + 1;
+        long due = targets.inFlight[t] > 0 ? silent : IndexedTimerQueue.NEVER;
+        due = targets.nextTrialAt[t] > 0 ? targets.nextTrialAt[t] : due;
+        for (PendingRequest request : targets.inFlightRequests.get(t)) {
             double most =
-                    PATIENCE * targets.lag[t] * Math.max(1, h.access.units() / unitsMost.most);
-            boolean overtaken = targets.answeredSent[t] > h.sentAt;
-            due = overtaken ? Math.min(due, Math.max(resumedAt, h.sentAt) + (long) most) : due;
+                    PATIENCE
+                            * targets.latencyMicros[t]
+                            * Math.max(1, request.received.units() / unitsMost.bound);
+            boolean overtaken = targets.newestAnsweredSentAt[t] > request.sentAt;
+            due =
+                    overtaken
+                            ? Math.min(due, Math.max(resumedAt, request.sentAt) + (long) most)
+                            : due;
         }
-        targets.due.set(t, due);
+        targets.checkTimes.set(t, due);
     }
 
     private void watchOwing() {
-        int[] due = targets.due.due(now);
+        int[] due = targets.checkTimes.removeDue(now);
         List<PendingRequest> owed = new ArrayList<>();
         for (int t : due) {
             watchForSilence(t);
-            owed.addAll(targets.outs.get(t));
+            owed.addAll(targets.inFlightRequests.get(t));
         }
-        owed.sort(PendingRequest.BY_TAKING);
+        owed.sort(PendingRequest.BY_ADMISSION);
         owed.forEach(this::watchForLoss);
         for (int t : due) {
             watch(t);
@@ -300,10 +312,12 @@
     }
 
     private void serveNodes() {
-        agenda.come(now);
+        dispatchQueue.collectDue(now);
         noticeBudget();
-        for (ShardQueue n = agenda.next(null); n != null; n = agenda.next(n)) {
-            serve(n);
+        for (ShardQueue shardQueue = dispatchQueue.next(null);
+                shardQueue != null;
+                shardQueue = dispatchQueue.next(shardQueue)) {
+            serve(shardQueue);
         }
     }
 
@@ -327,58 +341,65 @@
 
     private void listed(Event.Target target) {
         int t = indexOf.computeIfAbsent(target.id(), targets::add);
-        ShardQueue before = targets.life[t] == 0 ? agenda.node(target.shard()) : nodeOf(t);
-        targets.relist(t, target);
-        before.listed.remove(t);
-        nodeOf(t).listed.add(t);
+        ShardQueue before =
+                targets.incarnation[t] == 0 ? dispatchQueue.shardQueue(target.shard()) : nodeOf(t);
+        targets.updateLocation(t, target);
+        before.listedTargets.remove(t);
+        nodeOf(t).listedTargets.add(t);
         findHolder(before);
         targets.usable[t] = target.health() == Event.Health.ACTIVE;
-        if (targets.life[t] == 0 || target.startedAtMicros() > targets.launched[t]) {
-            targets.launched[t] = target.startedAtMicros();
-            targets.renew(t, FIRST_WINDOW);
+        if (targets.incarnation[t] == 0 || target.startedAtMicros() > targets.startedAt[t]) {
+            targets.startedAt[t] = target.startedAtMicros();
+            targets.beginIncarnation(t, FIRST_WINDOW);
         }
         watch(t);
     }
 
-    private void findHolder(ShardQueue node) {
-        node.target = -1;
-        for (int t : node.listed) {
-            boolean newer = node.target < 0 || targets.launched[t] >= targets.launched[node.target];
-            node.target = targets.usable[t] && newer ? t : node.target;
+    private void findHolder(ShardQueue shardQueue) {
+        shardQueue.target = -1;
+        for (int t : shardQueue.listedTargets) {
+            boolean newer =
+                    shardQueue.target < 0
+                            || targets.startedAt[t] >= targets.startedAt[shardQueue.target];
+            shardQueue.target = targets.usable[t] && newer ? t : shardQueue.target;
         }
-        agenda.upset(node);
+        dispatchQueue.invalidate(shardQueue);
     }
 
     // ---- Taking ----
 
     private void take(Event.RequestReceived e) {
         RequestClass category = categories.get(e.requestClass());
-        PendingRequest h =
+        PendingRequest request =
                 new PendingRequest(
-                        e, takenInAll++, category, agenda.volume(e, now), plans.get(e.plan()));
-        h.abandonAt = now + e.timeLeftMicros();
+                        e,
+                        takenInAll++,
+                        category,
+                        dispatchQueue.volume(e, now),
+                        plans.get(e.plan()));
+        request.deadlineAt = now + e.timeLeftMicros();
         long longest = longestTtl.merge(category.name(), e.timeLeftMicros(), Math::max);
         boolean impatient =
                 e.timeLeftMicros()
                         < category
                                 .latencyObjectiveMicros(); // a repeat that late would hardly be in
         // time
-        h.firstTaken = impatient ? now : now - (longest - e.timeLeftMicros());
-        h.agreedAt =
+        request.firstReceivedAt = impatient ? now : now - (longest - e.timeLeftMicros());
+        request.objectiveAt =
                 Math.min(
-                        h.firstTaken + category.latencyObjectiveMicros(),
-                        h.abandonAt - ANSWER_AHEAD);
-        held.put(e.id(), h);
+                        request.firstReceivedAt + category.latencyObjectiveMicros(),
+                        request.deadlineAt - ANSWER_AHEAD);
+        held.put(e.id(), request);
         taken.add(now, now - bounds.retryWindowMicros());
-        if (h.hasLimit()) {
-            openLimit(h);
+        if (request.hasRateLimit()) {
+            openLimit(request);
         }
         meanUnits += (e.units() - meanUnits) * (meanUnits == 0 ? 1 : SMOOTHING);
         if (category.keyOrdered() && e.extent() != null) {
-            turns.computeIfAbsent(e.extent(), k -> new KeySequence(k)).order.add(h);
+            turns.computeIfAbsent(e.extent(), k -> new KeySequence(k)).requests.add(request);
         }
-        h.node = e.shard() < 0 ? draw() : agenda.node(e.shard());
-        enqueue(h);
+        request.shardQueue = e.shard() < 0 ? draw() : dispatchQueue.shardQueue(e.shard());
+        enqueue(request);
     }
 
     /**
@@ -386,39 +407,46 @@
      * have.
      */
     private ShardQueue draw() {
-        for (int lot = 0; agenda.places() > LOTS && lot < LOTS; lot++) { // same odds, not over all
-            ShardQueue n = agenda.lot(chance);
-            if (n != null && chance.nextDouble() * WINDOW_CEILING < room(n)) {
-                return n;
+        for (int lot = 0;
+                dispatchQueue.slotCount() > LOTS && lot < LOTS;
+                lot++) { // same odds, not over all
+            ShardQueue shardQueue = dispatchQueue.randomShard(chance);
+            if (shardQueue != null && chance.nextDouble() * WINDOW_CEILING < room(shardQueue)) {
+                return shardQueue;
             }
         }
-        double left = chance.nextDouble() * agenda.nodes().stream().mapToDouble(this::room).sum();
+        double left =
+                chance.nextDouble()
+                        * dispatchQueue.shardQueues().stream().mapToDouble(this::room).sum();
         ShardQueue drawn = null;
-        for (ShardQueue n : agenda.nodes()) {
-            drawn = drawn == null || left > 0 && room(n) > 0 ? n : drawn;
-            left -= room(n);
+        for (ShardQueue shardQueue : dispatchQueue.shardQueues()) {
+            drawn = drawn == null || left > 0 && room(shardQueue) > 0 ? shardQueue : drawn;
+            left -= room(shardQueue);
         }
-        return drawn == null ? agenda.node(0) : drawn;
-    }
-
-    private double room(ShardQueue n) {
-        int t = n.target;
-        boolean none = t < 0 || targets.nextTrial[t] > 0 || isCold(t);
-        double others = isTold(t) ? targets.crowd[t] / Math.max(1, aloneLag) : 0;
-        return none ? 0 : targets.window[t] / (1 + targets.out[t] + n.waiting + others);
-    }
-
-    private void enqueue(PendingRequest h) {
-        ShardQueue node = h.node;
-        FlowQueue r = agenda.reservation(node, h.volume, now);
-        if (r.queue.isEmpty()) {
-            r.start = Math.max(node.virtualTime, r.finish);
-            r.extra =
-                    node.byExtra.isEmpty()
-                            ? r.extra
-                            : Math.max(r.extra, node.byExtra.first().extra);
+        return drawn == null ? dispatchQueue.shardQueue(0) : drawn;
+    }
+
+    private double room(ShardQueue shardQueue) {
+        int t = shardQueue.target;
+        boolean none = t < 0 || targets.nextTrialAt[t] > 0 || isCold(t);
+        double others = isTold(t) ? targets.queueDelayMicros[t] / Math.max(1, aloneLag) : 0;
+        return none
+                ? 0
+                : targets.concurrencyLimit[t]
+                        / (1 + targets.inFlight[t] + shardQueue.queuedCount + others);
+    }
+
+    private void enqueue(PendingRequest request) {
+        ShardQueue shardQueue = request.shardQueue;
+        FlowQueue flow = dispatchQueue.flow(shardQueue, request.volume, now);
+        if (flow.requests.isEmpty()) {
+            flow.startTag = Math.max(shardQueue.virtualTime, flow.finishTag);
+            flow.extraTag =
+                    shardQueue.byExtraTag.isEmpty()
+                            ? flow.extraTag
+                            : Math.max(flow.extraTag, shardQueue.byExtraTag.first().extraTag);
         }
-        agenda.queue(h, r);
+        dispatchQueue.enqueue(request, flow);
     }
 
     // ---- Serving a node ----
@@ -429,41 +457,43 @@
      * that would make all that comes after it late too. Could harm where the lag is thought longer
      * than it is.
      */
-    private void serve(ShardQueue node) {
-        boolean asking = mustAsk(node.target);
-        List<PendingRequest> late = node.lateBy(now + expected(node.target));
-        late.forEach(agenda::unqueue);
-        while (!asking && batch(node)) {
+    private void serve(ShardQueue shardQueue) {
+        boolean asking = mustAsk(shardQueue.target);
+        List<PendingRequest> late = shardQueue.requestsDueBefore(now + expected(shardQueue.target));
+        late.forEach(dispatchQueue::dequeue);
+        while (!asking && batch(shardQueue)) {
             continue;
         }
-        for (PendingRequest h : late) {
-            boolean room = !asking && roomAt(node) > 0 && fits(h, node.target);
-            boolean spares = now <= h.agreedAt || !crowd && (h.relays > 0 || !h.hasLimit());
-            if (!room || !spares || !relay(h, node.target)) {
-                giveUp(h);
+        for (PendingRequest request : late) {
+            boolean room = !asking && roomAt(shardQueue) > 0 && fits(request, shardQueue.target);
+            boolean spares =
+                    now <= request.objectiveAt
+                            || !crowd && (request.attempts > 0 || !request.hasRateLimit());
+            if (!room || !spares || !relay(request, shardQueue.target)) {
+                giveUp(request);
             }
         }
-        arrangeServing(node, asking);
+        arrangeServing(shardQueue, asking);
     }
 
     /**
      * When time alone may change what was just done here: lateness, a cold time's end, what is
      * parked.
      */
-    private void arrangeServing(ShardQueue node, boolean asking) {
+    private void arrangeServing(ShardQueue shardQueue, boolean asking) {
         again = IndexedTimerQueue.NEVER;
-        double expected = expected(node.target) + aloneMost.most - aloneLag;
-        if (node.target >= 0 && isCold(node.target)) {
-            againAt(targets.launched[node.target] + bounds.warmUpMicros());
+        double expected = expected(shardQueue.target) + aloneMost.bound - aloneLag;
+        if (shardQueue.target >= 0 && isCold(shardQueue.target)) {
+            againAt(targets.startedAt[shardQueue.target] + bounds.warmUpMicros());
         }
-        if (!asking && !node.parked.isEmpty() && roomAt(node) > 0) {
-            againAt(node.parked.first().lookAt);
+        if (!asking && !shardQueue.parked.isEmpty() && roomAt(shardQueue) > 0) {
+            againAt(shardQueue.parked.first().parkedUntil);
         }
         long late =
-                node.byAgreed.isEmpty()
+                shardQueue.byObjective.isEmpty()
                         ? again
-                        : (long) (node.byAgreed.first().agreedAt - expected);
-        agenda.due(node, Math.min(again, late));
+                        : (long) (shardQueue.byObjective.first().objectiveAt - expected);
+        dispatchQueue.serveAt(shardQueue, Math.min(again, late));
     }
 
     /**
@@ -473,67 +503,69 @@
      * work.
      */
     private boolean mustAsk(int t) {
-        boolean answers = given.capabilities().canProbe() && t >= 0 && targets.nextTrial[t] == 0;
+        boolean answers = given.capabilities().canProbe() && t >= 0 && targets.nextTrialAt[t] == 0;
         boolean suspect = answers && (lateShare >= SUSPECT || isCold(t));
-        if (suspect && targets.askedAt[t] == 0 && !isTold(t)) {
-            targets.askedAt[t] = now;
+        if (suspect && targets.probeSentAt[t] == 0 && !isTold(t)) {
+            targets.probeSentAt[t] = now;
             todo.add(new Action.SendProbe(targets.id[t]));
         }
-        return suspect && targets.askedAt[t] > 0;
+        return suspect && targets.probeSentAt[t] > 0;
     }
 
     boolean isTold(int t) {
-        boolean told = t >= 0 && now < targets.toldUntil[t];
-        againAt(told ? targets.toldUntil[t] : again);
+        boolean told = t >= 0 && now < targets.reportValidUntil[t];
+        againAt(told ? targets.reportValidUntil[t] : again);
         return told;
     }
 
     private double expected(int t) {
-        long oldAt = t < 0 ? now : targets.heardAt[t] + LONGEST_TRIAL * shortestAgreed + 1;
+        long oldAt = t < 0 ? now : targets.lastAnswerAt[t] + LONGEST_TRIAL * shortestAgreed + 1;
         boolean old = t >= 0 && now >= oldAt;
         againAt(old ? again : oldAt);
-        double usual = t < 0 || targets.askedAt[t] > 0 ? 0 : old ? aloneLag : targets.lag[t];
-        return isTold(t) ? targets.crowd[t] + aloneLag : usual;
+        double usual =
+                t < 0 || targets.probeSentAt[t] > 0 ? 0 : old ? aloneLag : targets.latencyMicros[t];
+        return isTold(t) ? targets.queueDelayMicros[t] + aloneLag : usual;
     }
 
     /**
      * Whether an access may join what is said to wait at the target; the draw keeps hosts out of
      * step.
      */
-    private boolean fits(PendingRequest h, int t) {
-        double part = isOwed(h) ? JOIN_OWED : JOIN_OTHERS * targets.bar[t];
-        return !isTold(t) || targets.crowd[t] <= part * shortestAgreed;
+    private boolean fits(PendingRequest request, int t) {
+        double part = isOwed(request) ? JOIN_OWED : JOIN_OTHERS * targets.joinThreshold[t];
+        return !isTold(t) || targets.queueDelayMicros[t] <= part * shortestAgreed;
     }
 
     /**
      * One base batch by least finish tag, beside each of it the inserts that may join; false if
      * empty.
      */
-    private boolean batch(ShardQueue node) {
-        int room = roomAt(node);
+    private boolean batch(ShardQueue shardQueue) {
+        int room = roomAt(shardQueue);
         int most = Math.min(BASE_BATCH, (room + 1) / 2);
         List<PendingRequest> base = new ArrayList<>();
         if (most <= 0) {
             return false; // no room, or nobody holds the shard
         }
-        for (FlowQueue r = leastFinish(node);
-                base.size() < most && r != null;
-                r = leastFinish(node)) {
-            PendingRequest h = sendable(node, r);
-            node.virtualTime = r.start;
-            r.start = r.finish;
-            agenda.unqueue(h);
-            base.add(h);
+        for (FlowQueue flow = leastFinish(shardQueue);
+                base.size() < most && flow != null;
+                flow = leastFinish(shardQueue)) {
+            PendingRequest request = sendable(shardQueue, flow);
+            shardQueue.virtualTime = flow.startTag;
+            flow.startTag = flow.finishTag;
+            dispatchQueue.dequeue(request);
+            base.add(request);
         }
         room -= base.size();
-        for (PendingRequest h : base) {
-            if (!relay(h, node.target)) {
-                enqueue(h); // one before it took the last of a limit or of a cold target's part
+        for (PendingRequest request : base) {
+            if (!relay(request, shardQueue.target)) {
+                enqueue(request); // one before it took the last of a limit or of a cold target's
+                // part
             }
-            for (PendingRequest beside = insert(node, h, room);
+            for (PendingRequest beside = insert(shardQueue, request, room);
                     beside != null;
-                    beside = insert(node, h, room)) {
-                relay(beside, node.target);
+                    beside = insert(shardQueue, request, room)) {
+                relay(beside, shardQueue.target);
                 room--;
             }
         }
@@ -545,45 +577,47 @@
      * reserves where many ask for more; could harm the shares by weight if reserves took the whole
      * node for long.
      */
-    private FlowQueue leastFinish(ShardQueue node) {
-        node.refresh(now);
-        while (!node.owed.isEmpty()) {
-            FlowQueue r = node.owed.first();
+    private FlowQueue leastFinish(ShardQueue shardQueue) {
+        shardQueue.refresh(now);
+        while (!shardQueue.belowReservation.isEmpty()) {
+            FlowQueue flow = shardQueue.belowReservation.first();
             again = IndexedTimerQueue.NEVER;
-            PendingRequest h = sendable(node, r);
-            if (h != null && isOwed(h)) {
-                return r;
+            PendingRequest request = sendable(shardQueue, flow);
+            if (request != null && isOwed(request)) {
+                return flow;
             }
-            node.park(r, h != null, again);
+            shardQueue.park(flow, request != null, again);
         }
-        while (!node.ready.isEmpty()) {
-            FlowQueue r = node.ready.first();
+        while (!shardQueue.ready.isEmpty()) {
+            FlowQueue flow = shardQueue.ready.first();
             again = IndexedTimerQueue.NEVER;
-            if (sendable(node, r) != null) {
-                return r;
+            if (sendable(shardQueue, flow) != null) {
+                return flow;
             }
-            node.park(r, false, again);
+            shardQueue.park(flow, false, again);
         }
         return null;
     }
 
-    private PendingRequest sendable(ShardQueue node, FlowQueue r) {
-        int t = node.target;
-        return r.first(h -> mayRelay(h, t) && fits(h, t));
+    private PendingRequest sendable(ShardQueue shardQueue, FlowQueue flow) {
+        int t = shardQueue.target;
+        return flow.firstMatching(request -> mayRelay(request, t) && fits(request, t));
     }
 
     /**
      * What this host owes a volume of its reserve: at most a second, and an access of twice the
      * mean.
      */
-    private boolean isOwed(PendingRequest h) {
-        double rate = h.reserve(), units = h.access.units();
-        double missing = units - level(h.volume.reserve, rate, reserveDepth(h));
+    private boolean isOwed(PendingRequest request) {
+        double rate = request.reservationRate(), units = request.received.units();
+        double missing =
+                units - level(request.volume.reservationBucket, rate, reserveDepth(request));
         boolean bySize =
-                units > reserveDepth(h)
-                        && units <= rate + 2 * unitsMost.most
+                units > reserveDepth(request)
+                        && units <= rate + 2 * unitsMost.bound
                         && (rate > 0
-                                || h.volume.reserve != null && h.volume.reserve.units >= units);
+                                || request.volume.reservationBucket != null
+                                        && request.volume.reservationBucket.units >= units);
         againAt(missing <= 0 ? again : bySize ? now : filledAt(missing, rate));
         return missing <= 0;
     }
@@ -594,24 +628,24 @@
                 : IndexedTimerQueue.NEVER;
     }
 
-    private double reserveDepth(PendingRequest h) {
-        return h.reserve() + 2 * meanUnits;
+    private double reserveDepth(PendingRequest request) {
+        return request.reservationRate() + 2 * meanUnits;
     }
 
-    private PendingRequest insert(ShardQueue node, PendingRequest beside, int room) {
-        String extent = beside.access.extent();
-        if (room <= 0 || extent == null || beside.category.keyOrdered()) {
+    private PendingRequest insert(ShardQueue shardQueue, PendingRequest beside, int room) {
+        String extent = beside.received.extent();
+        if (room <= 0 || extent == null || beside.requestClass.keyOrdered()) {
             return null;
         }
-        for (PendingRequest h : node.byExtent.getOrDefault(extent, NONE)) {
-            FlowQueue r = h.reservation;
-            if (mayRelay(h, node.target)
-                    && fits(h, node.target)
-                    && withinMargin(node, r, r.step(h))) {
-                node.unfile(r);
-                r.extra += r.step(h);
-                agenda.unqueue(h);
-                return h;
+        for (PendingRequest request : shardQueue.byExtent.getOrDefault(extent, NONE)) {
+            FlowQueue flow = request.flow;
+            if (mayRelay(request, shardQueue.target)
+                    && fits(request, shardQueue.target)
+                    && withinMargin(shardQueue, flow, flow.tagStep(request))) {
+                shardQueue.removeFromOrders(flow);
+                flow.extraTag += flow.tagStep(request);
+                dispatchQueue.dequeue(request);
+                return request;
             }
         }
         return null;
@@ -620,90 +654,98 @@
     /**
      * Whether the widest gap of waiting volumes' extra tags stays within the margin after one step.
      */
-    private boolean withinMargin(ShardQueue node, FlowQueue one, double step) {
-        return node.gap(one, step) <= MARGIN_STEPS * meanUnits / node.lightest();
+    private boolean withinMargin(ShardQueue shardQueue, FlowQueue one, double step) {
+        return shardQueue.extraTagGap(one, step)
+                <= MARGIN_STEPS * meanUnits / shardQueue.minimumWeight();
     }
 
-    private int roomAt(ShardQueue node) {
-        int t = node.target;
-        int trial = t >= 0 && targets.mayTry[t] ? 1 : 0;
-        return t < 0 || targets.nextTrial[t] > 0 ? trial : (int) targets.window[t] - targets.out[t];
+    private int roomAt(ShardQueue shardQueue) {
+        int t = shardQueue.target;
+        int trial = t >= 0 && targets.trialAllowed[t] ? 1 : 0;
+        return t < 0 || targets.nextTrialAt[t] > 0
+                ? trial
+                : (int) targets.concurrencyLimit[t] - targets.inFlight[t];
     }
 
     // ---- The rules: every send passes relay, which asks mayRelay ----
 
-    private boolean relay(PendingRequest h, int t) {
-        if (!mayRelay(h, t)) {
+    private boolean relay(PendingRequest request, int t) {
+        if (!mayRelay(request, t)) {
             return false;
         }
-        if (h.relays > 0) {
+        if (request.attempts > 0) {
             further.add(now, now - bounds.retryWindowMicros());
             noticeBudget();
-        } else if (h.hasLimit()) {
-            drawOnLimit(h);
+        } else if (request.hasRateLimit()) {
+            drawOnLimit(request);
         }
-        drawOnReserve(h);
+        drawOnReserve(request);
         if (isCold(t)) {
-            targets.coldSpent.get(t).addLast(new WarmUpSend(now, h.access.units()));
-            targets.toldUntil[t] = 0;
-            agenda.upset(nodeOf(t));
+            targets.warmUpSends.get(t).addLast(new WarmUpSend(now, request.received.units()));
+            targets.reportValidUntil[t] = 0;
+            dispatchQueue.invalidate(nodeOf(t));
         }
-        targets.heardAt[t] =
-                targets.out[t] == 0 && targets.nextTrial[t] == 0 ? now : targets.heardAt[t];
-        targets.mayTry[t] = false;
-        h.relays++;
-        h.lost = false;
-        h.outAt = t;
-        h.outLife = targets.life[t];
-        h.sentAt = now;
-        targets.out[t]++;
-        targets.outs.get(t).add(h);
+        targets.lastAnswerAt[t] =
+                targets.inFlight[t] == 0 && targets.nextTrialAt[t] == 0
+                        ? now
+                        : targets.lastAnswerAt[t];
+        targets.trialAllowed[t] = false;
+        request.attempts++;
+        request.presumedLost = false;
+        request.inFlightTarget = t;
+        request.inFlightIncarnation = targets.incarnation[t];
+        request.sentAt = now;
+        targets.inFlight[t]++;
+        targets.inFlightRequests.get(t).add(request);
         watch(t);
-        todo.add(new Action.SendAttempt(h.access.id(), h.abandonAt, targets.id[t]));
+        todo.add(new Action.SendAttempt(request.received.id(), request.deadlineAt, targets.id[t]));
         return true;
     }
 
-    private boolean mayRelay(PendingRequest h, int t) {
-        boolean inTime = !h.answered && now < h.abandonAt - ANSWER_AHEAD;
-        againAt(inTime ? h.abandonAt - ANSWER_AHEAD : again);
+    private boolean mayRelay(PendingRequest request, int t) {
+        boolean inTime = !request.answered && now < request.deadlineAt - ANSWER_AHEAD;
+        againAt(inTime ? request.deadlineAt - ANSWER_AHEAD : again);
         return t >= 0
                 && targets.usable[t]
                 && inTime
-                && noSecondEffect(h, t)
-                && coldBears(h, t)
-                && itsTurn(h)
-                && withinBudget(h)
-                && withinLimit(h);
+                && noSecondEffect(request, t)
+                && coldBears(request, t)
+                && itsTurn(request)
+                && withinBudget(request)
+                && withinLimit(request);
     }
 
-    private boolean noSecondEffect(PendingRequest h, int t) {
-        if (h.outAt >= 0 || h.relays >= given.capabilities().maxAttempts()) {
+    private boolean noSecondEffect(PendingRequest request, int t) {
+        if (request.inFlightTarget >= 0 || request.attempts >= given.capabilities().maxAttempts()) {
             return false;
         }
         boolean sameGroup =
-                h.ranAt < 0
-                        || switch (h.category.deduplicationScope()) {
+                request.executedOn < 0
+                        || switch (request.requestClass.deduplicationScope()) {
                             case ALL -> true;
-                            case ZONE -> targets.zone[t].equals(targets.zone[h.ranAt]);
-                            case CELL -> targets.shardOf[t] == targets.shardOf[h.ranAt];
+                            case ZONE -> targets.zone[t].equals(targets.zone[request.executedOn]);
+                            case CELL -> targets.shardOf[t] == targets.shardOf[request.executedOn];
                         };
-        return mayRunAgain(h) && (sameGroup || h.category.idempotency() == Idempotency.IDEMPOTENT);
+        return mayRunAgain(request)
+                && (sameGroup || request.requestClass.idempotency() == Idempotency.IDEMPOTENT);
     }
 
-    private boolean mayRunAgain(PendingRequest h) {
-        long until = h.ranSince + h.category.deduplicationWindowMicros();
+    private boolean mayRunAgain(PendingRequest request) {
+        long until = request.executedSince + request.requestClass.deduplicationWindowMicros();
         boolean stamped =
-                h.ranAt >= 0
-                        && h.category.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                request.executedOn >= 0
+                        && request.requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
                         && now < until;
         againAt(stamped ? until : again);
-        return h.ranAt < 0 || h.category.idempotency() == Idempotency.IDEMPOTENT || stamped;
+        return request.executedOn < 0
+                || request.requestClass.idempotency() == Idempotency.IDEMPOTENT
+                || stamped;
     }
 
     boolean isCold(int t) {
         return bounds.overloadWindowMicros() > 0
-                && targets.launched[t] > 0
-                && now < targets.launched[t] + bounds.warmUpMicros();
+                && targets.startedAt[t] > 0
+                && now < targets.startedAt[t] + bounds.warmUpMicros();
     }
 
     /**
@@ -711,24 +753,24 @@
      * it. It may have more if a probe just told how little waits: what all sent was then served,
      * within its capacity.
      */
-    private boolean coldBears(PendingRequest h, int t) {
+    private boolean coldBears(PendingRequest request, int t) {
         if (!isCold(t)) {
             return true;
         }
         double queue = COLD_QUEUE * (bounds.overloadFactor() - 1) * bounds.overloadWindowMicros();
-        if (probesTell && isTold(t) && targets.crowd[t] <= queue) {
+        if (probesTell && isTold(t) && targets.queueDelayMicros[t] <= queue) {
             return true;
         }
-        againAt(targets.launched[t] + bounds.warmUpMicros());
-        if (now < startedAt + bounds.overloadWindowMicros() && targets.launched[t] < startedAt) {
+        againAt(targets.startedAt[t] + bounds.warmUpMicros());
+        if (now < startedAt + bounds.overloadWindowMicros() && targets.startedAt[t] < startedAt) {
             againAt(startedAt + bounds.overloadWindowMicros());
             return false;
         }
         double missing =
-                targets.spentAfter(t, now - bounds.overloadWindowMicros())
-                        + h.access.units()
+                targets.warmUpUnitsSince(t, now - bounds.overloadWindowMicros())
+                        + request.received.units()
                         - coldPart(t);
-        againAt(targets.firstSpent(t) + bounds.overloadWindowMicros());
+        againAt(targets.oldestWarmUpSendAt(t) + bounds.overloadWindowMicros());
         againAt(missing > 0 ? filledAt(missing, coldGrowth()) : again);
         return missing <= 0;
     }
@@ -747,50 +789,59 @@
     private double coldPart(int t) {
         double share = bounds.initialFraction();
         double warmed =
-                Math.max(0, now - bounds.overloadWindowMicros() - targets.launched[t])
+                Math.max(0, now - bounds.overloadWindowMicros() - targets.startedAt[t])
                         / (double) bounds.warmUpMicros();
         double grown = share > 0 ? (share + (1 - share) * warmed) / share : 1;
         return bounds.warmUpBudgetUnits() * grown / Math.max(1, given.initiatorCount());
     }
 
-    private boolean itsTurn(PendingRequest h) {
-        KeySequence k = turnsOf(h);
-        boolean first = k == null || k.order.first() == h;
-        againAt(k != null && first && now < k.restUntil ? k.restUntil : again);
-        return first && (k == null || now >= k.restUntil);
+    private boolean itsTurn(PendingRequest request) {
+        KeySequence sequence = turnsOf(request);
+        boolean first = sequence == null || sequence.requests.first() == request;
+        againAt(
+                sequence != null && first && now < sequence.quietUntil
+                        ? sequence.quietUntil
+                        : again);
+        return first && (sequence == null || now >= sequence.quietUntil);
     }
 
-    private KeySequence turnsOf(PendingRequest h) {
-        return h.category.keyOrdered() && h.access.extent() != null
-                ? turns.get(h.access.extent())
+    private KeySequence turnsOf(PendingRequest request) {
+        return request.requestClass.keyOrdered() && request.received.extent() != null
+                ? turns.get(request.received.extent())
                 : null;
     }
 
-    private boolean withinBudget(PendingRequest h) {
-        if (h.relays > 0 && bounds.retryWindowMicros() > 0) {
-            agenda.restsOnBudget(h.node);
+    private boolean withinBudget(PendingRequest request) {
+        if (request.attempts > 0 && bounds.retryWindowMicros() > 0) {
+            dispatchQueue.markRetryBudgetDependent(request.shardQueue);
         }
-        return h.relays == 0 || budgetLeft();
+        return request.attempts == 0 || budgetLeft();
     }
 
     private void noticeBudget() {
         if (budgetLeft() != hadBudget) {
             hadBudget = !hadBudget;
-            agenda.budgetTurned();
+            dispatchQueue.retryBudgetChanged();
         }
     }
 
     private boolean budgetLeft() {
         long since = now - bounds.retryWindowMicros();
         return bounds.retryWindowMicros() == 0
-                || further.after(since) + 1
-                        <= bounds.freeRetries() + bounds.retryShare() * taken.after(since);
+                || further.countSince(since) + 1
+                        <= bounds.freeRetries() + bounds.retryShare() * taken.countSince(since);
     }
 
-    private boolean withinLimit(PendingRequest h) {
-        double missing = h.relays > 0 || !h.hasLimit() ? 0 : h.access.units() - limitLeft(h);
+    private boolean withinLimit(PendingRequest request) {
+        double missing =
+                request.attempts > 0 || !request.hasRateLimit()
+                        ? 0
+                        : request.received.units() - limitLeft(request);
         if (missing > 0) {
-            againAt(agenda.limit(h).follows(h.access) ? filledAt(missing, h.limitRate()) : now);
+            againAt(
+                    dispatchQueue.limitBucket(request).isPlanOf(request.received)
+                            ? filledAt(missing, request.limitRate())
+                            : now);
         }
         return missing <= 0;
     }
@@ -799,32 +850,36 @@
      * A store follows the plan and hosts that are asked with: the time before is paid as those
      * were.
      */
-    private void openLimit(PendingRequest h) {
-        settle(agenda.limit(h));
-        follow(agenda.limit(h), h);
+    private void openLimit(PendingRequest request) {
+        settle(dispatchQueue.limitBucket(request));
+        follow(dispatchQueue.limitBucket(request), request);
     }
 
-    private void follow(TokenBucket s, PendingRequest h) {
-        if (h.volume.mixed || h.hasLimit() && h.reserve() > 0) {
-            agenda.upset(h.volume);
+    private void follow(TokenBucket bucket, PendingRequest request) {
+        if (request.volume.hasMixedPlans
+                || request.hasRateLimit() && request.reservationRate() > 0) {
+            dispatchQueue.invalidate(request.volume);
         }
-        s.follow(h.access);
+        bucket.usePlanOf(request.received);
     }
 
-    private double limitLeft(PendingRequest h) {
-        TokenBucket s = agenda.limit(h);
-        double whole = s.follows(h.access) ? level(s, h.limitRate(), limitDepth(h)) : settled(s);
-        return Math.min(limitDepth(h), whole);
+    private double limitLeft(PendingRequest request) {
+        TokenBucket bucket = dispatchQueue.limitBucket(request);
+        double whole =
+                bucket.isPlanOf(request.received)
+                        ? level(bucket, request.limitRate(), limitDepth(request))
+                        : settled(bucket);
+        return Math.min(limitDepth(request), whole);
     }
 
-    private void drawOnLimit(PendingRequest h) {
-        TokenBucket s = agenda.limit(h);
-        s.set(limitLeft(h) - h.access.units(), now);
-        follow(s, h);
+    private void drawOnLimit(PendingRequest request) {
+        TokenBucket bucket = dispatchQueue.limitBucket(request);
+        bucket.set(limitLeft(request) - request.received.units(), now);
+        follow(bucket, request);
     }
 
-    private static double limitDepth(PendingRequest h) {
-        return limitDepth(h.plan) / h.hosts();
+    private static double limitDepth(PendingRequest request) {
+        return limitDepth(request.plan) / request.initiatorCount();
     }
 
     private static double limitDepth(ServicePlan plan) {
@@ -832,95 +887,116 @@
     }
 
     /** What a reserve holds, for accesses of up to eight times the mean. */
-    private double reserveHolds(TokenBucket s) {
-        double rate = plans.containsKey(s.plan) ? plans.get(s.plan).reservationRate() : 0;
-        return level(s, rate, 8 * (rate + 2 * meanUnits));
+    private double reserveHolds(TokenBucket bucket) {
+        double rate = plans.containsKey(bucket.plan) ? plans.get(bucket.plan).reservationRate() : 0;
+        return level(bucket, rate, 8 * (rate + 2 * meanUnits));
     }
 
     /** What a store holds now. It is filled by time alone: to look at it changes nothing. */
-    private double level(TokenBucket s, double rate, double depth) {
-        double units = s == null ? 0 : s.units;
+    private double level(TokenBucket bucket, double rate, double depth) {
+        double units = bucket == null ? 0 : bucket.units;
         return Math.min(
-                depth, units + rate * (now - Math.max(s == null ? 0 : s.at, startedAt)) / 1e6);
+                depth,
+                units
+                        + rate
+                                * (now - Math.max(bucket == null ? 0 : bucket.updatedAt, startedAt))
+                                / 1e6);
     }
 
-    private void drawOnReserve(PendingRequest h) {
-        TokenBucket s = h.volume.reserveFor(h.access);
-        s.set(Math.max(0, level(s, h.reserve(), reserveDepth(h)) - h.access.units()), now);
-        follow(s, h);
+    private void drawOnReserve(PendingRequest request) {
+        TokenBucket bucket = request.volume.reservationBucketFor(request.received);
+        bucket.set(
+                Math.max(
+                        0,
+                        level(bucket, request.reservationRate(), reserveDepth(request))
+                                - request.received.units()),
+                now);
+        follow(bucket, request);
     }
 
     // ---- Outcomes ----
 
     private void ended(Event.AttemptEnded e) {
-        PendingRequest h = held.get(e.id());
-        if (h == null || h.outAt < 0 || h.relays - 1 != e.attemptNumber()) {
+        PendingRequest request = held.get(e.id());
+        if (request == null
+                || request.inFlightTarget < 0
+                || request.attempts - 1 != e.attemptNumber()) {
             return;
         }
-        int t = h.outAt;
-        h.outAt = -1;
-        targets.outs.get(t).remove(h);
-        giveRoom(h, t);
-        judge(t, h, e);
+        int t = request.inFlightTarget;
+        request.inFlightTarget = -1;
+        targets.inFlightRequests.get(t).remove(request);
+        giveRoom(request, t);
+        judge(t, request, e);
         watch(t);
         boolean mayStillRun = MAY_STILL_RUN.contains(e.outcome());
-        KeySequence k = turnsOf(h);
-        if (k != null && mayStillRun) {
-            k.restUntil = Math.max(k.restUntil, now + bounds.keyQuietMicros());
+        KeySequence sequence = turnsOf(request);
+        if (sequence != null && mayStillRun) {
+            sequence.quietUntil = Math.max(sequence.quietUntil, now + bounds.keyQuietMicros());
         }
-        if (h.ranAt < 0 && (mayStillRun || e.outcome() == Outcome.ERROR)) {
-            h.ranAt = t;
-            h.ranSince = h.sentAt;
+        if (request.executedOn < 0 && (mayStillRun || e.outcome() == Outcome.ERROR)) {
+            request.executedOn = t;
+            request.executedSince = request.sentAt;
         }
         double success = e.outcome() == Outcome.SUCCEEDED ? 1 : 0;
-        furtherSuccess += h.relays > 1 ? SMOOTHING * (success - furtherSuccess) : 0;
-        if (e.answered() || h.answered) {
-            leave(h);
-        } else if (worthAnother(h, t)) {
-            h.node = h.access.shard() < 0 && h.ranAt < 0 ? draw() : h.node;
-            enqueue(h);
+        furtherSuccess += request.attempts > 1 ? SMOOTHING * (success - furtherSuccess) : 0;
+        if (e.answered() || request.answered) {
+            leave(request);
+        } else if (worthAnother(request, t)) {
+            request.shardQueue =
+                    request.received.shard() < 0 && request.executedOn < 0
+                            ? draw()
+                            : request.shardQueue;
+            enqueue(request);
         } else {
-            giveUp(h);
+            giveUp(request);
         }
     }
 
-    private void giveRoom(PendingRequest h, int t) {
-        targets.out[t] -= !h.lost && h.outLife == targets.life[t] ? 1 : 0;
-        agenda.touch(nodeOf(t));
+    private void giveRoom(PendingRequest request, int t) {
+        targets.inFlight[t] -=
+                !request.presumedLost && request.inFlightIncarnation == targets.incarnation[t]
+                        ? 1
+                        : 0;
+        dispatchQueue.markForService(nodeOf(t));
     }
 
-    private void judge(int t, PendingRequest h, Event.AttemptEnded e) {
+    private void judge(int t, PendingRequest request, Event.AttemptEnded e) {
         switch (e.outcome()) {
-            case SUCCEEDED -> succeeded(t, h, e.latencyMicros());
+            case SUCCEEDED -> succeeded(t, request, e.latencyMicros());
             case ERROR -> heard(t);
             case OVERLOADED -> {
                 heard(t);
-                late(t, h, shortestAgreed);
+                late(t, request, shortestAgreed);
             }
-            case TIMED_OUT -> late(t, h, shortestAgreed);
+            case TIMED_OUT -> late(t, request, shortestAgreed);
             case NO_CONNECTION -> fallSilent(t);
         }
     }
 
-    private void succeeded(int t, PendingRequest h, long took) {
+    private void succeeded(int t, PendingRequest request, long took) {
         heard(t);
-        targets.answeredSent[t] = Math.max(targets.answeredSent[t], h.sentAt);
+        targets.newestAnsweredSentAt[t] = Math.max(targets.newestAnsweredSentAt[t], request.sentAt);
         if (now == resumedAt) {
             return;
         }
-        if (aloneLag == 0 || isTold(t) && targets.crowd[t] < aloneLag) {
+        if (aloneLag == 0 || isTold(t) && targets.queueDelayMicros[t] < aloneLag) {
             double part =
                     took < aloneLag ? SMOOTHING : SMOOTHING / 8; // slow ones had others before them
             aloneLag += (took - aloneLag) * (aloneLag == 0 ? 1 : part);
         }
-        targets.took[t] = took;
-        targets.lag[t] += (took - targets.lag[t]) * (targets.lag[t] == 0 ? 1 : SMOOTHING);
+        targets.lastLatencyMicros[t] = took;
+        targets.latencyMicros[t] +=
+                (took - targets.latencyMicros[t]) * (targets.latencyMicros[t] == 0 ? 1 : SMOOTHING);
         if (took > LATE_PART * shortestAgreed) {
-            late(t, h, took);
+            late(t, request, took);
         } else {
-            targets.rest[t] /= 2;
+            targets.backoffMicros[t] /= 2;
             lateShare -= SMOOTHING * lateShare;
-            targets.window[t] = Math.min(WINDOW_CEILING, targets.window[t] + 1 / targets.window[t]);
+            targets.concurrencyLimit[t] =
+                    Math.min(
+                            WINDOW_CEILING,
+                            targets.concurrencyLimit[t] + 1 / targets.concurrencyLimit[t]);
         }
     }
 
@@ -930,51 +1006,54 @@
      * own is out tells of a queue that others fill: the target then rests, ever longer, for what
      * does not fit. Could harm where answers are late by chance.
      */
-    private void late(int t, PendingRequest h, long took) {
-        if (h.sentAt < targets.halvedAt[t]) {
+    private void late(int t, PendingRequest request, long took) {
+        if (request.sentAt < targets.limitReducedAt[t]) {
             return;
         }
-        if (crowd && took > shortestAgreed / 2 && targets.out[t] < 2) {
-            long rest = Math.max(shortestAgreed / 2, 2 * targets.rest[t]);
-            targets.rest[t] = Math.min(LONGEST_TRIAL * shortestAgreed, rest);
-            told(t, took, targets.rest[t]);
+        if (crowd && took > shortestAgreed / 2 && targets.inFlight[t] < 2) {
+            long rest = Math.max(shortestAgreed / 2, 2 * targets.backoffMicros[t]);
+            targets.backoffMicros[t] = Math.min(LONGEST_TRIAL * shortestAgreed, rest);
+            told(t, took, targets.backoffMicros[t]);
         }
-        targets.window[t] = Math.max(1, targets.window[t] / 2);
-        targets.halvedAt[t] = now;
+        targets.concurrencyLimit[t] = Math.max(1, targets.concurrencyLimit[t] / 2);
+        targets.limitReducedAt[t] = now;
     }
 
     private void told(int t, double waits, long holds) {
-        targets.crowd[t] = waits;
-        targets.toldUntil[t] = now + holds;
-        targets.bar[t] = chance.nextDouble();
-        agenda.upset(nodeOf(t));
+        targets.queueDelayMicros[t] = waits;
+        targets.reportValidUntil[t] = now + holds;
+        targets.joinThreshold[t] = chance.nextDouble();
+        dispatchQueue.invalidate(nodeOf(t));
         lateShare += SMOOTHING * ((waits > shortestAgreed / 2 ? 1 : 0) - lateShare);
     }
 
     private void heard(int t) {
-        targets.heardAt[t] = now;
-        targets.nextTrial[t] = 0;
+        targets.lastAnswerAt[t] = now;
+        targets.nextTrialAt[t] = 0;
     }
 
     /**
      * A target that owes answers and gave none for far longer than of late gets trials, ever later.
      */
     private void watchForSilence(int t) {
-        long quiet = Math.max(now - Math.max(resumedAt, targets.heardAt[t]), shortestAgreed / 2);
-        if (targets.nextTrial[t] == 0 && targets.out[t] > 0 && quiet > patience(t)) {
+        long quiet =
+                Math.max(now - Math.max(resumedAt, targets.lastAnswerAt[t]), shortestAgreed / 2);
+        if (targets.nextTrialAt[t] == 0 && targets.inFlight[t] > 0 && quiet > patience(t)) {
             fallSilent(t);
-        } else if (targets.nextTrial[t] > 0 && now >= targets.nextTrial[t]) {
-            targets.nextTrial[t] = now + Math.min(quiet, LONGEST_TRIAL * shortestAgreed);
-            targets.mayTry[t] = !given.capabilities().canProbe();
-            agenda.touch(nodeOf(t));
-            if (!targets.mayTry[t] && targets.usable[t]) {
+        } else if (targets.nextTrialAt[t] > 0 && now >= targets.nextTrialAt[t]) {
+            targets.nextTrialAt[t] = now + Math.min(quiet, LONGEST_TRIAL * shortestAgreed);
+            targets.trialAllowed[t] = !given.capabilities().canProbe();
+            dispatchQueue.markForService(nodeOf(t));
+            if (!targets.trialAllowed[t] && targets.usable[t]) {
                 todo.add(new Action.SendProbe(targets.id[t]));
             }
         }
     }
 
     private double patience(int t) {
-        return Math.max(shortestAgreed / 2, PATIENCE * Math.max(targets.lag[t], targets.took[t]));
+        return Math.max(
+                shortestAgreed / 2,
+                PATIENCE * Math.max(targets.latencyMicros[t], targets.lastLatencyMicros[t]));
     }
 
     /**
@@ -982,17 +1061,20 @@
      * whatever vanishes one by one. Could harm where a target serves in no order; so one-shot
      * accesses are let wait.
      */
-    private void watchForLoss(PendingRequest h) {
-        int t = h.outAt;
-        boolean overtaken = t >= 0 && !h.lost && targets.answeredSent[t] > h.sentAt;
-        double size = overtaken ? Math.max(1, h.access.units() / meanUnits) : 0;
-        if (overtaken && now - Math.max(resumedAt, h.sentAt) > PATIENCE * targets.lag[t] * size) {
-            giveRoom(h, t);
-            targets.outs.get(t).remove(h);
-            h.lost = true;
+    private void watchForLoss(PendingRequest request) {
+        int t = request.inFlightTarget;
+        boolean overtaken =
+                t >= 0 && !request.presumedLost && targets.newestAnsweredSentAt[t] > request.sentAt;
+        double size = overtaken ? Math.max(1, request.received.units() / meanUnits) : 0;
+        if (overtaken
+                && now - Math.max(resumedAt, request.sentAt)
+                        > PATIENCE * targets.latencyMicros[t] * size) {
+            giveRoom(request, t);
+            targets.inFlightRequests.get(t).remove(request);
+            request.presumedLost = true;
             if (given.capabilities().canCancel()
-                    && h.category.idempotency() != Idempotency.NON_IDEMPOTENT) {
-                todo.add(new Action.CancelAttempt(h.access.id(), h.relays - 1));
+                    && request.requestClass.idempotency() != Idempotency.NON_IDEMPOTENT) {
+                todo.add(new Action.CancelAttempt(request.received.id(), request.attempts - 1));
             }
         }
     }
@@ -1002,10 +1084,10 @@
      * list says; any answer ends it. Could harm where single connections fail by chance.
      */
     private void fallSilent(int t) {
-        if (targets.nextTrial[t] == 0) {
-            targets.nextTrial[t] = now;
-            targets.mayTry[t] = false;
-            agenda.touch(nodeOf(t));
+        if (targets.nextTrialAt[t] == 0) {
+            targets.nextTrialAt[t] = now;
+            targets.trialAllowed[t] = false;
+            dispatchQueue.markForService(nodeOf(t));
         }
     }
 
@@ -1013,13 +1095,13 @@
     private void probed(Event.ProbeEnded e) {
         int t = indexOf.get(e.target());
         boolean answered = e.outcome() == Outcome.SUCCEEDED;
-        targets.mayTry[t] |= answered;
-        targets.askedAt[t] = 0;
+        targets.trialAllowed[t] |= answered;
+        targets.probeSentAt[t] = 0;
         boolean tells =
                 e.queueLength() >= 0 || answered && aloneLag > 0 && e.latencyMicros() > aloneLag;
         if (tells && !probesTell) {
             probesTell = true;
-            agenda.upsetAll(); // cold targets may now bear more
+            dispatchQueue.invalidateAll(); // cold targets may now bear more
         }
         double unanswered = isCold(t) ? shortestAgreed : 0;
         told(
@@ -1029,47 +1111,50 @@
     }
 
     /** Further relays are made as often as recent ones succeeded. */
-    private boolean worthAnother(PendingRequest h, int t) {
-        boolean inTime = now + targets.lag[t] < h.agreedAt;
-        return mayRunAgain(h)
-                && h.relays < given.capabilities().maxAttempts()
+    private boolean worthAnother(PendingRequest request, int t) {
+        boolean inTime = now + targets.latencyMicros[t] < request.objectiveAt;
+        return mayRunAgain(request)
+                && request.attempts < given.capabilities().maxAttempts()
                 && inTime
                 && chance.nextDouble() < Math.max(LEAST_FURTHER, furtherSuccess);
     }
 
     // ---- Final answers ----
 
-    private void giveUp(PendingRequest h) {
-        Idempotency kind = h.category.idempotency();
+    private void giveUp(PendingRequest request) {
+        Idempotency kind = request.requestClass.idempotency();
         boolean dropsRepeats =
                 kind == Idempotency.IDEMPOTENCY_KEY
-                        && h.category.deduplicationScope() == DeduplicationScope.ALL;
-        boolean harmless = h.ranAt < 0 || kind == Idempotency.IDEMPOTENT || dropsRepeats;
-        String id = h.access.id();
-        todo.add(harmless ? new Action.Reject(id, advice(h.node.target)) : new Action.Fail(id));
-        leave(h);
+                        && request.requestClass.deduplicationScope() == DeduplicationScope.ALL;
+        boolean harmless = request.executedOn < 0 || kind == Idempotency.IDEMPOTENT || dropsRepeats;
+        String id = request.received.id();
+        todo.add(
+                harmless
+                        ? new Action.Reject(id, advice(request.shardQueue.target))
+                        : new Action.Fail(id));
+        leave(request);
     }
 
     private long advice(int t) {
-        long trial = t < 0 ? now + shortestAgreed : targets.nextTrial[t];
-        long wait = trial > 0 ? trial - now : (long) targets.lag[t];
+        long trial = t < 0 ? now + shortestAgreed : targets.nextTrialAt[t];
+        long wait = trial > 0 ? trial - now : (long) targets.latencyMicros[t];
         Capabilities may = given.capabilities();
         return may.canSuggestRetryAfter()
                 ? Math.max(1, Math.min(may.maxRetryAfterMicros(), wait))
                 : 0;
     }
 
-    private void leave(PendingRequest h) {
-        h.answered = true;
-        agenda.unqueue(h);
-        if (h.outAt < 0) {
-            held.remove(h.access.id());
-            h.volume.held--;
-            KeySequence k = turnsOf(h);
-            if (k != null) {
-                agenda.leave(k, h);
-                if (k.order.isEmpty()) {
-                    forgetting.left(k);
+    private void leave(PendingRequest request) {
+        request.answered = true;
+        dispatchQueue.dequeue(request);
+        if (request.inFlightTarget < 0) {
+            held.remove(request.received.id());
+            request.volume.pendingCount--;
+            KeySequence sequence = turnsOf(request);
+            if (sequence != null) {
+                dispatchQueue.removeFromKey(sequence, request);
+                if (sequence.requests.isEmpty()) {
+                    forgetting.scheduleKeyCheck(sequence);
                 }
             }
         }
--- a/core/src/main/java/milletyoke/scheduler/SchedulerView.java
+++ b/core/src/main/java/milletyoke/scheduler/SchedulerView.java
@@ -69,42 +69,42 @@
                             x.zone[t],
                             x.shardOf[t],
                             x.usable[t],
-                            x.launched[t],
+                            x.startedAt[t],
                             d.isCold(t),
-                            x.out[t],
-                            x.window[t],
-                            x.lag[t],
-                            x.nextTrial[t],
-                            d.isTold(t) && x.rest[t] > 0,
+                            x.inFlight[t],
+                            x.concurrencyLimit[t],
+                            x.latencyMicros[t],
+                            x.nextTrialAt[t],
+                            d.isTold(t) && x.backoffMicros[t] > 0,
                             d.isTold(t),
-                            x.crowd[t]));
+                            x.queueDelayMicros[t]));
         }
         return all;
     }
 
     public static List<ShardView> shards(RequestScheduler d) {
-        List<ShardView> all = new ArrayList<>(d.agenda.byShard().size());
-        for (Map.Entry<Integer, ShardQueue> entry : d.agenda.byShard().entrySet()) {
-            ShardQueue n = entry.getValue();
+        List<ShardView> all = new ArrayList<>(d.dispatchQueue.byShard().size());
+        for (Map.Entry<Integer, ShardQueue> entry : d.dispatchQueue.byShard().entrySet()) {
+            ShardQueue shardQueue = entry.getValue();
             all.add(
                     new ShardView(
                             entry.getKey(),
-                            n.target < 0 ? null : d.targets.id[n.target],
-                            n.waiting,
-                            n.byExtra.size()));
+                            shardQueue.target < 0 ? null : d.targets.id[shardQueue.target],
+                            shardQueue.queuedCount,
+                            shardQueue.byExtraTag.size()));
         }
         return all;
     }
 
-    public static VolumeView volume(RequestScheduler d, String volume) {
-        VolumeState v = d.agenda.volume(volume);
-        if (v == null) {
+    public static VolumeView volume(RequestScheduler d, String name) {
+        VolumeState volume = d.dispatchQueue.volume(name);
+        if (volume == null) {
             return new VolumeView(-1, 0, 0);
         }
-        int waiting = v.waiting.stream().mapToInt(r -> r.queue.size()).sum();
+        int waiting = volume.queuedFlows.stream().mapToInt(flow -> flow.requests.size()).sum();
         return new VolumeView(
-                v.limit == null ? -1 : d.settled(v.limit),
-                v.reserve == null ? 0 : v.reserve.units,
+                volume.limitBucket == null ? -1 : d.settled(volume.limitBucket),
+                volume.reservationBucket == null ? 0 : volume.reservationBucket.units,
                 waiting);
     }
 
--- a/core/src/main/java/milletyoke/scheduler/SlidingWindowCounter.java
+++ b/core/src/main/java/milletyoke/scheduler/SlidingWindowCounter.java
@@ -7,12 +7,12 @@
     private final ArrayDeque<Long> times = new ArrayDeque<>();
 
     void add(long time, long since) {
-        after(since);
+        countSince(since);
         times.addLast(time);
     }
 
     /** How often after that time; what was before is dropped. */
-    int after(long since) {
+    int countSince(long since) {
         while (!times.isEmpty() && times.peekFirst() <= since) {
             times.removeFirst();
         }
--- a/core/src/main/java/milletyoke/scheduler/TokenBucket.java
+++ b/core/src/main/java/milletyoke/scheduler/TokenBucket.java
@@ -5,26 +5,26 @@
 /** Units that fill up at a rate, as they stood at a time. */
 final class TokenBucket {
     double units;
-    long at;
+    long updatedAt;
 
     /** Whose plan fills it, and among how many hosts; null until it is first used. */
     String plan;
 
-    double hosts;
+    double initiatorCount;
 
     /** One that starts empty. */
     TokenBucket(String plan, long at) {
         this.plan = plan;
-        this.at = at;
-        hosts = 1;
+        this.updatedAt = at;
+        initiatorCount = 1;
     }
 
     /** One host's part of what a volume not seen before has under a plan. */
     TokenBucket(TokenBucket unseen, String plan, double hosts) {
         this.plan = plan;
-        this.hosts = hosts;
+        this.initiatorCount = hosts;
         units = unseen.units / hosts;
-        at = unseen.at;
+        updatedAt = unseen.updatedAt;
     }
 
     /** One that was never used, filled by the same plan. */
@@ -34,15 +34,15 @@
 
     void set(double level, long time) {
         units = level;
-        at = time;
+        updatedAt = time;
     }
 
-    void follow(Event.RequestReceived access) {
+    void usePlanOf(Event.RequestReceived access) {
         plan = access.plan();
-        hosts = Math.max(1, access.initiatorCount());
+        initiatorCount = Math.max(1, access.initiatorCount());
     }
 
-    boolean follows(Event.RequestReceived access) {
-        return access.plan().equals(plan) && hosts == Math.max(1, access.initiatorCount());
+    boolean isPlanOf(Event.RequestReceived access) {
+        return access.plan().equals(plan) && initiatorCount == Math.max(1, access.initiatorCount());
     }
 }
--- a/core/src/main/java/milletyoke/scheduler/VolumeState.java
+++ b/core/src/main/java/milletyoke/scheduler/VolumeState.java
@@ -6,15 +6,15 @@
 /** What is kept of one volume, whichever nodes it goes to. */
 final class VolumeState extends EvictionCandidate {
     /** Accesses held, and reservations at nodes: these are found by it, so it goes after them. */
-    int held;
+    int pendingCount;
 
-    int reservations;
+    int flowCount;
     final String name;
 
     /** Its stores, null before they are first used. */
-    TokenBucket limit;
+    TokenBucket limitBucket;
 
-    TokenBucket reserve;
+    TokenBucket reservationBucket;
 
     /**
      * With which plan, and through how many hosts, it was last asked for; and whether that ever
@@ -22,26 +22,29 @@
      */
     private String plan;
 
-    private int hosts;
-    boolean mixed;
+    private int initiatorCount;
+    boolean hasMixedPlans;
 
     /** Its reservations that wait, the earlier made first. */
-    final TreeSet<FlowQueue> waiting = new TreeSet<>(FlowQueue.BY_MAKING);
+    final TreeSet<FlowQueue> queuedFlows = new TreeSet<>(FlowQueue.BY_CREATION);
 
     VolumeState(String name) {
         this.name = name;
     }
 
-    TokenBucket reserveFor(Event.RequestReceived access) {
-        if (reserve == null) {
-            reserve = new TokenBucket(access.plan(), 0);
+    TokenBucket reservationBucketFor(Event.RequestReceived access) {
+        if (reservationBucket == null) {
+            reservationBucket = new TokenBucket(access.plan(), 0);
         }
-        return reserve;
+        return reservationBucket;
     }
 
-    void asks(Event.RequestReceived access) {
-        mixed |= plan != null && (!plan.equals(access.plan()) || hosts != access.initiatorCount());
+    void recordPlan(Event.RequestReceived access) {
+        hasMixedPlans |=
+                plan != null
+                        && (!plan.equals(access.plan())
+                                || initiatorCount != access.initiatorCount());
         plan = access.plan();
-        hosts = access.initiatorCount();
+        initiatorCount = access.initiatorCount();
     }
 }
--- a/core/src/main/java/milletyoke/scheduler/WarmUpSend.java
+++ b/core/src/main/java/milletyoke/scheduler/WarmUpSend.java
@@ -1,4 +1,4 @@
 package milletyoke.scheduler;
 
 /** What a cold target was sent, and when. */
-record WarmUpSend(long at, double units) {}
+record WarmUpSend(long sentAt, double units) {}
--- a/core/src/test/java/milletyoke/scheduler/IdleStateEvictionTest.java
+++ b/core/src/test/java/milletyoke/scheduler/IdleStateEvictionTest.java
@@ -202,7 +202,7 @@
         }
 
         int kept() {
-            return decide.agenda.kept.size();
+            return decide.dispatchQueue.evictionCandidates.size();
         }
     }
 
@@ -217,14 +217,14 @@
         assertEquals(30, service.relays, "the store was full");
         service.pass(12 * MINUTE);
         assertTrue(
-                service.decide.agenda.volume("v0") != null,
+                service.decide.dispatchQueue.volume("v0") != null,
                 "its store is far from full: 72 units of 300");
         service.access("v0", 1, "capped", null, 72);
         service.access("v0", 1, "capped", null, 10);
         service.answer();
         assertEquals(31, service.relays, "returning, it has what it would have had");
         service.pass(120 * MINUTE);
-        assertEquals(null, service.decide.agenda.volume("v0"));
+        assertEquals(null, service.decide.dispatchQueue.volume("v0"));
         assertEquals(0, service.kept());
     }
 
@@ -239,7 +239,7 @@
         service.access("v0", 1, "capped", null, 20);
         service.answer();
         service.pass(30 * MINUTE);
-        assertEquals(null, service.decide.agenda.volume("v0"));
+        assertEquals(null, service.decide.dispatchQueue.volume("v0"));
         service.plan(new ServicePlan("capped", 0, 1, 10, 500, 0));
         service.now += 10_000_000; // 20 units then, 100 more since
         service.access("v0", 1, "capped", null, 121);
@@ -272,19 +272,23 @@
             }
             service.answer();
             service.answer();
-            ShardQueue node = service.decide.agenda.node(0);
-            node.reservations.forEach(
-                    (v, r) ->
+            ShardQueue shardQueue = service.decide.dispatchQueue.shardQueue(0);
+            shardQueue.flows.forEach(
+                    (volume, flow) ->
                             before.put(
-                                    v.name,
-                                    new double[] {Math.max(node.virtualTime, r.finish), r.extra}));
+                                    volume.name,
+                                    new double[] {
+                                        Math.max(shardQueue.virtualTime, flow.finishTag),
+                                        flow.extraTag
+                                    }));
             joined |= before.values().stream().anyMatch(tags -> tags[1] > 0);
             service.pass(25 * MINUTE);
-            forgotten += node.reservations.isEmpty() ? before.size() : 0;
+            forgotten += shardQueue.flows.isEmpty() ? before.size() : 0;
             for (String v : before.keySet()) {
                 service.access(v, 0, "free", null, 1);
-                FlowQueue r = node.reservations.get(service.decide.agenda.volume(v));
-                assertTrue(r.finish >= before.get(v)[0] && r.extra >= before.get(v)[1], v);
+                FlowQueue flow = shardQueue.flows.get(service.decide.dispatchQueue.volume(v));
+                assertTrue(
+                        flow.finishTag >= before.get(v)[0] && flow.extraTag >= before.get(v)[1], v);
             }
         }
         assertTrue(joined && forgotten > 1_000, forgotten + " forgotten");
@@ -304,15 +308,15 @@
                         new HashMap<>(),
                         new HashMap<>(),
                         List.of(),
-                        s -> 0,
-                        s -> 0);
-        ShardQueue node = agenda.node(0);
+                        bucket -> 0,
+                        bucket -> 0);
+        ShardQueue shardQueue = agenda.shardQueue(0);
         Event.RequestReceived access =
                 new Event.RequestReceived("a", 0, null, "ahead", 1_000, "free", "read", 1, 1);
         VolumeState ahead = agenda.volume(access, 0);
-        FlowQueue tags = agenda.reservation(node, ahead, 0);
-        tags.finish = 100;
-        ahead.held--;
+        FlowQueue tags = agenda.flow(shardQueue, ahead, 0);
+        tags.finishTag = 100;
+        ahead.pendingCount--;
         RequestClass read =
                 new RequestClass(
                         "read",
@@ -325,21 +329,21 @@
         Event.RequestReceived other =
                 new Event.RequestReceived("b", 0, null, "waits", 1_000, "free", "read", 1, 1);
         PendingRequest waits = new PendingRequest(other, 0, read, agenda.volume(other, 0), null);
-        waits.node = node;
-        agenda.queue(waits, agenda.reservation(node, waits.volume, 0));
-        for (long now = 0; now < 5 * IdleStateEviction.AFTER; now += MINUTE) {
-            forgetting.turn(now, 1);
+        waits.shardQueue = shardQueue;
+        agenda.enqueue(waits, agenda.flow(shardQueue, waits.volume, 0));
+        for (long now = 0; now < 5 * IdleStateEviction.IDLE_MICROS; now += MINUTE) {
+            forgetting.evictIdle(now, 1);
             assertEquals(ahead, agenda.volume("ahead"));
-            assertEquals(tags, node.reservations.get(agenda.volume("ahead")));
+            assertEquals(tags, shardQueue.flows.get(agenda.volume("ahead")));
         }
-        agenda.unqueue(waits);
-        for (long now = 5 * IdleStateEviction.AFTER;
-                now < 8 * IdleStateEviction.AFTER;
+        agenda.dequeue(waits);
+        for (long now = 5 * IdleStateEviction.IDLE_MICROS;
+                now < 8 * IdleStateEviction.IDLE_MICROS;
                 now += MINUTE) {
-            forgetting.turn(now, 1);
+            forgetting.evictIdle(now, 1);
         }
         assertEquals(null, agenda.volume("ahead"), "nobody waits any more");
-        assertTrue(node.virtualTime >= 100);
+        assertTrue(shardQueue.virtualTime >= 100);
     }
 
     /**
@@ -356,22 +360,22 @@
                         new HashMap<>(),
                         turns,
                         List.of(),
-                        s -> 0,
-                        s -> 0);
+                        bucket -> 0,
+                        bucket -> 0);
         KeySequence stuck = new KeySequence("stuck");
         turns.put("stuck", stuck);
-        stuck.restUntil = 10;
-        forgetting.left(stuck);
+        stuck.quietUntil = 10;
+        forgetting.scheduleKeyCheck(stuck);
         for (int k = 0; k < 50; k++) {
             KeySequence key = new KeySequence("k" + k);
-            key.restUntil = 20 + k;
-            turns.put(key.extent, key);
-            forgetting.left(key);
+            key.quietUntil = 20 + k;
+            turns.put(key.key, key);
+            forgetting.scheduleKeyCheck(key);
         }
-        stuck.restUntil = 1_000_000;
-        forgetting.turn(100, 0);
+        stuck.quietUntil = 1_000_000;
+        forgetting.evictIdle(100, 0);
         assertEquals(1, turns.size(), "those whose rest is over are gone");
-        forgetting.turn(1_000_000, 0);
+        forgetting.evictIdle(1_000_000, 0);
         assertEquals(0, turns.size());
     }
 
@@ -435,8 +439,8 @@
         }
         assertTrue(service.decide.targets.count < 8, service.decide.targets.count + " places");
         assertTrue(
-                service.decide.agenda.nodes().size() < 8,
-                service.decide.agenda.nodes().size() + " nodes");
+                service.decide.dispatchQueue.shardQueues().size() < 8,
+                service.decide.dispatchQueue.shardQueues().size() + " nodes");
         assertEquals(40, service.relays);
     }
 
@@ -499,7 +503,7 @@
             }
             most = Math.max(most, service.kept());
             mostTargets = Math.max(mostTargets, service.decide.targets.count);
-            mostNodes = Math.max(mostNodes, service.decide.agenda.nodes().size());
+            mostNodes = Math.max(mostNodes, service.decide.dispatchQueue.shardQueues().size());
             if (v % Math.max(1, volumes / 10) == volumes / 20) {
                 System.gc();
                 heaps.add(
--- a/core/src/test/java/milletyoke/scheduler/IndexedTimerQueueTest.java
+++ b/core/src/test/java/milletyoke/scheduler/IndexedTimerQueueTest.java
@@ -24,7 +24,7 @@
                                 .filter(e -> e.getValue() <= now)
                                 .mapToInt(Map.Entry::getKey)
                                 .toArray();
-                assertArrayEquals(expected, table.due(now));
+                assertArrayEquals(expected, table.removeDue(now));
                 plain.values().removeIf(at -> at <= now);
             } else if (chance.nextInt(4) == 0) {
                 table.set(index, IndexedTimerQueue.NEVER);
@@ -37,7 +37,7 @@
             assertEquals(
                     plain.values().stream().mapToLong(x -> x).min().orElse(IndexedTimerQueue.NEVER),
                     table.first());
-            assertEquals(plain.getOrDefault(index, IndexedTimerQueue.NEVER), table.of(index));
+            assertEquals(plain.getOrDefault(index, IndexedTimerQueue.NEVER), table.get(index));
         }
     }
 
@@ -53,11 +53,11 @@
         boolean lowered = false;
         for (long now = 0; now < 100_000_000L; now += chance.nextInt(40_000)) {
             figure *= 0.97 + 0.06 * chance.nextDouble();
-            double before = ceiling.most;
-            boolean told = ceiling.outgrownBy(figure, now);
-            assertTrue(ceiling.most >= figure);
-            assertTrue(told || ceiling.most <= before, "raised and not told");
-            lowered |= ceiling.most < before;
+            double before = ceiling.bound;
+            boolean told = ceiling.raiseFor(figure, now);
+            assertTrue(ceiling.bound >= figure);
+            assertTrue(told || ceiling.bound <= before, "raised and not told");
+            lowered |= ceiling.bound < before;
         }
         assertTrue(lowered);
     }
