--- /dev/null
+++ b/core/src/main/java/milletyoke/scheduler/CompletionPolicy.java
@@ -0,0 +1,60 @@
+package milletyoke.scheduler;
+
+import milletyoke.scheduler.api.Action;
+import milletyoke.scheduler.api.SchedulerSettings.Capabilities;
+import milletyoke.scheduler.api.SchedulerSettings.DeduplicationScope;
+import milletyoke.scheduler.api.SchedulerSettings.Idempotency;
+
+/**
+ * The final answer of a request that is given up: rejected, so that the client may safely repeat
+ * it, or failed with its outcome unknown.
+ */
+final class CompletionPolicy {
+    private final TargetTable targets;
+    private final PendingRequests pendingRequests;
+    private final ActiveSettings settings;
+    private final Turn turn;
+
+    CompletionPolicy(
+            TargetTable targets,
+            PendingRequests pendingRequests,
+            ActiveSettings settings,
+            Turn turn) {
+        this.targets = targets;
+        this.pendingRequests = pendingRequests;
+        this.settings = settings;
+        this.turn = turn;
+    }
+
+    void rejectOrFail(PendingRequest request) {
+        String id = request.received.id();
+        turn.add(
+                isSafeToRepeat(request)
+                        ? new Action.Reject(id, retryAfterMicros(request.shardQueue.target))
+                        : new Action.Fail(id));
+        pendingRequests.complete(request);
+    }
+
+    private static boolean isSafeToRepeat(PendingRequest request) {
+        Idempotency idempotency = request.requestClass.idempotency();
+        boolean isDeduplicatedEverywhere =
+                idempotency == Idempotency.IDEMPOTENCY_KEY
+                        && request.requestClass.deduplicationScope() == DeduplicationScope.ALL;
+        return request.executedOn < 0
+                || idempotency == Idempotency.IDEMPOTENT
+                || isDeduplicatedEverywhere;
+    }
+
+    private long retryAfterMicros(int target) {
+        Capabilities capabilities = settings.capabilities();
+        if (!capabilities.canSuggestRetryAfter()) {
+            return 0;
+        }
+        long now = turn.now();
+        long nextTrialAt =
+                target < 0 ? now + settings.shortestObjectiveMicros() : targets.nextTrialAt[target];
+        long waitMicros =
+                nextTrialAt > 0 ? nextTrialAt - now : (long) targets.latencyMicros[target];
+        return Math.max(1, Math.min(capabilities.maxRetryAfterMicros(), waitMicros));
+    }
+}
--- a/core/src/main/java/milletyoke/scheduler/DispatchQueue.java
+++ b/core/src/main/java/milletyoke/scheduler/DispatchQueue.java
@@ -172,6 +172,15 @@
         List.copyOf(volume.queuedFlows).forEach(this::invalidate);
     }
 
+    /** A bucket follows the plan of this request; what was found of its volume may be outdated. */
+    void usePlan(TokenBucket bucket, PendingRequest request) {
+        if (request.volume.hasMixedPlans
+                || request.hasRateLimit() && request.reservationRate() > 0) {
+            invalidate(request.volume);
+        }
+        bucket.usePlanOf(request.received);
+    }
+
     void invalidateAll() {
         shardQueues.values().forEach(this::invalidate);
     }
--- /dev/null
+++ b/core/src/main/java/milletyoke/scheduler/KeyOrdering.java
@@ -0,0 +1,82 @@
+package milletyoke.scheduler;
+
+import java.util.Map;
+
+/**
+ * Requests of one key run one after another, in the order of their admission, with a quiet time
+ * after an attempt that may still be executing.
+ */
+final class KeyOrdering {
+    private final Map<String, KeySequence> sequences;
+    private final DispatchQueue dispatchQueue;
+    private final IdleStateEviction eviction;
+    private final ActiveSettings settings;
+    private final Turn turn;
+
+    KeyOrdering(
+            Map<String, KeySequence> sequences,
+            DispatchQueue dispatchQueue,
+            IdleStateEviction eviction,
+            ActiveSettings settings,
+            Turn turn) {
+        this.sequences = sequences;
+        this.dispatchQueue = dispatchQueue;
+        this.eviction = eviction;
+        this.settings = settings;
+        this.turn = turn;
+    }
+
+    /** A request is admitted: it comes last in the sequence of its key, if its class is ordered. */
+    void admit(PendingRequest request) {
+        if (isOrdered(request)) {
+            sequences
+                    .computeIfAbsent(request.received.extent(), KeySequence::new)
+                    .requests
+                    .add(request);
+        }
+    }
+
+    /** Whether a request is the next one of its key and the key's quiet time is over. */
+    boolean isNextForKey(PendingRequest request) {
+        KeySequence sequence = sequenceOf(request);
+        if (sequence == null) {
+            return true;
+        }
+        if (sequence.requests.first() != request) {
+            return false;
+        }
+        boolean isQuiet = turn.now() < sequence.quietUntil;
+        if (isQuiet) {
+            turn.recheckBy(sequence.quietUntil);
+        }
+        return !isQuiet;
+    }
+
+    /** An attempt of a request ended that may still be executing. */
+    void startQuietTime(PendingRequest request) {
+        KeySequence sequence = sequenceOf(request);
+        if (sequence != null) {
+            long until = turn.now() + settings.limits().keyQuietMicros();
+            sequence.quietUntil = Math.max(sequence.quietUntil, until);
+        }
+    }
+
+    /** A request leaves; the next one of its key may run. */
+    void remove(PendingRequest request) {
+        KeySequence sequence = sequenceOf(request);
+        if (sequence != null) {
+            dispatchQueue.removeFromKey(sequence, request);
+            if (sequence.requests.isEmpty()) {
+                eviction.scheduleKeyCheck(sequence);
+            }
+        }
+    }
+
+    private KeySequence sequenceOf(PendingRequest request) {
+        return isOrdered(request) ? sequences.get(request.received.extent()) : null;
+    }
+
+    private static boolean isOrdered(PendingRequest request) {
+        return request.requestClass.keyOrdered() && request.received.extent() != null;
+    }
+}
--- /dev/null
+++ b/core/src/main/java/milletyoke/scheduler/PlacementPolicy.java
@@ -0,0 +1,83 @@
+package milletyoke.scheduler;
+
+import java.util.SplittableRandom;
+
+/**
+ * The shard of a new object: a weighted random choice, by the room that each shard's target is
+ * thought to have.
+ */
+final class PlacementPolicy {
+    private final TargetTable targets;
+    private final DispatchQueue dispatchQueue;
+    private final ActiveSettings settings;
+    private final LoadEstimates estimates;
+    private final SlowStart slowStart;
+    private final LoadReports loadReports;
+    private final SchedulerTuning tuning;
+
+    PlacementPolicy(
+            TargetTable targets,
+            DispatchQueue dispatchQueue,
+            ActiveSettings settings,
+            LoadEstimates estimates,
+            SlowStart slowStart,
+            LoadReports loadReports,
+            SchedulerTuning tuning) {
+        this.targets = targets;
+        this.dispatchQueue = dispatchQueue;
+        this.settings = settings;
+        this.estimates = estimates;
+        this.slowStart = slowStart;
+        this.loadReports = loadReports;
+        this.tuning = tuning;
+    }
+
+    /** The shard that a request without one goes to. */
+    ShardQueue chooseShard() {
+        ShardQueue chosen = chooseByRejection();
+        return chosen != null ? chosen : chooseByWeight();
+    }
+
+    /** The same odds without weighing all shards; null where every draw was rejected. */
+    private ShardQueue chooseByRejection() {
+        SplittableRandom random = settings.random();
+        int draws = tuning.placementDraws();
+        for (int i = 0; dispatchQueue.slotCount() > draws && i < draws; i++) {
+            ShardQueue shardQueue = dispatchQueue.randomShard(random);
+            if (shardQueue != null
+                    && random.nextDouble() * tuning.maxConcurrencyLimit() < room(shardQueue)) {
+                return shardQueue;
+            }
+        }
+        return null;
+    }
+
+    private ShardQueue chooseByWeight() {
+        double left =
+                settings.random().nextDouble()
+                        * dispatchQueue.shardQueues().stream().mapToDouble(this::room).sum();
+        ShardQueue chosen = null;
+        for (ShardQueue shardQueue : dispatchQueue.shardQueues()) {
+            double room = room(shardQueue);
+            if (chosen == null || left > 0 && room > 0) {
+                chosen = shardQueue;
+            }
+            left -= room;
+        }
+        return chosen == null ? dispatchQueue.shardQueue(0) : chosen;
+    }
+
+    private double room(ShardQueue shardQueue) {
+        int target = shardQueue.target;
+        if (target < 0 || targets.nextTrialAt[target] > 0 || slowStart.isWarmingUp(target)) {
+            return 0;
+        }
+        double queuedByOthers =
+                loadReports.hasReport(target)
+                        ? targets.queueDelayMicros[target]
+                                / Math.max(1, estimates.unloadedLatencyMicros())
+                        : 0;
+        return targets.concurrencyLimit[target]
+                / (1 + targets.inFlight[target] + shardQueue.queuedCount + queuedByOthers);
+    }
+}
--- /dev/null
+++ b/core/src/main/java/milletyoke/scheduler/RequestAdmitter.java
@@ -0,0 +1,89 @@
+package milletyoke.scheduler;
+
+import java.util.HashMap;
+import java.util.Map;
+import milletyoke.scheduler.api.Event;
+import milletyoke.scheduler.api.SchedulerSettings.RequestClass;
+
+/** Admits requests: their deadline, their latency objective, and their place in the queues. */
+final class RequestAdmitter {
+    private final DispatchQueue dispatchQueue;
+    private final ActiveSettings settings;
+    private final Turn turn;
+    private final LoadEstimates estimates;
+    private final PendingRequests pendingRequests;
+    private final RetryBudget retryBudget;
+    private final RateLimits rateLimits;
+    private final KeyOrdering keyOrdering;
+    private final PlacementPolicy placement;
+    private final FairQueue fairQueue;
+    private final SchedulerTuning tuning;
+
+    /** The longest time to live seen in each request class, which shows what a repeat has used. */
+    private final Map<String, Long> longestTimeLeftMicros = new HashMap<>();
+
+    RequestAdmitter(
+            DispatchQueue dispatchQueue,
+            ActiveSettings settings,
+            Turn turn,
+            LoadEstimates estimates,
+            PendingRequests pendingRequests,
+            RetryBudget retryBudget,
+            RateLimits rateLimits,
+            KeyOrdering keyOrdering,
+            PlacementPolicy placement,
+            FairQueue fairQueue,
+            SchedulerTuning tuning) {
+        this.dispatchQueue = dispatchQueue;
+        this.settings = settings;
+        this.turn = turn;
+        this.estimates = estimates;
+        this.pendingRequests = pendingRequests;
+        this.retryBudget = retryBudget;
+        this.rateLimits = rateLimits;
+        this.keyOrdering = keyOrdering;
+        this.placement = placement;
+        this.fairQueue = fairQueue;
+        this.tuning = tuning;
+    }
+
+    void admit(Event.RequestReceived received) {
+        PendingRequest request =
+                new PendingRequest(
+                        received,
+                        pendingRequests.nextAdmissionNumber(),
+                        settings.requestClass(received.requestClass()),
+                        dispatchQueue.volume(received, turn.now()),
+                        settings.plan(received.plan()));
+        setTimes(request);
+        pendingRequests.add(request);
+        retryBudget.recordAdmission();
+        rateLimits.open(request);
+        estimates.recordUnits(received.units());
+        keyOrdering.admit(request);
+        request.shardQueue =
+                received.shard() < 0
+                        ? placement.chooseShard()
+                        : dispatchQueue.shardQueue(received.shard());
+        fairQueue.enqueue(request);
+    }
+
+    /**
+     * A client that repeats a request leaves it less time: the objective counts from its first try.
+     * One whose time is shorter than the objective is taken for a new one, as a repeat that late
+     * could hardly be answered in time.
+     */
+    private void setTimes(PendingRequest request) {
+        RequestClass requestClass = request.requestClass;
+        long now = turn.now();
+        long timeLeft = request.received.timeLeftMicros();
+        long objective = requestClass.latencyObjectiveMicros();
+        long longest = longestTimeLeftMicros.merge(requestClass.name(), timeLeft, Math::max);
+        request.deadlineAt = now + timeLeft;
+        request.firstReceivedAt = timeLeft < objective ? now : now - (longest - timeLeft);
+        request.objectiveAt =
+                Math.min(
+                        request.firstReceivedAt + objective,
+                        request.deadlineAt - tuning.answerLeadMicros());
+    }
+}
--- a/core/src/main/java/milletyoke/scheduler/SchedulerView.java
+++ b/core/src/main/java/milletyoke/scheduler/SchedulerView.java
@@ -70,13 +70,13 @@
                             x.shardOf[t],
                             x.usable[t],
                             x.startedAt[t],
-                            d.isCold(t),
+                            d.slowStart.isWarmingUp(t),
                             x.inFlight[t],
                             x.concurrencyLimit[t],
                             x.latencyMicros[t],
                             x.nextTrialAt[t],
-                            d.isTold(t) && x.backoffMicros[t] > 0,
-                            d.isTold(t),
+                            d.loadReports.hasReport(t) && x.backoffMicros[t] > 0,
+                            d.loadReports.hasReport(t),
                             x.queueDelayMicros[t]));
         }
         return all;
@@ -103,18 +103,18 @@
         }
         int waiting = volume.queuedFlows.stream().mapToInt(flow -> flow.requests.size()).sum();
         return new VolumeView(
-                volume.limitBucket == null ? -1 : d.settled(volume.limitBucket),
+                volume.limitBucket == null ? -1 : d.rateLimits.units(volume.limitBucket),
                 volume.reservationBucket == null ? 0 : volume.reservationBucket.units,
                 waiting);
     }
 
     /** The part of answers, of late, that told of long queues. */
     public static double lateShare(RequestScheduler d) {
-        return d.lateShare;
+        return d.loadReports.lateShare();
     }
 
     /** The part of further relays, of late, that succeeded. */
     public static double retrySuccessShare(RequestScheduler d) {
-        return d.furtherSuccess;
+        return d.retryPolicy.retrySuccessShare();
     }
 }
--- /dev/null
+++ b/core/src/main/java/milletyoke/scheduler/ShardDispatcher.java
@@ -0,0 +1,113 @@
+package milletyoke.scheduler;
+
+import java.util.List;
+
+/** Serves the shards where something may have changed, and sets when to serve them next. */
+final class ShardDispatcher {
+    private final TargetTable targets;
+    private final DispatchQueue dispatchQueue;
+    private final ActiveSettings settings;
+    private final Turn turn;
+    private final LoadEstimates estimates;
+    private final LoadReports loadReports;
+    private final SlowStart slowStart;
+    private final ConcurrencyLimiter limiter;
+    private final FairQueue fairQueue;
+    private final AttemptSender sender;
+    private final CompletionPolicy completionPolicy;
+
+    ShardDispatcher(
+            TargetTable targets,
+            DispatchQueue dispatchQueue,
+            ActiveSettings settings,
+            Turn turn,
+            LoadEstimates estimates,
+            LoadReports loadReports,
+            SlowStart slowStart,
+            ConcurrencyLimiter limiter,
+            FairQueue fairQueue,
+            AttemptSender sender,
+            CompletionPolicy completionPolicy) {
+        this.targets = targets;
+        this.dispatchQueue = dispatchQueue;
+        this.settings = settings;
+        this.turn = turn;
+        this.estimates = estimates;
+        this.loadReports = loadReports;
+        this.slowStart = slowStart;
+        this.limiter = limiter;
+        this.fairQueue = fairQueue;
+        this.sender = sender;
+        this.completionPolicy = completionPolicy;
+    }
+
+    /** Serves all shards that were marked or are due. */
+    void serveAll() {
+        ShardQueue shardQueue = dispatchQueue.next(null);
+        while (shardQueue != null) {
+            serve(shardQueue);
+            shardQueue = dispatchQueue.next(shardQueue);
+        }
+    }
+
+    /**
+     * A request that can no longer be answered within its objective takes what slots are left,
+     * unless others need them (many initiators, a rate limit), or gets its final answer at once.
+     * Guards against a backlog of any cause that would make all later requests late too. Could harm
+     * where the latency is estimated too high.
+     */
+    private void serve(ShardQueue shardQueue) {
+        int target = shardQueue.target;
+        boolean awaitsProbe = loadReports.mustAwaitProbe(target);
+        double expectedMicros = loadReports.expectedLatencyMicros(target);
+        List<PendingRequest> late = shardQueue.requestsDueBefore(turn.now() + expectedMicros);
+        late.forEach(dispatchQueue::dequeue);
+        boolean mayHaveMore = !awaitsProbe;
+        while (mayHaveMore) {
+            mayHaveMore = fairQueue.sendBatch(shardQueue);
+        }
+        for (PendingRequest request : late) {
+            if (!sendLate(request, shardQueue, awaitsProbe)) {
+                completionPolicy.rejectOrFail(request);
+            }
+        }
+        scheduleNextService(shardQueue, awaitsProbe);
+    }
+
+    private boolean sendLate(PendingRequest request, ShardQueue shardQueue, boolean awaitsProbe) {
+        int target = shardQueue.target;
+        return !awaitsProbe
+                && limiter.availableSlots(shardQueue) > 0
+                && loadReports.canJoin(request, target)
+                && mayUseSpareSlot(request)
+                && sender.trySend(request, target);
+    }
+
+    private boolean mayUseSpareSlot(PendingRequest request) {
+        boolean isBesideLimit = request.attempts > 0 || !request.hasRateLimit();
+        return turn.now() <= request.objectiveAt || !settings.hasManyInitiators() && isBesideLimit;
+    }
+
+    /** When time alone may change what was just done: lateness, the end of a warm-up, parking. */
+    private void scheduleNextService(ShardQueue shardQueue, boolean awaitsProbe) {
+        turn.resetRecheck();
+        int target = shardQueue.target;
+        double expectedMicros =
+                loadReports.expectedLatencyMicros(target)
+                        + estimates.unloadedLatencyBound()
+                        - estimates.unloadedLatencyMicros();
+        if (target >= 0 && slowStart.isWarmingUp(target)) {
+            turn.recheckBy(slowStart.warmUpEndsAt(target));
+        }
+        if (!awaitsProbe
+                && !shardQueue.parked.isEmpty()
+                && limiter.availableSlots(shardQueue) > 0) {
+            turn.recheckBy(shardQueue.parked.first().parkedUntil);
+        }
+        if (!shardQueue.byObjective.isEmpty()) {
+            long objectiveAt = shardQueue.byObjective.first().objectiveAt;
+            turn.recheckBy((long) (objectiveAt - expectedMicros));
+        }
+        dispatchQueue.serveAt(shardQueue, turn.recheckAt());
+    }
+}
--- a/core/src/main/java/milletyoke/scheduler/TokenBucket.java
+++ b/core/src/main/java/milletyoke/scheduler/TokenBucket.java
@@ -4,6 +4,11 @@
 
 /** Units that fill up at a rate, as they stood at a time. */
 final class TokenBucket {
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    /** Longer times count as this one, which keeps sums of times in range. */
+    private static final double LONGEST_FILL_MICROS = 1e15;
+
     double units;
     long updatedAt;
 
@@ -45,4 +50,26 @@
     boolean isPlanOf(Event.RequestReceived access) {
         return access.plan().equals(plan) && initiatorCount == Math.max(1, access.initiatorCount());
     }
+
+    /**
+     * What a bucket contains at {@code now}, microseconds. It is filled by time alone, from the
+     * start of this scheduler at the earliest; reading it changes nothing.
+     *
+     * @param bucket null for one that was never used
+     * @param rate units a second
+     * @param depth most units it can contain
+     */
+    static double unitsAt(long now, TokenBucket bucket, long startedAt, double rate, double depth) {
+        double units = bucket == null ? 0 : bucket.units;
+        long filledSince = Math.max(bucket == null ? 0 : bucket.updatedAt, startedAt);
+        return Math.min(depth, units + rate * (now - filledSince) / MICROS_PER_SECOND);
+    }
+
+    /** When units that are missing now will be there at the earliest, microseconds. */
+    static long filledAt(double missing, double rate, long now) {
+        if (rate <= 0) {
+            return IndexedTimerQueue.NEVER;
+        }
+        return now + (long) Math.min(missing / rate * MICROS_PER_SECOND, LONGEST_FILL_MICROS) - 1;
+    }
 }
