--- a/core/src/main/java/milletyoke/scheduler/ConcurrencyLimiter.java
+++ b/core/src/main/java/milletyoke/scheduler/ConcurrencyLimiter.java
@@ -67,7 +67,7 @@
             long next = Math.max(objectiveMicros / 2, 2 * targets.backoffMicros[target]);
             long longest = tuning.maxBackoffObjectives() * objectiveMicros;
             targets.backoffMicros[target] = Math.min(longest, next);
-            loadReports.record(target, latencyMicros, targets.backoffMicros[target]);
+            loadReports.record(target, (double) latencyMicros, targets.backoffMicros[target]);
         }
         targets.concurrencyLimit[target] = Math.max(1, targets.concurrencyLimit[target] / 2);
         targets.limitReducedAt[target] = turn.now();
--- a/core/src/main/java/milletyoke/scheduler/DispatchQueue.java
+++ b/core/src/main/java/milletyoke/scheduler/DispatchQueue.java
@@ -14,26 +14,26 @@
 import milletyoke.scheduler.api.Event;
 
 /**
- * The nodes, and which of them are to be served in this turn: those where something happened, and
- * those whose time has come. What need not be served costs nothing. Decides nothing: a node that is
- * served for no reason does nothing.
+ * The shards, and which of them are to be served in this turn: those where something happened and
+ * those that are due. A shard that need not be served costs nothing. Decides nothing: a shard that
+ * is served for no reason does nothing.
  */
 final class DispatchQueue {
     private final Map<Integer, ShardQueue> shardQueues = new LinkedHashMap<>();
     private final Map<String, VolumeState> volumes = new LinkedHashMap<>();
 
     /**
-     * A limit's store of each plan, as it is for a volume that was not seen or was forgotten, were
-     * there one host.
+     * Each plan's rate-limit bucket as of a volume that was not seen or was evicted, for one
+     * initiator.
      */
     private final Map<String, TokenBucket> defaultLimitBuckets = new LinkedHashMap<>();
 
-    /** Nodes by slot, null where one was forgotten; and the slots that are free. */
+    /** Shard queues by slot, null where one was evicted; below, the free slots. */
     private final List<ShardQueue> slots = new ArrayList<>();
 
     private final ArrayDeque<Integer> freeSlots = new ArrayDeque<>();
 
-    /** Volumes and reservations, those that were longest not looked at first. */
+    /** Volumes and flows, the one checked longest ago first. */
     final ArrayDeque<EvictionCandidate> evictionCandidates = new ArrayDeque<>();
 
     private int nextShardQueueNumber;
@@ -44,22 +44,20 @@
     private long nextFlowNumber;
     private long nextEnqueueNumber;
 
-    /** Accesses that wait, at all nodes. */
+    /** Requests queued, at all shards. */
     int queuedCount;
 
-    /** All, in the order of making. */
+    /** All shards, in the order of creation. */
     Collection<ShardQueue> shardQueues() {
         return shardQueues.values();
     }
 
-    /** Slots that a lot is drawn over. */
+    /** The number of slots that {@link #randomShard} draws from. */
     int slotCount() {
         return slots.size();
     }
 
-    /**
-     * One node, all with equal odds; null where the lot fell on a slot whose node was forgotten.
-     */
+    /** A shard, all with equal odds; null where the slot drawn is free. */
     ShardQueue randomShard(SplittableRandom chance) {
         return slots.get(chance.nextInt(slots.size()));
     }
@@ -91,7 +89,7 @@
         freeSlots.add(shardQueue.slot);
     }
 
-    /** The stores of all limits, those that stand for volumes not seen among them. */
+    /** The buckets of all rate limits, with those that stand for volumes not seen. */
     List<TokenBucket> limitBuckets() {
         List<TokenBucket> all = new ArrayList<>(defaultLimitBuckets.values());
         for (VolumeState volume : volumes.values()) {
@@ -102,12 +100,14 @@
         return all;
     }
 
-    /** A plan is known from now on, at the latest: what it limits starts empty. */
+    /** A plan is known from now on, at the latest: the bucket of its rate limit starts empty. */
     void addPlan(String plan, long now) {
         defaultLimitBuckets.computeIfAbsent(plan, p -> new TokenBucket(p, now));
     }
 
-    /** The store of a volume's limit; one as for a volume not seen before where there is none. */
+    /**
+     * The bucket of a volume's rate limit; one as for a volume not seen before where there is none.
+     */
     TokenBucket limitBucket(PendingRequest request) {
         VolumeState volume = request.volume;
         if (volume.limitBucket == null) {
@@ -120,17 +120,17 @@
         return volume.limitBucket;
     }
 
-    /** A store as it would be opened now for the same plan, and among as many hosts. */
+    /** A bucket as it would be made now for the same plan and number of initiators. */
     TokenBucket newLimitBucketLike(TokenBucket like) {
         return new TokenBucket(defaultLimitBuckets.get(like.plan), like.plan, like.initiatorCount);
     }
 
-    /** What is kept of a volume, null where nothing is. */
+    /** The state of a volume, null where none is kept. */
     VolumeState volume(String name) {
         return volumes.get(name);
     }
 
-    /** The volume of an access that is taken now; a new one where it is not known. */
+    /** The volume of a request that is admitted now; a new one where it is not known. */
     VolumeState volume(Event.RequestReceived access, long now) {
         VolumeState known = volumes.get(access.volume());
         if (known == null) {
@@ -149,20 +149,21 @@
         volumes.remove(volume.name);
     }
 
-    /** Something changed that may let accesses leave here. */
+    /** Something changed that may let requests leave this shard. */
     void markForService(ShardQueue shardQueue) {
         toServe.add(shardQueue);
     }
 
     /**
-     * The same, for more than room: what was found of any access that waits here may be otherwise.
+     * The same, for more than free slots: what was found of any request queued here may be
+     * outdated.
      */
     void invalidate(ShardQueue shardQueue) {
         shardQueue.mustRecheckAll = true;
         toServe.add(shardQueue);
     }
 
-    /** The same, for the accesses of one volume here. */
+    /** The same, for the requests of one volume at one shard. */
     void invalidate(FlowQueue flow) {
         flow.shardQueue.unpark(flow);
         toServe.add(flow.shardQueue);
@@ -175,7 +176,7 @@
     /** A bucket follows the plan of this request; what was found of its volume may be outdated. */
     void usePlan(TokenBucket bucket, PendingRequest request) {
         if (request.volume.hasMixedPlans
-                || request.hasRateLimit() && request.reservationRate() > 0) {
+                || (request.hasRateLimit() && request.reservationRate() > 0)) {
             invalidate(request.volume);
         }
         bucket.usePlanOf(request.received);
@@ -185,18 +186,18 @@
         shardQueues.values().forEach(this::invalidate);
     }
 
-    /** What was found here rests on the relay budget. */
+    /** What was found at this shard depends on the retry budget. */
     void markRetryBudgetDependent(ShardQueue shardQueue) {
         retryBudgetDependents.add(shardQueue);
     }
 
-    /** There is a relay budget left again, or none any more. */
+    /** The retry budget is used up, or left again. */
     void retryBudgetChanged() {
         retryBudgetDependents.forEach(this::invalidate);
         retryBudgetDependents.clear();
     }
 
-    /** Serve this node at that time too, if nothing happens before. */
+    /** Serve this shard at that time too, if nothing happens before. */
     void serveAt(ShardQueue shardQueue, long time) {
         serviceTimes.set(shardQueue.slot, time);
     }
@@ -208,10 +209,11 @@
     }
 
     /**
-     * Takes out the next node to serve, in the order of making, null for none. One that is touched
-     * while a later one is served has its turn at the next call.
+     * Removes the next shard to serve, in the order of creation. One that is marked while a later
+     * one is served comes at the next call.
      *
      * @param after the one before, null for the first
+     * @return null for none
      */
     ShardQueue next(ShardQueue after) {
         ShardQueue next =
@@ -224,7 +226,7 @@
         return next;
     }
 
-    /** The volume's reservation queue at the node; a new one where there is none. */
+    /** The flow of a volume at a shard; a new one where there is none. */
     FlowQueue flow(ShardQueue shardQueue, VolumeState volume, long now) {
         FlowQueue known = shardQueue.flows.get(volume);
         if (known == null) {
@@ -239,7 +241,7 @@
         return known;
     }
 
-    /** Puts an access into its queue, and the reservation where its tags then have it. */
+    /** Adds a request to a flow, and updates the orders of the shard. */
     void enqueue(PendingRequest request, FlowQueue flow) {
         if (flow.weight != request.weight()) {
             flow.shardQueue.removeFromOrders(flow);
@@ -253,7 +255,7 @@
         toServe.add(flow.shardQueue);
     }
 
-    /** Takes an access out of the queue it waits in, if it waits. */
+    /** Removes a request from its queue, if it is queued. */
     void dequeue(PendingRequest request) {
         if (request.isQueued()) {
             FlowQueue flow = request.flow;
@@ -263,7 +265,7 @@
         }
     }
 
-    /** An access gives up its place among those of its key; the next one may have its turn. */
+    /** Removes a request from the sequence of its key; the next one may then be sent. */
     void removeFromKey(KeySequence turns, PendingRequest request) {
         turns.requests.remove(request);
         if (!turns.requests.isEmpty() && turns.requests.first().isQueued()) {
--- a/core/src/main/java/milletyoke/scheduler/EvictionCandidate.java
+++ b/core/src/main/java/milletyoke/scheduler/EvictionCandidate.java
@@ -1,8 +1,8 @@
 package milletyoke.scheduler;
 
-/** What is kept for when its owner returns. */
+/** State that is kept in case its owner returns, until it has been idle for long. */
 abstract class EvictionCandidate {
-    /** When it was last used, and last looked at by who forgets. */
+    /** When it was last used; below, when eviction last checked it. Microseconds. */
     long lastUsedAt;
 
     long lastCheckedAt;
--- a/core/src/main/java/milletyoke/scheduler/FlowQueue.java
+++ b/core/src/main/java/milletyoke/scheduler/FlowQueue.java
@@ -4,12 +4,15 @@
 import java.util.TreeSet;
 import java.util.function.Predicate;
 
-/** A volume's reservation queue at one node, with its three tags. */
+/**
+ * The queue of one volume at one shard, with the start, finish and extra tags of start-time fair
+ * queueing.
+ */
 final class FlowQueue extends EvictionCandidate {
     static final Comparator<FlowQueue> BY_CREATION =
             (a, b) -> Long.compare(a.creationNumber, b.creationNumber);
 
-    /** The one tie-break of tags: who was made first. */
+    /** The one tie-break of tags: the flow created first. */
     static final Comparator<FlowQueue> BY_FINISH_TAG =
             (a, b) -> breakTie(Double.compare(a.finishTag, b.finishTag), a, b);
 
@@ -18,7 +21,7 @@
     static final Comparator<FlowQueue> BY_CHECK_TIME =
             (a, b) -> breakTie(Long.compare(a.parkedUntil, b.parkedUntil), a, b);
 
-    /** Its place in the order of making, over all nodes. */
+    /** The order of creation, over all shards. */
     final long creationNumber;
 
     final ShardQueue shardQueue;
@@ -29,10 +32,10 @@
     double finishTag;
     double extraTag;
 
-    /** While it is parked: when to look at it again. */
+    /** While it is parked: when to check it again, microseconds. */
     long parkedUntil;
 
-    /** In which orders of its node it is now. */
+    /** Whether it is in the orders of its shard; below, in which ones. */
     boolean isOrdered;
 
     boolean isReady;
@@ -49,7 +52,7 @@
         finishTag = requests.isEmpty() ? finishTag : startTag + tagStep(requests.first());
     }
 
-    /** The first that waits and passes, null for none. */
+    /** The first queued request that passes, null for none. */
     PendingRequest firstMatching(Predicate<PendingRequest> passes) {
         for (PendingRequest request : requests) {
             if (passes.test(request)) {
@@ -59,7 +62,7 @@
         return null;
     }
 
-    /** How far one access moves a tag. */
+    /** How far one request moves a tag. */
     double tagStep(PendingRequest request) {
         return request.received.units() / weight;
     }
--- a/core/src/main/java/milletyoke/scheduler/HighWaterMark.java
+++ b/core/src/main/java/milletyoke/scheduler/HighWaterMark.java
@@ -1,10 +1,10 @@
 package milletyoke.scheduler;
 
 /**
- * A bound kept somewhat above a figure that moves, so that times reckoned with the bound come no
- * later than those reckoned with the figure. It goes down at once a second at most and never up
- * unnoticed. Guards against times that rest on a bound since passed: one that went up quietly left
- * accesses waiting past their agreed time for milliseconds.
+ * An upper bound kept somewhat above a figure that moves, so that times computed from the bound
+ * come no later than those computed from the figure. It is lowered at most once a second and never
+ * raised unnoticed. Guards against times that rest on an outdated bound: one that was raised
+ * quietly left requests queued past their objective for milliseconds.
  */
 final class HighWaterMark {
     private static final double HEADROOM = 1.25;
@@ -13,8 +13,8 @@
     private long mayLowerAt;
 
     /**
-     * Whether the figure is above; the bound is then raised, and what rests on it is to be looked
-     * at again.
+     * Whether the figure exceeds the bound; the bound is then raised, and what was computed from it
+     * is to be computed anew.
      */
     boolean raiseFor(double figure, long now) {
         boolean outgrown = figure > bound;
--- a/core/src/main/java/milletyoke/scheduler/IdleStateEviction.java
+++ b/core/src/main/java/milletyoke/scheduler/IdleStateEviction.java
@@ -1,5 +1,6 @@
 package milletyoke.scheduler;
 
+import java.util.ArrayDeque;
 import java.util.BitSet;
 import java.util.Collection;
 import java.util.HashSet;
@@ -10,44 +11,46 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Lets go of what volumes, keys, targets and shards leave behind, so that years of service need no
- * more memory than what is in use does. Without a clock: it is told the time. Each kind goes only
- * once its absence says the same, or less in favour of whoever returns:
+ * Evicts the state of idle volumes, keys, targets and shards, so that long service needs no more
+ * memory than what is in use. Has no clock: the time is a parameter. State goes only once its
+ * absence means the same, or less in favour of whoever returns:
  *
  * <ul>
- *   <li>a volume: no access of it is held, no node has a reservation of it, and a store opened anew
- *       would hold no more than those it has;
- *   <li>a reservation: its queue is empty, and the virtual time is at its finish tag, or is brought
- *       there while nobody waits at the node (start-time fair queueing does so at the end of each
- *       busy time); one made later starts with the highest extra tag of those let go here, so
- *       nobody comes back with a lower one;
- *   <li>a key: nobody waits for it and its rest is over;
- *   <li>a target: not usable for long, and no access held has a relay out there or one that may
- *       have run there;
- *   <li>a shard: nobody holds it, waits for it, or has a reservation there.
+ *   <li>a volume: none of its requests is pending, it has no flow, and new token buckets would
+ *       contain no more than those it has;
+ *   <li>a flow: it is empty, and the virtual time is at its finish tag, or is brought there while
+ *       nothing is queued at the shard (start-time fair queueing does so at the end of each busy
+ *       period); a later one starts with the highest extra tag of those evicted, so that no volume
+ *       returns with a lower one;
+ *   <li>a key: it has no request and its quiet time is over;
+ *   <li>a target: not usable for long, and no pending request has an attempt in flight there or one
+ *       that may have executed there;
+ *   <li>a shard: no target is listed for it, nothing is queued, and it has no flow.
  * </ul>
  */
 final class IdleStateEviction {
-    /** Volumes and targets are kept at least this long after their last use (microseconds). */
+    /** Volumes and targets are kept at least this long after their last use. */
     static final long IDLE_MICROS = 600_000_000;
 
-    /** Between looks at targets and shards. */
+    /** Between checks of targets and shards. */
     static final long SWEEP_INTERVAL_MICROS = IDLE_MICROS / 10;
 
     /**
-     * So many volumes and reservations are looked at in a turn, and for each event of it: no turn
-     * pays for what a quiet hour left, and what large turns bring goes as fast as it comes (an
-     * event makes two at most, and each may need two looks).
+     * How many volumes and flows are checked in a turn, and for each event of it. No turn pays for
+     * what a quiet hour left, and what large turns bring goes as fast as it comes: an event makes
+     * two at most, and each may need two checks.
      */
-    private static final int CHECKS_PER_TURN = 8, CHECKS_PER_EVENT = 4;
+    private static final int CHECKS_PER_TURN = 8;
+
+    private static final int CHECKS_PER_EVENT = 4;
 
     private final DispatchQueue dispatchQueue;
     private final TargetTable targets;
-    private final Map<String, Integer> indexOf;
+    private final Map<String, Integer> targetIndex;
     private final Map<String, KeySequence> keySequences;
     private final Collection<PendingRequest> pendingRequests;
 
-    /** What stores hold now, by the plans that fill them. */
+    /** What token buckets contain now, by the plans that fill them. */
     private final ToDoubleFunction<TokenBucket> limitLevel;
 
     private final ToDoubleFunction<TokenBucket> reservationLevel;
@@ -56,23 +59,23 @@
     private long nextSweepAt;
 
     IdleStateEviction(
-            DispatchQueue agenda,
+            DispatchQueue dispatchQueue,
             TargetTable targets,
-            Map<String, Integer> indexOf,
+            Map<String, Integer> targetIndex,
             Map<String, KeySequence> turns,
             Collection<PendingRequest> held,
             ToDoubleFunction<TokenBucket> limits,
             ToDoubleFunction<TokenBucket> reserves) {
-        this.dispatchQueue = agenda;
+        this.dispatchQueue = dispatchQueue;
         this.targets = targets;
-        this.indexOf = indexOf;
+        this.targetIndex = targetIndex;
         this.keySequences = turns;
         this.pendingRequests = held;
         this.limitLevel = limits;
         this.reservationLevel = reserves;
     }
 
-    /** The last access of a key left; the key may still rest. */
+    /** The last request of a key left; the key may still be quiet. */
     void scheduleKeyCheck(KeySequence key) {
         if (key.evictionCheckAt == 0) {
             key.evictionCheckAt = Math.max(1, key.quietUntil);
@@ -81,9 +84,9 @@
     }
 
     /**
-     * Guards the order of looks against a rest that is made longer meanwhile: its key would stand
-     * before others for as long as it keeps timing out, and none of them would go. So the time of a
-     * look stays as it was set, and is set anew then.
+     * Guards the order of checks against a quiet time that is prolonged meanwhile: its key would
+     * come before others for as long as its requests time out, and none of them would go. So the
+     * time of a check stays as it was set, and is set anew then.
      */
     private void evictKeys(long now) {
         while (!emptyKeys.isEmpty() && emptyKeys.peek().evictionCheckAt <= now) {
@@ -98,66 +101,76 @@
     }
 
     /**
-     * @param events of this turn
+     * Evicts what is idle, a bounded number of candidates.
+     *
+     * @param now the time of this turn, microseconds
+     * @param events how many events this turn had
      */
     void evictIdle(long now, int events) {
         evictKeys(now);
-        int looks = CHECKS_PER_TURN + CHECKS_PER_EVENT * events;
-        for (int i = 0;
-                i < looks
-                        && !dispatchQueue.evictionCandidates.isEmpty()
-                        && dispatchQueue.evictionCandidates.peekFirst().nextCheckAt(IDLE_MICROS)
-                                <= now;
-                i++) {
-            EvictionCandidate oldest = dispatchQueue.evictionCandidates.pollFirst();
-            boolean gone =
-                    oldest.lastUsedAt + IDLE_MICROS <= now
-                            && (oldest instanceof VolumeState volume
-                                    ? evictIfIdle(volume)
-                                    : evictIfIdle((FlowQueue) oldest));
-            if (!gone) {
-                oldest.lastCheckedAt = now;
-                dispatchQueue.evictionCandidates.addLast(oldest);
-            }
-        }
+        evictCandidates(now, CHECKS_PER_TURN + CHECKS_PER_EVENT * events);
         if (now >= nextSweepAt) {
             nextSweepAt = now + SWEEP_INTERVAL_MICROS;
             sweep(now);
         }
     }
 
+    private void evictCandidates(long now, int checks) {
+        ArrayDeque<EvictionCandidate> candidates = dispatchQueue.evictionCandidates;
+        for (int i = 0; i < checks && !candidates.isEmpty(); i++) {
+            if (candidates.peekFirst().nextCheckAt(IDLE_MICROS) > now) {
+                return;
+            }
+            EvictionCandidate oldest = candidates.pollFirst();
+            if (!evictIfIdle(oldest, now)) {
+                oldest.lastCheckedAt = now;
+                candidates.addLast(oldest);
+            }
+        }
+    }
+
+    private boolean evictIfIdle(EvictionCandidate candidate, long now) {
+        if (candidate.lastUsedAt + IDLE_MICROS > now) {
+            return false;
+        }
+        return candidate instanceof VolumeState volume
+                ? evictIfIdle(volume)
+                : evictIfIdle((FlowQueue) candidate);
+    }
+
     private boolean evictIfIdle(VolumeState volume) {
-        boolean gains =
-                volume.limitBucket != null
-                                && holdsLess(
-                                        limitLevel,
-                                        volume.limitBucket,
-                                        dispatchQueue.newLimitBucketLike(volume.limitBucket))
-                        || volume.reservationBucket != null
-                                && holdsLess(
-                                        reservationLevel,
-                                        volume.reservationBucket,
-                                        new TokenBucket(volume.reservationBucket));
-        boolean gone = volume.pendingCount == 0 && volume.flowCount == 0 && !gains;
-        if (gone) {
+        boolean isIdle = volume.pendingCount == 0 && volume.flowCount == 0 && !wouldGain(volume);
+        if (isIdle) {
             dispatchQueue.evict(volume);
         }
-        return gone;
+        return isIdle;
+    }
+
+    /** Whether new token buckets would contain more than those of the volume. */
+    private boolean wouldGain(VolumeState volume) {
+        TokenBucket limit = volume.limitBucket;
+        if (limit != null
+                && containsLess(limitLevel, limit, dispatchQueue.newLimitBucketLike(limit))) {
+            return true;
+        }
+        TokenBucket reservation = volume.reservationBucket;
+        return reservation != null
+                && containsLess(reservationLevel, reservation, new TokenBucket(reservation));
     }
 
-    private static boolean holdsLess(
-            ToDoubleFunction<TokenBucket> holds, TokenBucket kept, TokenBucket opened) {
-        return holds.applyAsDouble(kept) < holds.applyAsDouble(opened);
+    private static boolean containsLess(
+            ToDoubleFunction<TokenBucket> level, TokenBucket kept, TokenBucket opened) {
+        return level.applyAsDouble(kept) < level.applyAsDouble(opened);
     }
 
     private boolean evictIfIdle(FlowQueue flow) {
         ShardQueue shardQueue = flow.shardQueue;
-        boolean quiet = shardQueue.queuedCount == 0;
-        boolean behind =
+        boolean isQuiet = shardQueue.queuedCount == 0;
+        boolean isBehind =
                 flow.finishTag <= shardQueue.virtualTime
-                        && !quiet
+                        && !isQuiet
                         && flow.extraTag <= shardQueue.byExtraTag.first().extraTag;
-        if (!flow.requests.isEmpty() || !quiet && !behind) {
+        if (!flow.requests.isEmpty() || !(isQuiet || isBehind)) {
             return false;
         }
         shardQueue.virtualTime = Math.max(shardQueue.virtualTime, flow.finishTag);
@@ -168,37 +181,44 @@
     }
 
     private void sweep(long now) {
-        BitSet needed = new BitSet(targets.count);
-        Set<ShardQueue> nodesNeeded = new HashSet<>();
+        BitSet neededTargets = new BitSet(targets.count);
+        Set<ShardQueue> neededShards = new HashSet<>();
         for (PendingRequest request : pendingRequests) {
             if (request.inFlightTarget >= 0) {
-                needed.set(request.inFlightTarget);
+                neededTargets.set(request.inFlightTarget);
             }
             if (request.executedOn >= 0) {
-                needed.set(request.executedOn);
+                neededTargets.set(request.executedOn);
             }
-            nodesNeeded.add(request.shardQueue);
+            neededShards.add(request.shardQueue);
         }
-        for (int t = 0; t < targets.count; t++) {
-            boolean kept =
-                    targets.id[t] == null
-                            || targets.usable[t]
-                            || needed.get(t)
-                            || targets.lastUsableAt[t] == 0;
-            targets.lastUsableAt[t] = kept ? now : targets.lastUsableAt[t];
-            if (now - targets.lastUsableAt[t] >= IDLE_MICROS) {
-                indexOf.remove(targets.id[t]);
-                dispatchQueue.shardQueue(targets.shardOf[t]).listedTargets.remove(t);
-                targets.remove(t);
-            }
+        for (int target = 0; target < targets.count; target++) {
+            sweepTarget(target, neededTargets.get(target), now);
         }
         for (ShardQueue shardQueue : List.copyOf(dispatchQueue.shardQueues())) {
-            if (shardQueue.queuedCount == 0
-                    && shardQueue.listedTargets.isEmpty()
-                    && shardQueue.flows.isEmpty()
-                    && !nodesNeeded.contains(shardQueue)) {
+            if (isEmpty(shardQueue) && !neededShards.contains(shardQueue)) {
                 dispatchQueue.evict(shardQueue);
             }
         }
     }
+
+    private void sweepTarget(int target, boolean isNeeded, long now) {
+        if (targets.id[target] == null
+                || targets.usable[target]
+                || isNeeded
+                || targets.lastUsableAt[target] == 0) {
+            targets.lastUsableAt[target] = now;
+        }
+        if (now - targets.lastUsableAt[target] >= IDLE_MICROS) {
+            targetIndex.remove(targets.id[target]);
+            dispatchQueue.shardQueue(targets.shardOf[target]).listedTargets.remove(target);
+            targets.remove(target);
+        }
+    }
+
+    private static boolean isEmpty(ShardQueue shardQueue) {
+        return shardQueue.queuedCount == 0
+                && shardQueue.listedTargets.isEmpty()
+                && shardQueue.flows.isEmpty();
+    }
 }
--- a/core/src/main/java/milletyoke/scheduler/IndexedTimerQueue.java
+++ b/core/src/main/java/milletyoke/scheduler/IndexedTimerQueue.java
@@ -3,12 +3,11 @@
 import java.util.Arrays;
 
 /**
- * When each of what has a dense index is due next: a binary heap that knows the place of each
- * index, so that to set a time, or to take it back, costs the logarithm of how many are set.
- * Decides nothing. One thread.
+ * When each element of a dense index is due: a binary heap that knows the position of each index,
+ * so that setting or clearing a time costs the logarithm of how many are set. One thread.
  */
 final class IndexedTimerQueue {
-    /** Set for what is not due at all. */
+    /** Stands for an element that is not due at all. */
     static final long NEVER = Long.MAX_VALUE;
 
     private long[] timeOf = {};
@@ -61,7 +60,7 @@
         return size == 0 ? NEVER : timeOf[heap[0]];
     }
 
-    /** Takes out all that are due at {@code now} or before, lowest index first. */
+    /** Removes all that are due at {@code now} or before, and returns them, lowest index first. */
     int[] removeDue(long now) {
         if (first() > now) {
             return NONE;
--- a/core/src/main/java/milletyoke/scheduler/LatencyRecorder.java
+++ b/core/src/main/java/milletyoke/scheduler/LatencyRecorder.java
@@ -46,8 +46,9 @@
 
     private void updateAverages(int target, long latencyMicros) {
         double unloaded = estimates.unloadedLatencyMicros();
-        if (unloaded == 0
-                || loadReports.hasReport(target) && targets.queueDelayMicros[target] < unloaded) {
+        boolean hasNoQueue =
+                loadReports.hasReport(target) && targets.queueDelayMicros[target] < unloaded;
+        if (unloaded == 0 || hasNoQueue) {
             estimates.recordUnloadedLatency(latencyMicros);
         }
         targets.lastLatencyMicros[target] = latencyMicros;
--- a/core/src/main/java/milletyoke/scheduler/LoadReports.java
+++ b/core/src/main/java/milletyoke/scheduler/LoadReports.java
@@ -138,7 +138,8 @@
         targets.reportValidUntil[target] = turn.now() + validMicros;
         targets.joinThreshold[target] = settings.random().nextDouble();
         dispatchQueue.invalidate(dispatchQueue.shardQueue(targets.shardOf[target]));
-        boolean isLong = queueDelayMicros > settings.shortestObjectiveMicros() / 2;
+        long longDelayMicros = settings.shortestObjectiveMicros() / 2;
+        boolean isLong = queueDelayMicros > longDelayMicros;
         lateShare += tuning.smoothing() * ((isLong ? 1 : 0) - lateShare);
     }
 
@@ -154,7 +155,7 @@
         double unloaded = estimates.unloadedLatencyMicros();
         boolean reportsQueue =
                 probe.queueLength() >= 0
-                        || isAnswered && unloaded > 0 && probe.latencyMicros() > unloaded;
+                        || (isAnswered && unloaded > 0 && probe.latencyMicros() > unloaded);
         if (reportsQueue && !probesReportQueues) {
             probesReportQueues = true;
             dispatchQueue.invalidateAll(); // targets that warm up may now take more
@@ -163,7 +164,7 @@
                 slowStart.isWarmingUp(target) ? settings.shortestObjectiveMicros() : 0;
         double queueDelayMicros =
                 isAnswered
-                        ? Math.max(probe.latencyMicros(), probe.queueLength() * unloaded)
+                        ? Math.max((double) probe.latencyMicros(), probe.queueLength() * unloaded)
                         : ifUnanswered;
         record(target, queueDelayMicros, settings.shortestObjectiveMicros() / 2);
     }
--- a/core/src/main/java/milletyoke/scheduler/PendingRequest.java
+++ b/core/src/main/java/milletyoke/scheduler/PendingRequest.java
@@ -5,14 +5,12 @@
 import milletyoke.scheduler.api.SchedulerSettings.RequestClass;
 import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 
-/** One access from taking to its final answer, and on until its last relay has an outcome. */
+/** One request from admission to its final answer, and on until its last attempt has ended. */
 final class PendingRequest {
     static final Comparator<PendingRequest> BY_ADMISSION =
             (a, b) -> Long.compare(a.admissionNumber, b.admissionNumber);
 
-    /**
-     * Inside one volume importance goes first, then the newest; then who came to the queue first.
-     */
+    /** Inside one volume: by priority weight, then the newest, then the order of queueing. */
     static final Comparator<PendingRequest> WITHIN_VOLUME =
             (a, b) -> {
                 int byImportance =
@@ -25,7 +23,7 @@
                 return byAge != 0 ? byAge : Long.compare(a.enqueueNumber, b.enqueueNumber);
             };
 
-    /** At one node: by the order in which reservations were made, then as inside a volume. */
+    /** At one shard: by the order in which flows were created, then as inside a volume. */
     static final Comparator<PendingRequest> WITHIN_SHARD =
             (a, b) -> {
                 int byVolume = Long.compare(a.flow.creationNumber, b.flow.creationNumber);
@@ -40,9 +38,7 @@
 
     final Event.RequestReceived received;
 
-    /**
-     * Its place in the order of taking, and among all that came to a queue, the latest time it did.
-     */
+    /** The order of admission, over all requests; below, of the latest queueing. */
     final long admissionNumber;
 
     long enqueueNumber;
@@ -51,7 +47,7 @@
     ServicePlan plan;
     ShardQueue shardQueue;
 
-    /** Where it waits or last waited; null before. */
+    /** The flow in which it is or last was queued; null before. */
     FlowQueue flow;
 
     long firstReceivedAt;
@@ -59,8 +55,8 @@
     long deadlineAt;
 
     /**
-     * When, to which target and in which life of it the latest relay left; -1 once that has its
-     * outcome.
+     * When the latest attempt was sent, microseconds; below, its target (-1 once it has ended) and
+     * that target's incarnation.
      */
     long sentAt;
 
@@ -69,15 +65,15 @@
     int attempts;
 
     /**
-     * The target of the first relay that may have run, -1 while there is none, and when that relay
-     * left.
+     * The target of the first attempt that may have executed, -1 for none; below, when that attempt
+     * was sent.
      */
     int executedOn = -1;
 
     long executedSince;
     boolean answered;
 
-    /** Its relay is out, and presumed lost. */
+    /** Its attempt is in flight, but presumed lost. */
     boolean presumedLost;
 
     PendingRequest(
@@ -97,12 +93,12 @@
         return plan != null && plan.limitRate() > 0;
     }
 
-    /** Through how many hosts its volume comes; each keeps its part of what is limited. */
+    /** Through how many initiators its volume sends; each has its part of the rate limit. */
     double initiatorCount() {
         return Math.max(1, received.initiatorCount());
     }
 
-    /** This host's part of its volume's limit, units a second. */
+    /** This initiator's part of its volume's rate limit, units a second. */
     double limitRate() {
         return plan.limitRate() / initiatorCount();
     }
--- a/core/src/main/java/milletyoke/scheduler/PlacementPolicy.java
+++ b/core/src/main/java/milletyoke/scheduler/PlacementPolicy.java
@@ -59,7 +59,7 @@
         ShardQueue chosen = null;
         for (ShardQueue shardQueue : dispatchQueue.shardQueues()) {
             double room = room(shardQueue);
-            if (chosen == null || left > 0 && room > 0) {
+            if (chosen == null || (left > 0 && room > 0)) {
                 chosen = shardQueue;
             }
             left -= room;
--- a/core/src/main/java/milletyoke/scheduler/RequestScheduler.java
+++ b/core/src/main/java/milletyoke/scheduler/RequestScheduler.java
@@ -1,7 +1,5 @@
 package milletyoke.scheduler;
 
-import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import milletyoke.scheduler.api.Action;
@@ -17,8 +15,8 @@
  * is in docs/design.md.
  */
 public final class RequestScheduler implements Scheduler {
-    private final Map<String, Integer> targetIndex = new HashMap<>();
-    private final Turn turn = new Turn();
+    private final Map<String, Integer> targetIndex;
+    private final Turn turn;
     private final ActiveSettings settings;
     private final LoadEstimates estimates;
     private final PendingRequests pendingRequests;
@@ -33,8 +31,8 @@
     private final IdleStateEviction eviction;
 
     // What SchedulerView shows.
-    final TargetTable targets = new TargetTable();
-    final DispatchQueue dispatchQueue = new DispatchQueue();
+    final TargetTable targets;
+    final DispatchQueue dispatchQueue;
     final SlowStart slowStart;
     final LoadReports loadReports;
     final RateLimits rateLimits;
@@ -47,135 +45,27 @@
 
     /** A scheduler with other figures, for simulations alone. */
     public RequestScheduler(SchedulerTuning tuning) {
-        Map<String, PendingRequest> requestsById = new LinkedHashMap<>();
-        Map<String, KeySequence> keySequences = new HashMap<>();
-        settings = new ActiveSettings(tuning);
-        estimates = new LoadEstimates(tuning);
-        wakeUpTimer = new WakeUpTimer(turn, settings, tuning);
-        endpointWatch = new EndpointWatch(turn, settings, tuning);
-        targetHealth = new TargetHealth(targets, dispatchQueue, settings, turn, estimates, tuning);
-        endpointListUpdater =
-                new EndpointListUpdater(targets, targetIndex, dispatchQueue, targetHealth, tuning);
-
-        rateLimits = new RateLimits(dispatchQueue, settings, turn, tuning);
-        Reservations reservations = new Reservations(dispatchQueue, settings, turn, estimates);
-        eviction =
-                new IdleStateEviction(
-                        dispatchQueue,
-                        targets,
-                        targetIndex,
-                        keySequences,
-                        requestsById.values(),
-                        rateLimits::units,
-                        reservations::evictionUnits);
-        KeyOrdering keyOrdering =
-                new KeyOrdering(keySequences, dispatchQueue, eviction, settings, turn);
-        pendingRequests = new PendingRequests(requestsById, dispatchQueue, keyOrdering);
-
-        slowStart = new SlowStart(targets, dispatchQueue, settings, turn, tuning);
-        loadReports =
-                new LoadReports(
-                        targets,
-                        dispatchQueue,
-                        settings,
-                        turn,
-                        estimates,
-                        slowStart,
-                        reservations,
-                        tuning);
-        ConcurrencyLimiter limiter =
-                new ConcurrencyLimiter(targets, settings, turn, loadReports, tuning);
-        retryPolicy = new RetryPolicy(targets, settings, turn, tuning);
-        retryBudget = new RetryBudget(dispatchQueue, settings, turn);
-        SendGuard guard =
-                new SendGuard(
-                        targets,
-                        turn,
-                        retryPolicy,
-                        retryBudget,
-                        slowStart,
-                        loadReports,
-                        keyOrdering,
-                        rateLimits,
-                        tuning);
-        AttemptSender sender =
-                new AttemptSender(
-                        targets,
-                        turn,
-                        guard,
-                        retryBudget,
-                        rateLimits,
-                        reservations,
-                        slowStart,
-                        targetHealth);
-        FairQueue fairQueue =
-                new FairQueue(
-                        dispatchQueue,
-                        turn,
-                        estimates,
-                        limiter,
-                        guard,
-                        loadReports,
-                        reservations,
-                        sender,
-                        tuning);
-        PlacementPolicy placement =
-                new PlacementPolicy(
-                        targets,
-                        dispatchQueue,
-                        settings,
-                        estimates,
-                        slowStart,
-                        loadReports,
-                        tuning);
-        CompletionPolicy completionPolicy =
-                new CompletionPolicy(targets, pendingRequests, settings, turn);
-        admitter =
-                new RequestAdmitter(
-                        dispatchQueue,
-                        settings,
-                        turn,
-                        estimates,
-                        pendingRequests,
-                        retryBudget,
-                        rateLimits,
-                        keyOrdering,
-                        placement,
-                        fairQueue,
-                        tuning);
-        attemptCompletion =
-                new AttemptCompletion(
-                        targets,
-                        pendingRequests,
-                        targetHealth,
-                        new LatencyRecorder(
-                                targets,
-                                turn,
-                                estimates,
-                                targetHealth,
-                                loadReports,
-                                limiter,
-                                tuning),
-                        limiter,
-                        keyOrdering,
-                        retryPolicy,
-                        completionPolicy,
-                        placement,
-                        fairQueue,
-                        settings);
-        shardDispatcher =
-                new ShardDispatcher(
-                        targets,
-                        dispatchQueue,
-                        settings,
-                        turn,
-                        estimates,
-                        loadReports,
-                        slowStart,
-                        limiter,
-                        fairQueue,
-                        sender,
-                        completionPolicy);
+        SchedulerComponents components = new SchedulerComponents(tuning);
+        turn = components.turn;
+        settings = components.settings;
+        estimates = components.estimates;
+        targetIndex = components.targetIndex;
+        pendingRequests = components.pendingRequests;
+        targetHealth = components.targetHealth;
+        retryBudget = components.retryBudget;
+        admitter = components.admitter;
+        attemptCompletion = components.attemptCompletion;
+        shardDispatcher = components.shardDispatcher;
+        endpointListUpdater = components.endpointListUpdater;
+        endpointWatch = components.endpointWatch;
+        wakeUpTimer = components.wakeUpTimer;
+        eviction = components.eviction;
+        targets = components.targets;
+        dispatchQueue = components.dispatchQueue;
+        slowStart = components.slowStart;
+        loadReports = components.loadReports;
+        rateLimits = components.rateLimits;
+        retryPolicy = components.retryPolicy;
     }
 
     /**
--- a/core/src/main/java/milletyoke/scheduler/Reservations.java
+++ b/core/src/main/java/milletyoke/scheduler/Reservations.java
@@ -48,7 +48,7 @@
         TokenBucket bucket = request.volume.reservationBucket;
         return units > depth(request)
                 && units <= rate + EXTRA_MEAN_REQUESTS * estimates.meanUnitsBound()
-                && (rate > 0 || bucket != null && bucket.units >= units);
+                && (rate > 0 || (bucket != null && bucket.units >= units));
     }
 
     /** Takes the tokens of an attempt, as far as there are any. */
--- a/core/src/main/java/milletyoke/scheduler/ShardDispatcher.java
+++ b/core/src/main/java/milletyoke/scheduler/ShardDispatcher.java
@@ -4,7 +4,6 @@
 
 /** Serves the shards where something may have changed, and sets when to serve them next. */
 final class ShardDispatcher {
-    private final TargetTable targets;
     private final DispatchQueue dispatchQueue;
     private final ActiveSettings settings;
     private final Turn turn;
@@ -17,7 +16,6 @@
     private final CompletionPolicy completionPolicy;
 
     ShardDispatcher(
-            TargetTable targets,
             DispatchQueue dispatchQueue,
             ActiveSettings settings,
             Turn turn,
@@ -28,7 +26,6 @@
             FairQueue fairQueue,
             AttemptSender sender,
             CompletionPolicy completionPolicy) {
-        this.targets = targets;
         this.dispatchQueue = dispatchQueue;
         this.settings = settings;
         this.turn = turn;
@@ -85,7 +82,8 @@
 
     private boolean mayUseSpareSlot(PendingRequest request) {
         boolean isBesideLimit = request.attempts > 0 || !request.hasRateLimit();
-        return turn.now() <= request.objectiveAt || !settings.hasManyInitiators() && isBesideLimit;
+        return turn.now() <= request.objectiveAt
+                || (!settings.hasManyInitiators() && isBesideLimit);
     }
 
     /** When time alone may change what was just done: lateness, the end of a warm-up, parking. */
--- a/core/src/main/java/milletyoke/scheduler/ShardQueue.java
+++ b/core/src/main/java/milletyoke/scheduler/ShardQueue.java
@@ -7,15 +7,18 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** The node that holds one shard, whichever target that is now; -1 for none. */
+/**
+ * The flows and requests queued for one shard, whichever target serves it now. The tags and orders
+ * are those of start-time fair queueing.
+ */
 final class ShardQueue {
-    /** Its place in the order of making. */
+    /** The order of creation, in which shards are served. */
     final int creationNumber;
 
     final int slot;
     final int shard;
 
-    /** The extra tag that a reservation starts with: the highest of those forgotten here. */
+    /** The extra tag that a new flow starts with: the highest among the evicted flows. */
     double initialExtraTag;
 
     int target = -1;
@@ -23,28 +26,26 @@
     double virtualTime;
     final Map<VolumeState, FlowQueue> flows = new HashMap<>();
 
-    /**
-     * Targets that the list last named for this shard, usable or not, in the order of their index.
-     */
+    /** Targets that the endpoint list last named for this shard, usable or not, by index. */
     final TreeSet<Integer> listedTargets = new TreeSet<>();
 
-    /** Reservations that wait, by extra tag; and how many of each weight. */
+    /** Flows with queued requests, by extra tag. */
     final TreeSet<FlowQueue> byExtraTag = new TreeSet<>(FlowQueue.BY_EXTRA_TAG);
 
     private final TreeMap<Double, Integer> weightCounts = new TreeMap<>();
 
-    /** Those that may have an access to send, by finish tag; and those that may be owed, too. */
+    /** Flows that may have a request to send, by finish tag. */
     final TreeSet<FlowQueue> ready = new TreeSet<>(FlowQueue.BY_FINISH_TAG);
 
     final TreeSet<FlowQueue> belowReservation = new TreeSet<>(FlowQueue.BY_FINISH_TAG);
 
-    /** Those not in both of these that time alone may bring back, by when to look at them again. */
+    /** Flows that time alone may bring back to the orders above, by when to check them again. */
     final TreeSet<FlowQueue> parked = new TreeSet<>(FlowQueue.BY_CHECK_TIME);
 
-    /** More than one volume's own affairs may have changed here since what is parked was parked. */
+    /** More than the affairs of one volume may have changed here since flows were parked. */
     boolean mustRecheckAll;
 
-    /** Accesses that wait here, by agreed time, and by extent where they may join others. */
+    /** The requests queued here, by latency objective. */
     final TreeSet<PendingRequest> byObjective = new TreeSet<>(PendingRequest.BY_OBJECTIVE);
 
     final Map<String, TreeSet<PendingRequest>> byExtent = new HashMap<>();
@@ -55,7 +56,7 @@
         this.shard = shard;
     }
 
-    /** Takes a reservation out of every order, so that its tags and queue may change. */
+    /** Removes a flow from every order, so that its tags and requests may change. */
     void removeFromOrders(FlowQueue flow) {
         if (flow.isOrdered) {
             flow.isOrdered = false;
@@ -68,7 +69,7 @@
         }
     }
 
-    /** Files it under the tags it has now, where it waits; it is to be looked at. */
+    /** Adds a flow that has requests to the orders, by its current tags; it is to be checked. */
     void addToOrders(FlowQueue flow) {
         if (!flow.requests.isEmpty()) {
             flow.isOrdered = true;
@@ -80,9 +81,9 @@
     }
 
     /**
-     * After its queue or its start tag changed: files it under the finish tag it then has, or out
-     * of every order where nobody waits. What did not change keeps its place; it is to be looked at
-     * in any case.
+     * Updates the orders after the requests or the start tag of a flow changed: by its new finish
+     * tag, or out of every order where it is empty. What did not change keeps its place; the flow
+     * is to be checked in any case.
      */
     void updateOrders(FlowQueue flow) {
         if (!flow.isOrdered || flow.requests.isEmpty()) {
@@ -101,12 +102,12 @@
         markForCheck(flow);
     }
 
-    /** The least weight of those that wait. */
+    /** The least weight among flows with queued requests. */
     double minimumWeight() {
         return weightCounts.firstKey();
     }
 
-    // A reservation knows in which of these it is, so that it need not be looked for in the
+    // A flow knows in which of these orders it is, so that it need not be looked up in the
     // others.
 
     private void markForCheck(FlowQueue flow) {
@@ -141,7 +142,7 @@
         }
     }
 
-    /** Has a reservation that waits looked at, whatever was found before. */
+    /** Has a flow with requests checked again, whatever was found before. */
     void unpark(FlowQueue flow) {
         if (flow.isOrdered) {
             removeFromParked(flow);
@@ -149,7 +150,7 @@
         }
     }
 
-    /** Weights and finish tags of those that wait follow their plans. */
+    /** The weights and finish tags of flows with requests follow their plans. */
     void applyPlanWeights() {
         for (FlowQueue flow : List.copyOf(byExtraTag)) {
             removeFromOrders(flow);
@@ -159,9 +160,7 @@
         }
     }
 
-    /**
-     * Those whose agreed time is before {@code time}, in the order of reservations and inside them.
-     */
+    /** Requests whose objective is before {@code time}, in the order of flows and inside them. */
     List<PendingRequest> requestsDueBefore(double time) {
         List<PendingRequest> late = new ArrayList<>();
         for (PendingRequest request : byObjective) {
@@ -174,24 +173,28 @@
         return late;
     }
 
-    /** Not to be looked at as ready, or only not as owed, before {@code again}. */
-    void park(FlowQueue flow, boolean ready, long again) {
+    /**
+     * Not to be checked before {@code recheckAt}.
+     *
+     * @param ready whether the flow still has a request to send, if none below its reservation
+     */
+    void park(FlowQueue flow, boolean ready, long recheckAt) {
         removeFromBelowReservation(flow);
         if (!ready) {
             removeFromReady(flow);
         }
-        if (flow.isParked && flow.parkedUntil == again) {
+        if (flow.isParked && flow.parkedUntil == recheckAt) {
             return;
         }
         removeFromParked(flow);
-        if (again != IndexedTimerQueue.NEVER) { // else only what happens can bring it back
-            flow.parkedUntil = again;
+        if (recheckAt != IndexedTimerQueue.NEVER) { // otherwise only an event can bring it back
+            flow.parkedUntil = recheckAt;
             flow.isParked = true;
             parked.add(flow);
         }
     }
 
-    /** Has all looked at that is due, or all that wait where more changed. */
+    /** Has all flows checked that are due, or all flows where more changed. */
     void refresh(long now) {
         if (mustRecheckAll) {
             parked.forEach(flow -> flow.isParked = false);
@@ -204,7 +207,9 @@
         }
     }
 
-    /** The widest gap between extra tags of those that wait, with one of them a step further. */
+    /**
+     * The widest gap between extra tags of flows with requests, with one of them a step further.
+     */
     double extraTagGap(FlowQueue one, double step) {
         double own = one.extraTag + step;
         FlowQueue low = byExtraTag.first() == one ? byExtraTag.higher(one) : byExtraTag.first();
--- a/core/src/main/java/milletyoke/scheduler/SlidingWindowCounter.java
+++ b/core/src/main/java/milletyoke/scheduler/SlidingWindowCounter.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 
-/** When something happened, as far back as is asked. */
+/** Counts events inside a window that slides with time. */
 final class SlidingWindowCounter {
     private final ArrayDeque<Long> times = new ArrayDeque<>();
 
@@ -11,7 +11,7 @@
         times.addLast(time);
     }
 
-    /** How often after that time; what was before is dropped. */
+    /** How many events came after {@code since}; earlier ones are dropped. */
     int countSince(long since) {
         while (!times.isEmpty() && times.peekFirst() <= since) {
             times.removeFirst();
--- a/core/src/main/java/milletyoke/scheduler/TargetHealth.java
+++ b/core/src/main/java/milletyoke/scheduler/TargetHealth.java
@@ -107,11 +107,10 @@
     }
 
     private double patienceMicros(int target) {
-        return Math.max(
-                settings.shortestObjectiveMicros() / 2,
-                tuning.patienceFactor()
-                        * Math.max(
-                                targets.latencyMicros[target], targets.lastLatencyMicros[target]));
+        double lastLatency = (double) targets.lastLatencyMicros[target];
+        double latency = Math.max(targets.latencyMicros[target], lastLatency);
+        long least = settings.shortestObjectiveMicros() / 2;
+        return Math.max((double) least, tuning.patienceFactor() * latency);
     }
 
     /**
--- a/core/src/main/java/milletyoke/scheduler/TargetTable.java
+++ b/core/src/main/java/milletyoke/scheduler/TargetTable.java
@@ -7,8 +7,8 @@
 import milletyoke.scheduler.api.Event;
 
 /**
- * Figures about targets, in parallel arrays under a dense index that lasts one life of the
- * initiator.
+ * The figures of targets, in parallel arrays under a dense index that a target keeps until it is
+ * evicted. Times are microseconds.
  */
 final class TargetTable {
     int count;
@@ -18,39 +18,42 @@
     boolean[] usable = {};
     long[] startedAt = {};
 
-    /** Relays out; those of an earlier life, or presumed lost, are not counted. */
+    /** Attempts in flight; those of an earlier incarnation, or presumed lost, are not counted. */
     int[] inFlight = {};
 
     int[] incarnation = {};
     double[] concurrencyLimit = {};
 
-    /** The usual lag of an answer. */
+    /** The smoothed latency of answers. */
     double[] latencyMicros = {};
 
-    /** What the latest answer took. */
+    /** The latency of the latest answer. */
     long[] lastLatencyMicros = {};
 
     long[] lastAnswerAt = {};
 
-    /** When the latest answered relay was sent, and when the window was last halved. */
+    /**
+     * When the newest answered attempt was sent; below, when the concurrency limit was last
+     * reduced.
+     */
     long[] newestAnsweredSentAt = {};
 
     long[] limitReducedAt = {};
 
     /**
-     * When a silent target is tried again, 0 for one that is not silent; and whether one access may
-     * try now.
+     * When an unresponsive target has its next half-open trial, 0 for a responsive one; below,
+     * whether one attempt may try now.
      */
     long[] nextTrialAt = {};
 
     boolean[] trialAllowed = {};
 
-    /** When a probe left that has no answer yet, 0 for none. */
+    /** When a probe was sent that has no answer yet, 0 for none. */
     long[] probeSentAt = {};
 
     /**
-     * The waiting that was told of, until when that holds, the draw made with it, and how long a
-     * rest is now.
+     * The queue delay reported; below, until when that holds, the random threshold for joining, and
+     * the current backoff.
      */
     double[] queueDelayMicros = {};
 
@@ -59,16 +62,18 @@
     long[] backoffMicros = {};
     final List<ArrayDeque<WarmUpSend>> warmUpSends = new ArrayList<>();
 
-    /** When it was last found usable, or needed; 0 where nobody has looked yet. */
+    /** When it was last found usable or needed, 0 before the first check. */
     long[] lastUsableAt = {};
 
-    /** Indexes whose target was forgotten. */
+    /** Indexes whose target was evicted. */
     private final ArrayDeque<Integer> freeIndexes = new ArrayDeque<>();
 
-    /** Accesses whose relay is out there and not presumed lost, in the order of sending. */
+    /** Requests whose attempt is in flight and not presumed lost, in the order of sending. */
     final List<ArrayList<PendingRequest>> inFlightRequests = new ArrayList<>();
 
-    /** When what is owed there is to be looked at again: no later than it can be silent or lost. */
+    /**
+     * When a target is to be checked next: no later than it can be unresponsive or an attempt lost.
+     */
     final IndexedTimerQueue checkTimes = new IndexedTimerQueue();
 
     int add(String name) {
@@ -77,14 +82,14 @@
             id[reused] = name;
             return reused;
         }
-        int t = count++;
+        int index = count++;
         if (count > id.length) {
             grow(Math.max(16, 2 * id.length));
         }
         warmUpSends.add(new ArrayDeque<>());
         inFlightRequests.add(new ArrayList<>());
-        id[t] = name;
-        return t;
+        id[index] = name;
+        return index;
     }
 
     private void grow(int count) {
@@ -111,64 +116,64 @@
         joinThreshold = Arrays.copyOf(joinThreshold, count);
     }
 
-    /** Forgets a target: its index is as if never used, and may be used again. */
-    void remove(int t) {
-        id[t] = null;
-        zone[t] = null;
-        shardOf[t] = 0;
-        usable[t] = false;
-        startedAt[t] = 0;
-        inFlight[t] = 0;
-        incarnation[t] = 0;
-        concurrencyLimit[t] = 0;
-        latencyMicros[t] = 0;
-        lastLatencyMicros[t] = 0;
-        lastAnswerAt[t] = 0;
-        newestAnsweredSentAt[t] = 0;
-        limitReducedAt[t] = 0;
-        nextTrialAt[t] = 0;
-        trialAllowed[t] = false;
-        probeSentAt[t] = 0;
-        queueDelayMicros[t] = 0;
-        reportValidUntil[t] = 0;
-        joinThreshold[t] = 0;
-        backoffMicros[t] = 0;
-        lastUsableAt[t] = 0;
-        warmUpSends.get(t).clear();
-        inFlightRequests.get(t).clear();
-        checkTimes.set(t, IndexedTimerQueue.NEVER);
-        freeIndexes.add(t);
+    /** Evicts a target: its index is as if never used, and may be reused. */
+    void remove(int index) {
+        id[index] = null;
+        zone[index] = null;
+        shardOf[index] = 0;
+        usable[index] = false;
+        startedAt[index] = 0;
+        inFlight[index] = 0;
+        incarnation[index] = 0;
+        concurrencyLimit[index] = 0;
+        latencyMicros[index] = 0;
+        lastLatencyMicros[index] = 0;
+        lastAnswerAt[index] = 0;
+        newestAnsweredSentAt[index] = 0;
+        limitReducedAt[index] = 0;
+        nextTrialAt[index] = 0;
+        trialAllowed[index] = false;
+        probeSentAt[index] = 0;
+        queueDelayMicros[index] = 0;
+        reportValidUntil[index] = 0;
+        joinThreshold[index] = 0;
+        backoffMicros[index] = 0;
+        lastUsableAt[index] = 0;
+        warmUpSends.get(index).clear();
+        inFlightRequests.get(index).clear();
+        checkTimes.set(index, IndexedTimerQueue.NEVER);
+        freeIndexes.add(index);
     }
 
-    void updateLocation(int t, Event.Target target) {
-        zone[t] = String.valueOf(target.zone());
-        shardOf[t] = target.shard();
+    void updateLocation(int index, Event.Target target) {
+        zone[index] = String.valueOf(target.zone());
+        shardOf[index] = target.shard();
     }
 
-    /** A new life of the target: nothing is known of it, and nothing out. */
-    void beginIncarnation(int t, double firstWindow) {
-        concurrencyLimit[t] = firstWindow;
-        inFlight[t] = 0;
-        incarnation[t]++;
-        latencyMicros[t] = 0;
-        nextTrialAt[t] = 0;
-        reportValidUntil[t] = 0;
+    /** A new incarnation of the target: nothing is known of it, and nothing in flight. */
+    void beginIncarnation(int index, double firstWindow) {
+        concurrencyLimit[index] = firstWindow;
+        inFlight[index] = 0;
+        incarnation[index]++;
+        latencyMicros[index] = 0;
+        nextTrialAt[index] = 0;
+        reportValidUntil[index] = 0;
     }
 
-    /** Units sent to a cold target after that time; what was before is dropped. */
-    double warmUpUnitsSince(int t, long since) {
+    /** Units sent while warming up after {@code since}; earlier sends are dropped. */
+    double warmUpUnitsSince(int index, long since) {
         double units = 0;
-        warmUpSends.get(t).removeIf(s -> s.sentAt() <= since);
-        for (WarmUpSend s : warmUpSends.get(t)) {
-            units += s.units();
+        warmUpSends.get(index).removeIf(send -> send.sentAt() <= since);
+        for (WarmUpSend send : warmUpSends.get(index)) {
+            units += send.units();
         }
         return units;
     }
 
-    /** When the first of those was sent; far off where there is none. */
-    long oldestWarmUpSendAt(int t) {
-        return warmUpSends.get(t).isEmpty()
+    /** When the first of those was sent; far in the future where there is none. */
+    long oldestWarmUpSendAt(int index) {
+        return warmUpSends.get(index).isEmpty()
                 ? IndexedTimerQueue.NEVER / 2
-                : warmUpSends.get(t).peekFirst().sentAt();
+                : warmUpSends.get(index).peekFirst().sentAt();
     }
 }
--- a/core/src/main/java/milletyoke/scheduler/TokenBucket.java
+++ b/core/src/main/java/milletyoke/scheduler/TokenBucket.java
@@ -2,7 +2,7 @@
 
 import milletyoke.scheduler.api.Event;
 
-/** Units that fill up at a rate, as they stood at a time. */
+/** A token bucket: units that fill up at a rate, as they stood at a time. */
 final class TokenBucket {
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -12,19 +12,19 @@
     double units;
     long updatedAt;
 
-    /** Whose plan fills it, and among how many hosts; null until it is first used. */
+    /** The plan that fills it, and among how many initiators; null until it is first used. */
     String plan;
 
     double initiatorCount;
 
-    /** One that starts empty. */
+    /** A bucket that starts empty. */
     TokenBucket(String plan, long at) {
         this.plan = plan;
         this.updatedAt = at;
         initiatorCount = 1;
     }
 
-    /** One host's part of what a volume not seen before has under a plan. */
+    /** One initiator's part of the bucket that a volume not seen before has under a plan. */
     TokenBucket(TokenBucket unseen, String plan, double hosts) {
         this.plan = plan;
         this.initiatorCount = hosts;
@@ -32,7 +32,7 @@
         updatedAt = unseen.updatedAt;
     }
 
-    /** One that was never used, filled by the same plan. */
+    /** A bucket that was never used, filled by the same plan. */
     TokenBucket(TokenBucket like) {
         this(like.plan, 0);
     }
--- a/core/src/main/java/milletyoke/scheduler/VolumeState.java
+++ b/core/src/main/java/milletyoke/scheduler/VolumeState.java
@@ -3,29 +3,26 @@
 import java.util.TreeSet;
 import milletyoke.scheduler.api.Event;
 
-/** What is kept of one volume, whichever nodes it goes to. */
+/** What is kept of one volume over all shards. */
 final class VolumeState extends EvictionCandidate {
-    /** Accesses held, and reservations at nodes: these are found by it, so it goes after them. */
+    /** Requests pending; below, flows at shards, which must be evicted before the volume. */
     int pendingCount;
 
     int flowCount;
     final String name;
 
-    /** Its stores, null before they are first used. */
+    /** Token buckets, null before they are first used. */
     TokenBucket limitBucket;
 
     TokenBucket reservationBucket;
 
-    /**
-     * With which plan, and through how many hosts, it was last asked for; and whether that ever
-     * changed.
-     */
+    /** The plan of the latest request, and through how many initiators it was sent. */
     private String plan;
 
     private int initiatorCount;
     boolean hasMixedPlans;
 
-    /** Its reservations that wait, the earlier made first. */
+    /** Flows with queued requests, in the order of creation. */
     final TreeSet<FlowQueue> queuedFlows = new TreeSet<>(FlowQueue.BY_CREATION);
 
     VolumeState(String name) {
--- a/core/src/main/java/milletyoke/scheduler/WarmUpSend.java
+++ b/core/src/main/java/milletyoke/scheduler/WarmUpSend.java
@@ -1,4 +1,4 @@
 package milletyoke.scheduler;
 
-/** What a cold target was sent, and when. */
+/** Units sent to a target while it was warming up, and when. */
 record WarmUpSend(long sentAt, double units) {}
--- a/core/src/main/java/milletyoke/scheduler/api/Event.java
+++ b/core/src/main/java/milletyoke/scheduler/api/Event.java
@@ -4,28 +4,38 @@
 
 /** What happened to one initiator. Times are microseconds; an id is given back as it came. */
 public sealed interface Event {
-    /** The initiator starts with no memory of an earlier life. */
+    /**
+     * The initiator starts, with no memory of an earlier incarnation.
+     *
+     * @param seed of all random choices
+     */
     record Started(long seed, SchedulerSettings settings) implements Event {}
 
     /**
-     * New figures for plans and categories while accesses are held; who sends it has seen to it
-     * that nothing else differs, and that no plan or category is gone.
+     * New figures for plans and request classes while requests are pending; the sender has checked
+     * that nothing else differs, and that no plan or class is gone.
      */
     record SettingsChanged(SchedulerSettings settings) implements Event {}
 
-    /** What discovery says of the targets. */
+    /** An endpoint list, or its absence. */
     record EndpointListReceived(ListScope scope, List<Target> targets) implements Event {}
 
+    /** What an endpoint list covers. */
     enum ListScope {
+        /** Only targets that changed. */
         UPDATE,
+        /** All targets, by service discovery. */
         REPLACE,
+        /** All targets, as stored before this start. */
         RESTORED,
+        /** Service discovery gave no list. */
         UNAVAILABLE
     }
 
     /** One target; {@code startedAtMicros} is 0 where it started long ago. */
     record Target(int shard, String id, String zone, Health health, long startedAtMicros) {}
 
+    /** Whether a target accepts new work. */
     enum Health {
         ACTIVE,
         DRAINING,
@@ -33,8 +43,14 @@
     }
 
     /**
-     * An access is taken; {@code shard} is -1 for a new object, {@code extent} null where it has
-     * none.
+     * A request is admitted.
+     *
+     * @param id unique among pending requests
+     * @param shard of the object, -1 for a new one
+     * @param extent part of the object, which is also the key of key ordering; null for none
+     * @param timeLeftMicros until the client gives up
+     * @param initiatorCount through how many initiators its volume sends
+     * @param units its size
      */
     record RequestReceived(
             String id,
@@ -48,23 +64,24 @@
             double units)
             implements Event {}
 
-    /** How one relay ended; {@code answered} is set once the client has its final answer. */
+    /** An attempt ended; {@code answered} is set once the client has its final answer. */
     record AttemptEnded(
             String id, int attemptNumber, boolean answered, Outcome outcome, long latencyMicros)
             implements Event {}
 
     /**
-     * What a probe found; {@code queueLength} accesses were said to wait at the target, -1 where it
-     * does not tell.
+     * A probe ended; {@code queueLength} requests are queued at the target, -1 where it does not
+     * say.
      */
     record ProbeEnded(String target, Outcome outcome, long latencyMicros, double queueLength)
             implements Event {}
 
     /**
-     * Nothing more is owed for the access: its client left, or has the answer's first part already.
+     * The request needs no answer any more: its client disconnected, or the first part of the
+     * answer has been sent.
      */
     record RequestClosed(String id) implements Event {}
 
-    /** A wake-up that was asked for. */
+    /** A wake-up that the scheduler asked for. */
     record WakeUp() implements Event {}
 }
--- a/core/src/test/java/milletyoke/scheduler/IdleStateEvictionTest.java
+++ b/core/src/test/java/milletyoke/scheduler/IdleStateEvictionTest.java
@@ -368,7 +368,7 @@
         forgetting.scheduleKeyCheck(stuck);
         for (int k = 0; k < 50; k++) {
             KeySequence key = new KeySequence("k" + k);
-            key.quietUntil = 20 + k;
+            key.quietUntil = 20L + k;
             turns.put(key.key, key);
             forgetting.scheduleKeyCheck(key);
         }
--- a/core/src/test/java/milletyoke/scheduler/ScenarioTest.java
+++ b/core/src/test/java/milletyoke/scheduler/ScenarioTest.java
@@ -44,7 +44,7 @@
         List<Arguments> all = new ArrayList<>();
         try (Stream<Path> files = Files.list(folder)) {
             for (Path file : files.filter(f -> f.toString().endsWith(".scn")).sorted().toList()) {
-                for (String part : Files.readString(file).split("(?m)^== ")) {
+                for (String part : Files.readString(file).split("(?m)^== ", 0)) {
                     String[] split = part.split("\n", 2);
                     if (split.length == 2 && split[1].contains("->")) {
                         all.add(
@@ -82,7 +82,7 @@
                 plans.add(plan(w.word(1), w));
             } else {
                 if (!w.word(0).equals("+")) {
-                    String[] span = w.word(0).split("\\.\\.");
+                    String[] span = w.word(0).split("\\.\\.", 0);
                     long last = Long.parseLong(span[span.length - 1]) * 1000;
                     for (long next = Long.parseLong(span[0]) * 1000; next < last; next += 50_000) {
                         play(at, batch);
@@ -144,7 +144,7 @@
 
     private static Event list(String scope, Words w) {
         return new Event.EndpointListReceived(
-                Event.ListScope.valueOf(scope.toUpperCase()),
+                Event.ListScope.valueOf(scope.toUpperCase(Locale.ROOT)),
                 w.words.subList(2, w.words.size()).stream().map(ScenarioTest::target).toList());
     }
 
@@ -189,7 +189,7 @@
     /** A target is told as id@shard, then /health, %zone and :launched where they matter. */
     private static Event.Target target(String text) {
         Map<Character, String> parts = new HashMap<>();
-        for (String part : text.split("(?=[@/%:])")) {
+        for (String part : text.split("(?=[@/%:])", 0)) {
             parts.put(
                     "@/%:".indexOf(part.charAt(0)) < 0 ? 'i' : part.charAt(0),
                     part.replaceAll("^[@/%:]", ""));
@@ -223,7 +223,7 @@
                 w.word(1),
                 idempotency(w.word(2)),
                 SchedulerSettings.DeduplicationScope.valueOf(
-                        w.named.getOrDefault("group", "all").toUpperCase()),
+                        w.named.getOrDefault("group", "all").toUpperCase(Locale.ROOT)),
                 w.ms("window", 0),
                 w.words.contains("ordered"),
                 w.ms("agreed", 400),
@@ -263,7 +263,7 @@
         final Map<String, String> named = new HashMap<>();
 
         Words(String line) {
-            for (String part : line.split("\\s+")) {
+            for (String part : line.split("\\s+", 0)) {
                 String[] pair = part.split("=", 2);
                 if (pair.length == 2) {
                     named.put(pair[0], pair[1]);
@@ -275,7 +275,7 @@
 
         /** One line for each of a range of ids, such as r1..r20. */
         List<Words> each() {
-            String[] ends = words.size() < 3 ? new String[0] : words.get(2).split("\\.\\.");
+            String[] ends = words.size() < 3 ? new String[0] : words.get(2).split("\\.\\.", 0);
             return ends.length < 2
                     ? List.of(this)
                     : IntStream.rangeClosed(number(ends[0]), number(ends[1]))
@@ -302,7 +302,7 @@
         }
 
         long ms(String name, long absent) {
-            return Math.round(1000 * figure(name, absent));
+            return Math.round(1000 * figure(name, (double) absent));
         }
     }
 }
--- a/core/src/test/java/milletyoke/scheduler/SlowStartFleetTest.java
+++ b/core/src/test/java/milletyoke/scheduler/SlowStartFleetTest.java
@@ -22,11 +22,7 @@
  * of N and 2 x root of N + 2 beside. No sockets, virtual time.
  */
 class SlowStartFleetTest {
-    private static final long STEP = 2_000,
-            FALL = 1_000_000,
-            COLD = 10_000_000,
-            AIM = 400_000,
-            TTL = 2_500_000;
+    private static final long FALL = 1_000_000, COLD = 10_000_000, AIM = 400_000, TTL = 2_500_000;
     private static final double TIP = 2, SHARE = 0.35;
 
     private record Due(long at, long number, Runnable task) {}
--- a/core/src/test/java/milletyoke/scheduler/StepCostTest.java
+++ b/core/src/test/java/milletyoke/scheduler/StepCostTest.java
@@ -29,7 +29,7 @@
             milletyoke.scheduler.reference.Decide before =
                     new milletyoke.scheduler.reference.Decide();
             long[] relays = new long[2];
-            double a = micros(now::decide, size[0], size[1], relays, 0);
+            double a = micros(now, size[0], size[1], relays, 0);
             double b = micros(before::decide, size[0], size[1], relays, 1);
             assertEquals(relays[1], relays[0]);
             System.out.printf(
