--- a/simhost/src/main/java/milletyoke/simhost/Main.java
+++ b/simhost/src/main/java/milletyoke/simhost/Main.java
@@ -7,10 +7,13 @@
 import java.io.OutputStreamWriter;
 import java.nio.charset.StandardCharsets;
 
-/** Starts the adapter for the bench: the wire on standard input and output. */
+/** Starts the adapter for the simulator: its wire on standard input and output. */
 public final class Main {
+    private static final int BUFFER_BYTES = 1 << 16;
+
     private Main() {}
 
+    /** Runs until the input ends; exit code 1 for a malformed frame, 2 for wrong arguments. */
     public static void main(String[] args) throws IOException {
         if (args.length != 1 || !args[0].equals("simhost")) {
             System.err.println("usage: java -jar milletyoke-simhost.jar simhost");
@@ -18,10 +21,10 @@
         }
         var in =
                 new BufferedReader(
-                        new InputStreamReader(System.in, StandardCharsets.UTF_8), 1 << 16);
+                        new InputStreamReader(System.in, StandardCharsets.UTF_8), BUFFER_BYTES);
         var out =
                 new OutputStreamWriter(
-                        new BufferedOutputStream(System.out, 1 << 16), StandardCharsets.UTF_8);
+                        new BufferedOutputStream(System.out, BUFFER_BYTES), StandardCharsets.UTF_8);
         try {
             new SimHost(in, out).run();
         } catch (MalformedFrameException bad) {
--- a/simhost/src/main/java/milletyoke/simhost/SimHost.java
+++ b/simhost/src/main/java/milletyoke/simhost/SimHost.java
@@ -12,64 +12,70 @@
 import milletyoke.scheduler.api.Event;
 
 /**
- * Hosts many instances on the simulator's wire: one fresh module for each start, nothing shared
- * among them.
+ * Hosts many schedulers behind the simulator's wire: a new scheduler for each start of an
+ * initiator, nothing shared among them. One thread.
  */
 public final class SimHost {
     private final BufferedReader in;
     private final Writer out;
-    private final Map<String, RequestScheduler> instances = new HashMap<>();
-    private final Map<String, Integer> waitingAt = new HashMap<>();
+    private final Map<String, RequestScheduler> schedulers = new HashMap<>();
+    private final Map<String, Integer> queueLengthIndexes = new HashMap<>();
     private long line;
 
+    /** A host that reads frames from {@code in} and writes replies to {@code out}. */
     public SimHost(BufferedReader in, Writer out) {
         this.in = in;
         this.out = out;
     }
 
+    /**
+     * Answers batch after batch until the input ends.
+     *
+     * @throws MalformedFrameException for input that is not of the wire
+     */
     public void run() throws IOException {
-        for (Codec.Fields f = read(); f != null; f = read()) {
-            if (!f.word().equals("BATCH")) {
-                throw f.wrong("BATCH was expected, not " + f.word());
+        for (Frame frame = read(); frame != null; frame = read()) {
+            if (!frame.type().equals("BATCH")) {
+                throw frame.malformed("BATCH was expected, not " + frame.type());
             }
-            out.write(reply(f.whole(1), batch()));
+            out.write(reply(frame.whole(1), batch()));
             out.flush();
         }
     }
 
     /**
-     * The events of one batch by instance; a kill forgets the instance together with what came
-     * before it.
+     * The events of one batch by instance; a kill drops the instance together with what came before
+     * it.
      */
     private Map<String, List<Event>> batch() throws IOException {
-        Map<String, List<Event>> happened = new LinkedHashMap<>();
+        Map<String, List<Event>> eventsByInstance = new LinkedHashMap<>();
         String instance = null;
-        for (Codec.Fields f = inBatch(); !f.word().equals("END"); f = inBatch()) {
-            if (f.word().equals("ABOUT")) {
-                instance = f.text(1);
+        for (Frame frame = readInBatch(); !frame.type().equals("END"); frame = readInBatch()) {
+            if (frame.type().equals("ABOUT")) {
+                instance = frame.text(1);
                 continue;
             }
             if (instance == null) {
-                throw f.wrong(f.word() + " before any ABOUT");
+                throw frame.malformed(frame.type() + " before any ABOUT");
             }
-            List<Event> events = happened.computeIfAbsent(instance, i -> new ArrayList<>());
-            switch (f.word()) {
+            List<Event> events = eventsByInstance.computeIfAbsent(instance, i -> new ArrayList<>());
+            switch (frame.type()) {
                 case "SHUTDOWN" -> {
-                    instances.remove(instance);
+                    schedulers.remove(instance);
                     events.clear();
                 }
-                case "FLEET" -> events.add(fleet(f));
-                default -> add(events, f, instance);
+                case "FLEET" -> events.add(fleet(frame));
+                default -> add(events, frame, instance);
             }
         }
-        return happened;
+        return eventsByInstance;
     }
 
-    private void add(List<Event> events, Codec.Fields f, String instance) {
-        Event event = Codec.event(f, waitingAt.getOrDefault(instance, -1));
+    private void add(List<Event> events, Frame frame, String instance) {
+        Event event = EventReader.read(frame, queueLengthIndexes.getOrDefault(instance, -1));
         if (event instanceof Event.Started) {
-            instances.put(instance, new RequestScheduler());
-            waitingAt.put(instance, Codec.waitingAt(f));
+            schedulers.put(instance, new RequestScheduler());
+            queueLengthIndexes.put(instance, EventReader.queueLengthIndex(frame));
             events.clear();
         }
         if (event != null) {
@@ -77,26 +83,28 @@
         }
     }
 
-    private Event fleet(Codec.Fields head) throws IOException {
+    private Event fleet(Frame head) throws IOException {
         long count = head.whole(3);
         List<Event.Target> targets = new ArrayList<>();
         for (long i = 0; i < count; i++) {
-            targets.add(Codec.target(inBatch()));
+            targets.add(EventReader.readTarget(readInBatch()));
         }
-        return Codec.list(head, targets);
+        return EventReader.readList(head, targets);
     }
 
-    private String reply(long now, Map<String, List<Event>> happened) {
+    private String reply(long now, Map<String, List<Event>> eventsByInstance) {
         StringBuilder text = new StringBuilder();
-        happened.forEach(
+        eventsByInstance.forEach(
                 (instance, events) -> {
-                    RequestScheduler module = instances.get(instance);
-                    if (module == null || events.isEmpty()) {
+                    RequestScheduler scheduler = schedulers.get(instance);
+                    if (scheduler == null || events.isEmpty()) {
                         return;
                     }
                     text.append("CONTEXT\t").append(instance).append('\n');
                     try {
-                        module.decide(now, events).forEach(action -> Codec.write(action, text));
+                        scheduler
+                                .decide(now, events)
+                                .forEach(action -> ActionWriter.write(action, text));
                     } catch (RuntimeException fault) {
                         StackTraceElement[] at = fault.getStackTrace();
                         String cause = fault + (at.length > 0 ? " at " + at[0] : "");
@@ -106,20 +114,20 @@
         return text.append("DONE\n").toString();
     }
 
-    private Codec.Fields inBatch() throws IOException {
-        Codec.Fields f = read();
-        if (f == null) {
+    private Frame readInBatch() throws IOException {
+        Frame frame = read();
+        if (frame == null) {
             throw new MalformedFrameException(line, "the input ends inside a batch");
         }
-        return f;
+        return frame;
     }
 
-    /** The next line that holds something, or null at the end of input. */
-    private Codec.Fields read() throws IOException {
+    /** The next line that is not blank, or null at the end of input. */
+    private Frame read() throws IOException {
         for (String text = in.readLine(); text != null; text = in.readLine()) {
             line++;
             if (!text.isBlank()) {
-                return Codec.Fields.of(line, text);
+                return Frame.of(line, text);
             }
         }
         return null;
