--- a/benchmarks/src/main/java/milletyoke/benchmarks/SchedulerTurnBenchmark.java
+++ b/benchmarks/src/main/java/milletyoke/benchmarks/SchedulerTurnBenchmark.java
@@ -2,11 +2,22 @@
 
 import java.util.concurrent.TimeUnit;
 import milletyoke.scheduler.RequestScheduler;
-import org.openjdk.jmh.annotations.*;
+import org.openjdk.jmh.annotations.Benchmark;
+import org.openjdk.jmh.annotations.BenchmarkMode;
+import org.openjdk.jmh.annotations.Fork;
+import org.openjdk.jmh.annotations.Level;
+import org.openjdk.jmh.annotations.Measurement;
+import org.openjdk.jmh.annotations.Mode;
+import org.openjdk.jmh.annotations.OutputTimeUnit;
+import org.openjdk.jmh.annotations.Param;
+import org.openjdk.jmh.annotations.Scope;
+import org.openjdk.jmh.annotations.Setup;
+import org.openjdk.jmh.annotations.State;
+import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What one call costs, one access coming and one ending, over the grid of held, volumes and
- * targets.
+ * What one turn costs, in which one request arrives and one attempt ends, over a grid of pending
+ * requests, volumes and targets.
  */
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -26,18 +37,20 @@
     @Param({"10", "100", "1000"})
     public int targets;
 
-    /** Every so many-th access is a new object; 0 for none. */
+    /** One request in so many is for a new object; 0 for none. */
     @Param({"0"})
     public int newEvery;
 
     private SteadyLoad steady;
 
+    /** Fills the scheduler up to its steady state. */
     @Setup(Level.Trial)
     public void fill() {
-        steady = new SteadyLoad(new RequestScheduler()::decide, held, volumes, targets);
+        steady = new SteadyLoad(new RequestScheduler(), held, volumes, targets);
         steady.newEvery = newEvery;
     }
 
+    /** One turn; returns the number of actions, so that they are not optimized away. */
     @Benchmark
     public int turn() {
         return steady.turn();
--- a/benchmarks/src/main/java/milletyoke/benchmarks/SteadyLoad.java
+++ b/benchmarks/src/main/java/milletyoke/benchmarks/SteadyLoad.java
@@ -3,16 +3,21 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.BiFunction;
 import milletyoke.scheduler.api.Action;
 import milletyoke.scheduler.api.Event;
 import milletyoke.scheduler.api.Outcome;
+import milletyoke.scheduler.api.Scheduler;
 import milletyoke.scheduler.api.SchedulerSettings;
-import milletyoke.scheduler.api.SchedulerSettings.*;
+import milletyoke.scheduler.api.SchedulerSettings.Capabilities;
+import milletyoke.scheduler.api.SchedulerSettings.DeduplicationScope;
+import milletyoke.scheduler.api.SchedulerSettings.Idempotency;
+import milletyoke.scheduler.api.SchedulerSettings.RequestClass;
+import milletyoke.scheduler.api.SchedulerSettings.RuleLimits;
+import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 
 /**
- * A steady stream round one module: so many accesses held, so many volumes known, so many targets;
- * time is made up.
+ * A steady load on one scheduler in virtual time: a constant number of pending requests over a
+ * constant number of volumes and targets.
  */
 final class SteadyLoad {
     private static final RequestClass SLOW =
@@ -28,25 +33,21 @@
             new RequestClass(
                     "read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, false, 400_000, 2);
 
-    private final BiFunction<Long, List<Event>, List<Action>> module;
+    private final Scheduler scheduler;
     private final int volumes;
     private final int targets;
-    private final ArrayDeque<String> out = new ArrayDeque<>();
+    private final ArrayDeque<String> inFlight = new ArrayDeque<>();
     private long now = 1_000_000_000L;
     private long next;
 
-    /** Every so many-th access is a new object; 0 for none. */
+    /** One request in so many is for a new object; 0 for none. */
     int newEvery;
 
-    SteadyLoad(
-            BiFunction<Long, List<Event>, List<Action>> module,
-            int held,
-            int volumes,
-            int targets) {
-        this.module = module;
+    SteadyLoad(Scheduler scheduler, int pending, int volumes, int targets) {
+        this.scheduler = scheduler;
         this.volumes = volumes;
         this.targets = targets;
-        SchedulerSettings given =
+        SchedulerSettings settings =
                 new SchedulerSettings(
                         3,
                         List.of(SLOW, READ),
@@ -58,37 +59,37 @@
         for (int t = 0; t < targets; t++) {
             listed.add(new Event.Target(t, "t" + t, "z", Event.Health.ACTIVE, 0));
         }
-        tell(
+        decide(
                 List.of(
-                        new Event.Started(1, given),
+                        new Event.Started(1, settings),
                         new Event.EndpointListReceived(Event.ListScope.REPLACE, listed)));
-        for (int v = 0; v < volumes; v++) { // every volume was here once
+        for (int v = 0; v < volumes; v++) { // every volume is known
             now += 10;
-            tell(List.of(access("read", next)));
-            if (!out.isEmpty()) {
-                tell(List.of(ended()));
+            decide(List.of(requestReceived("read", next)));
+            if (!inFlight.isEmpty()) {
+                decide(List.of(attemptEnded()));
             }
         }
-        for (int h = 0; h < held; h++) {
-            tell(List.of(access("slow", next)));
+        for (int h = 0; h < pending; h++) {
+            decide(List.of(requestReceived("slow", next)));
         }
     }
 
-    /** One access comes and one ends. */
+    /** One request arrives and one attempt ends; returns the number of actions. */
     int turn() {
         now += 20;
         List<Event> events = new ArrayList<>(2);
-        events.add(access("slow", next));
-        if (!out.isEmpty()) {
-            events.add(ended());
+        events.add(requestReceived("slow", next));
+        if (!inFlight.isEmpty()) {
+            events.add(attemptEnded());
         }
-        return tell(events);
+        return decide(events);
     }
 
-    private Event access(String category, long number) {
+    private Event requestReceived(String requestClass, long number) {
         next++;
-        // volumes and targets are drawn over all of them, out of step with each other
-        int volume = (int) (number * 2_654_435_761L >>> 7 & Integer.MAX_VALUE) % volumes;
+        // volumes and targets are spread evenly, out of step with each other
+        int volume = (int) (((number * 2_654_435_761L) >>> 7) & Integer.MAX_VALUE) % volumes;
         return new Event.RequestReceived(
                 "s" + number,
                 newEvery > 0 && number % newEvery == 0 ? -1 : (int) (number % targets),
@@ -96,20 +97,20 @@
                 "v" + volume,
                 700_000_000L,
                 "free",
-                category,
+                requestClass,
                 1,
                 1);
     }
 
-    private Event ended() {
-        return new Event.AttemptEnded(out.pollFirst(), 0, true, Outcome.SUCCEEDED, 3_000);
+    private Event attemptEnded() {
+        return new Event.AttemptEnded(inFlight.pollFirst(), 0, true, Outcome.SUCCEEDED, 3_000);
     }
 
-    private int tell(List<Event> events) {
-        List<Action> actions = module.apply(now, events);
-        for (Action a : actions) {
-            if (a instanceof Action.SendAttempt r) {
-                out.addLast(r.id());
+    private int decide(List<Event> events) {
+        List<Action> actions = scheduler.decide(now, events);
+        for (Action action : actions) {
+            if (action instanceof Action.SendAttempt attempt) {
+                inFlight.addLast(attempt.id());
             }
         }
         return actions.size();
