--- a/core/src/test/java/milletyoke/scheduler/DifferentialTest.java
+++ b/core/src/test/java/milletyoke/scheduler/DifferentialTest.java
@@ -16,7 +16,12 @@
 import milletyoke.scheduler.api.Event;
 import milletyoke.scheduler.api.Outcome;
 import milletyoke.scheduler.api.SchedulerSettings;
-import milletyoke.scheduler.api.SchedulerSettings.*;
+import milletyoke.scheduler.api.SchedulerSettings.Capabilities;
+import milletyoke.scheduler.api.SchedulerSettings.DeduplicationScope;
+import milletyoke.scheduler.api.SchedulerSettings.Idempotency;
+import milletyoke.scheduler.api.SchedulerSettings.RequestClass;
+import milletyoke.scheduler.api.SchedulerSettings.RuleLimits;
+import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 import net.jqwik.api.EdgeCasesMode;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.GenerationMode;
@@ -35,30 +40,33 @@
     /**
      * A random world that answers what the module does; it knows nothing of which module that is.
      */
-    private static final class World {
-        private SplittableRandom chance;
-        final SchedulerSettings given;
-        final int shards, volumes;
+    private static final class EventStream {
+        private SplittableRandom random;
+        final SchedulerSettings settings;
+        final int shards;
+        final int volumes;
 
         /**
          * Whether a volume keeps its plan and hosts, as in service; and whether some accesses are
          * far larger than others.
          */
-        final boolean steady, uneven;
+        final boolean steady;
 
-        final List<Action.SendAttempt> out = new ArrayList<>();
+        final boolean uneven;
+
+        final List<Action.SendAttempt> inFlight = new ArrayList<>();
         final List<String> probes = new ArrayList<>();
-        final java.util.Map<String, Integer> relays = new java.util.HashMap<>();
+        final java.util.Map<String, Integer> attempts = new java.util.HashMap<>();
         long now = 1_000_000_000L;
-        long next;
+        long nextRequest;
 
-        World(long seed) {
-            chance = new SplittableRandom(seed);
-            shards = 1 + chance.nextInt(8);
-            volumes = 1 + chance.nextInt(60);
-            boolean cold = chance.nextBoolean();
-            steady = chance.nextBoolean();
-            uneven = chance.nextInt(3) == 0;
+        EventStream(long seed) {
+            random = new SplittableRandom(seed);
+            shards = 1 + random.nextInt(8);
+            volumes = 1 + random.nextInt(60);
+            boolean cold = random.nextBoolean();
+            steady = random.nextBoolean();
+            uneven = random.nextInt(3) == 0;
             List<RequestClass> categories =
                     List.of(
                             new RequestClass(
@@ -82,7 +90,7 @@
                                     Idempotency.IDEMPOTENCY_KEY,
                                     DeduplicationScope.ZONE,
                                     2_500_000,
-                                    chance.nextBoolean(),
+                                    random.nextBoolean(),
                                     500_000,
                                     1),
                             new RequestClass(
@@ -98,19 +106,19 @@
                             new ServicePlan("free", 0, 1, 0, 0, 0),
                             new ServicePlan("paid", 6, 2, 0, 0, 0),
                             new ServicePlan("capped", 1, 1, 20, 25, 4));
-            given =
+            settings =
                     new SchedulerSettings(
-                            chance.nextBoolean() ? 3 : 40,
+                            random.nextBoolean() ? 3 : 40,
                             categories,
                             plans,
                             new Capabilities(
-                                    1 + chance.nextInt(3),
-                                    chance.nextBoolean(),
-                                    chance.nextBoolean(),
-                                    chance.nextBoolean(),
+                                    1 + random.nextInt(3),
+                                    random.nextBoolean(),
+                                    random.nextBoolean(),
+                                    random.nextBoolean(),
                                     500_000),
                             new RuleLimits(
-                                    chance.nextBoolean() ? 200_000 : 0,
+                                    random.nextBoolean() ? 200_000 : 0,
                                     cold ? 5_000_000 : 0,
                                     0.3,
                                     cold ? 10 : 0,
@@ -118,32 +126,32 @@
                                     2,
                                     10,
                                     0.1,
-                                    chance.nextBoolean() ? 2_000_000 : 0,
+                                    random.nextBoolean() ? 2_000_000 : 0,
                                     10_000_000),
-                            chance.nextBoolean());
+                            random.nextBoolean());
         }
 
         List<Event> start() {
             List<Event> events = new ArrayList<>();
-            events.add(new Event.Started(chance.nextLong(), given));
-            events.add(list(Event.ListScope.RESTORED));
+            events.add(new Event.Started(random.nextLong(), settings));
+            events.add(endpointList(Event.ListScope.RESTORED));
             return events;
         }
 
-        Event list(Event.ListScope scope) {
+        Event endpointList(Event.ListScope scope) {
             List<Event.Target> targets = new ArrayList<>();
             for (int s = 0; s < shards; s++) {
-                if (scope != Event.ListScope.UPDATE || chance.nextInt(shards) == 0) {
-                    boolean fresh = chance.nextInt(6) == 0;
+                if (scope != Event.ListScope.UPDATE || random.nextInt(shards) == 0) {
+                    boolean fresh = random.nextInt(6) == 0;
                     Event.Health health =
-                            chance.nextInt(8) == 0 ? Event.Health.DRAINING : Event.Health.ACTIVE;
+                            random.nextInt(8) == 0 ? Event.Health.DRAINING : Event.Health.ACTIVE;
                     targets.add(
                             new Event.Target(
                                     s,
-                                    "t" + s + (chance.nextInt(5) == 0 ? "n" : ""),
+                                    "t" + s + (random.nextInt(5) == 0 ? "n" : ""),
                                     "z" + s % 2,
                                     health,
-                                    fresh ? now - chance.nextInt(2_000_000) : 0));
+                                    fresh ? now - random.nextInt(2_000_000) : 0));
                 }
             }
             return new Event.EndpointListReceived(scope, targets);
@@ -154,14 +162,14 @@
          * changing others' draws.
          */
         List<Event> step(int choice) {
-            chance = new SplittableRandom(choice);
+            random = new SplittableRandom(choice);
             return step();
         }
 
         List<Event> step() {
-            now += chance.nextInt(50) == 0 ? chance.nextInt(400_000) : chance.nextInt(6_000);
+            now += random.nextInt(50) == 0 ? random.nextInt(400_000) : random.nextInt(6_000);
             List<Event> events = new ArrayList<>();
-            for (int i = chance.nextInt(5); i > 0; i--) {
+            for (int i = random.nextInt(5); i > 0; i--) {
                 events.add(event());
             }
             if (events.isEmpty()) {
@@ -171,90 +179,90 @@
         }
 
         private Event event() {
-            int kind = chance.nextInt(100);
+            int kind = random.nextInt(100);
             if (kind < 45) {
-                return access();
-            } else if (kind < 85 && !out.isEmpty()) {
-                return ended();
+                return requestReceived();
+            } else if (kind < 85 && !inFlight.isEmpty()) {
+                return attemptEnded();
             } else if (kind < 90 && !probes.isEmpty()) {
-                boolean ok = chance.nextInt(5) > 0;
+                boolean ok = random.nextInt(5) > 0;
                 return new Event.ProbeEnded(
-                        probes.remove(chance.nextInt(probes.size())),
+                        probes.remove(random.nextInt(probes.size())),
                         ok ? Outcome.SUCCEEDED : Outcome.TIMED_OUT,
-                        1000 + chance.nextInt(90_000),
-                        chance.nextInt(3) == 0 ? -1 : chance.nextInt(30));
+                        1000 + random.nextInt(90_000),
+                        random.nextInt(3) == 0 ? -1 : random.nextInt(30));
             } else if (kind == 90) {
-                return list(
-                        chance.nextBoolean() ? Event.ListScope.UPDATE : Event.ListScope.REPLACE);
+                return endpointList(
+                        random.nextBoolean() ? Event.ListScope.UPDATE : Event.ListScope.REPLACE);
             } else if (kind == 91) {
                 return new Event.EndpointListReceived(Event.ListScope.UNAVAILABLE, List.of());
-            } else if (kind == 92 && next > 0) {
+            } else if (kind == 92 && nextRequest > 0) {
                 return new Event.RequestClosed(
-                        "r" + (next - 1 - chance.nextInt((int) Math.min(next, 30))));
+                        "r" + (nextRequest - 1 - random.nextInt((int) Math.min(nextRequest, 30))));
             } else if (kind == 93) {
-                List<ServicePlan> plans = new ArrayList<>(given.plans());
+                List<ServicePlan> plans = new ArrayList<>(settings.plans());
                 plans.set(
                         2,
                         new ServicePlan(
                                 "capped",
                                 1,
-                                1 + chance.nextInt(3),
-                                5 + chance.nextInt(40),
-                                5 + chance.nextInt(30),
+                                1 + random.nextInt(3),
+                                5 + random.nextInt(40),
+                                5 + random.nextInt(30),
                                 2));
                 return new Event.SettingsChanged(
                         new SchedulerSettings(
-                                given.initiatorCount(),
-                                given.requestClasses(),
+                                settings.initiatorCount(),
+                                settings.requestClasses(),
                                 plans,
-                                given.capabilities(),
-                                given.limits(),
-                                given.mustWatchEndpoints()));
+                                settings.capabilities(),
+                                settings.limits(),
+                                settings.mustWatchEndpoints()));
             }
             return new Event.WakeUp();
         }
 
-        private Event access() {
-            String category = given.requestClasses().get(chance.nextInt(4)).name();
-            int shard = chance.nextInt(10) == 0 ? -1 : chance.nextInt(shards);
-            String extent = chance.nextInt(3) == 0 ? null : "x" + chance.nextInt(12);
-            long ttl = chance.nextInt(6) == 0 ? 20_000 + chance.nextInt(300_000) : 2_500_000;
-            int volume = chance.nextInt(volumes);
+        private Event requestReceived() {
+            String category = settings.requestClasses().get(random.nextInt(4)).name();
+            int shard = random.nextInt(10) == 0 ? -1 : random.nextInt(shards);
+            String extent = random.nextInt(3) == 0 ? null : "x" + random.nextInt(12);
+            long ttl = random.nextInt(6) == 0 ? 20_000 + random.nextInt(300_000) : 2_500_000;
+            int volume = random.nextInt(volumes);
             double units =
-                    uneven && chance.nextInt(20) == 0
-                            ? 1 + chance.nextInt(40)
-                            : 1 + chance.nextInt(4);
+                    uneven && random.nextInt(20) == 0
+                            ? 1 + random.nextInt(40)
+                            : 1 + random.nextInt(4);
             return new Event.RequestReceived(
-                    "r" + next++,
+                    "r" + nextRequest++,
                     shard,
                     extent,
                     "v" + volume,
                     ttl,
-                    given.plans().get(steady ? volume % 3 : chance.nextInt(3)).name(),
+                    settings.plans().get(steady ? volume % 3 : random.nextInt(3)).name(),
                     category,
-                    steady ? 1 + volume % 2 : 1 + chance.nextInt(3),
+                    steady ? 1 + volume % 2 : 1 + random.nextInt(3),
                     units);
         }
 
-        private Event ended() {
-            Action.SendAttempt r = out.remove(chance.nextInt(Math.min(out.size(), 6)));
+        private Event attemptEnded() {
+            Action.SendAttempt r = inFlight.remove(random.nextInt(Math.min(inFlight.size(), 6)));
             Outcome[] all = Outcome.values();
             Outcome how =
-                    chance.nextInt(4) > 0 ? Outcome.SUCCEEDED : all[chance.nextInt(all.length)];
-            int relay = relays.get(r.id()) - 1;
+                    random.nextInt(4) > 0 ? Outcome.SUCCEEDED : all[random.nextInt(all.length)];
+            int relay = attempts.get(r.id()) - 1;
             return new Event.AttemptEnded(
                     r.id(),
                     relay,
                     how == Outcome.SUCCEEDED,
                     how,
-                    2_000 + chance.nextInt(chance.nextInt(8) == 0 ? 400_000 : 30_000));
+                    2_000 + random.nextInt(random.nextInt(8) == 0 ? 400_000 : 30_000));
         }
 
-        void did(List<Action> actions) {
+        void carryOut(List<Action> actions) {
             for (Action a : actions) {
                 if (a instanceof Action.SendAttempt r) {
-                    out.add(r);
-                    relays.merge(r.id(), 1, Integer::sum);
+                    inFlight.add(r);
+                    attempts.merge(r.id(), 1, Integer::sum);
                 } else if (a instanceof Action.SendProbe p) {
                     probes.add(p.target());
                 }
@@ -295,15 +303,15 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void equalActionsCallByCall(int seed) {
-        World world = new World(seed);
+    void returnsTheReferencesActionsCallByCall(int seed) {
+        EventStream stream = new EventStream(seed);
         RequestScheduler now = new RequestScheduler();
         milletyoke.scheduler.reference.Decide before = new milletyoke.scheduler.reference.Decide();
-        List<Event> events = world.start();
+        List<Event> events = stream.start();
         long relays = 0;
         for (int step = 0; step < 4_000; step++) {
-            List<Action> expected = before.decide(world.now, events);
-            List<Action> told = now.decide(world.now, events);
+            List<Action> expected = before.decide(stream.now, events);
+            List<Action> told = now.decide(stream.now, events);
             int at = step;
             assertEquals(
                     expected,
@@ -313,13 +321,13 @@
                                     + seed
                                     + ", step "
                                     + at
-                                    + (world.steady ? " steady" : "")
-                                    + (world.uneven ? " uneven" : "")
+                                    + (stream.steady ? " steady" : "")
+                                    + (stream.uneven ? " uneven" : "")
                                     + " given "
-                                    + world.given);
-            world.did(told);
+                                    + stream.settings);
+            stream.carryOut(told);
             relays += told.stream().filter(a -> a instanceof Action.SendAttempt).count();
-            events = world.step();
+            events = stream.step();
         }
         assertEquals(true, relays > 100, relays + " relays only");
     }
@@ -330,18 +338,18 @@
      * -Dmilletyoke.record=FILE} writes them anew, and the commit says why.
      */
     @Test
-    void streamsGiveTheRecordedActions() throws Exception {
+    void streamsMatchTheRecordedDigests() throws Exception {
         List<String> digests = new ArrayList<>();
         for (int seed = 1; seed <= 24; seed++) {
-            World world = new World(seed);
+            EventStream stream = new EventStream(seed);
             RequestScheduler module = new RequestScheduler();
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
-            List<Event> events = world.start();
+            List<Event> events = stream.start();
             for (int step = 0; step < 4_000; step++) {
-                List<Action> told = module.decide(world.now, events);
+                List<Action> told = module.decide(stream.now, events);
                 digest.update(recordedForm(told).getBytes(StandardCharsets.UTF_8));
-                world.did(told);
-                events = world.step();
+                stream.carryOut(told);
+                events = stream.step();
             }
             digests.add(seed + " " + HexFormat.of().formatHex(digest.digest()));
         }
@@ -361,20 +369,20 @@
             seed = "20261201",
             edgeCases = EdgeCasesMode.NONE,
             generation = GenerationMode.RANDOMIZED)
-    void equalActionsOfStreamsThatShrink(
+    void returnsTheReferencesActionsForShrinkingStreams(
             @ForAll @IntRange(min = 1, max = 1 << 20) int seed,
             @ForAll @Size(min = 1, max = 800)
                     List<@IntRange(max = Integer.MAX_VALUE) Integer> steps) {
-        World world = new World(seed);
+        EventStream stream = new EventStream(seed);
         RequestScheduler now = new RequestScheduler();
         milletyoke.scheduler.reference.Decide before = new milletyoke.scheduler.reference.Decide();
-        List<Event> events = world.start();
+        List<Event> events = stream.start();
         for (int step : steps) {
-            List<Action> expected = before.decide(world.now, events);
-            List<Action> told = now.decide(world.now, events);
+            List<Action> expected = before.decide(stream.now, events);
+            List<Action> told = now.decide(stream.now, events);
             assertEquals(expected, told);
-            world.did(told);
-            events = world.step(step);
+            stream.carryOut(told);
+            events = stream.step(step);
         }
     }
 }
--- a/core/src/test/java/milletyoke/scheduler/IdleStateEvictionTest.java
+++ b/core/src/test/java/milletyoke/scheduler/IdleStateEvictionTest.java
@@ -12,21 +12,26 @@
 import milletyoke.scheduler.api.Event;
 import milletyoke.scheduler.api.Outcome;
 import milletyoke.scheduler.api.SchedulerSettings;
-import milletyoke.scheduler.api.SchedulerSettings.*;
+import milletyoke.scheduler.api.SchedulerSettings.Capabilities;
+import milletyoke.scheduler.api.SchedulerSettings.DeduplicationScope;
+import milletyoke.scheduler.api.SchedulerSettings.Idempotency;
+import milletyoke.scheduler.api.SchedulerSettings.RequestClass;
+import milletyoke.scheduler.api.SchedulerSettings.RuleLimits;
+import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What is forgotten, that nobody gains by it, and that years of service need no more memory than
- * what is in use.
+ * Which state is evicted, that no volume gains by it, and that memory stays bounded over long
+ * service.
  */
 @Timeout(300)
 class IdleStateEvictionTest {
     private static final long MINUTE = 60_000_000L;
 
     /**
-     * One token store a volume that forgets nothing, kept by the plans as they are told: a second
-     * opinion on rule 7.
+     * An independent check of rate limits: one token bucket a volume that is never evicted, filled
+     * by the plans as they change.
      */
     private static final class Auditor {
         /**
@@ -42,10 +47,10 @@
             levels = new double[volumes];
             at = new long[volumes];
             java.util.Arrays.fill(at, startedAt);
-            told(startedAt, plan);
+            planChanged(startedAt, plan);
         }
 
-        void told(long at, ServicePlan plan) {
+        void planChanged(long at, ServicePlan plan) {
             plans.add(new double[] {plan.limitRate(), plan.limitBurst() + plan.limitSlack()});
             since.add(at);
         }
@@ -74,14 +79,16 @@
         }
     }
 
-    /** A module, its world that answers after five milliseconds, and the auditor. */
+    /** A scheduler, targets that answer after five milliseconds, and the auditor. */
     private static final class Service {
-        final RequestScheduler decide = new RequestScheduler();
+        final RequestScheduler scheduler = new RequestScheduler();
         final Map<String, Event.RequestReceived> sent = new HashMap<>();
-        final List<String> out = new ArrayList<>();
+        final List<String> inFlight = new ArrayList<>();
         final Auditor auditor;
         long now = 1_000_000_000_000L;
-        long relays, rejects, next;
+        long attempts;
+        long rejects;
+        long next;
         List<ServicePlan> plans;
 
         Service(ServicePlan capped, int shards) {
@@ -99,12 +106,12 @@
             for (int t = 0; t < shards; t++) {
                 targets.add(new Event.Target(t, "t" + t, "z", Event.Health.ACTIVE, 0));
             }
-            tell(
-                    new Event.Started(1, provisioning()),
+            handle(
+                    new Event.Started(1, settings()),
                     new Event.EndpointListReceived(Event.ListScope.REPLACE, targets));
         }
 
-        SchedulerSettings provisioning() {
+        SchedulerSettings settings() {
             return new SchedulerSettings(
                     3,
                     List.of(
@@ -140,13 +147,13 @@
                     false);
         }
 
-        void plan(ServicePlan capped) {
+        void changePlan(ServicePlan capped) {
             plans = List.of(plans.get(0), plans.get(1), capped);
-            auditor.told(now, capped);
-            tell(new Event.SettingsChanged(provisioning()));
+            auditor.planChanged(now, capped);
+            handle(new Event.SettingsChanged(settings()));
         }
 
-        void access(String volume, int shard, String plan, String key, double units) {
+        void request(String volume, int shard, String plan, String key, double units) {
             Event.RequestReceived a =
                     new Event.RequestReceived(
                             "a" + next++,
@@ -159,14 +166,14 @@
                             1,
                             units);
             sent.put(a.id(), a);
-            tell(a);
+            handle(a);
         }
 
-        void tell(Event... events) {
-            for (Action action : decide.decide(now, List.of(events))) {
+        void handle(Event... events) {
+            for (Action action : scheduler.decide(now, List.of(events))) {
                 if (action instanceof Action.SendAttempt r) {
-                    relays++;
-                    out.add(r.id());
+                    attempts++;
+                    inFlight.add(r.id());
                     Event.RequestReceived a = sent.get(r.id());
                     if (a.plan().equals("capped")) {
                         auditor.sent(a.volume(), now, a.units());
@@ -178,81 +185,81 @@
                     sent.remove(b.id());
                 } else if (action instanceof Action.SendProbe p) {
                     now += 1_000;
-                    tell(new Event.ProbeEnded(p.target(), Outcome.SUCCEEDED, 1_000, 0));
+                    handle(new Event.ProbeEnded(p.target(), Outcome.SUCCEEDED, 1_000, 0));
                 }
             }
         }
 
         void answer() {
             now += 5_000;
-            while (!out.isEmpty()) {
-                String id = out.remove(out.size() - 1);
+            while (!inFlight.isEmpty()) {
+                String id = inFlight.remove(inFlight.size() - 1);
                 sent.remove(id);
-                tell(new Event.AttemptEnded(id, 0, true, Outcome.SUCCEEDED, 5_000));
+                handle(new Event.AttemptEnded(id, 0, true, Outcome.SUCCEEDED, 5_000));
             }
         }
 
-        void pass(long time) {
+        void passTime(long time) {
             for (long until = now + time;
                     now < until;
                     now += Math.max(4_000, Math.min(MINUTE, until - now) / 4)) {
-                tell(new Event.WakeUp());
+                handle(new Event.WakeUp());
                 answer();
             }
         }
 
-        int kept() {
-            return decide.dispatchQueue.evictionCandidates.size();
+        int candidateCount() {
+            return scheduler.dispatchQueue.evictionCandidates.size();
         }
     }
 
     @Test
-    void whatAVolumeLeavesBehindGoesOnceItsStoreIsFull() {
+    void evictsAnIdleVolumeOnceItsBucketIsFull() {
         Service service = new Service(new ServicePlan("capped", 0, 1, 0.1, 300, 0), 4);
-        service.pass(60 * MINUTE);
+        service.passTime(60 * MINUTE);
         for (int i = 0; i < 30; i++) {
-            service.access("v0", 1, "capped", null, 10);
+            service.request("v0", 1, "capped", null, 10);
             service.answer();
         }
-        assertEquals(30, service.relays, "the store was full");
-        service.pass(12 * MINUTE);
+        assertEquals(30, service.attempts, "the store was full");
+        service.passTime(12 * MINUTE);
         assertTrue(
-                service.decide.dispatchQueue.volume("v0") != null,
+                service.scheduler.dispatchQueue.volume("v0") != null,
                 "its store is far from full: 72 units of 300");
-        service.access("v0", 1, "capped", null, 72);
-        service.access("v0", 1, "capped", null, 10);
+        service.request("v0", 1, "capped", null, 72);
+        service.request("v0", 1, "capped", null, 10);
         service.answer();
-        assertEquals(31, service.relays, "returning, it has what it would have had");
-        service.pass(120 * MINUTE);
-        assertEquals(null, service.decide.dispatchQueue.volume("v0"));
-        assertEquals(0, service.kept());
+        assertEquals(31, service.attempts, "returning, it has what it would have had");
+        service.passTime(120 * MINUTE);
+        assertEquals(null, service.scheduler.dispatchQueue.volume("v0"));
+        assertEquals(0, service.candidateCount());
     }
 
     /**
-     * Guards rule 7: a limit raised while a volume is forgotten must not be found full on its
+     * Guards rate limits: a limit raised while a volume is evicted must not be found full on its
      * return.
      */
     @Test
-    void aLimitRaisedWhileForgottenFillsAsIfKept() {
+    void limitRaisedAfterEvictionFillsAsIfKept() {
         Service service = new Service(new ServicePlan("capped", 0, 1, 10, 20, 0), 4);
-        service.pass(MINUTE);
-        service.access("v0", 1, "capped", null, 20);
+        service.passTime(MINUTE);
+        service.request("v0", 1, "capped", null, 20);
         service.answer();
-        service.pass(30 * MINUTE);
-        assertEquals(null, service.decide.dispatchQueue.volume("v0"));
-        service.plan(new ServicePlan("capped", 0, 1, 10, 500, 0));
+        service.passTime(30 * MINUTE);
+        assertEquals(null, service.scheduler.dispatchQueue.volume("v0"));
+        service.changePlan(new ServicePlan("capped", 0, 1, 10, 500, 0));
         service.now += 10_000_000; // 20 units then, 100 more since
-        service.access("v0", 1, "capped", null, 121);
-        service.access("v1", 1, "capped", null, 121);
-        assertEquals(1, service.relays);
-        service.access("v0", 1, "capped", null, 119);
-        service.access("v1", 1, "capped", null, 119); // nor does one that was never seen
-        assertEquals(3, service.relays);
+        service.request("v0", 1, "capped", null, 121);
+        service.request("v1", 1, "capped", null, 121);
+        assertEquals(1, service.attempts);
+        service.request("v0", 1, "capped", null, 119);
+        service.request("v1", 1, "capped", null, 119); // nor does one that was never seen
+        assertEquals(3, service.attempts);
     }
 
-    /** Tags: whoever returns has a start and an extra tag no lower than had it been kept. */
+    /** A flow made anew has a start and an extra tag no lower than had it been kept. */
     @Test
-    void nobodyReturnsWithLowerTags() {
+    void evictedFlowReturnsWithNoLowerTags() {
         SplittableRandom chance = new SplittableRandom(3);
         int forgotten = 0;
         boolean joined = false;
@@ -260,7 +267,7 @@
             Service service = new Service(new ServicePlan("capped", 0, 1, 50, 50, 5), 1);
             Map<String, double[]> before = new HashMap<>();
             for (int i = 0; i < 60; i++) {
-                service.access(
+                service.request(
                         "v" + chance.nextInt(12),
                         0,
                         chance.nextBoolean() ? "free" : "paid",
@@ -272,7 +279,7 @@
             }
             service.answer();
             service.answer();
-            ShardQueue shardQueue = service.decide.dispatchQueue.shardQueue(0);
+            ShardQueue shardQueue = service.scheduler.dispatchQueue.shardQueue(0);
             shardQueue.flows.forEach(
                     (volume, flow) ->
                             before.put(
@@ -282,11 +289,11 @@
                                         flow.extraTag
                                     }));
             joined |= before.values().stream().anyMatch(tags -> tags[1] > 0);
-            service.pass(25 * MINUTE);
+            service.passTime(25 * MINUTE);
             forgotten += shardQueue.flows.isEmpty() ? before.size() : 0;
             for (String v : before.keySet()) {
-                service.access(v, 0, "free", null, 1);
-                FlowQueue flow = shardQueue.flows.get(service.decide.dispatchQueue.volume(v));
+                service.request(v, 0, "free", null, 1);
+                FlowQueue flow = shardQueue.flows.get(service.scheduler.dispatchQueue.volume(v));
                 assertTrue(
                         flow.finishTag >= before.get(v)[0] && flow.extraTag >= before.get(v)[1], v);
             }
@@ -294,27 +301,24 @@
         assertTrue(joined && forgotten > 1_000, forgotten + " forgotten");
     }
 
-    /**
-     * Guards tags: a volume found by no reservation of its own any more would return with fresh
-     * ones at a busy node.
-     */
+    /** Guards tags: a volume without its flow would return with fresh tags at a busy shard. */
     @Test
-    void atANodeThatIsNeverQuietTagsAheadStay() {
-        DispatchQueue agenda = new DispatchQueue();
-        IdleStateEviction forgetting =
+    void keepsTagsAheadOfVirtualTimeAtABusyShard() {
+        DispatchQueue dispatchQueue = new DispatchQueue();
+        IdleStateEviction eviction =
                 new IdleStateEviction(
-                        agenda,
+                        dispatchQueue,
                         new TargetTable(),
                         new HashMap<>(),
                         new HashMap<>(),
                         List.of(),
                         bucket -> 0,
                         bucket -> 0);
-        ShardQueue shardQueue = agenda.shardQueue(0);
+        ShardQueue shardQueue = dispatchQueue.shardQueue(0);
         Event.RequestReceived access =
                 new Event.RequestReceived("a", 0, null, "ahead", 1_000, "free", "read", 1, 1);
-        VolumeState ahead = agenda.volume(access, 0);
-        FlowQueue tags = agenda.flow(shardQueue, ahead, 0);
+        VolumeState ahead = dispatchQueue.volume(access, 0);
+        FlowQueue tags = dispatchQueue.flow(shardQueue, ahead, 0);
         tags.finishTag = 100;
         ahead.pendingCount--;
         RequestClass read =
@@ -328,32 +332,33 @@
                         2);
         Event.RequestReceived other =
                 new Event.RequestReceived("b", 0, null, "waits", 1_000, "free", "read", 1, 1);
-        PendingRequest waits = new PendingRequest(other, 0, read, agenda.volume(other, 0), null);
+        PendingRequest waits =
+                new PendingRequest(other, 0, read, dispatchQueue.volume(other, 0), null);
         waits.shardQueue = shardQueue;
-        agenda.enqueue(waits, agenda.flow(shardQueue, waits.volume, 0));
+        dispatchQueue.enqueue(waits, dispatchQueue.flow(shardQueue, waits.volume, 0));
         for (long now = 0; now < 5 * IdleStateEviction.IDLE_MICROS; now += MINUTE) {
-            forgetting.evictIdle(now, 1);
-            assertEquals(ahead, agenda.volume("ahead"));
-            assertEquals(tags, shardQueue.flows.get(agenda.volume("ahead")));
+            eviction.evictIdle(now, 1);
+            assertEquals(ahead, dispatchQueue.volume("ahead"));
+            assertEquals(tags, shardQueue.flows.get(dispatchQueue.volume("ahead")));
         }
-        agenda.dequeue(waits);
+        dispatchQueue.dequeue(waits);
         for (long now = 5 * IdleStateEviction.IDLE_MICROS;
                 now < 8 * IdleStateEviction.IDLE_MICROS;
                 now += MINUTE) {
-            forgetting.evictIdle(now, 1);
+            eviction.evictIdle(now, 1);
         }
-        assertEquals(null, agenda.volume("ahead"), "nobody waits any more");
+        assertEquals(null, dispatchQueue.volume("ahead"), "nobody waits any more");
         assertTrue(shardQueue.virtualTime >= 100);
     }
 
     /**
-     * Guards memory: a key whose rest is made longer again and again must not keep others' from
-     * going.
+     * Guards memory: a key whose quiet time is prolonged again and again must not keep others from
+     * being evicted.
      */
     @Test
-    void aKeyThatKeepsTimingOutHoldsNoOthersBack() {
+    void keyWithProlongedQuietTimeDelaysNoOthers() {
         Map<String, KeySequence> turns = new HashMap<>();
-        IdleStateEviction forgetting =
+        IdleStateEviction eviction =
                 new IdleStateEviction(
                         new DispatchQueue(),
                         new TargetTable(),
@@ -365,23 +370,23 @@
         KeySequence stuck = new KeySequence("stuck");
         turns.put("stuck", stuck);
         stuck.quietUntil = 10;
-        forgetting.scheduleKeyCheck(stuck);
+        eviction.scheduleKeyCheck(stuck);
         for (int k = 0; k < 50; k++) {
             KeySequence key = new KeySequence("k" + k);
             key.quietUntil = 20L + k;
             turns.put(key.key, key);
-            forgetting.scheduleKeyCheck(key);
+            eviction.scheduleKeyCheck(key);
         }
         stuck.quietUntil = 1_000_000;
-        forgetting.evictIdle(100, 0);
-        assertEquals(1, turns.size(), "those whose rest is over are gone");
-        forgetting.evictIdle(1_000_000, 0);
+        eviction.evictIdle(100, 0);
+        assertEquals(1, turns.size(), "keys whose quiet time is over are gone");
+        eviction.evictIdle(1_000_000, 0);
         assertEquals(0, turns.size());
     }
 
     /** Guards memory: large turns bring more than eight new volumes each. */
     @Test
-    void whatLargeTurnsBringGoesAsFastAsItComes() {
+    void evictsAsFastAsLargeTurnsAdd() {
         Service service = new Service(new ServicePlan("capped", 0, 1, 50, 50, 5), 1, 100);
         int most = 0;
         for (int turn = 0; turn < 400; turn++) {
@@ -400,30 +405,30 @@
                                 1));
                 service.sent.put("b" + turn + "-" + i, (Event.RequestReceived) batch.get(i));
             }
-            service.tell(batch.toArray(new Event[0]));
+            service.handle(batch.toArray(new Event[0]));
             for (int round = 0; round < 20; round++) { // what was relayed ends in large turns too
                 service.now += 5_000;
                 Event[] ends =
-                        service.out.stream()
+                        service.inFlight.stream()
                                 .map(
                                         id ->
                                                 new Event.AttemptEnded(
                                                         id, 0, true, Outcome.SUCCEEDED, 5_000))
                                 .toArray(Event[]::new);
-                service.out.clear();
-                service.tell(ends);
+                service.inFlight.clear();
+                service.handle(ends);
             }
             service.now += MINUTE;
-            most = Math.max(most, service.kept());
+            most = Math.max(most, service.candidateCount());
         }
         assertTrue(most < 10_000, most + " kept of 80,000; twenty minutes bring 8,000");
     }
 
     @Test
-    void aTargetThatLeftGoesAndItsPlaceIsUsedAgain() {
+    void reusesTheIndexOfAnEvictedTarget() {
         Service service = new Service(new ServicePlan("capped", 0, 1, 50, 50, 5), 3);
         for (int generation = 0; generation < 40; generation++) {
-            service.tell(
+            service.handle(
                     new Event.EndpointListReceived(
                             Event.ListScope.REPLACE,
                             List.of(
@@ -433,31 +438,36 @@
                                             "z",
                                             Event.Health.ACTIVE,
                                             0))));
-            service.access("v" + generation, 100 + generation, "free", "k" + generation, 1);
+            service.request("v" + generation, 100 + generation, "free", "k" + generation, 1);
             service.answer();
-            service.pass(15 * MINUTE);
+            service.passTime(15 * MINUTE);
         }
-        assertTrue(service.decide.targets.count < 8, service.decide.targets.count + " places");
         assertTrue(
-                service.decide.dispatchQueue.shardQueues().size() < 8,
-                service.decide.dispatchQueue.shardQueues().size() + " nodes");
-        assertEquals(40, service.relays);
+                service.scheduler.targets.count < 8, service.scheduler.targets.count + " places");
+        assertTrue(
+                service.scheduler.dispatchQueue.shardQueues().size() < 8,
+                service.scheduler.dispatchQueue.shardQueues().size() + " nodes");
+        assertEquals(40, service.attempts);
     }
 
     /** Weeks of service; {@code -Dmilletyoke.soak=1000000} is the whole of it. */
     @Test
-    void yearsOfServiceNeedWhatIsInUse() {
+    void memoryStaysBoundedOverLongService() {
         int volumes = Integer.getInteger("milletyoke.soak", 100_000);
         Service service = new Service(new ServicePlan("capped", 0, 1, 2, 20, 1), 30, volumes);
         SplittableRandom chance = new SplittableRandom(9);
         long each = 21L * 24 * 60 * MINUTE / 1_000_000; // a million volumes in three weeks
-        int most = 0, mostTargets = 0, mostNodes = 0, generation = 0, replaceEvery = 100;
+        int most = 0;
+        int mostTargets = 0;
+        int mostNodes = 0;
+        int generation = 0;
+        int replaceEvery = 100;
         List<Long> heaps = new ArrayList<>();
         long began = service.now;
         for (int v = 0; v < volumes; v++) {
             String plan = service.plans.get(v % 3).name();
             for (int i = chance.nextInt(6); i >= 0; i--) {
-                service.access(
+                service.request(
                         "v" + v,
                         1000 + v % 30 + generation / 30 * 30,
                         plan,
@@ -467,7 +477,7 @@
             if (chance.nextInt(4) == 0
                     && v > 0) { // one of before returns, from minutes to all the time ago
                 int old = v - 1 - chance.nextInt(Math.min(v, 1 << chance.nextInt(20)));
-                service.access(
+                service.request(
                         "v" + old,
                         1000 + chance.nextInt(30),
                         service.plans.get(old % 3).name(),
@@ -476,9 +486,9 @@
             }
             service.answer();
             service.now += chance.nextLong(2 * each);
-            service.tell(new Event.WakeUp());
+            service.handle(new Event.WakeUp());
             if (v % replaceEvery == 0) {
-                service.tell(
+                service.handle(
                         new Event.EndpointListReceived(
                                 Event.ListScope.UPDATE,
                                 List.of(
@@ -497,13 +507,13 @@
                 generation++;
             }
             if (v % 50_000 == 0) {
-                service.plan(
+                service.changePlan(
                         new ServicePlan(
                                 "capped", 0, 1, 1 + chance.nextInt(5), 10 + chance.nextInt(60), 1));
             }
-            most = Math.max(most, service.kept());
-            mostTargets = Math.max(mostTargets, service.decide.targets.count);
-            mostNodes = Math.max(mostNodes, service.decide.dispatchQueue.shardQueues().size());
+            most = Math.max(most, service.candidateCount());
+            mostTargets = Math.max(mostTargets, service.scheduler.targets.count);
+            mostNodes = Math.max(mostNodes, service.scheduler.dispatchQueue.shardQueues().size());
             if (v % Math.max(1, volumes / 10) == volumes / 20) {
                 System.gc();
                 heaps.add(
@@ -517,13 +527,13 @@
                 volumes,
                 generation,
                 (service.now - began) / 86_400e6,
-                service.relays,
+                service.attempts,
                 service.rejects,
                 most,
                 mostTargets,
                 mostNodes,
                 heaps);
-        assertTrue(service.relays > volumes, service.relays + " relays");
+        assertTrue(service.attempts > volumes, service.attempts + " relays");
         assertTrue(most < 6_000, most + " kept of " + volumes);
         assertTrue(
                 mostTargets < 200 && mostNodes < 250,
--- a/core/src/test/java/milletyoke/scheduler/IndexedTimerQueueTest.java
+++ b/core/src/test/java/milletyoke/scheduler/IndexedTimerQueueTest.java
@@ -11,7 +11,7 @@
 
 class IndexedTimerQueueTest {
     @Test
-    void saysWhatASortedMapSays() {
+    void agreesWithASortedMap() {
         SplittableRandom chance = new SplittableRandom(5);
         IndexedTimerQueue table = new IndexedTimerQueue();
         TreeMap<Integer, Long> plain = new TreeMap<>();
@@ -46,18 +46,18 @@
      * day of the bench).
      */
     @Test
-    void aCeilingNeverRisesUnnoticed() {
+    void highWaterMarkNeverRisesUnnoticed() {
         SplittableRandom chance = new SplittableRandom(6);
-        HighWaterMark ceiling = new HighWaterMark();
+        HighWaterMark mark = new HighWaterMark();
         double figure = 100;
         boolean lowered = false;
         for (long now = 0; now < 100_000_000L; now += chance.nextInt(40_000)) {
             figure *= 0.97 + 0.06 * chance.nextDouble();
-            double before = ceiling.bound;
-            boolean told = ceiling.raiseFor(figure, now);
-            assertTrue(ceiling.bound >= figure);
-            assertTrue(told || ceiling.bound <= before, "raised and not told");
-            lowered |= ceiling.bound < before;
+            double before = mark.bound;
+            boolean told = mark.raiseFor(figure, now);
+            assertTrue(mark.bound >= figure);
+            assertTrue(told || mark.bound <= before, "raised and not told");
+            lowered |= mark.bound < before;
         }
         assertTrue(lowered);
     }
--- a/core/src/test/java/milletyoke/scheduler/PlacementTest.java
+++ b/core/src/test/java/milletyoke/scheduler/PlacementTest.java
@@ -21,19 +21,19 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Where a new object goes: odds in step with room, by the walk over few nodes and by lots over many
- * alike.
+ * Placement of new objects: odds in proportion to room, by weighing few shards and by rejection
+ * sampling over many alike.
  */
 class PlacementTest {
-    private final RequestScheduler module = new RequestScheduler();
+    private final RequestScheduler scheduler = new RequestScheduler();
 
-    private List<Action> tell(Event... events) {
-        return module.decide(
-                1_000_000, // no time passes: nothing becomes late or silent
+    private List<Action> decide(Event... events) {
+        return scheduler.decide(
+                1_000_000, // no time passes: nothing becomes late or unresponsive
                 List.of(events));
     }
 
-    private Map<String, Integer> drawn(int targets, int draws) {
+    private Map<String, Integer> placements(int targets, int draws) {
         SchedulerSettings given =
                 new SchedulerSettings(
                         1,
@@ -54,26 +54,27 @@
         for (int t = 0; t < targets; t++) {
             list.add(new Event.Target(t, "t" + t, "z", Event.Health.ACTIVE, 0));
         }
-        tell(
+        decide(
                 new Event.Started(7, given),
                 new Event.EndpointListReceived(Event.ListScope.REPLACE, list));
-        // the first half holds three accesses each, so a window of four has a quarter of the room
-        // that it has elsewhere
+        // the first half has three attempts in flight each, so a limit of four leaves a quarter of
+        // the room
+        // that it leaves elsewhere
         for (int n = 0; n < targets / 2 * 3; n++) {
-            tell(
+            decide(
                     new Event.RequestReceived(
                             "held" + n, n % (targets / 2), null, "v", 60_000_000, "p", "w", 1, 1));
         }
         Map<String, Integer> to = new HashMap<>();
         for (int n = 0; n < draws; n++) {
             for (Action a :
-                    tell(
+                    decide(
                             new Event.RequestReceived(
                                     "new" + n, -1, null, "v", 60_000_000, "p", "w", 1, 1))) {
                 if (a instanceof Action.SendAttempt r && r.id().equals("new" + n)) {
                     to.merge(r.target(), 1, Integer::sum);
-                    // not taken by it, so that windows and lags stay as they were
-                    tell(new Event.AttemptEnded(r.id(), 0, true, Outcome.CANCELLED, 0));
+                    // cancelled, so that limits and latencies stay as they were
+                    decide(new Event.AttemptEnded(r.id(), 0, true, Outcome.CANCELLED, 0));
                 }
             }
         }
@@ -82,9 +83,9 @@
 
     @ParameterizedTest
     @ValueSource(ints = {60, 80, 2000})
-    void oddsFollowRoom(int targets) {
+    void choosesShardsInProportionToTheirRoom(int targets) {
         int draws = 20_000;
-        Map<String, Integer> to = drawn(targets, draws);
+        Map<String, Integer> to = placements(targets, draws);
         int all = to.values().stream().mapToInt(i -> i).sum();
         int toBusy = 0;
         for (int t = 0; t < targets / 2; t++) {
--- a/core/src/test/java/milletyoke/scheduler/ScenarioTest.java
+++ b/core/src/test/java/milletyoke/scheduler/ScenarioTest.java
@@ -5,16 +5,25 @@
 
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.*;
-import java.util.stream.*;
-import milletyoke.scheduler.api.*;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.stream.Collectors;
+import java.util.stream.IntStream;
+import java.util.stream.Stream;
+import milletyoke.scheduler.api.Action;
+import milletyoke.scheduler.api.Event;
+import milletyoke.scheduler.api.Outcome;
+import milletyoke.scheduler.api.SchedulerSettings;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Plays every scenario of src/test/resources/scenarios; the notation is told in its README. */
+/** Runs every scenario of src/test/resources/scenarios; their README describes the notation. */
 class ScenarioTest {
-    private static final Map<String, Outcome> ENDS =
+    private static final Map<String, Outcome> OUTCOMES =
             Map.of(
                     "ok",
                     Outcome.SUCCEEDED,
@@ -33,10 +42,10 @@
                     "moot",
                     Outcome.NOT_STARTED);
 
-    private final Map<String, String> given = new HashMap<>();
-    private final List<SchedulerSettings.RequestClass> categories = new ArrayList<>();
+    private final Map<String, String> givenFigures = new HashMap<>();
+    private final List<SchedulerSettings.RequestClass> requestClasses = new ArrayList<>();
     private final List<SchedulerSettings.ServicePlan> plans = new ArrayList<>();
-    private final RequestScheduler module = new RequestScheduler();
+    private final RequestScheduler scheduler = new RequestScheduler();
 
     static Stream<Arguments> scenarios() throws Exception {
         Path folder = Path.of(ScenarioTest.class.getResource("/scenarios").toURI());
@@ -59,12 +68,12 @@
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("scenarios")
-    void plays(String name, String text) {
+    void actionsAreAsExpected(String name, String text) {
         List<Event> batch = new ArrayList<>();
         long at = 0;
         String bare = text.replaceAll("#.*", "").replace("->", "\n->");
         for (String line : bare.lines().map(String::trim).filter(l -> !l.isEmpty()).toList()) {
-            Words w = new Words(line);
+            ScenarioLine w = new ScenarioLine(line);
             if (line.startsWith("->")) {
                 String expected = line.substring(2).trim();
                 String told = play(at, batch);
@@ -75,9 +84,9 @@
                         () -> "before: " + line + " in\n" + text);
                 batch.clear();
             } else if (w.word(0).equals("given")) {
-                given.putAll(w.named);
+                givenFigures.putAll(w.named);
             } else if (w.word(0).equals("category")) {
-                categories.add(category(w));
+                requestClasses.add(requestClass(w));
             } else if (w.word(0).equals("plan")) {
                 plans.add(plan(w.word(1), w));
             } else {
@@ -104,14 +113,14 @@
         String told =
                 batch.isEmpty()
                         ? ""
-                        : module.decide(at, batch).stream()
+                        : scheduler.decide(at, batch).stream()
                                 .filter(a -> !(a instanceof Action.ScheduleWakeUp))
-                                .map(ScenarioTest::told)
+                                .map(ScenarioTest::text)
                                 .collect(Collectors.joining(", "));
         return told.isEmpty() ? "nothing" : told;
     }
 
-    private static SchedulerSettings.ServicePlan plan(String name, Words w) {
+    private static SchedulerSettings.ServicePlan plan(String name, ScenarioLine w) {
         return new SchedulerSettings.ServicePlan(
                 name,
                 w.figure("reserve", 0),
@@ -121,7 +130,7 @@
                 w.figure("slack", 0));
     }
 
-    private static String told(Action action) {
+    private static String text(Action action) {
         if (action instanceof Action.SendAttempt a) {
             return "relay " + a.id() + " " + a.target();
         } else if (action instanceof Action.Reject a) {
@@ -136,21 +145,21 @@
         return action instanceof Action.SendProbe a ? "probe " + a.target() : "follow";
     }
 
-    /** A start may name the targets that were last known. */
-    private List<Event> events(Words w) {
+    /** A start may name the targets of the stored endpoint list. */
+    private List<Event> events(ScenarioLine w) {
         boolean known = w.word(1).equals("start") && w.words.size() > 2;
         return known ? List.of(event(w), list("restored", w)) : List.of(event(w));
     }
 
-    private static Event list(String scope, Words w) {
+    private static Event list(String scope, ScenarioLine w) {
         return new Event.EndpointListReceived(
                 Event.ListScope.valueOf(scope.toUpperCase(Locale.ROOT)),
                 w.words.subList(2, w.words.size()).stream().map(ScenarioTest::target).toList());
     }
 
-    private Event event(Words w) {
+    private Event event(ScenarioLine w) {
         return switch (w.word(1)) {
-            case "start" -> new Event.Started(7, provisioning());
+            case "start" -> new Event.Started(7, settings());
             case "tick" -> new Event.WakeUp();
             case "take" ->
                     new Event.RequestReceived(
@@ -168,25 +177,25 @@
                             w.word(2),
                             Integer.parseInt(w.word(3)),
                             w.word(4).equals("ok") || w.words.contains("over"),
-                            ENDS.get(w.word(4)),
+                            OUTCOMES.get(w.word(4)),
                             w.ms("lag", 20));
             case "probed" ->
                     new Event.ProbeEnded(
                             w.word(2),
-                            ENDS.get(w.word(3)),
+                            OUTCOMES.get(w.word(3)),
                             w.ms("lag", 1),
                             w.figure("waiting", -1));
             case "plan" -> {
                 plans.removeIf(p -> p.name().equals(w.word(2)));
                 plans.add(plan(w.word(2), w));
-                yield new Event.SettingsChanged(provisioning());
+                yield new Event.SettingsChanged(settings());
             }
             case "gone" -> new Event.RequestClosed(w.word(2));
             default -> list(w.word(1), w);
         };
     }
 
-    /** A target is told as id@shard, then /health, %zone and :launched where they matter. */
+    /** A target is written as id@shard, then /health, %zone and :startedAt where they matter. */
     private static Event.Target target(String text) {
         Map<Character, String> parts = new HashMap<>();
         for (String part : text.split("(?=[@/%:])", 0)) {
@@ -218,7 +227,7 @@
                 .orElseThrow(() -> new IllegalArgumentException("idempotency " + word));
     }
 
-    private static SchedulerSettings.RequestClass category(Words w) {
+    private static SchedulerSettings.RequestClass requestClass(ScenarioLine w) {
         return new SchedulerSettings.RequestClass(
                 w.word(1),
                 idempotency(w.word(2)),
@@ -230,12 +239,12 @@
                 w.figure("importance", 2));
     }
 
-    private SchedulerSettings provisioning() {
-        Words g = new Words("given");
-        g.named.putAll(given);
+    private SchedulerSettings settings() {
+        ScenarioLine g = new ScenarioLine("given");
+        g.named.putAll(givenFigures);
         return new SchedulerSettings(
                 (int) g.figure("initiators", 1),
-                categories,
+                requestClasses,
                 plans,
                 new SchedulerSettings.Capabilities(
                         (int) g.figure("relays", 3),
@@ -258,11 +267,11 @@
     }
 
     /** The words of one line, and its name=value pairs. */
-    private static final class Words {
+    private static final class ScenarioLine {
         final List<String> words = new ArrayList<>();
         final Map<String, String> named = new HashMap<>();
 
-        Words(String line) {
+        ScenarioLine(String line) {
             for (String part : line.split("\\s+", 0)) {
                 String[] pair = part.split("=", 2);
                 if (pair.length == 2) {
@@ -274,14 +283,15 @@
         }
 
         /** One line for each of a range of ids, such as r1..r20. */
-        List<Words> each() {
+        List<ScenarioLine> each() {
             String[] ends = words.size() < 3 ? new String[0] : words.get(2).split("\\.\\.", 0);
             return ends.length < 2
                     ? List.of(this)
                     : IntStream.rangeClosed(number(ends[0]), number(ends[1]))
                             .mapToObj(
                                     i -> {
-                                        Words one = new Words(String.join(" ", words));
+                                        ScenarioLine one =
+                                                new ScenarioLine(String.join(" ", words));
                                         one.words.set(2, ends[0].replaceAll("\\d+$", "") + i);
                                         one.named.putAll(named);
                                         return one;
--- a/core/src/test/java/milletyoke/scheduler/SlowStartFleetTest.java
+++ b/core/src/test/java/milletyoke/scheduler/SlowStartFleetTest.java
@@ -22,8 +22,12 @@
  * of N and 2 x root of N + 2 beside. No sockets, virtual time.
  */
 class SlowStartFleetTest {
-    private static final long FALL = 1_000_000, COLD = 10_000_000, AIM = 400_000, TTL = 2_500_000;
-    private static final double TIP = 2, SHARE = 0.35;
+    private static final long FALL = 1_000_000;
+    private static final long COLD = 10_000_000;
+    private static final long AIM = 400_000;
+    private static final long TTL = 2_500_000;
+    private static final double TIP = 2;
+    private static final double SHARE = 0.35;
 
     private record Due(long at, long number, Runnable task) {}
 
@@ -75,7 +79,8 @@
             new PriorityQueue<>(
                     java.util.Comparator.comparingLong(Due::at).thenComparingLong(Due::number));
     private final Map<String, double[]> open = new HashMap<>();
-    private long now = 1_000_000, numbers;
+    private long now = 1_000_000;
+    private long numbers;
 
     private void at(long time, Runnable task) {
         queue.add(new Due(time, numbers++, task));
--- a/core/src/test/java/milletyoke/scheduler/StepCostTest.java
+++ b/core/src/test/java/milletyoke/scheduler/StepCostTest.java
@@ -9,20 +9,26 @@
 import milletyoke.scheduler.api.Outcome;
 import milletyoke.scheduler.api.Scheduler;
 import milletyoke.scheduler.api.SchedulerSettings;
-import milletyoke.scheduler.api.SchedulerSettings.*;
+import milletyoke.scheduler.api.SchedulerSettings.Capabilities;
+import milletyoke.scheduler.api.SchedulerSettings.DeduplicationScope;
+import milletyoke.scheduler.api.SchedulerSettings.Idempotency;
+import milletyoke.scheduler.api.SchedulerSettings.RequestClass;
+import milletyoke.scheduler.api.SchedulerSettings.RuleLimits;
+import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What one access and one outcome cost with many held and many volumes known, beside the module
- * from before, in one run. Prints times; asserts only that both did the same.
+ * The time of one turn with many pending requests and known volumes, beside the reference, in one
+ * run. Prints times; asserts only that both sent as many attempts.
  */
 @Timeout(120)
 class StepCostTest {
-    private static final int TARGETS = 30, STEPS = 1_500;
+    private static final int TARGETS = 30;
+    private static final int STEPS = 1_500;
 
     @Test
-    void besideTheModuleFromBefore() {
+    void sendsAsManyAttemptsAsTheReference() {
         for (int[] size :
                 new int[][] {{100, 100}, {1_000, 2_000}, {5_000, 2_000}, {1_000, 20_000}}) {
             RequestScheduler now = new RequestScheduler();
@@ -72,12 +78,12 @@
         }
         start.add(new Event.EndpointListReceived(Event.ListScope.REPLACE, targets));
         long time = 1_000_000_000L;
-        List<Action> out = new ArrayList<>(relaysOf(module.decide(time, start)));
+        List<Action> out = new ArrayList<>(attemptsOf(module.decide(time, start)));
         for (int v = 0; v < volumes; v++) { // every volume was here once
             time += 100;
             List<Action> acts =
-                    module.decide(time, List.of(access("w" + v, v % TARGETS, v, "read")));
-            for (Action.SendAttempt r : relaysOf(acts)) {
+                    module.decide(time, List.of(requestReceived("w" + v, v % TARGETS, v, "read")));
+            for (Action.SendAttempt r : attemptsOf(acts)) {
                 module.decide(
                         time + 50,
                         List.of(new Event.AttemptEnded(r.id(), 0, true, Outcome.SUCCEEDED, 50)));
@@ -87,11 +93,11 @@
                 h < held;
                 h++) { // those wait for a shard that nobody holds, and for busy ones
             out.addAll(
-                    relaysOf(
+                    attemptsOf(
                             module.decide(
                                     time,
                                     List.of(
-                                            access(
+                                            requestReceived(
                                                     "h" + h,
                                                     h % 2 == 0 ? TARGETS : h % TARGETS,
                                                     h % volumes,
@@ -102,24 +108,25 @@
         for (int i = 0; i < STEPS; i++) {
             time += 20;
             List<Event> events =
-                    new ArrayList<>(List.of(access("s" + i, i % TARGETS, i % volumes, "slow")));
+                    new ArrayList<>(
+                            List.of(requestReceived("s" + i, i % TARGETS, i % volumes, "slow")));
             if (!out.isEmpty()) {
                 Action.SendAttempt r = (Action.SendAttempt) out.remove(0);
                 events.add(new Event.AttemptEnded(r.id(), attempt, true, Outcome.SUCCEEDED, 3_000));
             }
-            List<Action.SendAttempt> more = relaysOf(module.decide(time, events));
+            List<Action.SendAttempt> more = attemptsOf(module.decide(time, events));
             relays[of] += more.size();
             out.addAll(more);
         }
         return (System.nanoTime() - began) / 1e3 / STEPS;
     }
 
-    private static Event access(String id, int shard, int volume, String category) {
+    private static Event requestReceived(String id, int shard, int volume, String category) {
         return new Event.RequestReceived(
                 id, shard, null, "v" + volume, 700_000_000L, "free", category, 1, 1);
     }
 
-    private static List<Action.SendAttempt> relaysOf(List<Action> actions) {
+    private static List<Action.SendAttempt> attemptsOf(List<Action> actions) {
         return actions.stream()
                 .filter(a -> a instanceof Action.SendAttempt)
                 .map(a -> (Action.SendAttempt) a)
