--- a/simulation/src/main/java/milletyoke/simulation/policy/BaselineScheduler.java
+++ b/simulation/src/main/java/milletyoke/simulation/policy/BaselineScheduler.java
@@ -15,185 +15,207 @@
 import milletyoke.scheduler.api.SchedulerSettings.Idempotency;
 
 /**
- * A textbook policy with no memory of targets: so many out at each, volumes in turn, one try more
- * for what may run again. It answers in time, repeats nothing that may not be repeated, and keeps
- * even parts of limits; drains, cold targets, order and budgets it knows nothing of.
+ * A textbook policy with no memory of targets: a fixed number of attempts in flight at each,
+ * volumes in turn, one retry where it is safe. It answers in time, executes no request twice that
+ * must not be, and keeps even parts of rate limits; it ignores warm-up, key order and the retry
+ * budget.
  */
 final class BaselineScheduler implements Scheduler {
-    /** A final answer leaves this long before the client's time is up (microseconds). */
-    private static final long AHEAD = 10_000;
+    /** How long before a request's deadline its final answer leaves. */
+    private static final long ANSWER_LEAD_MICROS = 10_000;
 
-    private static final long LOOK = 5_000;
+    private static final long CHECK_MICROS = 5_000;
 
-    private static final class Held {
-        final Event.RequestReceived access;
-        final long until;
+    private static final class PendingRequest {
+        final Event.RequestReceived received;
+        final long deadlineAt;
         String target;
-        int relays;
+        int attempts;
 
-        Held(Event.RequestReceived access, long until) {
-            this.access = access;
-            this.until = until;
+        PendingRequest(Event.RequestReceived access, long until) {
+            this.received = access;
+            this.deadlineAt = until;
         }
     }
 
-    /** One target: who may be sent there, what waits by volume, how much is out. */
-    private static final class Place {
+    /** The target of one shard, the requests queued for it, and the attempts in flight there. */
+    private static final class TargetQueue {
         String target;
-        int out;
-        final LinkedHashMap<String, ArrayDeque<Held>> waiting = new LinkedHashMap<>();
+        int inFlight;
+        final LinkedHashMap<String, ArrayDeque<PendingRequest>> queuedByVolume =
+                new LinkedHashMap<>();
     }
 
-    private static final class Store {
+    private static final class TokenBucket {
         double units;
         long filledAt;
     }
 
-    private final int window;
-    private final Map<Integer, Place> places = new LinkedHashMap<>();
-    private final Map<String, Integer> shards = new LinkedHashMap<>();
-    private final Map<String, Held> held = new LinkedHashMap<>();
-    private final Map<String, Store> stores = new LinkedHashMap<>();
-    private SchedulerSettings given;
-    private SplittableRandom chance;
+    private final int concurrencyLimit;
+    private final Map<Integer, TargetQueue> queuesByShard = new LinkedHashMap<>();
+    private final Map<String, Integer> shardOfTarget = new LinkedHashMap<>();
+    private final Map<String, PendingRequest> pending = new LinkedHashMap<>();
+    private final Map<String, TokenBucket> limitBuckets = new LinkedHashMap<>();
+    private SchedulerSettings settings;
+    private SplittableRandom random;
     private List<Action> actions;
     private long now;
     private int queued;
-    private boolean wakes;
+    private boolean hasWakeUp;
 
     BaselineScheduler(int window) {
-        this.window = window;
+        this.concurrencyLimit = window;
     }
 
     @Override
     public List<Action> decide(long time, List<Event> events) {
         now = time;
         actions = new ArrayList<>();
-        events.forEach(this::learn);
-        places.values().forEach(this::serve);
-        if (queued > 0 && !wakes) {
-            wakes = true;
-            actions.add(new Action.ScheduleWakeUp(LOOK));
+        events.forEach(this::handle);
+        queuesByShard.values().forEach(this::serve);
+        if (queued > 0 && !hasWakeUp) {
+            hasWakeUp = true;
+            actions.add(new Action.ScheduleWakeUp(CHECK_MICROS));
         }
         return actions;
     }
 
-    private void learn(Event event) {
+    private void handle(Event event) {
         if (event instanceof Event.Started e) {
-            given = e.settings();
-            chance = new SplittableRandom(e.seed());
-            if (given.mustWatchEndpoints()) {
+            settings = e.settings();
+            random = new SplittableRandom(e.seed());
+            if (settings.mustWatchEndpoints()) {
                 actions.add(new Action.WatchEndpoints());
             }
         } else if (event instanceof Event.SettingsChanged e) {
-            given = e.settings();
+            settings = e.settings();
         } else if (event instanceof Event.EndpointListReceived e) {
-            listed(e);
+            applyEndpointList(e);
         } else if (event instanceof Event.RequestReceived e) {
-            taken(e);
+            admit(e);
         } else if (event instanceof Event.AttemptEnded e) {
-            ended(e);
+            completeAttempt(e);
         } else if (event instanceof Event.RequestClosed e) {
-            Held h = held.remove(e.id());
-            if (h != null && h.target == null) {
+            PendingRequest request = pending.remove(e.id());
+            if (request != null && request.target == null) {
                 queued--;
             }
         } else if (event instanceof Event.WakeUp) {
-            wakes = false;
-            places.values().forEach(this::giveUp);
+            hasWakeUp = false;
+            queuesByShard.values().forEach(this::rejectLate);
         }
     }
 
-    private void listed(Event.EndpointListReceived e) {
+    private void applyEndpointList(Event.EndpointListReceived e) {
         if (e.scope() == Event.ListScope.UNAVAILABLE) {
             return;
         }
         if (e.scope() != Event.ListScope.UPDATE) {
-            places.values().forEach(p -> p.target = null);
+            queuesByShard.values().forEach(queue -> queue.target = null);
         }
         for (Event.Target t : e.targets()) {
-            Place p = places.computeIfAbsent(t.shard(), s -> new Place());
-            shards.put(t.id(), t.shard());
+            TargetQueue queue = queuesByShard.computeIfAbsent(t.shard(), s -> new TargetQueue());
+            shardOfTarget.put(t.id(), t.shard());
             if (t.health() == Event.Health.ACTIVE) {
-                p.target = t.id();
-            } else if (t.id().equals(p.target)) {
-                p.target = null;
+                queue.target = t.id();
+            } else if (t.id().equals(queue.target)) {
+                queue.target = null;
             }
         }
     }
 
-    private void taken(Event.RequestReceived e) {
+    private void admit(Event.RequestReceived e) {
         int shard =
-                e.shard() >= 0 || places.isEmpty()
+                e.shard() >= 0 || queuesByShard.isEmpty()
                         ? e.shard()
-                        : new ArrayList<>(places.keySet()).get(chance.nextInt(places.size()));
-        Held h = new Held(e, now + e.timeLeftMicros() - AHEAD);
-        held.put(e.id(), h);
-        if (h.until <= now || !places.containsKey(shard) || !drawn(e)) {
-            reject(h);
+                        : new ArrayList<>(queuesByShard.keySet())
+                                .get(random.nextInt(queuesByShard.size()));
+        PendingRequest request =
+                new PendingRequest(e, now + e.timeLeftMicros() - ANSWER_LEAD_MICROS);
+        pending.put(e.id(), request);
+        if (request.deadlineAt <= now || !queuesByShard.containsKey(shard) || !takeTokens(e)) {
+            reject(request);
             return;
         }
         queued++;
-        places.get(shard).waiting.computeIfAbsent(e.volume(), v -> new ArrayDeque<>()).add(h);
+        queuesByShard
+                .get(shard)
+                .queuedByVolume
+                .computeIfAbsent(e.volume(), v -> new ArrayDeque<>())
+                .add(request);
     }
 
-    /** An even part of the volume's limit. */
-    private boolean drawn(Event.RequestReceived e) {
+    /** Whether this initiator's even part of the volume's rate limit covers the request. */
+    private boolean takeTokens(Event.RequestReceived e) {
         SchedulerSettings.ServicePlan plan =
-                given.plans().stream()
+                settings.plans().stream()
                         .filter(p -> p.name().equals(e.plan()))
                         .findFirst()
                         .orElseThrow();
         if (plan.limitRate() <= 0) {
             return true;
         }
-        Store s = stores.computeIfAbsent(e.volume(), v -> new Store());
+        TokenBucket bucket = limitBuckets.computeIfAbsent(e.volume(), v -> new TokenBucket());
         double depth = plan.limitBurst() / e.initiatorCount();
-        s.units =
+        bucket.units =
                 Math.min(
                         depth,
-                        s.units + plan.limitRate() / e.initiatorCount() * (now - s.filledAt) / 1e6);
-        s.filledAt = now;
-        if (s.units < e.units()) {
+                        bucket.units
+                                + plan.limitRate()
+                                        / e.initiatorCount()
+                                        * (now - bucket.filledAt)
+                                        / 1e6);
+        bucket.filledAt = now;
+        if (bucket.units < e.units()) {
             return false;
         }
-        s.units -= e.units();
+        bucket.units -= e.units();
         return true;
     }
 
-    private void serve(Place p) {
-        while (p.target != null && p.out < window && !p.waiting.isEmpty()) {
-            Iterator<Map.Entry<String, ArrayDeque<Held>>> first = p.waiting.entrySet().iterator();
-            Map.Entry<String, ArrayDeque<Held>> turn = first.next();
-            first.remove();
-            ArrayDeque<Held> queue = turn.getValue();
-            Held h = queue.poll();
-            if (!queue.isEmpty()) {
-                p.waiting.put(turn.getKey(), queue); // behind the others
-            }
-            if (h != null && held.get(h.access.id()) == h) {
+    private void serve(TargetQueue queue) {
+        while (queue.target != null
+                && queue.inFlight < concurrencyLimit
+                && !queue.queuedByVolume.isEmpty()) {
+            PendingRequest request = pollNextVolume(queue.queuedByVolume);
+            if (request != null && pending.get(request.received.id()) == request) {
                 queued--;
-                relay(p, h);
+                send(queue, request);
             }
         }
     }
 
-    private void relay(Place p, Held h) {
-        h.target = p.target;
-        h.relays++;
-        p.out++;
-        actions.add(new Action.SendAttempt(h.access.id(), h.until, p.target));
+    /** Takes the next request of the first volume, which then goes behind the others. */
+    private static PendingRequest pollNextVolume(
+            Map<String, ArrayDeque<PendingRequest>> queuedByVolume) {
+        Iterator<Map.Entry<String, ArrayDeque<PendingRequest>>> volumes =
+                queuedByVolume.entrySet().iterator();
+        Map.Entry<String, ArrayDeque<PendingRequest>> first = volumes.next();
+        volumes.remove();
+        PendingRequest request = first.getValue().poll();
+        if (!first.getValue().isEmpty()) {
+            queuedByVolume.put(first.getKey(), first.getValue());
+        }
+        return request;
     }
 
-    private void ended(Event.AttemptEnded e) {
-        Held h = held.get(e.id());
-        if (h == null) {
+    private void send(TargetQueue queue, PendingRequest request) {
+        request.target = queue.target;
+        request.attempts++;
+        queue.inFlight++;
+        actions.add(
+                new Action.SendAttempt(request.received.id(), request.deadlineAt, queue.target));
+    }
+
+    private void completeAttempt(Event.AttemptEnded e) {
+        PendingRequest request = pending.get(e.id());
+        if (request == null) {
             return;
         }
-        Place p = places.get(shards.get(h.target));
-        p.out--;
+        TargetQueue queue = queuesByShard.get(shardOfTarget.get(request.target));
+        queue.inFlight--;
         if (e.answered() || e.outcome() == Outcome.SUCCEEDED) {
-            held.remove(e.id());
+            pending.remove(e.id());
             return;
         }
         boolean neverRan =
@@ -201,45 +223,43 @@
                         || e.outcome() == Outcome.NOT_STARTED
                         || e.outcome() == Outcome.NO_CONNECTION;
         Idempotency repeats =
-                given.requestClasses().stream()
-                        .filter(c -> c.name().equals(h.access.requestClass()))
+                settings.requestClasses().stream()
+                        .filter(c -> c.name().equals(request.received.requestClass()))
                         .findFirst()
                         .orElseThrow()
                         .idempotency();
         boolean may = neverRan || repeats == Idempotency.IDEMPOTENT;
         if (may
-                && h.relays < Math.min(2, given.capabilities().maxAttempts())
-                && now < h.until
-                && p.target != null) {
-            relay(p, h);
+                && request.attempts < Math.min(2, settings.capabilities().maxAttempts())
+                && now < request.deadlineAt
+                && queue.target != null) {
+            send(queue, request);
         } else if (may) {
-            reject(h);
+            reject(request);
         } else {
-            held.remove(e.id());
+            pending.remove(e.id());
             actions.add(new Action.Fail(e.id()));
         }
     }
 
-    private void giveUp(Place p) {
-        p.waiting
-                .values()
-                .forEach(
-                        q ->
-                                q.removeIf(
-                                        h -> {
-                                            boolean late = now + LOOK >= h.until;
-                                            boolean there = held.get(h.access.id()) == h;
-                                            if (late && there) {
-                                                queued--;
-                                                reject(h);
-                                            }
-                                            return late || !there;
-                                        }));
-        p.waiting.values().removeIf(ArrayDeque::isEmpty);
-    }
-
-    private void reject(Held h) {
-        held.remove(h.access.id());
-        actions.add(new Action.Reject(h.access.id(), 0));
+    private void rejectLate(TargetQueue queue) {
+        queue.queuedByVolume.values().forEach(requests -> requests.removeIf(this::rejectIfLate));
+        queue.queuedByVolume.values().removeIf(ArrayDeque::isEmpty);
+    }
+
+    /** Whether the request is to leave its queue: it is late, or was closed before. */
+    private boolean rejectIfLate(PendingRequest request) {
+        boolean isLate = now + CHECK_MICROS >= request.deadlineAt;
+        boolean isPending = pending.get(request.received.id()) == request;
+        if (isLate && isPending) {
+            queued--;
+            reject(request);
+        }
+        return isLate || !isPending;
+    }
+
+    private void reject(PendingRequest request) {
+        pending.remove(request.received.id());
+        actions.add(new Action.Reject(request.received.id(), 0));
     }
 }
