--- a/core/src/main/java/milletyoke/scheduler/IdleStateEviction.java
+++ b/core/src/main/java/milletyoke/scheduler/IdleStateEviction.java
@@ -62,17 +62,17 @@
             DispatchQueue dispatchQueue,
             TargetTable targets,
             Map<String, Integer> targetIndex,
-            Map<String, KeySequence> turns,
-            Collection<PendingRequest> held,
-            ToDoubleFunction<TokenBucket> limits,
-            ToDoubleFunction<TokenBucket> reserves) {
+            Map<String, KeySequence> keySequences,
+            Collection<PendingRequest> pendingRequests,
+            ToDoubleFunction<TokenBucket> limitLevel,
+            ToDoubleFunction<TokenBucket> reservationLevel) {
         this.dispatchQueue = dispatchQueue;
         this.targets = targets;
         this.targetIndex = targetIndex;
-        this.keySequences = turns;
-        this.pendingRequests = held;
-        this.limitLevel = limits;
-        this.reservationLevel = reserves;
+        this.keySequences = keySequences;
+        this.pendingRequests = pendingRequests;
+        this.limitLevel = limitLevel;
+        this.reservationLevel = reservationLevel;
     }
 
     /** The last request of a key left; the key may still be quiet. */
