--- a/core/src/main/java/milletyoke/scheduler/DispatchQueue.java
+++ b/core/src/main/java/milletyoke/scheduler/DispatchQueue.java
@@ -11,256 +11,265 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
-import milletyoke.scheduler.State.Held;
-import milletyoke.scheduler.State.Kept;
-import milletyoke.scheduler.State.Node;
-import milletyoke.scheduler.State.Reservation;
-import milletyoke.scheduler.State.Store;
-import milletyoke.scheduler.State.Turns;
-import milletyoke.scheduler.State.Volume;
 import milletyoke.scheduler.api.Event;
 
 /**
- * The nodes, and which of them are to be served in this turn: those where something happened, and
- * those whose time has come. What need not be served costs nothing. Decides nothing: a node that is
- * served for no reason does nothing.
+ * The shards, and which of them are to be served in this turn: those where something happened and
+ * those that are due. A shard that need not be served costs nothing. Decides nothing: a shard that
+ * is served for no reason does nothing.
  */
 final class DispatchQueue {
-    private final Map<Integer, Node> nodes = new LinkedHashMap<>();
-    private final Map<String, Volume> volumes = new LinkedHashMap<>();
+    private final Map<Integer, ShardQueue> shardQueues = new LinkedHashMap<>();
+    private final Map<String, VolumeState> volumes = new LinkedHashMap<>();
 
     /**
-     * A limit's store of each plan, as it is for a volume that was not seen or was forgotten, were
-     * there one host.
+     * Each plan's rate-limit bucket as of a volume that was not seen or was evicted, for one
+     * initiator.
      */
-    private final Map<String, Store> unseen = new LinkedHashMap<>();
+    private final Map<String, TokenBucket> defaultLimitBuckets = new LinkedHashMap<>();
 
-    /** Nodes by slot, null where one was forgotten; and the slots that are free. */
-    private final List<Node> slots = new ArrayList<>();
+    /** Shard queues by slot, null where one was evicted; below, the free slots. */
+    private final List<ShardQueue> slots = new ArrayList<>();
 
-    private final ArrayDeque<Integer> free = new ArrayDeque<>();
+    private final ArrayDeque<Integer> freeSlots = new ArrayDeque<>();
 
-    /** Volumes and reservations, those that were longest not looked at first. */
-    final ArrayDeque<Kept> kept = new ArrayDeque<>();
+    /** Volumes and flows, the one checked longest ago first. */
+    final ArrayDeque<EvictionCandidate> evictionCandidates = new ArrayDeque<>();
 
-    private int made;
-    private final TreeSet<Node> touched = new TreeSet<>(Comparator.comparingInt(n -> n.made));
-    private final IndexedTimerQueue due = new IndexedTimerQueue();
-    private final Set<Node> forBudget = new LinkedHashSet<>();
-    private long reservationsMade;
-    private long queued;
+    private int nextShardQueueNumber;
+    private final TreeSet<ShardQueue> toServe =
+            new TreeSet<>(Comparator.comparingInt(shardQueue -> shardQueue.creationNumber));
+    private final IndexedTimerQueue serviceTimes = new IndexedTimerQueue();
+    private final Set<ShardQueue> retryBudgetDependents = new LinkedHashSet<>();
+    private long nextFlowNumber;
+    private long nextEnqueueNumber;
 
-    /** Accesses that wait, at all nodes. */
-    int waiting;
+    /** Requests queued, at all shards. */
+    int queuedCount;
 
-    /** All, in the order of making. */
-    Collection<Node> nodes() {
-        return nodes.values();
+    /** All shards, in the order of creation. */
+    Collection<ShardQueue> shardQueues() {
+        return shardQueues.values();
     }
 
-    /** Slots that a lot is drawn over. */
-    int places() {
+    /** The number of slots that {@link #randomShard} draws from. */
+    int slotCount() {
         return slots.size();
     }
 
-    /**
-     * One node, all with equal odds; null where the lot fell on a slot whose node was forgotten.
-     */
-    Node lot(SplittableRandom chance) {
+    /** A shard, all with equal odds; null where the slot drawn is free. */
+    ShardQueue randomShard(SplittableRandom chance) {
         return slots.get(chance.nextInt(slots.size()));
     }
 
-    Map<Integer, Node> byShard() {
-        return nodes;
+    Map<Integer, ShardQueue> byShard() {
+        return shardQueues;
     }
 
-    Node node(int shard) {
-        Node known = nodes.get(shard);
+    ShardQueue shardQueue(int shard) {
+        ShardQueue known = shardQueues.get(shard);
         if (known == null) {
-            int slot = free.isEmpty() ? slots.size() : free.poll();
-            known = new Node(made++, slot, shard);
+            int slot = freeSlots.isEmpty() ? slots.size() : freeSlots.poll();
+            known = new ShardQueue(nextShardQueueNumber++, slot, shard);
             if (slot == slots.size()) {
                 slots.add(known);
             }
             slots.set(slot, known);
-            nodes.put(shard, known);
+            shardQueues.put(shard, known);
         }
         return known;
     }
 
-    void forget(Node node) {
-        nodes.remove(node.shard);
-        touched.remove(node);
-        forBudget.remove(node);
-        due.set(node.slot, IndexedTimerQueue.NEVER);
-        slots.set(node.slot, null);
-        free.add(node.slot);
+    void evict(ShardQueue shardQueue) {
+        shardQueues.remove(shardQueue.shard);
+        toServe.remove(shardQueue);
+        retryBudgetDependents.remove(shardQueue);
+        serviceTimes.set(shardQueue.slot, IndexedTimerQueue.NEVER);
+        slots.set(shardQueue.slot, null);
+        freeSlots.add(shardQueue.slot);
     }
 
-    /** The stores of all limits, those that stand for volumes not seen among them. */
-    List<Store> limits() {
-        List<Store> all = new ArrayList<>(unseen.values());
-        for (Volume v : volumes.values()) {
-            if (v.limit != null) {
-                all.add(v.limit);
+    /** The buckets of all rate limits, with those that stand for volumes not seen. */
+    List<TokenBucket> limitBuckets() {
+        List<TokenBucket> all = new ArrayList<>(defaultLimitBuckets.values());
+        for (VolumeState volume : volumes.values()) {
+            if (volume.limitBucket != null) {
+                all.add(volume.limitBucket);
             }
         }
         return all;
     }
 
-    /** A plan is known from now on, at the latest: what it limits starts empty. */
-    void unseen(String plan, long now) {
-        unseen.computeIfAbsent(plan, p -> new Store(p, now));
+    /** A plan is known from now on, at the latest: the bucket of its rate limit starts empty. */
+    void addPlan(String plan, long now) {
+        defaultLimitBuckets.computeIfAbsent(plan, p -> new TokenBucket(p, now));
     }
 
-    /** The store of a volume's limit; one as for a volume not seen before where there is none. */
-    Store limit(Held h) {
-        Volume v = h.volume;
-        if (v.limit == null) {
-            v.limit = new Store(unseen.get(h.access.plan()), h.access.plan(), h.hosts());
+    /**
+     * The bucket of a volume's rate limit; one as for a volume not seen before where there is none.
+     */
+    TokenBucket limitBucket(PendingRequest request) {
+        VolumeState volume = request.volume;
+        if (volume.limitBucket == null) {
+            volume.limitBucket =
+                    new TokenBucket(
+                            defaultLimitBuckets.get(request.received.plan()),
+                            request.received.plan(),
+                            request.initiatorCount());
         }
-        return v.limit;
+        return volume.limitBucket;
     }
 
-    /** A store as it would be opened now for the same plan, and among as many hosts. */
-    Store opened(Store like) {
-        return new Store(unseen.get(like.plan), like.plan, like.hosts);
+    /** A bucket as it would be made now for the same plan and number of initiators. */
+    TokenBucket newLimitBucketLike(TokenBucket like) {
+        return new TokenBucket(defaultLimitBuckets.get(like.plan), like.plan, like.initiatorCount);
     }
 
-    /** What is kept of a volume, null where nothing is. */
-    Volume volume(String name) {
+    /** The state of a volume, null where none is kept. */
+    VolumeState volume(String name) {
         return volumes.get(name);
     }
 
-    /** The volume of an access that is taken now; a new one where it is not known. */
-    Volume volume(Event.RequestReceived access, long now) {
-        Volume known = volumes.get(access.volume());
+    /** The volume of a request that is admitted now; a new one where it is not known. */
+    VolumeState volume(Event.RequestReceived access, long now) {
+        VolumeState known = volumes.get(access.volume());
         if (known == null) {
-            known = new Volume(access.volume());
+            known = new VolumeState(access.volume());
             volumes.put(access.volume(), known);
-            known.lookedAt = now;
-            kept.addLast(known);
+            known.lastCheckedAt = now;
+            evictionCandidates.addLast(known);
         }
-        known.usedAt = now;
-        known.asks(access);
-        known.held++;
+        known.lastUsedAt = now;
+        known.recordPlan(access);
+        known.pendingCount++;
         return known;
     }
 
-    void forget(Volume volume) {
+    void evict(VolumeState volume) {
         volumes.remove(volume.name);
     }
 
-    /** Something changed that may let accesses leave here. */
-    void touch(Node node) {
-        touched.add(node);
+    /** Something changed that may let requests leave this shard. */
+    void markForService(ShardQueue shardQueue) {
+        toServe.add(shardQueue);
     }
 
     /**
-     * The same, for more than room: what was found of any access that waits here may be otherwise.
+     * The same, for more than free slots: what was found of any request queued here may be
+     * outdated.
      */
-    void upset(Node node) {
-        node.changed = true;
-        touched.add(node);
+    void invalidate(ShardQueue shardQueue) {
+        shardQueue.mustRecheckAll = true;
+        toServe.add(shardQueue);
     }
 
-    /** The same, for the accesses of one volume here. */
-    void upset(Reservation r) {
-        r.node.unpark(r);
-        touched.add(r.node);
+    /** The same, for the requests of one volume at one shard. */
+    void invalidate(FlowQueue flow) {
+        flow.shardQueue.unpark(flow);
+        toServe.add(flow.shardQueue);
     }
 
-    void upset(Volume volume) {
-        List.copyOf(volume.waiting).forEach(this::upset);
+    void invalidate(VolumeState volume) {
+        List.copyOf(volume.queuedFlows).forEach(this::invalidate);
+    }
+
+    /** A bucket follows the plan of this request; what was found of its volume may be outdated. */
+    void usePlan(TokenBucket bucket, PendingRequest request) {
+        if (request.volume.hasMixedPlans
+                || (request.hasRateLimit() && request.reservationRate() > 0)) {
+            invalidate(request.volume);
+        }
+        bucket.usePlanOf(request.received);
     }
 
-    void upsetAll() {
-        nodes.values().forEach(this::upset);
+    void invalidateAll() {
+        shardQueues.values().forEach(this::invalidate);
     }
 
-    /** What was found here rests on the relay budget. */
-    void restsOnBudget(Node node) {
-        forBudget.add(node);
+    /** What was found at this shard depends on the retry budget. */
+    void markRetryBudgetDependent(ShardQueue shardQueue) {
+        retryBudgetDependents.add(shardQueue);
     }
 
-    /** There is a relay budget left again, or none any more. */
-    void budgetTurned() {
-        forBudget.forEach(this::upset);
-        forBudget.clear();
+    /** The retry budget is used up, or left again. */
+    void retryBudgetChanged() {
+        retryBudgetDependents.forEach(this::invalidate);
+        retryBudgetDependents.clear();
     }
 
-    /** Serve this node at that time too, if nothing happens before. */
-    void due(Node node, long time) {
-        due.set(node.slot, time);
+    /** Serve this shard at that time too, if nothing happens before. */
+    void serveAt(ShardQueue shardQueue, long time) {
+        serviceTimes.set(shardQueue.slot, time);
     }
 
-    void come(long now) {
-        for (int n : due.due(now)) {
-            touched.add(slots.get(n));
+    void collectDue(long now) {
+        for (int n : serviceTimes.removeDue(now)) {
+            toServe.add(slots.get(n));
         }
     }
 
     /**
-     * Takes out the next node to serve, in the order of making, null for none. One that is touched
-     * while a later one is served has its turn at the next call.
+     * Removes the next shard to serve, in the order of creation. One that is marked while a later
+     * one is served comes at the next call.
      *
      * @param after the one before, null for the first
+     * @return null for none
      */
-    Node next(Node after) {
-        Node next =
+    ShardQueue next(ShardQueue after) {
+        ShardQueue next =
                 after == null
-                        ? (touched.isEmpty() ? null : touched.first())
-                        : touched.higher(after);
-        while (next != null && touched.remove(next) && next.waiting == 0) {
-            next = touched.higher(next);
+                        ? (toServe.isEmpty() ? null : toServe.first())
+                        : toServe.higher(after);
+        while (next != null && toServe.remove(next) && next.queuedCount == 0) {
+            next = toServe.higher(next);
         }
         return next;
     }
 
-    /** The volume's reservation queue at the node; a new one where there is none. */
-    Reservation reservation(Node node, Volume volume, long now) {
-        Reservation known = node.reservations.get(volume);
+    /** The flow of a volume at a shard; a new one where there is none. */
+    FlowQueue flow(ShardQueue shardQueue, VolumeState volume, long now) {
+        FlowQueue known = shardQueue.flows.get(volume);
         if (known == null) {
-            known = new Reservation(reservationsMade++, node, volume);
-            known.extra = node.firstExtra;
-            node.reservations.put(volume, known);
-            volume.reservations++;
-            known.lookedAt = now;
-            kept.addLast(known);
+            known = new FlowQueue(nextFlowNumber++, shardQueue, volume);
+            known.extraTag = shardQueue.initialExtraTag;
+            shardQueue.flows.put(volume, known);
+            volume.flowCount++;
+            known.lastCheckedAt = now;
+            evictionCandidates.addLast(known);
         }
-        known.usedAt = now;
+        known.lastUsedAt = now;
         return known;
     }
 
-    /** Puts an access into its queue, and the reservation where its tags then have it. */
-    void queue(Held h, Reservation r) {
-        if (r.weight != h.weight()) {
-            r.node.unfile(r);
-            r.weight = h.weight();
+    /** Adds a request to a flow, and updates the orders of the shard. */
+    void enqueue(PendingRequest request, FlowQueue flow) {
+        if (flow.weight != request.weight()) {
+            flow.shardQueue.removeFromOrders(flow);
+            flow.weight = request.weight();
         }
-        h.queued = queued++;
-        h.reservation = r;
-        r.node.queue(h, r);
-        r.node.refile(r);
-        waiting++;
-        touched.add(r.node);
+        request.enqueueNumber = nextEnqueueNumber++;
+        request.flow = flow;
+        flow.shardQueue.add(request, flow);
+        flow.shardQueue.updateOrders(flow);
+        queuedCount++;
+        toServe.add(flow.shardQueue);
     }
 
-    /** Takes an access out of the queue it waits in, if it waits. */
-    void unqueue(Held h) {
-        if (h.waits()) {
-            Reservation r = h.reservation;
-            r.node.unqueue(h, r);
-            r.node.refile(r);
-            waiting--;
+    /** Removes a request from its queue, if it is queued. */
+    void dequeue(PendingRequest request) {
+        if (request.isQueued()) {
+            FlowQueue flow = request.flow;
+            flow.shardQueue.remove(request, flow);
+            flow.shardQueue.updateOrders(flow);
+            queuedCount--;
         }
     }
 
-    /** An access gives up its place among those of its key; the next one may have its turn. */
-    void leave(Turns turns, Held h) {
-        turns.order.remove(h);
-        if (!turns.order.isEmpty() && turns.order.first().waits()) {
-            upset(turns.order.first().reservation);
+    /** Removes a request from the sequence of its key; the next one may then be sent. */
+    void removeFromKey(KeySequence turns, PendingRequest request) {
+        turns.requests.remove(request);
+        if (!turns.requests.isEmpty() && turns.requests.first().isQueued()) {
+            invalidate(turns.requests.first().flow);
         }
     }
 }
--- /dev/null
+++ b/core/src/main/java/milletyoke/scheduler/WarmUpSend.java
@@ -0,0 +1,4 @@
+package milletyoke.scheduler;
+
+/** Units sent to a target while it was warming up, and when. */
+record WarmUpSend(long sentAt, double units) {}
--- a/core/src/test/java/milletyoke/scheduler/IndexedTimerQueueTest.java
+++ b/core/src/test/java/milletyoke/scheduler/IndexedTimerQueueTest.java
@@ -11,7 +11,7 @@
 
 class IndexedTimerQueueTest {
     @Test
-    void saysWhatASortedMapSays() {
+    void agreesWithASortedMap() {
         SplittableRandom chance = new SplittableRandom(5);
         IndexedTimerQueue table = new IndexedTimerQueue();
         TreeMap<Integer, Long> plain = new TreeMap<>();
@@ -24,7 +24,7 @@
                                 .filter(e -> e.getValue() <= now)
                                 .mapToInt(Map.Entry::getKey)
                                 .toArray();
-                assertArrayEquals(expected, table.due(now));
+                assertArrayEquals(expected, table.removeDue(now));
                 plain.values().removeIf(at -> at <= now);
             } else if (chance.nextInt(4) == 0) {
                 table.set(index, IndexedTimerQueue.NEVER);
@@ -37,7 +37,7 @@
             assertEquals(
                     plain.values().stream().mapToLong(x -> x).min().orElse(IndexedTimerQueue.NEVER),
                     table.first());
-            assertEquals(plain.getOrDefault(index, IndexedTimerQueue.NEVER), table.of(index));
+            assertEquals(plain.getOrDefault(index, IndexedTimerQueue.NEVER), table.get(index));
         }
     }
 
@@ -46,18 +46,18 @@
      * day of the bench).
      */
     @Test
-    void aCeilingNeverRisesUnnoticed() {
+    void highWaterMarkNeverRisesUnnoticed() {
         SplittableRandom chance = new SplittableRandom(6);
-        State.Ceiling ceiling = new State.Ceiling();
+        HighWaterMark mark = new HighWaterMark();
         double figure = 100;
         boolean lowered = false;
         for (long now = 0; now < 100_000_000L; now += chance.nextInt(40_000)) {
             figure *= 0.97 + 0.06 * chance.nextDouble();
-            double before = ceiling.most;
-            boolean told = ceiling.outgrownBy(figure, now);
-            assertTrue(ceiling.most >= figure);
-            assertTrue(told || ceiling.most <= before, "raised and not told");
-            lowered |= ceiling.most < before;
+            double before = mark.bound;
+            boolean told = mark.raiseFor(figure, now);
+            assertTrue(mark.bound >= figure);
+            assertTrue(told || mark.bound <= before, "raised and not told");
+            lowered |= mark.bound < before;
         }
         assertTrue(lowered);
     }
