--- a/config/src/main/java/milletyoke/config/FleetDiff.java
+++ b/config/src/main/java/milletyoke/config/FleetDiff.java
@@ -117,14 +117,14 @@
             return "";
         }
         long own =
-                fleet.of("volume").stream()
+                fleet.blocksOfKind("volume").stream()
                         .filter(
                                 v ->
                                         v.text(block.kind()).equals(block.name())
                                                 && !v.name().endsWith("*"))
                         .count();
         long patterns =
-                fleet.of("volume").stream()
+                fleet.blocksOfKind("volume").stream()
                         .filter(
                                 v ->
                                         v.text(block.kind()).equals(block.name())
--- a/gateway/src/main/java/milletyoke/gateway/Initiator.java
+++ b/gateway/src/main/java/milletyoke/gateway/Initiator.java
@@ -77,8 +77,8 @@
         gate =
                 new ConcurrentAdmission(
                         new Admission.CapacityLimits(
-                                r.requests(),
-                                r.bytes(),
+                                r.maxRequests(),
+                                r.maxPayloadBytes(),
                                 r.connectionShare(),
                                 r.volumeShare(),
                                 setup.deployment()
@@ -86,12 +86,14 @@
                                         .capabilities()
                                         .maxRetryAfterMicros()));
         lastList =
-                setup.folder() == null
+                setup.stateDirectory() == null
                         ? null
-                        : new EndpointListCache(setup.folder(), !world.isVirtual());
+                        : new EndpointListCache(setup.stateDirectory(), !world.isVirtual());
         InitiatorConfig.Transport t = setup.transport();
-        toTargets = new FrameLimits(t.frameBytes(), t.waitingBytes(), t.partialTime(), 0);
-        wire = world.openNetwork(setup.name(), t.threads(), tap);
+        toTargets =
+                new FrameLimits(
+                        t.maxFrameBytes(), t.maxUnsentBytes(), t.partialFrameTimeoutMicros(), 0);
+        wire = world.openNetwork(setup.name(), t.ioThreads(), tap);
         side = world.newTimerExecutor(setup.name() + "-side", 1);
         eventLoop = new EventLoop(setup, this, world, counts, instead);
         faults = new ProtocolViolationLog(counts, world::monotonicMicros);
@@ -101,7 +103,7 @@
                         ? null
                         : new ConfigWatcher(
                                 setup.fleet().file(),
-                                setup.folder(),
+                                setup.stateDirectory(),
                                 setup.fleet().fleet(),
                                 setup.fleet().files(),
                                 this::follow);
@@ -116,7 +118,11 @@
                             setup.listen().port(),
                             Role.INITIATOR,
                             ingress,
-                            new FrameLimits(t.frameBytes(), t.waitingBytes(), t.partialTime(), 0));
+                            new FrameLimits(
+                                    t.maxFrameBytes(),
+                                    t.maxUnsentBytes(),
+                                    t.partialFrameTimeoutMicros(),
+                                    0));
         } catch (IOException taken) {
             wire.close();
             side.shutdownNow();
--- a/gateway/src/main/java/milletyoke/gateway/console/PageModels.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/PageModels.java
@@ -109,7 +109,7 @@
             tally(figures, own);
             return new View("Overview", figures, List.of(), List.of());
         }
-        figures.put("places taken", p.places() + " of " + setup.capacity().requests());
+        figures.put("places taken", p.places() + " of " + setup.capacity().maxRequests());
         figures.put("room used", percent(p.used()));
         figures.put("relays out", p.out());
         figures.put("targets", p.targets().size());
--- a/gateway/src/main/java/milletyoke/gateway/discovery/DiscoveryWatch.java
+++ b/gateway/src/main/java/milletyoke/gateway/discovery/DiscoveryWatch.java
@@ -58,9 +58,9 @@
             var at = setup.discovery();
             FrameLimits bounds =
                     new FrameLimits(
-                            Math.max(setup.transport().frameBytes(), 16 << 20),
-                            setup.transport().waitingBytes(),
-                            setup.transport().partialTime(),
+                            Math.max(setup.transport().maxFrameBytes(), 16 << 20),
+                            setup.transport().maxUnsentBytes(),
+                            setup.transport().partialFrameTimeoutMicros(),
                             0);
             wire.connect(at.host(), at.port(), Role.INITIATOR, this, bounds, this::down);
         }
--- a/gateway/src/main/java/milletyoke/gateway/dispatch/AttemptDispatcher.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/AttemptDispatcher.java
@@ -162,7 +162,7 @@
                         null,
                         0,
                         now,
-                        now + transport.probeTime(),
+                        now + transport.probeTimeoutMicros(),
                         now + transport.connectTimeoutMicros());
         out.number = nextNumber++;
         out.frame = Frame.newBuilder().setProbe(Probe.newBuilder().setNumber(out.number)).build();
@@ -211,7 +211,8 @@
         }
         if (!transmit(link, out)) {
             if (resting(link) <= link.waiting.size()
-                    && link.conns.size() + link.dialling.size() < transport.connections()) {
+                    && link.conns.size() + link.dialling.size()
+                            < transport.maxConnectionsPerTarget()) {
                 dial(link);
             }
             if (link.dialling.isEmpty() && !(exclusive() && hasOpen(link))) {
@@ -229,7 +230,7 @@
      * for a new one.
      */
     private boolean exclusive() {
-        return transport.streams() == 1;
+        return transport.maxAttemptsPerConnection() == 1;
     }
 
     /**
@@ -241,7 +242,9 @@
         Conn least = null;
         for (Conn c : link.conns) {
             boolean room =
-                    c.outs.size() < transport.streams() && c.line.isOpen() && now >= rested(c);
+                    c.outs.size() < transport.maxAttemptsPerConnection()
+                            && c.line.isOpen()
+                            && now >= rested(c);
             boolean better =
                     least == null
                             || c.outs.size() < least.outs.size()
--- a/gateway/src/main/java/milletyoke/gateway/ingress/ClientListener.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/ClientListener.java
@@ -70,7 +70,7 @@
         }
         return a.toBuilder()
                 .setPlan(volume.text("plan"))
-                .setInitiatorCount((int) volume.figure("hosts"))
+                .setInitiatorCount((int) volume.number("hosts"))
                 .build();
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/ingress/ProtocolViolationLog.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/ProtocolViolationLog.java
@@ -29,9 +29,9 @@
 
     /** To be told of every connection that ended. */
     public void closed(String who, PeerConnection peer) {
-        if (peer.failProtocol() != null) {
+        if (peer.protocolViolation() != null) {
             counts.increment(Counter.MALFORMED_PEERS);
-            log(who + " " + peer + " was closed: " + peer.failProtocol());
+            log(who + " " + peer + " was closed: " + peer.protocolViolation());
         }
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/ingress/RequestAdmission.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/RequestAdmission.java
@@ -67,12 +67,13 @@
                 && a.getExtent().length() <= LONGEST_NAME
                 && a.getIdempotencyKey().length() <= LONGEST_NAME
                 && a.getUnits() > 0
-                && a.getUnits() <= setup.capacity().largest()
+                && a.getUnits() <= setup.capacity().maxRequestUnits()
                 && a.getTimeLeftMicros() > 0
-                && a.getTimeLeftMicros() <= setup.capacity().longest()
+                && a.getTimeLeftMicros() <= setup.capacity().maxTimeLeftMicros()
                 && a.getInitiatorCount() >= 0
                 && a.getInitiatorCount() <= MOST_HOSTS
-                && (!a.hasShard() || a.getShard() >= 0 && a.getShard() < setup.capacity().shards());
+                && (!a.hasShard()
+                        || a.getShard() >= 0 && a.getShard() < setup.capacity().shardCount());
     }
 
     /**
--- a/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
@@ -155,21 +155,21 @@
         this.setup = setup;
         this.around = around;
         this.counts = counts;
-        queue = new MpscArrayQueue<>(setup.capacity().queue());
+        queue = new MpscArrayQueue<>(setup.capacity().queueCapacity());
         roomForAccesses = queue.capacity() - queue.capacity() / 4;
         lifecycle =
                 new Lifecycle(
                         new Lifecycle.Thresholds(
-                                setup.capacity().listAge(),
-                                setup.capacity().full(),
-                                setup.capacity().eased(),
+                                setup.capacity().endpointListTimeoutMicros(),
+                                setup.capacity().saturationThreshold(),
+                                setup.capacity().recoveryThreshold(),
                                 1_000_000));
         accounts = new ServiceStatistics(setup.deployment().scheduler(), around.isWatched());
         painter = new SnapshotBuilder(setup.name(), decide, accounts);
         ledger =
                 new RequestTracker(
                         setup.name() + "." + clock.getAsLong() + ".",
-                        setup.deployment().answerSlackMicros(),
+                        setup.deployment().responseSlackMicros(),
                         counts,
                         around::freePlace,
                         accounts,
--- a/gateway/src/main/java/milletyoke/gateway/reload/ConfigWatcher.java
+++ b/gateway/src/main/java/milletyoke/gateway/reload/ConfigWatcher.java
@@ -101,7 +101,7 @@
         if (!checked.isValid()) {
             refuse(
                     checked.diagnostics().stream()
-                            .filter(Diagnostic::error)
+                            .filter(Diagnostic::isError)
                             .map(Diagnostic::text)
                             .toList(),
                     List.of());
--- a/scenario/src/main/java/milletyoke/scenario/ScenarioRunner.java
+++ b/scenario/src/main/java/milletyoke/scenario/ScenarioRunner.java
@@ -795,7 +795,7 @@
                                 p.capabilities(),
                                 p.limits(),
                                 p.mustWatchEndpoints()),
-                        day.deployment().answerSlackMicros(),
+                        day.deployment().responseSlackMicros(),
                         day.deployment().drainGraceMicros());
         Path file = folder.resolve("main.fleet");
         Path aside = folder.resolve("main.fleet.new");
