--- a/wire/src/main/java/milletyoke/wire/Connection.java
+++ b/wire/src/main/java/milletyoke/wire/Connection.java
@@ -2,34 +2,37 @@
 
 import milletyoke.wire.proto.Frame;
 
-/** A connection as its user sees it: sockets in service, something else under a virtual clock. */
+/** A connection as its user sees it: a socket in service, a model of one in the simulation. */
 public interface Connection {
     /** Unique in this process. */
     int id();
 
+    /** Whether frames can still be sent. */
     boolean isOpen();
 
     /**
-     * Hands a frame over without waiting. False where the connection is known to be closed, and
-     * then nothing of the frame was sent; true promises nothing.
+     * Hands a frame over without waiting. Any thread may call this.
+     *
+     * @return false where the connection is known to be closed and nothing of the frame was sent;
+     *     true is no promise that the frame arrives
      */
     boolean send(Frame frame);
 
     /**
-     * As {@link #send}, but the frame may stay here until {@link #flush}, so that frames of one
-     * turn leave in one write. Only the one thread that also flushes may post; what others send
-     * meanwhile may leave before.
+     * Like {@link #send}, but the frame may stay here until {@link #flush}, so that the frames of
+     * one pass of a loop leave in one write. Only the thread that also flushes may call this;
+     * frames that other threads send meanwhile may leave earlier.
      */
     default boolean enqueue(Frame frame) {
         return send(frame);
     }
 
-    /** Lets go of what was posted. */
+    /** Writes what was enqueued. */
     default void flush() {}
 
-    /** Tells the peer why and closes; what waits to be sent may be lost. */
-    void closeWithReason(String why);
+    /** Sends the reason to the peer and closes; frames not yet written may be lost. */
+    void closeWithReason(String reason);
 
-    /** Closes at once; the handler is told, once. */
-    void close(String why);
+    /** Closes at once; the listener is called, once. */
+    void close(String reason);
 }
--- a/wire/src/main/java/milletyoke/wire/FrameFilter.java
+++ b/wire/src/main/java/milletyoke/wire/FrameFilter.java
@@ -15,71 +15,79 @@
 import org.glassfish.grizzly.memory.Buffers;
 
 /**
- * Bytes on one side, whole frames on the other. A length over the bound closes the connection
- * before any is kept.
+ * Decodes bytes to frames and encodes frames to bytes. A length prefix over the limit closes the
+ * connection before any byte of that frame is buffered. Runs on I/O threads.
  */
 final class FrameFilter extends BaseFilter {
     private static final int LENGTH_PREFIX_BYTES = 4;
 
     @Override
-    public NextAction handleRead(FilterChainContext ctx) throws IOException {
-        Buffer bytes = ctx.getMessage();
-        PeerConnection peer = PeerFilter.peerOf(ctx.getConnection());
+    public NextAction handleRead(FilterChainContext context) throws IOException {
+        Buffer bytes = context.getMessage();
+        PeerConnection peer = PeerFilter.peerOf(context.getConnection());
         if (peer == null) {
-            bytes.tryDispose(); // it was turned away as it came
-            return ctx.getStopAction();
+            bytes.tryDispose(); // refused on accept
+            return context.getStopAction();
         }
         if (bytes.remaining() < LENGTH_PREFIX_BYTES) {
             peer.onPartialFrame();
-            return ctx.getStopAction(bytes);
+            return context.getStopAction(bytes);
         }
         int length = bytes.getInt(bytes.position());
         if (length < 0 || length > peer.maxFrameBytes()) {
-            peer.closeForViolation(
-                    "a frame of "
-                            + Integer.toUnsignedString(length)
-                            + " bytes is announced, "
-                            + peer.maxFrameBytes()
-                            + " are the most");
+            peer.closeForViolation(tooLong(length, peer.maxFrameBytes()));
             bytes.tryDispose();
-            return ctx.getStopAction();
+            return context.getStopAction();
         }
         if (bytes.remaining() < LENGTH_PREFIX_BYTES + length) {
             peer.onPartialFrame();
-            return ctx.getStopAction(bytes);
+            return context.getStopAction(bytes);
         }
         bytes.position(bytes.position() + LENGTH_PREFIX_BYTES);
         byte[] body = new byte[length];
         bytes.get(body);
-        Buffer rest = bytes.hasRemaining() ? bytes.slice() : null;
-        if (rest == null) {
+        Buffer remainder = bytes.hasRemaining() ? bytes.slice() : null;
+        if (remainder == null) {
             bytes.tryDispose();
         }
         try {
-            // payloads stay where they are: the fields of bytes are views of this array, which
-            // nobody writes any more
-            CodedInputStream input = UnsafeByteOperations.unsafeWrap(body).newCodedInput();
-            input.enableAliasing(true);
-            ctx.setMessage(Frame.parseFrom(input));
-        } catch (InvalidProtocolBufferException bad) {
-            peer.closeForViolation("a frame that cannot be read: " + bad.getMessage());
-            return ctx.getStopAction();
+            context.setMessage(decode(body));
+        } catch (InvalidProtocolBufferException malformed) {
+            peer.closeForViolation("a frame that cannot be read: " + malformed.getMessage());
+            return context.getStopAction();
         }
-        return ctx.getInvokeAction(rest);
+        return context.getInvokeAction(remainder);
     }
 
-    /** Frames that leave together, in this order. */
+    private static String tooLong(int length, int maxFrameBytes) {
+        return "a frame of "
+                + Integer.toUnsignedString(length)
+                + " bytes is announced, "
+                + maxFrameBytes
+                + " are the most";
+    }
+
+    /**
+     * Decodes without copying payloads: byte fields are views of the array, never written again.
+     */
+    private static Frame decode(byte[] body) throws IOException {
+        CodedInputStream input = UnsafeByteOperations.unsafeWrap(body).newCodedInput();
+        input.enableAliasing(true);
+        return Frame.parseFrom(input);
+    }
+
+    /** Frames that are written together, in this order. */
     record FrameBatch(List<Frame> frames) {}
 
     @Override
-    public NextAction handleWrite(FilterChainContext ctx) throws IOException {
-        if (ctx.getMessage() instanceof FrameBatch frames) {
-            ctx.setMessage(Buffers.wrap(ctx.getMemoryManager(), encode(frames.frames())));
+    public NextAction handleWrite(FilterChainContext context) throws IOException {
+        if (context.getMessage() instanceof FrameBatch frames) {
+            context.setMessage(Buffers.wrap(context.getMemoryManager(), encode(frames.frames())));
         }
-        return ctx.getInvokeAction();
+        return context.getInvokeAction();
     }
 
-    /** One array for all, each frame written into it once. */
+    /** Encodes all frames into one array, so that they leave in one write. */
     private static ByteBuffer encode(List<Frame> frames) throws IOException {
         int size = 0;
         for (Frame frame : frames) {
--- a/wire/src/main/java/milletyoke/wire/FrameObserver.java
+++ b/wire/src/main/java/milletyoke/wire/FrameObserver.java
@@ -4,15 +4,18 @@
 import milletyoke.wire.proto.Frame;
 
 /**
- * Sees every frame of one end as it is handed to or taken from its connection; called on whichever
- * thread does so.
+ * Observes every frame of one end as it is handed to or received from its connection. Called on
+ * whichever thread does so.
  */
 @FunctionalInterface
 public interface FrameObserver {
+    /** Observes nothing. */
     FrameObserver NONE = (peer, direction, frame) -> {};
 
     /**
-     * @param frame null where the direction tells that the connection opened or closed
+     * A frame was sent or received, or the connection opened or closed.
+     *
+     * @param frame null where the connection opened or closed
      */
     void onFrame(PeerConnection peer, Direction direction, Frame frame);
 }
--- a/wire/src/main/java/milletyoke/wire/MalformedFrameException.java
+++ b/wire/src/main/java/milletyoke/wire/MalformedFrameException.java
@@ -3,13 +3,18 @@
 import java.io.IOException;
 
 /**
- * What a peer sent is no frame of the protocol; its connection is closed and nothing else is
- * touched.
+ * A peer sent something that the protocol does not allow. Its connection is closed; nothing else is
+ * affected.
  */
 public final class MalformedFrameException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    public MalformedFrameException(String what) {
-        super(what);
+    /**
+     * Creates the exception.
+     *
+     * @param message what is wrong with the frame; also sent to the peer as the reason of the close
+     */
+    public MalformedFrameException(String message) {
+        super(message);
     }
 }
--- a/wire/src/main/java/milletyoke/wire/Network.java
+++ b/wire/src/main/java/milletyoke/wire/Network.java
@@ -4,45 +4,53 @@
 import java.util.function.Consumer;
 import milletyoke.wire.proto.Role;
 
-/** One participant's listeners and connections: sockets in service, a model of them in the lab. */
+/**
+ * One participant's listening addresses and connections: sockets in service, a model of them in the
+ * simulation.
+ */
 public interface Network extends AutoCloseable {
     /** A bound address. */
     interface Listener {
+        /** The port that is listened on. */
         int port();
 
-        /** Takes no further connections; those there are go on. */
+        /** Accepts no further connections; established ones stay open. */
         void stop();
     }
 
-    /** A connection in the making, which can be given up. */
+    /** A connection that is being established. */
     interface ConnectAttempt {
+        /** Gives the attempt up; a connection that was just established is closed. */
         void cancel();
     }
 
     /**
-     * Listens at an address; port 0 takes a free one.
+     * Listens at an address.
      *
-     * @throws IOException where the address cannot be had, with a message that names it
+     * @param port 0 for any free port
+     * @param role this end's role in its hellos
+     * @throws IOException where the address cannot be bound, with a message that names it
      */
-    Listener listen(String host, int port, Role role, PeerListener handler, FrameLimits bounds)
+    Listener listen(String host, int port, Role role, PeerListener listener, FrameLimits limits)
             throws IOException;
 
     /**
-     * Connects without waiting; the handler's ready tells of success, {@code failed} of the reason
-     * why not.
+     * Connects without waiting. {@link PeerListener#onReady} reports success.
+     *
+     * @param onFailure is given the reason where the connection cannot be established
      */
     ConnectAttempt connect(
             String host,
             int port,
             Role role,
-            PeerListener handler,
-            FrameLimits bounds,
-            Consumer<String> failed);
+            PeerListener listener,
+            FrameLimits limits,
+            Consumer<String> onFailure);
 
-    /** Drops every connection as a kill would: resets, nothing told to any handler here. */
+    /** Resets every connection, as a kill of the process would; no listener here is called. */
     void abort();
 
-    /** Says goodbye to every peer and closes. */
+    /** Sends every peer a close frame and closes. */
     @Override
     void close();
 }
--- a/wire/src/main/java/milletyoke/wire/PeerConnection.java
+++ b/wire/src/main/java/milletyoke/wire/PeerConnection.java
@@ -13,30 +13,38 @@
 import milletyoke.wire.proto.Role;
 
 /**
- * The other end of one connection. Any thread may send; the order of sends by one thread is kept.
+ * One connection and what is known of its peer: hello handshake, limits, close. Subclasses carry
+ * the frames. Any thread may send, and the order of sends by one thread is kept; received frames
+ * are handled on the I/O thread.
  */
 public abstract class PeerConnection implements Connection {
-    /** The versions of the protocol that this build speaks. */
-    static final int LOWEST_VERSION = 1, HIGHEST_VERSION = 2;
+    /** The lowest protocol version that this build supports. */
+    static final int LOWEST_VERSION = 1;
 
-    /** The first version that knows a goodbye in two steps. */
+    /** The highest protocol version that this build supports. */
+    static final int HIGHEST_VERSION = 2;
+
+    /** The first version with the frame that announces a graceful shutdown. */
     private static final int GOING_AWAY_VERSION = 2;
 
-    /** What a frame that waits costs beside its bytes: a million tiny ones are no small thing. */
+    /** Counted for each unsent frame besides its bytes: many small frames need memory, too. */
     private static final int FRAME_OVERHEAD_BYTES = 256;
 
-    /** Posted frames leave at once from this size on. */
+    /** Enqueued frames are flushed at once from this size on. */
     private static final int FLUSH_THRESHOLD_BYTES = 256 * 1024;
 
+    private static final int MAX_NAME_LENGTH = 200;
+    private static final long MICROS_PER_MILLI = 1_000;
+
     private final int id;
     private final LongSupplier clock;
-    private final PeerListener handler;
-    private final FrameLimits bounds;
-    private final FrameObserver tap;
+    private final PeerListener listener;
+    private final FrameLimits limits;
+    private final FrameObserver observer;
     private final AtomicLong unsentBytes = new AtomicLong();
     private final AtomicBoolean closed = new AtomicBoolean();
 
-    /** Of the one thread that posts. */
+    /** Used by the one thread that enqueues and flushes. */
     private List<Frame> queuedFrames = new ArrayList<>();
 
     private int queuedBytes;
@@ -51,22 +59,25 @@
     private volatile boolean hasProcessedNothing;
 
     /**
-     * @param id unique in its world; a set of peers that is gone over goes in an order that follows
-     *     from ids
+     * Creates an open connection whose hello is expected.
+     *
+     * @param id unique in its environment; it is the hash code, so that iteration over a set of
+     *     peers has the same order in every run of a simulation
+     * @param clock monotonic, in microseconds
      */
     protected PeerConnection(
             int id,
-            PeerListener handler,
-            FrameLimits bounds,
-            FrameObserver tap,
+            PeerListener listener,
+            FrameLimits limits,
+            FrameObserver observer,
             LongSupplier clock) {
         this.id = id;
         this.clock = clock;
-        this.handler = handler;
-        this.bounds = bounds;
-        this.tap = tap;
+        this.listener = listener;
+        this.limits = limits;
+        this.observer = observer;
         lastActivityMicros = clock.getAsLong();
-        incompleteSinceMicros = lastActivityMicros; // a hello is owed
+        incompleteSinceMicros = lastActivityMicros; // the peer's hello is expected
     }
 
     @Override
@@ -74,11 +85,12 @@
         return id;
     }
 
-    /** What the peer calls itself, empty before its hello. */
+    /** The name that the peer stated in its hello; empty before it. */
     public String name() {
         return name;
     }
 
+    /** The role that the peer stated in its hello. */
     public Role role() {
         return role;
     }
@@ -88,25 +100,25 @@
         return !closed.get() && isConnected();
     }
 
-    /** What this peer did that its connection was closed for; null where it did nothing wrong. */
+    /** The protocol violation that the connection was closed for; null where there was none. */
     public String protocolViolation() {
         return protocolViolation;
     }
 
-    /** Tells the peer what it did wrong and closes. */
-    void closeForViolation(String what) {
-        protocolViolation = what;
-        closeWithReason(what);
+    /** Closes because the peer violated the protocol, and sends it the reason. */
+    void closeForViolation(String violation) {
+        protocolViolation = violation;
+        closeWithReason(violation);
     }
 
-    /** Bytes handed over that the peer's side has not taken yet. */
+    /** Bytes of frames that were handed over and not yet written to the network. */
     public long unsentBytes() {
         return unsentBytes.get();
     }
 
     @Override
     public boolean send(Frame frame) {
-        int size = admit(frame);
+        int size = reserve(frame);
         if (size == 0) {
             return false;
         }
@@ -116,7 +128,7 @@
 
     @Override
     public boolean enqueue(Frame frame) {
-        int size = admit(frame);
+        int size = reserve(frame);
         if (size > 0) {
             queuedFrames.add(frame);
             queuedBytes += size;
@@ -138,123 +150,124 @@
         }
     }
 
-    /** Counts a frame among what waits for the peer; 0 where it cannot be sent. */
-    private int admit(Frame frame) {
+    /**
+     * Reserves a frame's size in the unsent bytes.
+     *
+     * @return the reserved size; 0 where the frame cannot be sent
+     */
+    private int reserve(Frame frame) {
         if (!isOpen()) {
             return 0;
         }
         int body = frame.getSerializedSize();
         int size = body + FRAME_OVERHEAD_BYTES;
-        if (body > bounds.maxFrameBytes()) {
+        if (body > limits.maxFrameBytes()) {
             throw new IllegalArgumentException(
                     "a frame of "
                             + body
                             + " bytes, "
-                            + bounds.maxFrameBytes()
+                            + limits.maxFrameBytes()
                             + " are the most on this connection");
         }
-        if (unsentBytes.addAndGet(size) > bounds.maxUnsentBytes()) {
+        if (unsentBytes.addAndGet(size) > limits.maxUnsentBytes()) {
             unsentBytes.addAndGet(-size);
-            // Guards the memory of this process against a peer that asks and does not read. Could
-            // harm a peer that
-            // stands still for long with much on its way to it; it may connect again.
+            // Bounds the memory that a peer which does not read can use. It may hit a peer that
+            // was stalled with much data in flight to it; that peer may connect again.
             protocolViolation =
-                    "reads too slowly: over " + bounds.maxUnsentBytes() + " bytes wait for it";
+                    "reads too slowly: over " + limits.maxUnsentBytes() + " bytes wait for it";
             close(protocolViolation);
             return 0;
         }
         lastActivityMicros = clock.getAsLong();
-        tap.onFrame(this, Direction.SENT, frame);
+        observer.onFrame(this, Direction.SENT, frame);
         return size;
     }
 
-    /** What was handed over has left; to be called once for each {@link #write}. */
+    /** To be called once for each {@link #write}, when it has completed or failed. */
     protected final void onWritten(int size) {
         unsentBytes.addAndGet(-size);
     }
 
-    // ---- What carries it ----
-
+    /** Whether the underlying transport is connected. */
     protected abstract boolean isConnected();
 
-    /**
-     * Takes frames to be delivered in this order, and tells {@link #onWritten} when they have left.
-     */
+    /** Writes frames in this order without waiting, and calls {@link #onWritten} afterwards. */
     protected abstract void write(List<Frame> frames, int size);
 
-    /** Closes; what was written before may still arrive. */
+    /** Closes the transport; what was written before may still arrive. */
     protected abstract void disconnect();
 
-    /** Closes so that the other end sees a reset. */
+    /** Closes the transport so that the peer sees a reset. */
     protected abstract void disconnectWithReset();
 
     /**
-     * Closes a connection of which nothing was taken, and says so, so that the other end may try
-     * elsewhere what it sent. Only for one that was refused as it came, whose frames nobody will
-     * look at.
+     * Closes a connection none of whose frames was processed and tells the peer so, which may then
+     * retry elsewhere. Only for a connection that is refused on accept: its frames are ignored.
      */
-    public void refuse(String why) {
+    public void refuse(String reason) {
         isRefused = true;
         send(
                 Frame.newBuilder()
-                        .setClose(Close.newBuilder().setReason(why).setNothingProcessed(true))
+                        .setClose(Close.newBuilder().setReason(reason).setNothingProcessed(true))
                         .build());
-        close(why);
+        close(reason);
     }
 
-    /** Whether the other end said that it has taken nothing of what was sent on this connection. */
+    /** Whether the peer stated that it processed nothing that was sent on this connection. */
     public boolean hasProcessedNothing() {
         return hasProcessedNothing;
     }
 
     @Override
-    public void closeWithReason(String why) {
-        send(closeFrame(why));
-        close(why);
+    public void closeWithReason(String reason) {
+        send(closeFrame(reason));
+        close(reason);
     }
 
     /**
-     * Tells the peer that nothing new is taken here and that it should close once it has all its
-     * answers.
+     * Tells the peer that no new requests are accepted here and that it should close once it has
+     * received all responses.
      *
-     * @return whether the peer knows what that means; else only {@link #bye} remains
+     * @return whether the peer supports this; if not, only {@link #closeWithReason} remains
      */
-    public boolean announceShutdown(String why) {
+    public boolean announceShutdown(String reason) {
         return supportsGoingAway()
                 && send(
                         Frame.newBuilder()
-                                .setGoingAway(GoingAway.newBuilder().setReason(why))
+                                .setGoingAway(GoingAway.newBuilder().setReason(reason))
                                 .build());
     }
 
+    /** Whether the peer's protocol version has the frame that announces a graceful shutdown. */
     public boolean supportsGoingAway() {
         return protocolVersion >= GOING_AWAY_VERSION;
     }
 
-    static Frame closeFrame(String why) {
-        return Frame.newBuilder().setClose(Close.newBuilder().setReason(why)).build();
+    static Frame closeFrame(String reason) {
+        return Frame.newBuilder().setClose(Close.newBuilder().setReason(reason)).build();
     }
 
     @Override
-    public void close(String why) {
+    public void close(String reason) {
         if (closed.compareAndSet(false, true)) {
             disconnect();
-            tap.onFrame(this, Direction.CLOSED, null);
-            handler.onClosed(this, why);
+            observer.onFrame(this, Direction.CLOSED, null);
+            listener.onClosed(this, reason);
         }
     }
 
     /**
-     * Closes so that the other end sees a reset, as after a kill of this process; the handler is
-     * not told.
+     * Closes so that the peer sees a reset, as after a kill of this process. The listener is not
+     * called.
      */
     public void reset() {
         if (closed.compareAndSet(false, true)) {
             disconnectWithReset();
-            tap.onFrame(this, Direction.CLOSED, null);
+            observer.onFrame(this, Direction.CLOSED, null);
         }
     }
 
+    /** Sends this end's hello, which must be the first frame. */
     protected final void sendHello(Role own, String ownName) {
         send(
                 Frame.newBuilder()
@@ -267,29 +280,36 @@
                         .build());
     }
 
+    /** Handles a received frame; to be called by one thread at a time. */
     protected final void handleFrame(Frame frame) {
         lastActivityMicros = clock.getAsLong();
         incompleteSinceMicros = 0;
         if (closed.get() || isRefused) {
             return;
         }
-        tap.onFrame(this, Direction.GOT, frame);
+        observer.onFrame(this, Direction.GOT, frame);
         try {
-            if (!hasReceivedHello) {
-                acceptHello(frame);
-                handler.onReady(this);
-            } else if (frame.getBodyCase() == Frame.BodyCase.CLOSE) {
+            dispatch(frame);
+        } catch (MalformedFrameException malformed) {
+            closeForViolation(malformed.getMessage());
+        }
+    }
+
+    private void dispatch(Frame frame) throws MalformedFrameException {
+        if (!hasReceivedHello) {
+            acceptHello(frame);
+            listener.onReady(this);
+            return;
+        }
+        switch (frame.getBodyCase()) {
+            case CLOSE -> {
                 hasProcessedNothing = frame.getClose().getNothingProcessed();
                 close("the peer left: " + frame.getClose().getReason());
-            } else if (frame.getBodyCase() == Frame.BodyCase.GOING_AWAY) {
-                handler.onGoingAway(this, frame.getGoingAway().getReason());
-            } else if (frame.getBodyCase() == Frame.BodyCase.BODY_NOT_SET) {
-                throw new MalformedFrameException("a frame with no body this version knows");
-            } else {
-                handler.onFrame(this, frame);
             }
-        } catch (MalformedFrameException bad) {
-            closeForViolation(bad.getMessage());
+            case GOING_AWAY -> listener.onGoingAway(this, frame.getGoingAway().getReason());
+            case BODY_NOT_SET ->
+                    throw new MalformedFrameException("a frame with no body this version knows");
+            default -> listener.onFrame(this, frame);
         }
     }
 
@@ -312,8 +332,8 @@
                             + HIGHEST_VERSION
                             + " are spoken here");
         }
-        if (hello.getName().length() > 200) {
-            throw new MalformedFrameException("a name of over 200 characters");
+        if (hello.getName().length() > MAX_NAME_LENGTH) {
+            throw new MalformedFrameException("a name of over " + MAX_NAME_LENGTH + " characters");
         }
         name = hello.getName();
         role = hello.getRole();
@@ -321,6 +341,7 @@
         hasReceivedHello = true;
     }
 
+    /** Only a part of a frame has been received so far. */
     void onPartialFrame() {
         lastActivityMicros = clock.getAsLong();
         incompleteSinceMicros =
@@ -328,21 +349,25 @@
     }
 
     int maxFrameBytes() {
-        return bounds.maxFrameBytes();
+        return limits.maxFrameBytes();
     }
 
-    /** Closes what has been idle, or half received, for too long. */
-    void closeIfTimedOut(long now) {
+    /**
+     * Closes the connection where it has been idle, or a frame or hello incomplete, for too long.
+     *
+     * @param nowMicros on the connection's clock
+     */
+    void closeIfTimedOut(long nowMicros) {
         if (incompleteSinceMicros > 0
-                && now - incompleteSinceMicros > bounds.partialFrameTimeoutMicros()) {
+                && nowMicros - incompleteSinceMicros > limits.partialFrameTimeoutMicros()) {
             closeForViolation(
                     (hasReceivedHello ? "half a frame" : "no hello")
                             + " for "
-                            + bounds.partialFrameTimeoutMicros() / 1000
+                            + limits.partialFrameTimeoutMicros() / MICROS_PER_MILLI
                             + " ms");
-        } else if (bounds.idleTimeoutMicros() > 0
-                && now - lastActivityMicros > bounds.idleTimeoutMicros()) {
-            closeWithReason("idle for " + bounds.idleTimeoutMicros() / 1000 + " ms");
+        } else if (limits.idleTimeoutMicros() > 0
+                && nowMicros - lastActivityMicros > limits.idleTimeoutMicros()) {
+            closeWithReason("idle for " + limits.idleTimeoutMicros() / MICROS_PER_MILLI + " ms");
         }
     }
 
--- a/wire/src/main/java/milletyoke/wire/PeerFilter.java
+++ b/wire/src/main/java/milletyoke/wire/PeerFilter.java
@@ -1,9 +1,12 @@
 package milletyoke.wire;
 
 import java.io.IOException;
+import java.util.Locale;
 import milletyoke.wire.proto.Direction;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Role;
+import org.glassfish.grizzly.CloseListener;
+import org.glassfish.grizzly.CloseType;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.Grizzly;
 import org.glassfish.grizzly.attributes.Attribute;
@@ -11,31 +14,34 @@
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
 
-/** The last filter: gives each connection its {@link PeerConnection} and hands frames to it. */
+/**
+ * The last filter of the chain: creates the {@link PeerConnection} of each connection and hands
+ * frames to it. Runs on I/O threads.
+ */
 final class PeerFilter extends BaseFilter {
     private static final Attribute<PeerConnection> PEER =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("milletyoke.peer");
 
-    private final SocketNetwork wire;
-    private final PeerListener handler;
-    private final FrameLimits bounds;
-    private final FrameObserver tap;
+    private final SocketNetwork network;
+    private final PeerListener listener;
+    private final FrameLimits limits;
+    private final FrameObserver observer;
     private final Role role;
     private final String name;
 
     PeerFilter(
-            SocketNetwork wire,
+            SocketNetwork network,
             Role role,
             String name,
-            PeerListener handler,
-            FrameLimits bounds,
-            FrameObserver tap) {
-        this.wire = wire;
+            PeerListener listener,
+            FrameLimits limits,
+            FrameObserver observer) {
+        this.network = network;
         this.role = role;
         this.name = name;
-        this.handler = handler;
-        this.bounds = bounds;
-        this.tap = tap;
+        this.listener = listener;
+        this.limits = limits;
+        this.observer = observer;
     }
 
     static PeerConnection peerOf(Connection<?> connection) {
@@ -43,47 +49,50 @@
     }
 
     @Override
-    public NextAction handleAccept(FilterChainContext ctx) {
-        if (wire.isFull()) {
-            ctx.getConnection().closeSilently();
-            return ctx.getStopAction();
+    public NextAction handleAccept(FilterChainContext context) {
+        if (network.isFull()) {
+            context.getConnection().closeSilently();
+            return context.getStopAction();
         }
-        opened(ctx.getConnection());
-        return ctx.getInvokeAction();
+        onOpened(context.getConnection());
+        return context.getInvokeAction();
     }
 
     @Override
-    public NextAction handleConnect(FilterChainContext ctx) {
-        opened(ctx.getConnection());
-        return ctx.getInvokeAction();
+    public NextAction handleConnect(FilterChainContext context) {
+        onOpened(context.getConnection());
+        return context.getInvokeAction();
     }
 
-    private void opened(Connection<?> connection) {
-        PeerConnection peer = new SocketPeerConnection(connection, handler, bounds, tap);
+    private void onOpened(Connection<?> connection) {
+        PeerConnection peer = new SocketPeerConnection(connection, listener, limits, observer);
         PEER.set(connection, peer);
-        wire.add(peer);
-        tap.onFrame(peer, Direction.OPENED, null);
-        connection.addCloseListener(
+        network.add(peer);
+        observer.onFrame(peer, Direction.OPENED, null);
+        CloseListener<Connection<?>, CloseType> onClosed =
                 (closeable, type) -> {
-                    wire.remove(peer);
+                    network.remove(peer);
                     peer.close(
-                            "the connection closed (" + String.valueOf(type).toLowerCase() + ")");
-                });
+                            "the connection closed ("
+                                    + String.valueOf(type).toLowerCase(Locale.ROOT)
+                                    + ")");
+                };
+        connection.addCloseListener(onClosed);
         peer.sendHello(role, name);
     }
 
     @Override
-    public NextAction handleRead(FilterChainContext ctx) throws IOException {
-        Frame frame = ctx.getMessage();
-        peerOf(ctx.getConnection()).handleFrame(frame);
-        return ctx.getStopAction();
+    public NextAction handleRead(FilterChainContext context) throws IOException {
+        Frame frame = context.getMessage();
+        peerOf(context.getConnection()).handleFrame(frame);
+        return context.getStopAction();
     }
 
     @Override
-    public void exceptionOccurred(FilterChainContext ctx, Throwable error) {
-        PeerConnection peer = peerOf(ctx.getConnection());
+    public void exceptionOccurred(FilterChainContext context, Throwable cause) {
+        PeerConnection peer = peerOf(context.getConnection());
         if (peer != null) {
-            peer.close("reading failed: " + error);
+            peer.close("reading failed: " + cause);
         }
     }
 }
--- a/wire/src/main/java/milletyoke/wire/PeerListener.java
+++ b/wire/src/main/java/milletyoke/wire/PeerListener.java
@@ -3,21 +3,31 @@
 import milletyoke.wire.proto.Frame;
 
 /**
- * What one end does with its connections. Calls for one peer come one after another, those for
- * several peers may come at once; none may block but to hold back that peer.
+ * Receives the events of the connections of one end. Calls for one peer come one after another on
+ * an I/O thread; those for several peers may come at the same time. A call that blocks holds up
+ * that peer, and others that share its I/O thread.
  */
 public interface PeerListener {
     /** Both hellos were exchanged. */
     void onReady(PeerConnection peer);
 
     /**
-     * @throws BadFrame where this end has no use for such a frame: the connection is closed
+     * A frame other than those that the connection itself handles was received.
+     *
+     * @throws MalformedFrameException where this end does not accept such a frame; the connection
+     *     is then closed
      */
     void onFrame(PeerConnection peer, Frame frame) throws MalformedFrameException;
 
-    /** The peer takes nothing new and waits for this end to close once it has what it is owed. */
-    default void onGoingAway(PeerConnection peer, String why) {}
+    /**
+     * The peer accepts no new requests and waits for this end to close the connection once all
+     * responses were received.
+     */
+    default void onGoingAway(PeerConnection peer, String reason) {}
 
-    /** Called once for each peer that was ready or whose hello failed; nothing comes after it. */
-    void onClosed(PeerConnection peer, String why);
+    /**
+     * Called once for each peer that was ready or whose hello failed; no call for that peer
+     * follows.
+     */
+    void onClosed(PeerConnection peer, String reason);
 }
--- a/wire/src/main/java/milletyoke/wire/SocketEnvironment.java
+++ b/wire/src/main/java/milletyoke/wire/SocketEnvironment.java
@@ -6,10 +6,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * This machine: its monotonic clock, its sockets, threads of its own for every loop. Holds no
- * state.
+ * The environment in service: this machine's clocks and sockets, and a thread of its own for every
+ * event loop. Stateless.
  */
 public final class SocketEnvironment implements ExecutionEnvironment {
+    private static final long MICROS_PER_MILLI = 1_000;
+
     @Override
     public long monotonicMicros() {
         return SocketNetwork.monotonicMicros();
@@ -17,12 +19,13 @@
 
     @Override
     public long wallClockMicros() {
-        return System.currentTimeMillis() * 1000;
+        return System.currentTimeMillis() * MICROS_PER_MILLI;
     }
 
     @Override
-    public Network openNetwork(String name, int threads, FrameObserver tap) throws IOException {
-        return new SocketNetwork(name, threads, tap);
+    public Network openNetwork(String name, int threads, FrameObserver observer)
+            throws IOException {
+        return new SocketNetwork(name, threads, observer);
     }
 
     @Override
@@ -47,7 +50,7 @@
     }
 
     @Override
-    public LoopDriver newLoopDriver(LoopTask turns) {
+    public LoopDriver newLoopDriver(LoopTask task) {
         return null;
     }
 }
--- a/wire/src/main/java/milletyoke/wire/SocketNetwork.java
+++ b/wire/src/main/java/milletyoke/wire/SocketNetwork.java
@@ -7,7 +7,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
+import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.locks.LockSupport;
 import java.util.function.Consumer;
 import milletyoke.wire.proto.Role;
 import org.glassfish.grizzly.Connection;
@@ -15,6 +17,7 @@
 import org.glassfish.grizzly.filterchain.FilterChain;
 import org.glassfish.grizzly.filterchain.FilterChainBuilder;
 import org.glassfish.grizzly.filterchain.TransportFilter;
+import org.glassfish.grizzly.nio.transport.TCPNIOBindingHandler;
 import org.glassfish.grizzly.nio.transport.TCPNIOConnectorHandler;
 import org.glassfish.grizzly.nio.transport.TCPNIOServerConnection;
 import org.glassfish.grizzly.nio.transport.TCPNIOTransport;
@@ -22,83 +25,98 @@
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
-/** One participant's sockets: its listeners, its connections and the threads that serve them. */
+/**
+ * One participant's sockets: its listening addresses, its connections, the I/O threads that serve
+ * them and one thread that closes connections after a timeout.
+ */
 public final class SocketNetwork implements Network {
-    /**
-     * What was handed over before a clean end has this long to be taken by its readers
-     * (microseconds).
-     */
+    /** How long {@link #close} waits until frames sent before have been written. */
     private static final long CLOSE_FLUSH_TIMEOUT_MICROS = 1_000_000;
 
-    /** Connections of one participant; what is beyond is closed as it comes. */
+    /** Connections of one participant; further ones are closed on accept. */
     private static final int DEFAULT_MAX_CONNECTIONS = 16_384;
 
+    private static final String SHUTTING_DOWN = "shutting down";
+    private static final long CLOSE_POLL_NANOS = 1_000_000;
+    private static final long TIMEOUT_SWEEP_MILLIS = 250;
+    private static final int LISTEN_BACKLOG = 1_024;
+
     private final TCPNIOTransport transport;
     private final int maxConnections;
     private final String name;
-    private final FrameObserver tap;
+    private final FrameObserver observer;
     private final Set<PeerConnection> peers = ConcurrentHashMap.newKeySet();
     private final ScheduledExecutorService timeoutSweeper;
 
     /**
+     * Starts the I/O threads.
+     *
      * @param name what this participant calls itself in its hellos
-     * @param threads threads that serve its sockets
+     * @param threads I/O threads
+     * @throws IOException where the transport cannot be started
      */
-    public SocketNetwork(String name, int threads, FrameObserver tap) throws IOException {
-        this(name, threads, tap, DEFAULT_MAX_CONNECTIONS);
+    public SocketNetwork(String name, int threads, FrameObserver observer) throws IOException {
+        this(name, threads, observer, DEFAULT_MAX_CONNECTIONS);
     }
 
     /**
-     * @param maxConnections connections at once; a further one that comes in is closed and nothing
-     *     is kept of it
+     * Starts the I/O threads, with a limit on connections.
+     *
+     * @param maxConnections connections at once; a further incoming one is closed on accept
+     * @throws IOException where the transport cannot be started
      */
-    public SocketNetwork(String name, int threads, FrameObserver tap, int mostPeers)
+    public SocketNetwork(String name, int threads, FrameObserver observer, int maxConnections)
             throws IOException {
-        this.maxConnections = mostPeers;
+        this.maxConnections = maxConnections;
         this.name = name;
-        this.tap = tap;
+        this.observer = observer;
+        transport = newTransport(name, threads);
+        transport.start();
+        timeoutSweeper = Executors.newSingleThreadScheduledExecutor(this::newTimeoutThread);
+        ScheduledFuture<?> unused =
+                timeoutSweeper.scheduleWithFixedDelay(
+                        () -> peers.forEach(peer -> peer.closeIfTimedOut(monotonicMicros())),
+                        TIMEOUT_SWEEP_MILLIS,
+                        TIMEOUT_SWEEP_MILLIS,
+                        TimeUnit.MILLISECONDS);
+    }
+
+    private static TCPNIOTransport newTransport(String name, int threads) {
+        ThreadPoolConfig ioThreads =
+                ThreadPoolConfig.defaultConfig()
+                        .setPoolName(name + "-io")
+                        .setCorePoolSize(threads)
+                        .setMaxPoolSize(threads)
+                        .setDaemon(true);
         TCPNIOTransportBuilder builder =
                 TCPNIOTransportBuilder.newInstance()
                         .setIOStrategy(SameThreadIOStrategy.getInstance())
-                        .setSelectorThreadPoolConfig(
-                                ThreadPoolConfig.defaultConfig()
-                                        .setPoolName(name + "-io")
-                                        .setCorePoolSize(threads)
-                                        .setMaxPoolSize(threads)
-                                        .setDaemon(true))
+                        .setSelectorThreadPoolConfig(ioThreads)
                         .setTcpNoDelay(true)
                         .setReuseAddress(true)
-                        .setServerConnectionBackLog(1024);
+                        .setServerConnectionBackLog(LISTEN_BACKLOG);
         builder.setSelectorRunnersCount(threads);
-        transport = builder.build();
-        transport.start();
-        timeoutSweeper =
-                Executors.newSingleThreadScheduledExecutor(
-                        task -> {
-                            Thread thread = new Thread(task, name + "-looks");
-                            thread.setDaemon(true);
-                            return thread;
-                        });
-        timeoutSweeper.scheduleWithFixedDelay(
-                () -> peers.forEach(p -> p.closeIfTimedOut(monotonicMicros())),
-                250,
-                250,
-                TimeUnit.MILLISECONDS);
-    }
-
-    /** The monotonic clock that all times of the product are told on (microseconds). */
+        return builder.build();
+    }
+
+    private Thread newTimeoutThread(Runnable task) {
+        Thread thread = new Thread(task, name + "-timeouts");
+        thread.setDaemon(true);
+        return thread;
+    }
+
+    /** The monotonic clock of this process, in microseconds. */
     public static long monotonicMicros() {
         return System.nanoTime() / 1000;
     }
 
     @Override
     public Network.Listener listen(
-            String host, int port, Role role, PeerListener handler, FrameLimits bounds)
+            String host, int port, Role role, PeerListener listener, FrameLimits limits)
             throws IOException {
         try {
             TCPNIOServerConnection server =
-                    (TCPNIOServerConnection)
-                            binder(role, handler, bounds).bind(new InetSocketAddress(host, port));
+                    binder(role, listener, limits).bind(new InetSocketAddress(host, port));
             return new BoundListener(this, server);
         } catch (IOException failed) {
             throw new IOException(
@@ -106,56 +124,56 @@
         }
     }
 
-    private org.glassfish.grizzly.nio.transport.TCPNIOBindingHandler binder(
-            Role role, PeerListener handler, FrameLimits bounds) {
-        return org.glassfish.grizzly.nio.transport.TCPNIOBindingHandler.builder(transport)
-                .processor(chain(role, handler, bounds))
+    private TCPNIOBindingHandler binder(Role role, PeerListener listener, FrameLimits limits) {
+        return TCPNIOBindingHandler.builder(transport)
+                .processor(chain(role, listener, limits))
                 .build();
     }
 
     @Override
+    @SuppressWarnings("rawtypes") // the transport's completion handlers take the raw type
     public Network.ConnectAttempt connect(
             String host,
             int port,
             Role role,
-            PeerListener handler,
-            FrameLimits bounds,
-            Consumer<String> failed) {
+            PeerListener listener,
+            FrameLimits limits,
+            Consumer<String> onFailure) {
         var connector =
                 TCPNIOConnectorHandler.builder(transport)
-                        .processor(chain(role, handler, bounds))
+                        .processor(chain(role, listener, limits))
                         .build();
         PendingConnect attempt = new PendingConnect();
         connector.connect(
                 new InetSocketAddress(host, port),
                 new EmptyCompletionHandler<Connection>() {
                     @Override
-                    public void completed(Connection made) {
-                        attempt.made(made);
+                    public void completed(Connection established) {
+                        attempt.onConnected(established);
                     }
 
                     @Override
                     public void failed(Throwable cause) {
-                        failed.accept(String.valueOf(cause.getMessage()));
+                        onFailure.accept(String.valueOf(cause.getMessage()));
                     }
 
                     @Override
                     public void cancelled() {
-                        failed.accept("given up");
+                        onFailure.accept("given up");
                     }
                 });
         return attempt;
     }
 
-    private FilterChain chain(Role role, PeerListener handler, FrameLimits bounds) {
+    private FilterChain chain(Role role, PeerListener listener, FrameLimits limits) {
         return FilterChainBuilder.stateless()
                 .add(new TransportFilter())
                 .add(new FrameFilter())
-                .add(new PeerFilter(this, role, name, handler, bounds, tap))
+                .add(new PeerFilter(this, role, name, listener, limits, observer))
                 .build();
     }
 
-    /** Guards memory and file handles against peers that open connections without end. */
+    /** Bounds memory and file handles against peers that open connections without end. */
     boolean isFull() {
         return peers.size() >= maxConnections;
     }
@@ -184,47 +202,50 @@
     public void close() {
         timeoutSweeper.shutdownNow();
         transport.unbindAll();
-        peers.forEach(p -> p.send(PeerConnection.closeFrame("shutting down")));
-        long until = monotonicMicros() + CLOSE_FLUSH_TIMEOUT_MICROS;
-        while (monotonicMicros() < until
-                && peers.stream().anyMatch(p -> p.isOpen() && p.unsentBytes() > 0)) {
-            java.util.concurrent.locks.LockSupport.parkNanos(1_000_000);
+        peers.forEach(peer -> peer.send(PeerConnection.closeFrame(SHUTTING_DOWN)));
+        long deadline = monotonicMicros() + CLOSE_FLUSH_TIMEOUT_MICROS;
+        while (monotonicMicros() < deadline && hasUnsentBytes()) {
+            LockSupport.parkNanos(CLOSE_POLL_NANOS);
         }
-        peers.forEach(p -> p.close("shutting down"));
+        peers.forEach(peer -> peer.close(SHUTTING_DOWN));
         shutdown();
     }
 
+    private boolean hasUnsentBytes() {
+        return peers.stream().anyMatch(peer -> peer.isOpen() && peer.unsentBytes() > 0);
+    }
+
     private void shutdown() {
         try {
             transport.shutdownNow();
-        } catch (IOException | RuntimeException late) {
-            // its sockets are closed; there is nothing left to release
+        } catch (IOException | RuntimeException ignored) {
+            // the sockets are closed; there is nothing left to release
         }
     }
 
-    /** A connection in the making, which can be given up. */
+    /** A connection that is being established and may be cancelled meanwhile. */
     private static final class PendingConnect implements Network.ConnectAttempt {
-        private Connection<?> made;
-        private boolean givenUp;
+        private Connection<?> connection;
+        private boolean isCancelled;
 
-        private synchronized void made(Connection<?> connection) {
-            made = connection;
-            if (givenUp) {
+        private synchronized void onConnected(Connection<?> established) {
+            connection = established;
+            if (isCancelled) {
                 connection.closeSilently();
             }
         }
 
         @Override
         public synchronized void cancel() {
-            givenUp = true;
-            if (made != null) {
-                made.closeSilently();
+            isCancelled = true;
+            if (connection != null) {
+                connection.closeSilently();
             }
         }
     }
 
     /** A bound address. */
-    private record BoundListener(SocketNetwork wire, TCPNIOServerConnection server)
+    private record BoundListener(SocketNetwork network, TCPNIOServerConnection server)
             implements Network.Listener {
         @Override
         public int port() {
@@ -234,7 +255,7 @@
 
         @Override
         public void stop() {
-            wire.unbind(server);
+            network.unbind(server);
         }
     }
 }
--- a/wire/src/main/java/milletyoke/wire/SocketPeerConnection.java
+++ b/wire/src/main/java/milletyoke/wire/SocketPeerConnection.java
@@ -12,7 +12,7 @@
 import org.glassfish.grizzly.WriteResult;
 import org.glassfish.grizzly.nio.NIOConnection;
 
-/** A peer at the other end of a TCP connection. */
+/** A peer connection over TCP. */
 final class SocketPeerConnection extends PeerConnection {
     private static final AtomicInteger NEXT_ID = new AtomicInteger();
 
@@ -20,8 +20,16 @@
 
     @SuppressWarnings("unchecked") // a TCP connection's addresses are socket addresses
     SocketPeerConnection(
-            Connection<?> connection, PeerListener handler, FrameLimits bounds, FrameObserver tap) {
-        super(NEXT_ID.incrementAndGet(), handler, bounds, tap, SocketNetwork::monotonicMicros);
+            Connection<?> connection,
+            PeerListener listener,
+            FrameLimits limits,
+            FrameObserver observer) {
+        super(
+                NEXT_ID.incrementAndGet(),
+                listener,
+                limits,
+                observer,
+                SocketNetwork::monotonicMicros);
         this.connection = (Connection<SocketAddress>) connection;
     }
 
@@ -59,8 +67,8 @@
         try {
             ((SocketChannel) ((NIOConnection) connection).getChannel())
                     .setOption(StandardSocketOptions.SO_LINGER, 0);
-        } catch (IOException | RuntimeException alreadyGone) {
-            // closed below all the same
+        } catch (IOException | RuntimeException alreadyClosed) {
+            // it is closed below in any case
         }
         connection.terminateSilently();
     }
--- a/wire/src/main/java/milletyoke/wire/capture/CaptureWriter.java
+++ b/wire/src/main/java/milletyoke/wire/capture/CaptureWriter.java
@@ -11,25 +11,25 @@
 import java.util.Map;
 import java.util.zip.CRC32C;
 import milletyoke.wire.capture.proto.Block;
-import milletyoke.wire.capture.proto.Came;
+import milletyoke.wire.capture.proto.RequestRecord;
 import milletyoke.wire.proto.Request;
 
 /**
- * Writes what comes in, in blocks. Whoever serves sockets only adds to a block in memory; another
- * thread writes it. Where the disk is behind by {@value #MOST_WAITING} accesses, further ones are
- * left out and counted: a daemon is never held up by its capture, and peers that never use a name
- * twice cannot make it remember without bound. Marks and payloads are not kept, only that there was
- * one of so many bytes.
+ * Writes captured traffic in blocks. I/O threads only add to a block in memory; another thread
+ * writes it. Where {@value #MAX_PENDING_REQUESTS} requests wait for the disk, or too many
+ * characters of names, further requests are omitted and counted: a capture never delays requests,
+ * and peers that never use a name twice cannot make it use memory without bound. Idempotency keys
+ * and payloads are not recorded, only the size of a payload.
  */
 public final class CaptureWriter implements AutoCloseable {
     static final byte[] MAGIC = "MYTRAFF1".getBytes(StandardCharsets.US_ASCII);
     private static final int MAX_PENDING_REQUESTS = 200_000;
 
-    /**
-     * Characters of names that wait to be written, and of names remembered; beyond the latter they
-     * are told anew each time.
-     */
-    private static final int MAX_PENDING_NAME_CHARS = 8 << 20, MAX_KNOWN_NAME_CHARS = 16 << 20;
+    /** Characters of new names in the pending block. */
+    private static final int MAX_PENDING_NAME_CHARS = 8 << 20;
+
+    /** Characters of names that have a number; beyond, a name gets a new number each time. */
+    private static final int MAX_KNOWN_NAME_CHARS = 16 << 20;
 
     private final DataOutputStream out;
     private final Map<String, Integer> names = new HashMap<>();
@@ -41,42 +41,48 @@
     private IOException failure;
 
     /**
-     * @param now when it begins (microseconds)
-     * @throws IOException where the file cannot be made, or is there already: no capture is written
-     *     over
+     * Creates the file.
+     *
+     * @param nowMicros the start of the capture
+     * @throws IOException where the file cannot be created or exists already: no capture is
+     *     overwritten
      */
-    public CaptureWriter(Path file, String initiator, long now) throws IOException {
+    public CaptureWriter(Path file, String initiator, long nowMicros) throws IOException {
         OutputStream raw =
                 Files.newOutputStream(
                         file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
         out = new DataOutputStream(raw);
         out.write(MAGIC);
         block = Block.newBuilder().setInitiator(initiator);
-        lastMicros = now;
+        lastMicros = nowMicros;
     }
 
-    /** An access came. @param now microseconds, on one clock for all calls */
-    public synchronized void record(long now, Request a) {
-        if (block.getCameCount() >= MAX_PENDING_REQUESTS
+    /**
+     * Records a request. Called on I/O threads; does not wait for the disk.
+     *
+     * @param nowMicros on one clock for all calls and the constructor
+     */
+    public synchronized void record(long nowMicros, Request request) {
+        if (block.getRequestCount() >= MAX_PENDING_REQUESTS
                 || pendingNameChars >= MAX_PENDING_NAME_CHARS) {
-            block.setLeftOut(block.getLeftOut() + 1);
+            block.setOmittedCount(block.getOmittedCount() + 1);
             return;
         }
-        long at = Math.max(lastMicros, now);
-        block.addCame(
-                Came.newBuilder()
-                        .setAfter(at - lastMicros)
-                        .setVolume(nameIndex(a.getVolume()))
-                        .setPlan(nameIndex(a.getPlan()))
-                        .setCategory(nameIndex(a.getRequestClass()))
-                        .setExtent(nameIndex(a.getExtent()))
-                        .setShard(a.hasShard() ? a.getShard() + 1 : 0)
-                        .setHosts(a.getInitiatorCount())
-                        .setUnits(a.getUnits())
-                        .setTimeLeft(Math.max(0, a.getTimeLeftMicros()))
-                        .setWrite(a.getWrite())
-                        .setPayload(a.getPayload().size()));
-        lastMicros = at;
+        long atMicros = Math.max(lastMicros, nowMicros);
+        block.addRequest(
+                RequestRecord.newBuilder()
+                        .setDelayMicros(atMicros - lastMicros)
+                        .setVolume(nameIndex(request.getVolume()))
+                        .setPlan(nameIndex(request.getPlan()))
+                        .setRequestClass(nameIndex(request.getRequestClass()))
+                        .setExtent(nameIndex(request.getExtent()))
+                        .setShard(request.hasShard() ? request.getShard() + 1 : 0)
+                        .setInitiatorCount(request.getInitiatorCount())
+                        .setUnits(request.getUnits())
+                        .setTimeLeftMicros(Math.max(0, request.getTimeLeftMicros()))
+                        .setWrite(request.getWrite())
+                        .setPayloadBytes(request.getPayload().size()));
+        lastMicros = atMicros;
     }
 
     private int nameIndex(String name) {
@@ -96,24 +102,28 @@
         return nextNameIndex++;
     }
 
-    /** Writes what has come; not to be called by a thread that serves sockets. */
+    /**
+     * Writes the pending block. Waits for the disk, so not to be called on an I/O thread.
+     *
+     * @throws IOException where the block cannot be written; nothing is written afterwards
+     */
     public void flush() throws IOException {
-        synchronized (out) { // blocks of two who flush would run into each other
+        synchronized (out) { // one block at a time
             write();
         }
     }
 
     private void write() throws IOException {
-        Block full;
+        Block pending;
         synchronized (this) {
-            if (failure != null || block.getCameCount() == 0 && block.getLeftOut() == 0) {
+            if (failure != null || isEmpty(block)) {
                 return;
             }
-            full = block.build();
+            pending = block.build();
             block = Block.newBuilder();
             pendingNameChars = 0;
         }
-        byte[] bytes = full.toByteArray();
+        byte[] bytes = pending.toByteArray();
         CRC32C crc = new CRC32C();
         crc.update(bytes);
         try {
@@ -123,12 +133,16 @@
             out.flush();
         } catch (IOException cause) {
             synchronized (this) {
-                failure = cause; // what follows would stand behind a hole
+                failure = cause; // a later block would refer to names of the lost one
             }
             throw cause;
         }
     }
 
+    private static boolean isEmpty(Block.Builder block) {
+        return block.getRequestCount() == 0 && block.getOmittedCount() == 0;
+    }
+
     @Override
     public void close() throws IOException {
         flush();
--- /dev/null
+++ b/wire/src/main/java/milletyoke/wire/capture/package-info.java
@@ -0,0 +1,7 @@
+/**
+ * Captured traffic: the requests that one initiator received, without their payloads, in a compact
+ * file that can be replayed.
+ *
+ * <p>I/O threads add requests to a block in memory; a background thread of the owner writes blocks.
+ */
+package milletyoke.wire.capture;
--- a/wire/src/main/java/milletyoke/wire/recording/Recorder.java
+++ b/wire/src/main/java/milletyoke/wire/recording/Recorder.java
@@ -1,6 +1,8 @@
 package milletyoke.wire.recording;
 
 import com.google.protobuf.ByteString;
+import com.google.protobuf.InvalidProtocolBufferException;
+import java.io.BufferedInputStream;
 import java.io.BufferedOutputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -16,46 +18,58 @@
 import java.util.function.LongSupplier;
 import milletyoke.wire.FrameObserver;
 import milletyoke.wire.PeerConnection;
+import milletyoke.wire.proto.Attempt;
+import milletyoke.wire.proto.AttemptReply;
 import milletyoke.wire.proto.Direction;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Note;
 import milletyoke.wire.proto.Record;
+import milletyoke.wire.proto.Request;
+import milletyoke.wire.proto.Response;
 
 /**
- * Writes what the ends of connections saw to a file, in the order they told it; payloads are left
- * out. Nothing is dropped: where the disk is slower than the sockets, those who tell wait.
+ * Writes the frames that the ends of connections sent and received to a file, without payloads, in
+ * the order of the observers' calls. Nothing is dropped: where the disk is slower than the sockets,
+ * observers block. One writer thread for each recorder.
  */
 public final class Recorder implements AutoCloseable {
+    private static final int QUEUE_CAPACITY = 1 << 16;
+    private static final int BUFFER_BYTES = 1 << 18;
+    private static final long OFFER_TIMEOUT_MILLIS = 100;
+    private static final long WRITER_JOIN_MILLIS = 30_000;
     private static final Record END = Record.getDefaultInstance();
 
-    private final ArrayBlockingQueue<Record> queue = new ArrayBlockingQueue<>(1 << 16);
+    private final ArrayBlockingQueue<Record> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
     private final LongSupplier clock;
     private final OutputStream out;
     private final Thread writer;
     private volatile IOException failure;
 
     /**
-     * @param clock of the world that is recorded (microseconds)
+     * Creates or overwrites a file and starts the writer thread.
+     *
+     * @param clock monotonic, in microseconds, of the environment that is recorded
+     * @throws IOException where the file cannot be opened
      */
     public Recorder(Path file, LongSupplier clock) throws IOException {
         this.clock = clock;
-        out = new BufferedOutputStream(Files.newOutputStream(file), 1 << 18);
+        out = new BufferedOutputStream(Files.newOutputStream(file), BUFFER_BYTES);
         writer = new Thread(this::write, "recorder");
         writer.setDaemon(true);
         writer.start();
     }
 
-    /** What one participant's connections see is recorded under its name. */
-    public FrameObserver observer(String witness) {
-        return (peer, direction, frame) -> recordFrame(witness, peer, direction, frame);
+    /** An observer that records a participant's frames under the given name. */
+    public FrameObserver observer(String observer) {
+        return (peer, direction, frame) -> recordFrame(observer, peer, direction, frame);
     }
 
     private void recordFrame(
-            String witness, PeerConnection peer, Direction direction, Frame frame) {
+            String observer, PeerConnection peer, Direction direction, Frame frame) {
         Record.Builder record =
                 Record.newBuilder()
                         .setAtMicros(clock.getAsLong())
-                        .setObserver(witness)
+                        .setObserver(observer)
                         .setPeer(peer.name())
                         .setConnection(peer.id())
                         .setDirection(direction);
@@ -67,49 +81,53 @@
 
     private static Frame withoutPayload(Frame frame) {
         return switch (frame.getBodyCase()) {
-            case REQUEST ->
-                    frame.getRequest().getPayload().isEmpty()
-                            ? frame
-                            : frame.toBuilder()
-                                    .setRequest(
-                                            frame.getRequest().toBuilder()
-                                                    .setPayload(ByteString.EMPTY))
-                                    .build();
-            case ATTEMPT ->
-                    frame.getAttempt().getPayload().isEmpty()
-                            ? frame
-                            : frame.toBuilder()
-                                    .setAttempt(
-                                            frame.getAttempt().toBuilder()
-                                                    .setPayload(ByteString.EMPTY))
-                                    .build();
-            case RESPONSE ->
-                    frame.getResponse().getPayload().isEmpty()
-                            ? frame
-                            : frame.toBuilder()
-                                    .setResponse(
-                                            frame.getResponse().toBuilder()
-                                                    .setPayload(ByteString.EMPTY))
-                                    .build();
-            case ATTEMPT_REPLY ->
-                    frame.getAttemptReply().getPayload().isEmpty()
-                            ? frame
-                            : frame.toBuilder()
-                                    .setAttemptReply(
-                                            frame.getAttemptReply().toBuilder()
-                                                    .setPayload(ByteString.EMPTY))
-                                    .build();
+            case REQUEST -> withoutPayload(frame, frame.getRequest());
+            case ATTEMPT -> withoutPayload(frame, frame.getAttempt());
+            case RESPONSE -> withoutPayload(frame, frame.getResponse());
+            case ATTEMPT_REPLY -> withoutPayload(frame, frame.getAttemptReply());
             default -> frame;
         };
     }
 
-    /** Records what was done to a part, or what it did on no connection. */
-    public void note(String witness, Note.Kind kind, String text, double figure) {
+    private static Frame withoutPayload(Frame frame, Request request) {
+        if (request.getPayload().isEmpty()) {
+            return frame;
+        }
+        Request.Builder bare = request.toBuilder().setPayload(ByteString.EMPTY);
+        return frame.toBuilder().setRequest(bare).build();
+    }
+
+    private static Frame withoutPayload(Frame frame, Attempt attempt) {
+        if (attempt.getPayload().isEmpty()) {
+            return frame;
+        }
+        Attempt.Builder bare = attempt.toBuilder().setPayload(ByteString.EMPTY);
+        return frame.toBuilder().setAttempt(bare).build();
+    }
+
+    private static Frame withoutPayload(Frame frame, Response response) {
+        if (response.getPayload().isEmpty()) {
+            return frame;
+        }
+        Response.Builder bare = response.toBuilder().setPayload(ByteString.EMPTY);
+        return frame.toBuilder().setResponse(bare).build();
+    }
+
+    private static Frame withoutPayload(Frame frame, AttemptReply reply) {
+        if (reply.getPayload().isEmpty()) {
+            return frame;
+        }
+        AttemptReply.Builder bare = reply.toBuilder().setPayload(ByteString.EMPTY);
+        return frame.toBuilder().setAttemptReply(bare).build();
+    }
+
+    /** Records an event of a participant that is no frame, such as its start. */
+    public void note(String observer, Note.Kind kind, String text, double value) {
         put(
                 Record.newBuilder()
                         .setAtMicros(clock.getAsLong())
-                        .setObserver(witness)
-                        .setNote(Note.newBuilder().setKind(kind).setText(text).setFigure(figure))
+                        .setObserver(observer)
+                        .setNote(Note.newBuilder().setKind(kind).setText(text).setFigure(value))
                         .build());
     }
 
@@ -119,11 +137,12 @@
         }
         try {
             queue.put(record);
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
+    @SuppressWarnings("ReferenceEquality") // END is a marker, not a value
     private void write() {
         try (out) {
             for (Record record = queue.take(); record != END; record = queue.take()) {
@@ -132,22 +151,25 @@
         } catch (IOException cause) {
             failure = cause;
             queue.clear();
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
     /**
-     * @throws IOException where any record could not be written: the recording is of no use then
+     * Writes what is queued and closes the file.
+     *
+     * @throws IOException where any record could not be written: the recording is incomplete then
      */
     @Override
     public void close() throws IOException {
         try {
-            while (failure == null && !queue.offer(END, 100, TimeUnit.MILLISECONDS)) {
-                continue;
+            while (failure == null
+                    && !queue.offer(END, OFFER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
+                // the queue is full; the writer makes room or fails
             }
-            writer.join(30_000);
-        } catch (InterruptedException stopped) {
+            writer.join(WRITER_JOIN_MILLIS);
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
         if (failure != null) {
@@ -156,31 +178,38 @@
     }
 
     /**
-     * Reads a recording. A record cut off at the end, as a kill leaves it, ends the reading without
-     * an error.
+     * Reads a recording record by record. A record that is cut off at the end, as after a kill of
+     * the writing process, ends the reading without an error.
+     *
+     * @throws IOException where the file cannot be read or is no recording
      */
-    public static void read(Path file, Consumer<Record> each) throws IOException {
-        try (InputStream in =
-                new java.io.BufferedInputStream(Files.newInputStream(file), 1 << 18)) {
+    public static void read(Path file, Consumer<Record> consumer) throws IOException {
+        try (InputStream in = new BufferedInputStream(Files.newInputStream(file), BUFFER_BYTES)) {
             for (Record record = next(in, file); record != null; record = next(in, file)) {
-                each.accept(record);
+                consumer.accept(record);
             }
-        } catch (UncheckedIOException inside) {
-            throw inside.getCause();
+        } catch (UncheckedIOException failedConsumer) {
+            throw failedConsumer.getCause();
         }
     }
 
     private static Record next(InputStream in, Path file) throws IOException {
         try {
             return Record.parseDelimitedFrom(in);
-        } catch (com.google.protobuf.InvalidProtocolBufferException bad) {
+        } catch (InvalidProtocolBufferException malformed) {
             if (in.available() == 0) {
                 return null;
             }
-            throw new IOException(file + ": not a recording, or damaged: " + bad.getMessage());
+            throw new IOException(
+                    file + ": not a recording, or damaged: " + malformed.getMessage());
         }
     }
 
+    /**
+     * Reads a whole recording into memory.
+     *
+     * @throws IOException as {@link #read}
+     */
     public static List<Record> readAll(Path file) throws IOException {
         List<Record> all = new ArrayList<>();
         read(file, all::add);
--- a/wire/src/test/java/milletyoke/wire/CaptureTest.java
+++ b/wire/src/test/java/milletyoke/wire/CaptureTest.java
@@ -7,9 +7,13 @@
 
 import com.google.protobuf.ByteString;
 import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
+import java.util.HexFormat;
+import java.util.List;
 import java.util.SplittableRandom;
 import milletyoke.wire.capture.CaptureWriter;
 import milletyoke.wire.capture.CapturedTraffic;
@@ -17,19 +21,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Captured traffic comes back as it was, up to wherever a kill or a bad disk cut it. */
+/** Captured traffic is read as it was written, up to where a kill or a bad disk cut it off. */
 class CaptureTest {
     @TempDir Path folder;
 
-    private Path written(int blocks, int each) throws IOException {
+    private Path writeCapture(int blocks, int requestsPerBlock) throws IOException {
         Path file = folder.resolve("traffic" + blocks);
-        SplittableRandom chance = new SplittableRandom(9);
+        SplittableRandom random = new SplittableRandom(9);
         try (CaptureWriter writer = new CaptureWriter(file, "i-1", 5_000)) {
             for (int b = 0; b < blocks; b++) {
-                for (int n = 0; n < each; n++) {
-                    Request.Builder a =
+                for (int n = 0; n < requestsPerBlock; n++) {
+                    Request.Builder request =
                             Request.newBuilder()
-                                    .setVolume("v" + chance.nextInt(9))
+                                    .setVolume("v" + random.nextInt(9))
                                     .setPlan("p")
                                     .setRequestClass("c")
                                     .setUnits(n)
@@ -38,7 +42,9 @@
                                     .setPayload(ByteString.copyFrom(new byte[n]));
                     writer.record(
                             5_000 + b * 1_000L + n,
-                            n % 3 == 0 ? a.build() : a.setShard(n).setExtent("x" + n).build());
+                            n % 3 == 0
+                                    ? request.build()
+                                    : request.setShard(n).setExtent("x" + n).build());
                 }
                 writer.flush();
             }
@@ -47,30 +53,27 @@
     }
 
     @Test
-    void whatCameComesBack() throws IOException {
-        CapturedTraffic t = CapturedTraffic.read(written(3, 50));
-        assertEquals("i-1", t.initiator());
-        assertTrue(t.complete());
-        assertEquals(150, t.requests().size());
-        CapturedTraffic.CapturedRequest one = t.requests().get(101);
+    void readsWhatWasWritten() throws IOException {
+        CapturedTraffic traffic = CapturedTraffic.read(writeCapture(3, 50));
+        assertEquals("i-1", traffic.initiator());
+        assertTrue(traffic.complete());
+        assertEquals(150, traffic.requests().size());
+        CapturedTraffic.CapturedRequest one = traffic.requests().get(101);
         assertEquals(2_001, one.atMicros());
         assertEquals(1, one.shard());
         assertEquals("x1", one.extent());
         assertEquals(1, one.payloadBytes());
-        assertEquals(-1, t.requests().get(100).shard());
-        assertEquals("", t.requests().get(100).extent());
+        assertEquals(-1, traffic.requests().get(100).shard());
+        assertEquals("", traffic.requests().get(100).extent());
     }
 
-    /**
-     * Peers that make up long names cannot make the writer keep them without bound: what is beyond
-     * is counted.
-     */
+    /** Peers that invent long names cannot make the writer use memory without bound. */
     @Test
-    void longNamesAreLeftOutAndCounted() throws IOException {
+    void requestsOverTheNameLimitAreOmittedAndCounted() throws IOException {
         Path file = folder.resolve("long");
-        int asked = 40_000;
+        int requestCount = 40_000;
         try (CaptureWriter writer = new CaptureWriter(file, "i", 0)) {
-            for (int n = 0; n < asked; n++) {
+            for (int n = 0; n < requestCount; n++) {
                 writer.record(
                         n,
                         Request.newBuilder()
@@ -80,37 +83,38 @@
                                 .build());
             }
         }
-        CapturedTraffic t = CapturedTraffic.read(file);
-        assertEquals(asked, t.requests().size() + t.omitted());
+        CapturedTraffic traffic = CapturedTraffic.read(file);
+        assertEquals(requestCount, traffic.requests().size() + traffic.omitted());
         assertTrue(
-                t.omitted() > asked / 2 && Files.size(file) < 9 << 20,
+                traffic.omitted() > requestCount / 2 && Files.size(file) < 9 << 20,
                 "8 MiB of names wait at the most");
     }
 
     @Test
-    void cutAnywhereItEndsWithAWholeBlock() throws IOException {
-        byte[] all = Files.readAllBytes(written(4, 20));
+    void aTruncatedFileEndsWithACompleteBlock() throws IOException {
+        byte[] all = Files.readAllBytes(writeCapture(4, 20));
         for (int length = 8; length < all.length; length++) {
             Path cut = folder.resolve("cut");
             Files.write(cut, Arrays.copyOf(all, length));
-            CapturedTraffic t = CapturedTraffic.read(cut);
-            assertEquals(0, t.requests().size() % 20, "blocks are whole or not there");
-            assertTrue(t.requests().size() < 80);
+            CapturedTraffic traffic = CapturedTraffic.read(cut);
+            assertEquals(0, traffic.requests().size() % 20, "blocks are complete or absent");
+            assertTrue(traffic.requests().size() < 80);
         }
     }
 
     @Test
-    void aFlippedBitIsNeverTakenForTraffic() throws IOException {
-        Path file = written(2, 20);
+    void aFlippedBitIsDetected() throws IOException {
+        Path file = writeCapture(2, 20);
         byte[] all = Files.readAllBytes(file);
-        CapturedTraffic sound = CapturedTraffic.read(file);
+        CapturedTraffic intact = CapturedTraffic.read(file);
         for (int at = 8; at < all.length; at++) {
-            byte[] bad = all.clone();
-            bad[at] ^= 1 << at % 8;
-            Files.write(folder.resolve("bad"), bad);
-            CapturedTraffic t = CapturedTraffic.read(folder.resolve("bad"));
-            assertFalse(t.complete());
-            assertEquals(sound.requests().subList(0, t.requests().size()), t.requests());
+            byte[] damaged = all.clone();
+            damaged[at] = (byte) (damaged[at] ^ (1 << (at % 8)));
+            Files.write(folder.resolve("damaged"), damaged);
+            CapturedTraffic traffic = CapturedTraffic.read(folder.resolve("damaged"));
+            assertFalse(traffic.complete());
+            assertEquals(
+                    intact.requests().subList(0, traffic.requests().size()), traffic.requests());
         }
         assertThrows(
                 IOException.class,
@@ -118,6 +122,27 @@
         assertThrows(
                 IOException.class,
                 () -> new CaptureWriter(file, "i", 0),
-                "no capture is written over");
+                "an existing capture is not overwritten");
+    }
+
+    /** A capture as version 1 wrote it before the names of the format's messages were changed. */
+    @Test
+    void readsACaptureOfAnEarlierBuild() throws IOException {
+        Path file = folder.resolve("earlier");
+        try (InputStream resource = getClass().getResourceAsStream("capture-version-1.hex")) {
+            String hex = new String(resource.readAllBytes(), StandardCharsets.US_ASCII);
+            Files.write(file, HexFormat.of().parseHex(hex.strip()));
+        }
+        CapturedTraffic traffic = CapturedTraffic.read(file);
+        assertEquals("i-1", traffic.initiator());
+        assertTrue(traffic.complete());
+        assertEquals(3, traffic.omitted());
+        CapturedTraffic.CapturedRequest first =
+                new CapturedTraffic.CapturedRequest(
+                        250, "v1", "gold", "read", "", -1, 2, 1.5, 9_000, false, 0);
+        CapturedTraffic.CapturedRequest second =
+                new CapturedTraffic.CapturedRequest(
+                        300, "v1", "gold", "write", "x7", 6, 2, 4, 8_000, true, 512);
+        assertEquals(List.of(first, second), traffic.requests());
     }
 }
--- a/wire/src/test/java/milletyoke/wire/SocketNetworkTest.java
+++ b/wire/src/test/java/milletyoke/wire/SocketNetworkTest.java
@@ -1,17 +1,27 @@
 package milletyoke.wire;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import com.google.protobuf.ByteString;
+import java.net.InetAddress;
 import java.net.Socket;
+import java.net.SocketException;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
+import java.util.SplittableRandom;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
 import milletyoke.wire.proto.Frame;
+import milletyoke.wire.proto.Response;
 import milletyoke.wire.proto.Role;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A participant's connections are bounded, and a place that comes free may be taken again. */
+/** The connection limit and the order of enqueued frames, over loopback sockets. */
 @Timeout(30)
 class SocketNetworkTest implements PeerListener {
     @Override
@@ -21,125 +31,116 @@
     public void onFrame(PeerConnection peer, Frame frame) {}
 
     @Override
-    public void onClosed(PeerConnection peer, String why) {}
+    public void onClosed(PeerConnection peer, String reason) {}
 
-    private static boolean greeted(Socket socket) throws Exception {
+    private static boolean receivesHello(Socket socket) throws Exception {
         socket.setSoTimeout(5_000);
         try {
             return socket.getInputStream().read() >= 0; // the first byte of a hello, or the end
-        } catch (java.net.SocketException reset) {
+        } catch (SocketException reset) {
             return false;
         }
     }
 
     @Test
-    void connectionsBeyondTheBoundAreClosedAsTheyCome() throws Exception {
-        try (SocketNetwork wire = new SocketNetwork("test", 1, FrameObserver.NONE, 2)) {
+    void connectionsOverTheLimitAreClosedOnAccept() throws Exception {
+        try (SocketNetwork network = new SocketNetwork("test", 1, FrameObserver.NONE, 2)) {
             int port =
-                    wire.listen("127.0.0.1", 0, Role.INITIATOR, this, FrameLimits.DEFAULT).port();
+                    network.listen("127.0.0.1", 0, Role.INITIATOR, this, FrameLimits.DEFAULT)
+                            .port();
             List<Socket> open = new ArrayList<>();
             for (int i = 0; i < 2; i++) {
-                open.add(new Socket("127.0.0.1", port));
-                assertTrue(greeted(open.get(i)));
+                open.add(new Socket(InetAddress.getLoopbackAddress(), port));
+                assertTrue(receivesHello(open.get(i)));
             }
-            try (Socket third = new Socket("127.0.0.1", port)) {
-                assertEquals(false, greeted(third));
+            try (Socket third = new Socket(InetAddress.getLoopbackAddress(), port)) {
+                assertFalse(receivesHello(third));
             }
             open.get(0).close();
-            boolean again = false;
-            for (int i = 0; i < 200 && !again; i++) {
+            boolean isAcceptedAgain = false;
+            for (int i = 0; i < 200 && !isAcceptedAgain; i++) {
                 Thread.sleep(10);
-                try (Socket next = new Socket("127.0.0.1", port)) {
-                    again = greeted(next);
+                try (Socket next = new Socket(InetAddress.getLoopbackAddress(), port)) {
+                    isAcceptedAgain = receivesHello(next);
                 }
             }
-            assertTrue(again, "a place came free");
+            assertTrue(isAcceptedAgain, "a closed connection makes room for another");
             open.get(1).close();
         }
     }
 
-    /**
-     * Frames of one turn leave in one write; none is lost or changed, and their order stays,
-     * whatever their sizes.
-     */
+    /** No enqueued frame is lost, changed or reordered, whatever the sizes of the frames. */
     @Test
-    void whatIsPostedComesWholeAndInOrder() throws Exception {
-        int frames = 5_000;
-        java.util.SplittableRandom chance = new java.util.SplittableRandom(1);
-        java.util.concurrent.BlockingQueue<Frame> came =
-                new java.util.concurrent.LinkedBlockingQueue<>();
-        java.util.concurrent.BlockingQueue<PeerConnection> ready =
-                new java.util.concurrent.LinkedBlockingQueue<>();
-        PeerListener taking =
-                new PeerListener() {
-                    @Override
-                    public void onReady(PeerConnection peer) {}
-
-                    @Override
-                    public void onFrame(PeerConnection peer, Frame frame) {
-                        came.add(frame);
-                    }
-
-                    @Override
-                    public void onClosed(PeerConnection peer, String why) {}
-                };
-        PeerListener sending =
-                new PeerListener() {
-                    @Override
-                    public void onReady(PeerConnection peer) {
-                        ready.add(peer);
-                    }
-
-                    @Override
-                    public void onFrame(PeerConnection peer, Frame frame) {}
-
-                    @Override
-                    public void onClosed(PeerConnection peer, String why) {}
-                };
+    void enqueuedFramesArriveCompleteAndInOrder() throws Exception {
+        RecordingListener receiver = new RecordingListener();
+        RecordingListener sender = new RecordingListener();
         FrameLimits wide = new FrameLimits(1 << 20, 1L << 30, 5_000_000, 0);
         try (SocketNetwork server = new SocketNetwork("server", 1, FrameObserver.NONE, 4);
                 SocketNetwork client = new SocketNetwork("client", 1, FrameObserver.NONE, 4)) {
-            int port = server.listen("127.0.0.1", 0, Role.INITIATOR, taking, wide).port();
-            client.connect("127.0.0.1", port, Role.CLIENT, sending, wide, why -> {});
-            PeerConnection peer = ready.poll(5, java.util.concurrent.TimeUnit.SECONDS);
+            int port = server.listen("127.0.0.1", 0, Role.INITIATOR, receiver, wide).port();
+            client.connect("127.0.0.1", port, Role.CLIENT, sender, wide, reason -> {});
+            PeerConnection peer = sender.ready.poll(5, TimeUnit.SECONDS);
             assertTrue(peer != null, "connected");
-            List<Frame> sent = new ArrayList<>();
-            for (int i = 0; i < frames; i++) {
-                byte[] payload =
-                        new byte
-                                [chance.nextInt(10) == 0
-                                        ? chance.nextInt(60_000)
-                                        : chance.nextInt(200)];
-                java.util.Arrays.fill(payload, (byte) i);
-                Frame frame =
-                        Frame.newBuilder()
-                                .setResponse(
-                                        milletyoke.wire.proto.Response.newBuilder()
-                                                .setNumber(i)
-                                                .setPayload(
-                                                        com.google.protobuf.ByteString.copyFrom(
-                                                                payload)))
-                                .build();
-                sent.add(frame);
-                assertTrue(
-                        chance.nextInt(50) == 0 ? flushThenSend(peer, frame) : peer.enqueue(frame));
-                if (chance.nextInt(20) == 0) {
-                    peer.flush();
-                }
-            }
-            peer.flush();
-            for (Frame expected : sent) {
-                assertEquals(expected, came.poll(10, java.util.concurrent.TimeUnit.SECONDS));
+            for (Frame expected : sendFrames(peer, 5_000)) {
+                assertEquals(expected, receiver.frames.poll(10, TimeUnit.SECONDS));
             }
             for (int i = 0; i < 500 && peer.unsentBytes() > 0; i++) {
                 Thread.sleep(10);
             }
-            assertEquals(0, peer.unsentBytes(), "nothing is counted as waiting any more");
+            assertEquals(0, peer.unsentBytes(), "all bytes were counted as written");
         }
     }
 
+    /** Enqueues frames of random sizes, sends some of them directly and flushes now and then. */
+    private static List<Frame> sendFrames(PeerConnection peer, int count) {
+        SplittableRandom random = new SplittableRandom(1);
+        List<Frame> sent = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            Frame frame = response(i, payload(random, i));
+            sent.add(frame);
+            assertTrue(random.nextInt(50) == 0 ? flushThenSend(peer, frame) : peer.enqueue(frame));
+            if (random.nextInt(20) == 0) {
+                peer.flush();
+            }
+        }
+        peer.flush();
+        return sent;
+    }
+
+    private static byte[] payload(SplittableRandom random, int number) {
+        int length = random.nextInt(10) == 0 ? random.nextInt(60_000) : random.nextInt(200);
+        byte[] payload = new byte[length];
+        Arrays.fill(payload, (byte) number);
+        return payload;
+    }
+
+    private static Frame response(int number, byte[] payload) {
+        Response.Builder response =
+                Response.newBuilder().setNumber(number).setPayload(ByteString.copyFrom(payload));
+        return Frame.newBuilder().setResponse(response).build();
+    }
+
     private static boolean flushThenSend(PeerConnection peer, Frame frame) {
         peer.flush();
         return peer.send(frame);
     }
+
+    /** Records the peers that became ready and the frames that were received. */
+    private static final class RecordingListener implements PeerListener {
+        private final BlockingQueue<PeerConnection> ready = new LinkedBlockingQueue<>();
+        private final BlockingQueue<Frame> frames = new LinkedBlockingQueue<>();
+
+        @Override
+        public void onReady(PeerConnection peer) {
+            ready.add(peer);
+        }
+
+        @Override
+        public void onFrame(PeerConnection peer, Frame frame) {
+            frames.add(frame);
+        }
+
+        @Override
+        public void onClosed(PeerConnection peer, String reason) {}
+    }
 }
