--- a/gateway/src/main/java/milletyoke/gateway/config/DeploymentSettings.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/DeploymentSettings.java
@@ -13,123 +13,139 @@
 import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 
 /**
- * What all parts of one deployment share: what the decisions are provisioned with, and how long a
- * client waits beyond the time it told.
+ * What all initiators and clients of one deployment share: the scheduler's settings and two times
+ * of the protocol.
  *
- * @param responseSlackMicros microseconds beyond the time left that an access told, in which its
- *     answer still counts
- * @param drainGraceMicros microseconds after which nothing new may go to a target that was told to
- *     drain or be gone; the decisions use none of it, the audit judges by it
+ * @param responseSlackMicros how long beyond the time left of a request its response still counts
+ * @param drainGraceMicros how long after a target was reported draining or removed an attempt may
+ *     still be sent to it; the scheduler does not use it, the audit of recordings does
  */
 public record DeploymentSettings(
         SchedulerSettings scheduler, long responseSlackMicros, long drainGraceMicros) {
 
     /**
-     * @throws SetupError that names line and field
+     * Reads the deployment section of a setup file.
+     *
+     * @throws ConfigException that names file, line and field
      */
-    public static DeploymentSettings read(SettingsReader f) throws ConfigException {
-        List<RequestClass> categories = new ArrayList<>();
-        for (SettingsReader c : f.objects("categories", true)) {
-            categories.add(requestClass(c));
+    public static DeploymentSettings read(SettingsReader reader) throws ConfigException {
+        List<RequestClass> requestClasses = requestClasses(reader);
+        List<ServicePlan> plans = servicePlans(reader);
+        Capabilities capabilities = capabilities(reader.optionalObject("allowances"));
+        SettingsReader limitsReader = reader.optionalObject("bounds");
+        RuleLimits limits = ruleLimits(limitsReader);
+        long responseSlackMicros = limitsReader.timeMicros("answerSlack", "50 ms");
+        long drainGraceMicros = limitsReader.timeMicros("drainGrace", "500 ms");
+        limitsReader.rejectUnknown();
+        int initiatorCount = reader.integer("initiators", Integer.MIN_VALUE, 1, 100_000);
+        boolean mustWatchEndpoints = reader.flag("listMustBeAsked", false);
+        reader.rejectUnknown();
+        SchedulerSettings scheduler =
+                new SchedulerSettings(
+                        initiatorCount,
+                        requestClasses,
+                        plans,
+                        capabilities,
+                        limits,
+                        mustWatchEndpoints);
+        return new DeploymentSettings(scheduler, responseSlackMicros, drainGraceMicros);
+    }
+
+    private static List<RequestClass> requestClasses(SettingsReader reader) throws ConfigException {
+        List<RequestClass> requestClasses = new ArrayList<>();
+        for (SettingsReader element : reader.objects("categories", true)) {
+            requestClasses.add(requestClass(element));
         }
-        if (categories.isEmpty()) {
-            throw f.error("categories", "at least one is needed");
+        if (requestClasses.isEmpty()) {
+            throw reader.error("categories", "at least one is needed");
         }
-        rejectDuplicates(f, "categories", categories.stream().map(RequestClass::name).toList());
+        List<String> names = requestClasses.stream().map(RequestClass::name).toList();
+        rejectDuplicates(reader, "categories", names);
+        return List.copyOf(requestClasses);
+    }
+
+    private static List<ServicePlan> servicePlans(SettingsReader reader) throws ConfigException {
         List<ServicePlan> plans = new ArrayList<>();
-        for (SettingsReader p : f.objects("plans", true)) {
-            plans.add(servicePlan(p));
+        for (SettingsReader element : reader.objects("plans", true)) {
+            plans.add(servicePlan(element));
         }
-        rejectDuplicates(f, "plans", plans.stream().map(ServicePlan::name).toList());
-        SettingsReader a = f.optionalObject("allowances");
-        Capabilities allowances =
-                new Capabilities(
-                        a.integer("maxRelays", 3, 1, 100),
-                        a.flag("probes", true),
-                        a.flag("cancels", true),
-                        a.flag("advice", true),
-                        a.timeMicros("longestAdvice", "500 ms"));
-        a.rejectUnknown();
-        SettingsReader b = f.optionalObject("bounds");
-        RuleLimits bounds = ruleLimits(b);
-        long slack = b.timeMicros("answerSlack", "50 ms");
-        long grace = b.timeMicros("drainGrace", "500 ms");
-        b.rejectUnknown();
-        int initiators = f.integer("initiators", Integer.MIN_VALUE, 1, 100_000);
-        boolean asked = f.flag("listMustBeAsked", false);
-        f.rejectUnknown();
-        return new DeploymentSettings(
-                new SchedulerSettings(
-                        initiators,
-                        List.copyOf(categories),
-                        List.copyOf(plans),
-                        allowances,
-                        bounds,
-                        asked),
-                slack,
-                grace);
+        rejectDuplicates(reader, "plans", plans.stream().map(ServicePlan::name).toList());
+        return List.copyOf(plans);
     }
 
-    private static void rejectDuplicates(SettingsReader f, String field, List<String> names)
+    private static void rejectDuplicates(SettingsReader reader, String field, List<String> names)
             throws ConfigException {
         Set<String> seen = new HashSet<>();
         for (String name : names) {
             if (!seen.add(name)) {
-                throw f.error(field, "\"" + name + "\" stands there twice");
+                throw reader.error(field, "\"" + name + "\" stands there twice");
             }
         }
     }
 
-    private static RequestClass requestClass(SettingsReader c) throws ConfigException {
-        Idempotency repeats = c.keyword("repeats", Idempotency.class, null);
-        RequestClass category =
+    private static RequestClass requestClass(SettingsReader reader) throws ConfigException {
+        Idempotency idempotency = reader.keyword("repeats", Idempotency.class, null);
+        RequestClass requestClass =
                 new RequestClass(
-                        c.text("name", null),
-                        repeats,
-                        c.keyword("group", DeduplicationScope.class, DeduplicationScope.ALL),
-                        c.timeMicros("repeatWindow", "0"),
-                        c.flag("keyOrdered", false),
-                        c.timeMicros("agreedTime", null),
-                        c.number("importance", 1, 0, 1e6));
-        if (category.latencyObjectiveMicros() == 0) {
-            throw c.error("agreedTime", "must be over 0");
+                        reader.text("name", null),
+                        idempotency,
+                        reader.keyword("group", DeduplicationScope.class, DeduplicationScope.ALL),
+                        reader.timeMicros("repeatWindow", "0"),
+                        reader.flag("keyOrdered", false),
+                        reader.timeMicros("agreedTime", null),
+                        reader.number("importance", 1, 0, 1e6));
+        if (requestClass.latencyObjectiveMicros() == 0) {
+            throw reader.error("agreedTime", "must be over 0");
         }
-        if (repeats == Idempotency.IDEMPOTENCY_KEY && category.deduplicationWindowMicros() == 0) {
-            throw c.error(
+        if (idempotency == Idempotency.IDEMPOTENCY_KEY
+                && requestClass.deduplicationWindowMicros() == 0) {
+            throw reader.error(
                     "repeatWindow",
                     "a stamped category needs the time for which targets know its marks");
         }
-        c.rejectUnknown();
-        return category;
+        reader.rejectUnknown();
+        return requestClass;
     }
 
-    private static ServicePlan servicePlan(SettingsReader p) throws ConfigException {
+    private static ServicePlan servicePlan(SettingsReader reader) throws ConfigException {
         ServicePlan plan =
                 new ServicePlan(
-                        p.text("name", null),
-                        p.number("reserve", 0, 0, 1e9),
-                        p.number("weight", 1, 0, 1e6),
-                        p.number("limitRate", 0, 0, 1e9),
-                        p.number("limitDepth", 0, 0, 1e9),
-                        p.number("limitSlack", 0, 0, 1e9));
+                        reader.text("name", null),
+                        reader.number("reserve", 0, 0, 1e9),
+                        reader.number("weight", 1, 0, 1e6),
+                        reader.number("limitRate", 0, 0, 1e9),
+                        reader.number("limitDepth", 0, 0, 1e9),
+                        reader.number("limitSlack", 0, 0, 1e9));
         if (plan.limitRate() > 0 && plan.limitBurst() == 0) {
-            throw p.error("limitDepth", "a limit needs the units that its store holds");
+            throw reader.error("limitDepth", "a limit needs the units that its store holds");
         }
-        p.rejectUnknown();
+        reader.rejectUnknown();
         return plan;
     }
 
-    private static RuleLimits ruleLimits(SettingsReader b) throws ConfigException {
+    private static Capabilities capabilities(SettingsReader reader) throws ConfigException {
+        Capabilities capabilities =
+                new Capabilities(
+                        reader.integer("maxRelays", 3, 1, 100),
+                        reader.flag("probes", true),
+                        reader.flag("cancels", true),
+                        reader.flag("advice", true),
+                        reader.timeMicros("longestAdvice", "500 ms"));
+        reader.rejectUnknown();
+        return capabilities;
+    }
+
+    private static RuleLimits ruleLimits(SettingsReader reader) throws ConfigException {
         return new RuleLimits(
-                b.timeMicros("keyQuiet", "0"),
-                b.timeMicros("cold", "0"),
-                b.number("coldShare", 1, 0.001, 1),
-                b.number("coldBears", 0, 0, 1e9),
-                b.timeMicros("fall", "0"),
-                b.number("tipMultiple", 1, 1, 1e3),
-                b.number("relayBudgetFree", 0, 0, 1e6),
-                b.number("relayBudgetShare", 0, 0, 1e3),
-                b.timeMicros("relayBudgetSpan", "0"),
-                b.timeMicros("mustAskIn", "0"));
+                reader.timeMicros("keyQuiet", "0"),
+                reader.timeMicros("cold", "0"),
+                reader.number("coldShare", 1, 0.001, 1),
+                reader.number("coldBears", 0, 0, 1e9),
+                reader.timeMicros("fall", "0"),
+                reader.number("tipMultiple", 1, 1, 1e3),
+                reader.number("relayBudgetFree", 0, 0, 1e6),
+                reader.number("relayBudgetShare", 0, 0, 1e3),
+                reader.timeMicros("relayBudgetSpan", "0"),
+                reader.timeMicros("mustAskIn", "0"));
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/config/FleetConverter.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/FleetConverter.java
@@ -5,7 +5,6 @@
 import java.util.List;
 import java.util.Locale;
 import milletyoke.config.Fleet;
-import milletyoke.scheduler.api.Keyword;
 import milletyoke.scheduler.api.SchedulerSettings;
 import milletyoke.scheduler.api.SchedulerSettings.Capabilities;
 import milletyoke.scheduler.api.SchedulerSettings.DeduplicationScope;
@@ -14,162 +13,95 @@
 import milletyoke.scheduler.api.SchedulerSettings.RuleLimits;
 import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 
-/** Between the configuration language and what an initiator is provisioned with. */
+/** Converts between the fleet configuration language and {@link DeploymentSettings}. */
 public final class FleetConverter {
     private FleetConverter() {}
 
-    /** What a checked configuration provisions. */
+    /** The settings that a checked fleet configuration stands for. */
     public static DeploymentSettings deployment(Fleet fleet) {
-        List<RequestClass> categories = new ArrayList<>();
-        for (Fleet.Block c : fleet.blocksOfKind("category")) {
-            categories.add(
-                    new RequestClass(
-                            c.name(),
-                            idempotency(c.text("repeats")),
-                            DeduplicationScope.valueOf(enumName(c.text("group"))),
-                            (long) c.number("repeat-window"),
-                            c.flag("key-ordered"),
-                            (long) c.number("agreed"),
-                            c.number("importance")));
-        }
-        List<ServicePlan> plans = new ArrayList<>();
-        for (Fleet.Block p : fleet.blocksOfKind("plan")) {
-            plans.add(
-                    new ServicePlan(
-                            p.name(),
-                            p.number("reserve"),
-                            p.number("weight"),
-                            p.number("limit-rate"),
-                            p.number("limit-depth"),
-                            p.number("limit-slack")));
-        }
-        Fleet.Block a = fleet.single("allowances");
-        Fleet.Block b = fleet.single("bounds");
-        Fleet.Block f = fleet.single("fleet");
-        Capabilities allowances =
-                new Capabilities(
-                        (int) a.number("max-relays"),
-                        a.flag("probes"),
-                        a.flag("cancels"),
-                        a.flag("advice"),
-                        (long) a.number("longest-advice"));
-        RuleLimits bounds =
-                new RuleLimits(
-                        (long) b.number("key-quiet"),
-                        (long) b.number("cold"),
-                        b.number("cold-share"),
-                        b.number("cold-bears"),
-                        (long) b.number("fall"),
-                        b.number("tip-multiple"),
-                        b.number("relay-budget-free"),
-                        b.number("relay-budget-share"),
-                        (long) b.number("relay-budget-span"),
-                        (long) b.number("must-ask-in"));
-        return new DeploymentSettings(
+        Fleet.Block fleetBlock = fleet.single("fleet");
+        Fleet.Block bounds = fleet.single("bounds");
+        SchedulerSettings scheduler =
                 new SchedulerSettings(
-                        (int) f.number("initiators"),
-                        List.copyOf(categories),
-                        List.copyOf(plans),
-                        allowances,
-                        bounds,
-                        f.text("list").equals("asked")),
-                (long) b.number("answer-slack"),
-                (long) b.number("drain-grace"));
-    }
-
-    private static Idempotency idempotency(String keyword) {
-        return Arrays.stream(Idempotency.values())
-                .filter(i -> i.keyword().equals(keyword))
-                .findFirst()
-                .orElseThrow();
+                        (int) fleetBlock.number("initiators"),
+                        requestClasses(fleet),
+                        servicePlans(fleet),
+                        capabilities(fleet.single("allowances")),
+                        ruleLimits(bounds),
+                        fleetBlock.text("list").equals("asked"));
+        return new DeploymentSettings(
+                scheduler,
+                (long) bounds.number("answer-slack"),
+                (long) bounds.number("drain-grace"));
     }
 
-    private static String enumName(String word) {
-        return word.toUpperCase(Locale.ROOT).replace('-', '_');
+    private static List<RequestClass> requestClasses(Fleet fleet) {
+        List<RequestClass> requestClasses = new ArrayList<>();
+        for (Fleet.Block block : fleet.blocksOfKind("category")) {
+            requestClasses.add(
+                    new RequestClass(
+                            block.name(),
+                            idempotency(block.text("repeats")),
+                            DeduplicationScope.valueOf(enumName(block.text("group"))),
+                            (long) block.number("repeat-window"),
+                            block.flag("key-ordered"),
+                            (long) block.number("agreed"),
+                            block.number("importance")));
+        }
+        return List.copyOf(requestClasses);
     }
 
-    /** The same in the language: what `config convert` prints. */
-    public static String text(DeploymentSettings d) {
-        SchedulerSettings p = d.scheduler();
-        StringBuilder out = new StringBuilder();
-        out.append("fleet {\n    initiators ")
-                .append(p.initiatorCount())
-                .append(";\n    list ")
-                .append(p.mustWatchEndpoints() ? "asked" : "pushed")
-                .append(";\n}\n\n");
-        RuleLimits b = p.limits();
-        out.append("bounds {\n")
-                .append(time("answer-slack", d.responseSlackMicros()))
-                .append(time("drain-grace", d.drainGraceMicros()))
-                .append(time("key-quiet", b.keyQuietMicros()))
-                .append(time("cold", b.warmUpMicros()))
-                .append(line("cold-share", plain(b.initialFraction() * 100) + "%"))
-                .append(line("cold-bears", plain(b.warmUpBudgetUnits()) + "u"))
-                .append(time("fall", b.overloadWindowMicros()))
-                .append(line("tip-multiple", plain(b.overloadFactor())))
-                .append(line("relay-budget-free", plain(b.freeRetries())))
-                .append(line("relay-budget-share", plain(b.retryShare() * 100) + "%"))
-                .append(time("relay-budget-span", b.retryWindowMicros()))
-                .append(time("must-ask-in", b.watchDeadlineMicros()))
-                .append("}\n\n");
-        Capabilities a = p.capabilities();
-        out.append("allowances {\n")
-                .append(line("max-relays", plain(a.maxAttempts())))
-                .append(flag("probes", a.canProbe()))
-                .append(flag("cancels", a.canCancel()))
-                .append(flag("advice", a.canSuggestRetryAfter()))
-                .append(time("longest-advice", a.maxRetryAfterMicros()))
-                .append("}\n");
-        for (RequestClass c : p.requestClasses()) {
-            out.append("\ncategory ")
-                    .append(label(c.name()))
-                    .append(" {\n")
-                    .append(line("repeats", Keyword.of(c.idempotency())))
-                    .append(line("group", c.deduplicationScope().name().toLowerCase(Locale.ROOT)))
-                    .append(time("repeat-window", c.deduplicationWindowMicros()))
-                    .append(flag("key-ordered", c.keyOrdered()))
-                    .append(time("agreed", c.latencyObjectiveMicros()))
-                    .append(line("importance", plain(c.priorityWeight())))
-                    .append("}\n");
-        }
-        for (ServicePlan plan : p.plans()) {
-            out.append("\nplan ")
-                    .append(label(plan.name()))
-                    .append(" {\n")
-                    .append(line("reserve", plain(plan.reservationRate()) + "u/s"))
-                    .append(line("weight", plain(plan.weight())))
-                    .append(line("limit-rate", plain(plan.limitRate()) + "u/s"))
-                    .append(line("limit-depth", plain(plan.limitBurst()) + "u"))
-                    .append(line("limit-slack", plain(plan.limitSlack()) + "u"))
-                    .append("}\n");
+    private static List<ServicePlan> servicePlans(Fleet fleet) {
+        List<ServicePlan> plans = new ArrayList<>();
+        for (Fleet.Block block : fleet.blocksOfKind("plan")) {
+            plans.add(
+                    new ServicePlan(
+                            block.name(),
+                            block.number("reserve"),
+                            block.number("weight"),
+                            block.number("limit-rate"),
+                            block.number("limit-depth"),
+                            block.number("limit-slack")));
         }
-        return out.toString();
+        return List.copyOf(plans);
     }
 
-    private static String label(String name) {
-        return name.matches("[a-zA-Z]([a-zA-Z0-9_]|-[a-zA-Z0-9])*") ? name : "\"" + name + "\"";
+    private static Capabilities capabilities(Fleet.Block block) {
+        return new Capabilities(
+                (int) block.number("max-relays"),
+                block.flag("probes"),
+                block.flag("cancels"),
+                block.flag("advice"),
+                (long) block.number("longest-advice"));
     }
 
-    private static String line(String name, String value) {
-        return "    " + name + " " + value + ";\n";
+    private static RuleLimits ruleLimits(Fleet.Block block) {
+        return new RuleLimits(
+                (long) block.number("key-quiet"),
+                (long) block.number("cold"),
+                block.number("cold-share"),
+                block.number("cold-bears"),
+                (long) block.number("fall"),
+                block.number("tip-multiple"),
+                block.number("relay-budget-free"),
+                block.number("relay-budget-share"),
+                (long) block.number("relay-budget-span"),
+                (long) block.number("must-ask-in"));
     }
 
-    private static String flag(String name, boolean value) {
-        return line(name, value ? "yes" : "no");
+    private static Idempotency idempotency(String keyword) {
+        return Arrays.stream(Idempotency.values())
+                .filter(idempotency -> idempotency.keyword().equals(keyword))
+                .findFirst()
+                .orElseThrow();
     }
 
-    private static String time(String name, long micros) {
-        return line(
-                name,
-                micros % 1_000_000 == 0
-                        ? micros / 1_000_000 + "s"
-                        : micros % 1_000 == 0 ? micros / 1_000 + "ms" : micros + "us");
+    private static String enumName(String keyword) {
+        return keyword.toUpperCase(Locale.ROOT).replace('-', '_');
     }
 
-    private static String plain(double figure) {
-        return new java.math.BigDecimal(Double.toString(figure))
-                .round(new java.math.MathContext(15))
-                .stripTrailingZeros()
-                .toPlainString();
+    /** The settings written in the configuration language: what {@code config convert} prints. */
+    public static String text(DeploymentSettings deployment) {
+        return new FleetWriter().write(deployment);
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/config/InitiatorConfig.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/InitiatorConfig.java
@@ -2,20 +2,22 @@
 
 import java.nio.file.Path;
 import java.util.List;
-import milletyoke.config.Checker;
-import milletyoke.config.Diagnostic;
 import milletyoke.config.Fleet;
-import milletyoke.config.SourceProvider;
-import milletyoke.config.disk.FileSourceProvider;
 
 /**
- * What one initiator is started with.
+ * Everything that one initiator is started with.
  *
+ * @param name the initiator's name in hellos, logs and status pages
  * @param number its number among the initiators of the deployment, from 1
- * @param stateDirectory where it keeps its last list and the journal of actions; null keeps none
- * @param console null where it has none
- * @param fleet the configuration that the deployment was read from; null where it stands in the
- *     setup itself
+ * @param listen where clients connect
+ * @param discovery where the discovery service listens
+ * @param stateDirectory where the endpoint list cache and the audit log are kept; null keeps none
+ * @param deployment what all initiators of the deployment share
+ * @param transport how connections are kept
+ * @param capacity bounds on pending requests and their payloads
+ * @param console null where the initiator has none
+ * @param fleet the fleet configuration that the deployment was read from; null where the setup file
+ *     holds the deployment itself
  */
 public record InitiatorConfig(
         String name,
@@ -29,7 +31,7 @@
         Console console,
         FleetFile fleet) {
 
-    /** Without a console. */
+    /** A configuration without a console and without a fleet file. */
     public InitiatorConfig(
             String name,
             int number,
@@ -52,22 +54,36 @@
                 null);
     }
 
-    /** A checked configuration. @param files that it was read from */
+    /**
+     * A checked fleet configuration.
+     *
+     * @param file the file that the setup names
+     * @param fleet what it means
+     * @param files all files that it was read from, with those it includes
+     */
     public record FleetFile(String file, Fleet fleet, List<String> files) {}
 
     /**
-     * Where the console listens and who may look. @param requestsPerSecond requests a second for
-     * each token
+     * The operators' console.
+     *
+     * @param listen where it serves HTTP
+     * @param tokenFile holds the access tokens
+     * @param requestsPerSecond rate limit of each token
      */
     public record Console(Address listen, Path tokenFile, double requestsPerSecond) {}
 
     /**
-     * How connections are kept. Times are microseconds.
+     * How connections are kept.
      *
-     * @param maxConnectionsPerTarget most to one target
-     * @param maxAttemptsPerConnection most relays at once on one connection
-     * @param probeTimeoutMicros how long a probe may go unanswered
-     * @param ioThreads that serve sockets
+     * @param connectTimeoutMicros after which a connection attempt fails
+     * @param idleTimeoutMicros after which an unused connection is closed
+     * @param maxConnectionsPerTarget connections to one target at once
+     * @param maxAttemptsPerConnection attempts in flight on one connection
+     * @param probeTimeoutMicros how long a probe may stay without a reply
+     * @param maxFrameBytes largest frame sent or received
+     * @param maxUnsentBytes bytes that may wait for one peer before its connection is closed
+     * @param partialFrameTimeoutMicros how long a frame may stay half received
+     * @param ioThreads threads that serve sockets
      */
     public record Transport(
             long connectTimeoutMicros,
@@ -81,20 +97,20 @@
             int ioThreads) {}
 
     /**
-     * What this initiator has room for.
+     * Bounds on what this initiator admits.
      *
-     * @param maxRequests accesses, from taking to the end of their last relay
-     * @param queueCapacity entries between the sockets and the loop
+     * @param maxRequests requests admitted at once, each until its last attempt has ended
+     * @param queueCapacity entries between the I/O threads and the event loop
      * @param shardCount shards are numbered below this
-     * @param maxRequestUnits units of one access
-     * @param maxTimeLeftMicros time left that an access may come with (microseconds)
-     * @param maxPayloadBytes of payloads held
-     * @param connectionShare of places and bytes, for one connection
-     * @param volumeShare how many times the free room one volume may hold
-     * @param saturationThreshold from this part used on the daemon tells that it is saturated,
-     *     until below {@code eased}
-     * @param endpointListTimeoutMicros without a word from discovery for so long the list counts as
-     *     lost (microseconds)
+     * @param maxRequestUnits largest size of one request, in units
+     * @param maxTimeLeftMicros largest time left that a request may state
+     * @param maxPayloadBytes bytes of payloads held at once
+     * @param connectionShare largest share of requests and bytes for one connection
+     * @param volumeShare how many times the free capacity one volume may use
+     * @param saturationThreshold utilization from which on the initiator reports itself saturated
+     * @param recoveryThreshold utilization below which it no longer does
+     * @param endpointListTimeoutMicros without a message from discovery for so long the endpoint
+     *     list counts as lost
      */
     public record CapacityLimits(
             int maxRequests,
@@ -108,7 +124,14 @@
             double saturationThreshold,
             double recoveryThreshold,
             long endpointListTimeoutMicros) {
-        /** With the usual figures beside these. */
+        static final long DEFAULT_MAX_PAYLOAD_BYTES = 256L << 20;
+        static final double DEFAULT_CONNECTION_SHARE = 1;
+        static final double DEFAULT_VOLUME_SHARE = 4;
+        static final double DEFAULT_SATURATION_THRESHOLD = 0.9;
+        static final double DEFAULT_RECOVERY_THRESHOLD = 0.7;
+        static final long DEFAULT_ENDPOINT_LIST_TIMEOUT_MICROS = 10_000_000;
+
+        /** Limits with the defaults for what is not stated. */
         public CapacityLimits(
                 int maxRequests,
                 int queueCapacity,
@@ -121,123 +144,32 @@
                     shardCount,
                     maxRequestUnits,
                     maxTimeLeftMicros,
-                    256L << 20,
-                    1,
-                    4,
-                    0.9,
-                    0.7,
-                    10_000_000);
+                    DEFAULT_MAX_PAYLOAD_BYTES,
+                    DEFAULT_CONNECTION_SHARE,
+                    DEFAULT_VOLUME_SHARE,
+                    DEFAULT_SATURATION_THRESHOLD,
+                    DEFAULT_RECOVERY_THRESHOLD,
+                    DEFAULT_ENDPOINT_LIST_TIMEOUT_MICROS);
         }
     }
 
     /**
-     * @throws SetupError that names file, line and field
+     * Reads a setup file. Paths in it are relative to its folder.
+     *
+     * @throws ConfigException that names file, line and field
      */
     public static InitiatorConfig read(Path file) throws ConfigException {
-        SettingsReader f = SettingsReader.read(file);
-        return of(f, file.toAbsolutePath().getParent());
-    }
-
-    public static InitiatorConfig of(SettingsReader f, Path base) throws ConfigException {
-        String name = f.text("name", null);
-        int number = f.integer("number", 1, 1, 100_000);
-        Address listen = f.address("listen", null);
-        Address discovery = f.address("discovery", null);
-        Path folder = f.has("folder") ? base.resolve(f.text("folder", null)) : null;
-        FleetFile fleet = f.has("fleet") ? fleet(f, base) : null;
-        DeploymentSettings deployment =
-                fleet != null
-                        ? FleetConverter.deployment(fleet.fleet())
-                        : DeploymentSettings.read(f.object("deployment"));
-        Transport transport = transport(f.optionalObject("transport"));
-        CapacityLimits room = capacity(f.optionalObject("room"));
-        Console console = f.has("console") ? console(f.object("console"), base) : null;
-        f.rejectUnknown();
-        return new InitiatorConfig(
-                name,
-                number,
-                listen,
-                discovery,
-                folder,
-                deployment,
-                transport,
-                room,
-                console,
-                fleet);
+        return of(SettingsReader.read(file), file.toAbsolutePath().getParent());
     }
 
-    /** The deployment as the configuration language has it, in a file of its own. */
-    private static FleetFile fleet(SettingsReader f, Path base) throws ConfigException {
-        if (f.has("deployment")) {
-            throw f.error(
-                    "fleet", "stands beside deployment; one of them says what the deployment is");
-        }
-        Path file = base.resolve(f.text("fleet", null));
-        try {
-            Checker.Result checked =
-                    Checker.check(new FileSourceProvider(), FileSourceProvider.name(file));
-            if (!checked.isValid()) {
-                throw new ConfigException(
-                        checked.diagnostics().stream()
-                                .filter(Diagnostic::isError)
-                                .findFirst()
-                                .orElseThrow()
-                                .text()
-                                .strip());
-            }
-            return new FleetFile(checked.files().get(0), checked.fleet(), checked.files());
-        } catch (SourceProvider.UnreadableSourceException missing) {
-            throw f.error("fleet", file + ": " + missing.getMessage());
-        }
-    }
-
-    private static Transport transport(SettingsReader t) throws ConfigException {
-        Transport transport =
-                new Transport(
-                        t.timeMicros("connectTime", "250 ms"),
-                        t.timeMicros("idle", "30 s"),
-                        t.integer("connections", 4, 1, 1000),
-                        t.integer("streams", 100, 1, 100_000),
-                        t.timeMicros("probeTime", "250 ms"),
-                        t.integer("frameBytes", 1 << 20, 1024, 1 << 30),
-                        (long) t.number("waitingBytes", 8 << 20, 4096, 1e12),
-                        t.timeMicros("partialTime", "5 s"),
-                        t.integer("threads", 2, 1, 256));
-        if (transport.connectTimeoutMicros() == 0) {
-            throw t.error("connectTime", "must be over 0");
-        }
-        t.rejectUnknown();
-        return transport;
-    }
-
-    private static Console console(SettingsReader c, Path base) throws ConfigException {
-        Console console =
-                new Console(
-                        c.address("listen", null),
-                        base.resolve(c.text("tokens", null)),
-                        c.number("rate", 100, 1, 1e6));
-        c.rejectUnknown();
-        return console;
-    }
-
-    private static CapacityLimits capacity(SettingsReader r) throws ConfigException {
-        CapacityLimits room =
-                new CapacityLimits(
-                        r.integer("held", 10_000, 1, 10_000_000),
-                        r.integer("queue", 1 << 16, 64, 1 << 24),
-                        r.integer("shards", 1 << 16, 1, 1 << 24),
-                        r.number("largest", 1e6, 1, 1e12),
-                        r.timeMicros("longest", "1 h"),
-                        (long) r.number("bytes", 256 << 20, 1024, 1e15),
-                        r.number("connectionPart", 1, 0.01, 1),
-                        r.number("greed", 4, 1, 1e6),
-                        r.number("full", 0.9, 0.01, 1),
-                        r.number("eased", 0.7, 0, 0.99),
-                        r.timeMicros("listAge", "10 s"));
-        if (room.recoveryThreshold() >= room.saturationThreshold()) {
-            throw r.error("eased", "must be under full, " + room.saturationThreshold());
-        }
-        r.rejectUnknown();
-        return room;
+    /**
+     * Reads a setup that was parsed already.
+     *
+     * @param baseDirectory what relative paths in the setup are relative to
+     * @throws ConfigException that names file, line and field
+     */
+    public static InitiatorConfig of(SettingsReader settings, Path baseDirectory)
+            throws ConfigException {
+        return new InitiatorConfigReader(settings, baseDirectory).read();
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/config/SettingsReader.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/SettingsReader.java
@@ -6,14 +6,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.TreeSet;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import milletyoke.scheduler.api.Keyword;
 
 /**
- * One object of a setup, read field by field: each field is asked for once with its type, bounds
- * and default, and at the end what was never asked for is an error. Times are text with a unit and
- * come out as microseconds.
+ * Reads one object of a settings file field by field. Each field is read once with its type, range
+ * and default; {@link #rejectUnknown} then fails on every field that was never read. Times are text
+ * with a unit and are returned in microseconds.
+ *
+ * <p>An instance is used by one thread.
  */
 public final class SettingsReader {
     private static final Pattern TIME_PATTERN =
@@ -21,94 +24,120 @@
     private static final Map<String, Double> MICROS_PER_UNIT =
             Map.of("us", 1.0, "ms", 1e3, "s", 1e6, "min", 60e6, "h", 3600e6);
     private static final double MAX_TIME_MICROS = 100 * 3600e6;
+    private static final int MAX_TEXT_LENGTH = 4096;
+
+    /** From here on a double no longer holds every integer, and is printed as a double. */
+    private static final double MAX_EXACT_INTEGER = 1e15;
 
     private final String source;
     private final String path;
-    private final Json5Parser.Value self;
+    private final Json5Value object;
     private final Set<String> knownFields = new HashSet<>();
 
-    private SettingsReader(String source, String path, Json5Parser.Value self)
-            throws ConfigException {
+    private SettingsReader(String source, String path, Json5Value object) throws ConfigException {
         this.source = source;
         this.path = path;
-        this.self = self;
-        if (self.object() == null) {
+        this.object = object;
+        if (object.object() == null) {
             throw error(
-                    self,
+                    object,
                     path.isEmpty() ? "the setup" : path,
-                    "an object is expected, not " + self.kind());
+                    "an object is expected, not " + object.kind());
         }
     }
 
+    /**
+     * Reads the object that a file holds.
+     *
+     * @throws ConfigException where the file cannot be read or holds no object
+     */
     public static SettingsReader read(Path file) throws ConfigException {
         return new SettingsReader(file.toString(), "", Json5Parser.read(file));
     }
 
+    /**
+     * Reads the object that a text holds.
+     *
+     * @param source names the text in error messages
+     * @throws ConfigException where the text holds no object
+     */
     public static SettingsReader of(String source, String text) throws ConfigException {
         return new SettingsReader(source, "", Json5Parser.read(source, text));
     }
 
-    private ConfigException error(Json5Parser.Value at, String field, String what) {
-        return new ConfigException(source + ":" + at.line() + ": " + field + ": " + what);
+    private ConfigException error(Json5Value place, String field, String message) {
+        return new ConfigException(source + ":" + place.line() + ": " + field + ": " + message);
     }
 
     /** An error at a field of this object, or at the object where the field is absent. */
-    public ConfigException error(String field, String what) {
-        return error(self.object().getOrDefault(field, self), path + field, what);
+    public ConfigException error(String field, String message) {
+        return error(object.object().getOrDefault(field, object), path + field, message);
     }
 
-    private Json5Parser.Value lookUp(String field, boolean needed) throws ConfigException {
+    private Json5Value lookUp(String field, boolean isRequired) throws ConfigException {
         knownFields.add(field);
-        Json5Parser.Value value = self.object().get(field);
-        if (value == null && needed) {
-            throw error(self, path + field, "is missing");
+        Json5Value value = object.object().get(field);
+        if (value == null && isRequired) {
+            throw error(object, path + field, "is missing");
         }
         return value;
     }
 
+    /** Whether the field is present, whatever its value. */
     public boolean has(String field) {
-        return self.object().containsKey(field);
+        return object.object().containsKey(field);
     }
 
     /**
-     * @param usual null where the field must be there
+     * Reads a text of 1 to {@value #MAX_TEXT_LENGTH} characters.
+     *
+     * @param defaultValue null where the field is required
      */
-    public String text(String field, String usual) throws ConfigException {
-        Json5Parser.Value value = lookUp(field, usual == null);
+    public String text(String field, String defaultValue) throws ConfigException {
+        Json5Value value = lookUp(field, defaultValue == null);
         if (value == null) {
-            return usual;
+            return defaultValue;
         }
         if (!(value.scalar() instanceof String text)) {
             throw error(value, path + field, "text is expected, not " + value.kind());
         }
-        if (text.isBlank() || text.length() > 4096) {
-            throw error(value, path + field, "text of 1 to 4096 characters is expected");
+        if (text.isBlank() || text.length() > MAX_TEXT_LENGTH) {
+            throw error(
+                    value,
+                    path + field,
+                    "text of 1 to " + MAX_TEXT_LENGTH + " characters is expected");
         }
         return text;
     }
 
-    public <E extends Enum<E>> E keyword(String field, Class<E> words, E usual)
+    /**
+     * Reads one of an enum's keywords.
+     *
+     * @param defaultValue null where the field is required
+     */
+    public <E extends Enum<E>> E keyword(String field, Class<E> type, E defaultValue)
             throws ConfigException {
-        Json5Parser.Value value = lookUp(field, usual == null);
+        Json5Value value = lookUp(field, defaultValue == null);
         if (value == null) {
-            return usual;
-        }
-        String text = value.scalar() instanceof String s ? s : "";
-        List<String> known = new ArrayList<>();
-        for (E word : words.getEnumConstants()) {
-            String name = Keyword.of(word);
-            known.add(name);
-            if (name.equals(text)) {
-                return word;
+            return defaultValue;
+        }
+        String text = value.scalar() instanceof String string ? string : "";
+        List<String> keywords = new ArrayList<>();
+        for (E constant : type.getEnumConstants()) {
+            String keyword = Keyword.of(constant);
+            keywords.add(keyword);
+            if (keyword.equals(text)) {
+                return constant;
             }
         }
-        throw error(value, path + field, "one of " + String.join(", ", known) + " is expected");
+        throw error(value, path + field, "one of " + String.join(", ", keywords) + " is expected");
     }
 
-    public boolean flag(String field, boolean usual) throws ConfigException {
-        Json5Parser.Value value = lookUp(field, false);
+    /** Reads true or false. */
+    public boolean flag(String field, boolean defaultValue) throws ConfigException {
+        Json5Value value = lookUp(field, false);
         if (value == null) {
-            return usual;
+            return defaultValue;
         }
         if (!(value.scalar() instanceof Boolean flag)) {
             throw error(value, path + field, "true or false is expected, not " + value.kind());
@@ -117,121 +146,143 @@
     }
 
     /**
-     * @param usual NaN where the field must be there
+     * Reads a number from {@code min} to {@code max}.
+     *
+     * @param defaultValue NaN where the field is required
      */
-    public double number(String field, double usual, double least, double most)
+    public double number(String field, double defaultValue, double min, double max)
             throws ConfigException {
-        Json5Parser.Value value = lookUp(field, Double.isNaN(usual));
+        Json5Value value = lookUp(field, Double.isNaN(defaultValue));
         if (value == null) {
-            return usual;
+            return defaultValue;
         }
-        if (!(value.scalar() instanceof Double figure)) {
+        if (!(value.scalar() instanceof Double number)) {
             throw error(value, path + field, "a number is expected, not " + value.kind());
         }
-        if (!(figure >= least && figure <= most)) {
+        if (!(number >= min && number <= max)) {
+            String range = formatNumber(min) + " to " + formatNumber(max);
             throw error(
                     value,
                     path + field,
-                    formatNumber(figure)
-                            + " is out of range, "
-                            + formatNumber(least)
-                            + " to "
-                            + formatNumber(most)
-                            + " is");
+                    formatNumber(number) + " is out of range, " + range + " is");
         }
-        return figure;
+        return number;
     }
 
     /**
-     * @param usual Integer.MIN_VALUE where the field must be there
+     * Reads an integer from {@code min} to {@code max}.
+     *
+     * @param defaultValue {@link Integer#MIN_VALUE} where the field is required
      */
-    public int integer(String field, int usual, int least, int most) throws ConfigException {
-        double figure = number(field, usual == Integer.MIN_VALUE ? Double.NaN : usual, least, most);
-        if (figure != Math.rint(figure)) {
-            throw error(field, "a whole number is expected, not " + figure);
+    public int integer(String field, int defaultValue, int min, int max) throws ConfigException {
+        boolean isRequired = defaultValue == Integer.MIN_VALUE;
+        double number = number(field, isRequired ? Double.NaN : defaultValue, min, max);
+        if (number != Math.rint(number)) {
+            throw error(field, "a whole number is expected, not " + number);
         }
-        return (int) figure;
+        return (int) number;
     }
 
     /**
-     * Microseconds. @param usual null where the field must be there, else a time as it would be
-     * written
+     * Reads a time of at most 100 hours, such as {@code "250 ms"}; {@code "0"} needs no unit.
+     *
+     * @param defaultValue as it would be written in the file; null where the field is required
+     * @return microseconds
      */
-    public long timeMicros(String field, String usual) throws ConfigException {
-        Json5Parser.Value value = lookUp(field, usual == null);
-        String text = value == null ? usual : value.scalar() instanceof String s ? s : "";
+    public long timeMicros(String field, String defaultValue) throws ConfigException {
+        Json5Value value = lookUp(field, defaultValue == null);
+        String text = value == null ? defaultValue : textOrEmpty(value);
         if (text.equals("0")) {
             return 0;
         }
-        Matcher m = TIME_PATTERN.matcher(text);
-        if (!m.matches()) {
-            throw error(
-                    value == null ? self : value,
-                    path + field,
-                    "a time with its unit is expected, as \"250 ms\" (us, ms, s, min, h), not "
-                            + (value.scalar() == null ? value.kind() : value.scalar()));
+        Matcher matcher = TIME_PATTERN.matcher(text);
+        if (!matcher.matches()) {
+            Json5Value place = value == null ? object : value;
+            throw error(place, path + field, timeExpected(value));
         }
-        double micros = Double.parseDouble(m.group(1)) * MICROS_PER_UNIT.get(m.group(2));
+        double number = Double.parseDouble(matcher.group(1));
+        double micros = number * MICROS_PER_UNIT.get(matcher.group(2));
         if (micros > MAX_TIME_MICROS) {
             throw error(field, text + " is over 100 h");
         }
         return Math.round(micros);
     }
 
+    private static String textOrEmpty(Json5Value value) {
+        return value.scalar() instanceof String text ? text : "";
+    }
+
+    private static String timeExpected(Json5Value value) {
+        Object found = value.scalar() == null ? value.kind() : value.scalar();
+        return "a time with its unit is expected, as \"250 ms\" (us, ms, s, min, h), not " + found;
+    }
+
+    /** Reads a required object. */
     public SettingsReader object(String field) throws ConfigException {
         return new SettingsReader(source, path + field + ".", lookUp(field, true));
     }
 
-    /** An object that may be left out: all of its fields then have their defaults. */
+    /** Reads an object that may be absent: all of its fields then have their defaults. */
     public SettingsReader optionalObject(String field) throws ConfigException {
-        Json5Parser.Value value = lookUp(field, false);
-        return new SettingsReader(
-                source,
-                path + field + ".",
-                value == null ? new Json5Parser.Value(self.line(), Map.of(), null, null) : value);
+        Json5Value value = lookUp(field, false);
+        Json5Value present = value == null ? Json5Value.ofObject(object.line(), Map.of()) : value;
+        return new SettingsReader(source, path + field + ".", present);
     }
 
-    public List<SettingsReader> objects(String field, boolean needed) throws ConfigException {
-        Json5Parser.Value value = lookUp(field, needed);
-        List<SettingsReader> forms = new ArrayList<>();
+    /**
+     * Reads a list of objects.
+     *
+     * @param isRequired false where an absent field stands for an empty list
+     */
+    public List<SettingsReader> objects(String field, boolean isRequired) throws ConfigException {
+        Json5Value value = lookUp(field, isRequired);
+        List<SettingsReader> readers = new ArrayList<>();
         if (value == null) {
-            return forms;
+            return readers;
         }
         if (value.list() == null) {
             throw error(value, path + field, "a list is expected, not " + value.kind());
         }
-        for (Json5Parser.Value one : value.list()) {
-            forms.add(new SettingsReader(source, path + field + "[" + forms.size() + "].", one));
+        for (Json5Value element : value.list()) {
+            String elementPath = path + field + "[" + readers.size() + "].";
+            readers.add(new SettingsReader(source, elementPath, element));
         }
-        return forms;
+        return readers;
     }
 
-    /** A socket address as host:port. */
-    public Address address(String field, String usual) throws ConfigException {
-        String text = text(field, usual);
+    /**
+     * Reads a socket address, {@code host:port}.
+     *
+     * @param defaultValue null where the field is required
+     */
+    public Address address(String field, String defaultValue) throws ConfigException {
+        String text = text(field, defaultValue);
         try {
             return Address.of(text);
-        } catch (IllegalArgumentException bad) {
-            throw error(field, bad.getMessage());
+        } catch (IllegalArgumentException malformed) {
+            throw error(field, malformed.getMessage());
         }
     }
 
-    /** To be called last: what was never asked for is not known. */
+    /**
+     * Fails on the first field that was never read. To be called after all others.
+     *
+     * @throws ConfigException that names the field and the known ones
+     */
     public void rejectUnknown() throws ConfigException {
-        for (Map.Entry<String, Json5Parser.Value> field : self.object().entrySet()) {
+        for (Map.Entry<String, Json5Value> field : object.object().entrySet()) {
             if (!knownFields.contains(field.getKey())) {
                 throw error(
                         field.getValue(),
                         path + field.getKey(),
                         "is not known here; known are "
-                                + String.join(", ", new java.util.TreeSet<>(knownFields)));
+                                + String.join(", ", new TreeSet<>(knownFields)));
             }
         }
     }
 
-    private static String formatNumber(double figure) {
-        return figure == Math.rint(figure) && Math.abs(figure) < 1e15
-                ? Long.toString((long) figure)
-                : Double.toString(figure);
+    private static String formatNumber(double number) {
+        boolean isInteger = number == Math.rint(number) && Math.abs(number) < MAX_EXACT_INTEGER;
+        return isInteger ? Long.toString((long) number) : Double.toString(number);
     }
 }
--- a/gateway/src/test/java/milletyoke/gateway/config/CheckSpeedTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/config/CheckSpeedTest.java
@@ -3,9 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.IOException;
 import java.lang.management.ManagementFactory;
 import java.lang.management.MemoryPoolMXBean;
 import java.lang.management.MemoryType;
+import java.lang.management.MemoryUsage;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import milletyoke.config.Checker;
@@ -15,8 +17,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * 50,000 volumes checked in one go, beside the bare reading of the same facts as JSON5. Prints, and
- * asserts counts only.
+ * Checks a fleet of 50,000 volumes and parses the same content as JSON5. Prints both times; asserts
+ * the counts only.
  */
 @Timeout(120)
 class CheckSpeedTest {
@@ -24,12 +26,31 @@
 
     @TempDir Path folder;
 
+    private record Sources(Path fleet, Path json) {}
+
     @Test
     void fiftyThousandVolumes() throws Exception {
+        Sources sources = writeSources();
+        Thread.sleep(60); // a file that was just written is read again
+        double checkMillis = Double.MAX_VALUE;
+        double parseMillis = Double.MAX_VALUE;
+        for (int round = 0; round < 5; round++) {
+            checkMillis = Math.min(checkMillis, timeCheck(sources.fleet()));
+            parseMillis = Math.min(parseMillis, timeParse(sources.json()));
+        }
+        System.out.printf(
+                "50,000 volumes: checked in %.0f ms, read as JSON5 in %.0f ms, ratio %.1f; "
+                        + "heap at most %d MiB%n",
+                checkMillis, parseMillis, checkMillis / parseMillis, peakHeapBytes() >> 20);
+    }
+
+    private Sources writeSources() throws IOException {
         StringBuilder fleet =
                 new StringBuilder(
-                        "fleet { initiators 3; }\ncategory read { repeats harmless; agreed 400ms; }\n"
-                                + "plan basic { limit-rate 40u/s; limit-depth 40u; }\nplan club { reserve 0.001u/s; }\n"
+                        "fleet { initiators 3; }\n"
+                                + "category read { repeats harmless; agreed 400ms; }\n"
+                                + "plan basic { limit-rate 40u/s; limit-depth 40u; }\n"
+                                + "plan club { reserve 0.001u/s; }\n"
                                 + "pool main { targets a, b; capacity 900u/s; }\n");
         StringBuilder json = new StringBuilder("{volumes: [\n");
         for (int i = 0; i < VOLUMES; i++) {
@@ -47,33 +68,33 @@
         }
         fleet.append("route volume store-* to main;\n");
         json.append("]}");
-        Path a = Files.writeString(folder.resolve("a.fleet"), fleet);
-        Path b = Files.writeString(folder.resolve("b.json5"), json);
-        Thread.sleep(60);
-        double best = Double.MAX_VALUE, bare = Double.MAX_VALUE;
-        for (int round = 0; round < 5; round++) {
-            long began = System.nanoTime();
-            Checker.Result r = Checker.check(new FileSourceProvider(), a.toRealPath().toString());
-            best = Math.min(best, (System.nanoTime() - began) / 1e6);
-            assertTrue(
-                    r.isValid(),
-                    () ->
-                            r.diagnostics()
-                                    .subList(0, Math.min(3, r.diagnostics().size()))
-                                    .toString());
-            assertEquals(VOLUMES, r.fleet().blocksOfKind("volume").size());
-            began = System.nanoTime();
-            assertEquals(VOLUMES, Json5Parser.read(b).object().get("volumes").list().size());
-            bare = Math.min(bare, (System.nanoTime() - began) / 1e6);
-        }
-        long peak =
-                ManagementFactory.getMemoryPoolMXBeans().stream()
-                        .filter(p -> p.getType() == MemoryType.HEAP)
-                        .map(MemoryPoolMXBean::getPeakUsage)
-                        .mapToLong(u -> u.getUsed())
-                        .sum();
-        System.out.printf(
-                "50,000 volumes: checked in %.0f ms, read as JSON5 in %.0f ms, ratio %.1f; heap at most %d MiB%n",
-                best, bare, best / bare, peak >> 20);
+        return new Sources(
+                Files.writeString(folder.resolve("a.fleet"), fleet),
+                Files.writeString(folder.resolve("b.json5"), json));
+    }
+
+    private static double timeCheck(Path file) throws IOException {
+        long startNanos = System.nanoTime();
+        Checker.Result result =
+                Checker.check(new FileSourceProvider(), file.toRealPath().toString());
+        double millis = (System.nanoTime() - startNanos) / 1e6;
+        int shown = Math.min(3, result.diagnostics().size());
+        assertTrue(result.isValid(), () -> result.diagnostics().subList(0, shown).toString());
+        assertEquals(VOLUMES, result.fleet().blocksOfKind("volume").size());
+        return millis;
+    }
+
+    private static double timeParse(Path file) throws ConfigException {
+        long startNanos = System.nanoTime();
+        assertEquals(VOLUMES, Json5Parser.read(file).object().get("volumes").list().size());
+        return (System.nanoTime() - startNanos) / 1e6;
+    }
+
+    private static long peakHeapBytes() {
+        return ManagementFactory.getMemoryPoolMXBeans().stream()
+                .filter(pool -> pool.getType() == MemoryType.HEAP)
+                .map(MemoryPoolMXBean::getPeakUsage)
+                .mapToLong(MemoryUsage::getUsed)
+                .sum();
     }
 }
--- a/gateway/src/test/java/milletyoke/gateway/config/InitiatorConfigTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/config/InitiatorConfigTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A setup is taken whole or refused with file, line and field. */
+/** A setup file is read completely or rejected with file, line and field. */
 class InitiatorConfigTest {
-    private static final String GOOD =
+    private static final String VALID_SETUP =
             """
             { // remarks may stand anywhere
               name: 'i1', listen: "127.0.0.1:0", discovery: "127.0.0.1:7300", folder: "state",
@@ -30,44 +30,56 @@
     }
 
     @Test
-    void takesJson5WithRemarksAndUnits() throws ConfigException {
-        InitiatorConfig setup = read(GOOD);
+    void readsJson5WithCommentsAndUnits() throws ConfigException {
+        InitiatorConfig config = read(VALID_SETUP);
         assertEquals(
                 400_000,
-                setup.deployment().scheduler().requestClasses().get(0).latencyObjectiveMicros());
-        assertEquals(17_000_000, setup.deployment().scheduler().limits().warmUpMicros());
-        assertEquals(Path.of("/base/state"), setup.stateDirectory());
-        assertEquals(250_000, setup.transport().connectTimeoutMicros());
+                config.deployment().scheduler().requestClasses().get(0).latencyObjectiveMicros());
+        assertEquals(17_000_000, config.deployment().scheduler().limits().warmUpMicros());
+        assertEquals(Path.of("/base/state"), config.stateDirectory());
+        assertEquals(250_000, config.transport().connectTimeoutMicros());
     }
 
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {
-                "agreedTime: \"400 ms\"     | agreedTime: 400            | i.json5:5: deployment.categories[0].agreedTime: a time with its unit",
-                "agreedTime: \"400 ms\"     | agreedTime: \"400 units\"  | i.json5:5: deployment.categories[0].agreedTime: a time with its unit",
-                "repeats: \"harmless\"      | repeats: \"sometimes\"     | i.json5:5: deployment.categories[0].repeats: one of harmless, stamped, one-shot",
-                "repeats: \"harmless\"      | repeats: \"stamped\"       | i.json5:5: deployment.categories[0].repeatWindow: a stamped category needs",
-                "initiators: 3             | initiatorz: 3             | i.json5:3: deployment.initiators: is missing",
-                "initiators: 3             | initiators: 2.5           | i.json5:4: deployment.initiators: a whole number",
-                "initiators: 3             | initiators: \"3\"         | i.json5:4: deployment.initiators: a number is expected, not text",
-                "limitDepth: 36,           |                           | i.json5:6: deployment.plans[0].limitDepth: a limit needs",
-                "\"127.0.0.1:0\"           | \"127.0.0.1\"             | i.json5:2: listen: an address as",
-                "coldShare: .29            | coldShare: 29             | i.json5:7: deployment.bounds.coldShare: 29 is out of range",
-                "connectTime               | conectTime                | i.json5:9: transport.conectTime: is not known here",
-                "name: 'i1',               | name: 'i1', name: 'i2',   | i.json5:2: Duplicate field",
-                "coldBears: 11,            | coldBears: 11             | i.json5:7: ",
+                "agreedTime: \"400 ms\"     | agreedTime: 400            | "
+                        + "i.json5:5: deployment.categories[0].agreedTime: a time with its unit",
+                "agreedTime: \"400 ms\"     | agreedTime: \"400 units\"  | "
+                        + "i.json5:5: deployment.categories[0].agreedTime: a time with its unit",
+                "repeats: \"harmless\"      | repeats: \"sometimes\"     | "
+                        + "i.json5:5: deployment.categories[0].repeats: one of harmless, stamped, one-shot",
+                "repeats: \"harmless\"      | repeats: \"stamped\"       | "
+                        + "i.json5:5: deployment.categories[0].repeatWindow: a stamped category needs",
+                "initiators: 3             | initiatorz: 3             | "
+                        + "i.json5:3: deployment.initiators: is missing",
+                "initiators: 3             | initiators: 2.5           | "
+                        + "i.json5:4: deployment.initiators: a whole number",
+                "initiators: 3             | initiators: \"3\"         | "
+                        + "i.json5:4: deployment.initiators: a number is expected, not text",
+                "limitDepth: 36,           |                           | "
+                        + "i.json5:6: deployment.plans[0].limitDepth: a limit needs",
+                "\"127.0.0.1:0\"           | \"127.0.0.1\"             | "
+                        + "i.json5:2: listen: an address as",
+                "coldShare: .29            | coldShare: 29             | "
+                        + "i.json5:7: deployment.bounds.coldShare: 29 is out of range",
+                "connectTime               | conectTime                | "
+                        + "i.json5:9: transport.conectTime: is not known here",
+                "name: 'i1',               | name: 'i1', name: 'i2',   | "
+                        + "i.json5:2: Duplicate field",
+                "coldBears: 11,            | coldBears: 11             | " + "i.json5:7: ",
             })
-    void refusesWithLineAndField(String good, String bad, String says) {
+    void rejectsWithLineAndField(String valid, String invalid, String message) {
         ConfigException error =
                 assertThrows(
                         ConfigException.class,
-                        () -> read(GOOD.replace(good, bad == null ? "" : bad)));
-        assertTrue(error.getMessage().startsWith(says), error.getMessage());
+                        () -> read(VALID_SETUP.replace(valid, invalid == null ? "" : invalid)));
+        assertTrue(error.getMessage().startsWith(message), error.getMessage());
     }
 
     @Test
-    void refusesWhatIsNotThere() {
+    void rejectsAMissingFile() {
         ConfigException error =
                 assertThrows(
                         ConfigException.class,
