--- a/config/src/main/java/milletyoke/config/FleetDiff.java
+++ b/config/src/main/java/milletyoke/config/FleetDiff.java
@@ -90,8 +90,8 @@
                         new Change(
                                 key.trim(),
                                 name,
-                                before == null ? "" : Fleet.written(before),
-                                after == null ? "" : Fleet.written(after),
+                                before == null ? "" : Fleet.format(before),
+                                after == null ? "" : Fleet.format(after),
                                 whom(b, y),
                                 field.change() == Schema.Change.RESTART
                                         ? ApplyMode.RESTART
--- a/config/src/main/java/milletyoke/config/Schema.java
+++ b/config/src/main/java/milletyoke/config/Schema.java
@@ -1,155 +1,215 @@
 package milletyoke.config;
 
+import java.util.Collections;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import milletyoke.config.Quantity.Dimension;
 
 /**
- * Which settings each kind of block takes, of which type, within which bounds, and how a change of
- * each is taken.
+ * The settings of each kind of block: their types, ranges and defaults, and whether a change of one
+ * needs a restart. The order of kinds and settings is that of messages and listings.
  */
 final class Schema {
-    /** How a change is taken by a running initiator. */
+    private static final double MAX_TIME_MICROS = 100 * 3600e6;
+    private static final int MAX_HOSTS = 100_000;
+    private static final double MAX_UNITS = 1e9;
+    private static final double MAX_WEIGHT = 1e6;
+
+    private static final Type TIME = quantity(Dimension.TIME, 0, MAX_TIME_MICROS);
+    private static final Type POSITIVE_TIME = quantity(Dimension.TIME, 1, MAX_TIME_MICROS);
+    private static final Type SHARE = quantity(Dimension.SHARE, 0, 1);
+    private static final Type RATE = quantity(Dimension.RATE, 0, MAX_UNITS);
+    private static final Type UNITS = quantity(Dimension.UNITS, 0, MAX_UNITS);
+    private static final Type FLAG = keyword("yes", "no");
+
+    /** Kind of block to name of setting to field. */
+    static final Map<String, Map<String, Field>> KINDS = kinds();
+
+    private Schema() {}
+
+    /** How a running initiator applies a change of a setting. */
     enum Change {
         IN_SERVICE,
         RESTART
     }
 
-    /** Exactly one of dimension, words and names is set. */
+    /**
+     * The type of a setting's values. At most one of dimension, keywords and referencedKind is set;
+     * with none of them a value is any text.
+     *
+     * @param min in the base unit of the dimension
+     * @param max in the base unit of the dimension
+     * @param isInteger whether fractions are invalid
+     * @param keywords the words that are allowed
+     * @param referencedKind the kind of block that a value names
+     * @param isList whether several values may be given
+     */
     record Type(
             Dimension dimension,
             double min,
             double max,
+            boolean isInteger,
             List<String> keywords,
             String referencedKind,
-            boolean isList,
-            boolean free) {}
+            boolean isList) {
+
+        /** A setting of this type as it could be written, for hints. */
+        String example(String name) {
+            return name + " " + exampleValue() + ";";
+        }
+
+        private String exampleValue() {
+            if (dimension != null) {
+                return dimension.example();
+            }
+            if (keywords != null) {
+                return keywords.get(0);
+            }
+            return referencedKind != null ? "NAME" : "a, b";
+        }
+    }
 
     /**
-     * @param defaultValue as it would be written; null where it must be there, empty where it may
-     *     be absent
+     * One setting of a kind of block.
+     *
+     * @param defaultValue as it would be written; null where the setting is required, empty where
+     *     it may be absent
      */
-    record Field(Type type, String defaultValue, Change change) {}
+    record Field(Type type, String defaultValue, Change change) {
+        boolean isRequired() {
+            return defaultValue == null;
+        }
 
-    static final Map<String, Map<String, Field>> KINDS = kinds();
+        boolean hasDefault() {
+            return defaultValue != null && !defaultValue.isEmpty();
+        }
+    }
 
-    private Schema() {}
+    private static Type quantity(Dimension dimension, double min, double max) {
+        return new Type(dimension, min, max, false, null, null, false);
+    }
+
+    private static Type number(double min, double max) {
+        return quantity(Dimension.NONE, min, max);
+    }
+
+    private static Type integer(int min, int max) {
+        return new Type(Dimension.NONE, min, max, true, null, null, false);
+    }
+
+    private static Type keyword(String... keywords) {
+        return new Type(null, 0, 0, false, List.of(keywords), null, false);
+    }
 
-    private static Type figure(Dimension d, double least, double most) {
-        return new Type(d, least, most, null, null, false, false);
+    private static Type reference(String kind) {
+        return new Type(null, 0, 0, false, null, kind, false);
     }
 
-    private static Type word(String... words) {
-        return new Type(null, 0, 0, List.of(words), null, false, false);
+    private static Type text(boolean isList) {
+        return new Type(null, 0, 0, false, null, null, isList);
     }
 
-    private static Type name(String kind) {
-        return new Type(null, 0, 0, null, kind, false, false);
+    private static Field restart(Type type, String defaultValue) {
+        return new Field(type, defaultValue, Change.RESTART);
     }
 
-    private static Type free(boolean list) {
-        return new Type(null, 0, 0, null, null, list, true);
+    private static Field inService(Type type, String defaultValue) {
+        return new Field(type, defaultValue, Change.IN_SERVICE);
+    }
+
+    private static Field required(Type type, Change change) {
+        return new Field(type, null, change);
     }
 
     private static Map<String, Map<String, Field>> kinds() {
-        Map<String, Map<String, Field>> all = new LinkedHashMap<>();
-        Type time = figure(Dimension.TIME, 0, 100 * 3600e6);
-        Type share = figure(Dimension.SHARE, 0, 1);
-        Type rate = figure(Dimension.RATE, 0, 1e9);
-        Type units = figure(Dimension.UNITS, 0, 1e9);
-        Type flag = word("yes", "no");
-        all.put(
-                "fleet",
-                fields(
-                        "initiators",
-                        new Field(figure(Dimension.NONE, 1, 100_000), null, Change.RESTART),
-                        "list",
-                        new Field(word("pushed", "asked"), "pushed", Change.RESTART)));
-        Map<String, Field> bounds = new LinkedHashMap<>();
-        bounds.put("answer-slack", new Field(time, "50ms", Change.RESTART));
-        bounds.put("drain-grace", new Field(time, "500ms", Change.RESTART));
-        bounds.put("key-quiet", new Field(time, "0ms", Change.RESTART));
-        bounds.put("cold", new Field(time, "0s", Change.RESTART));
-        bounds.put(
-                "cold-share", new Field(figure(Dimension.SHARE, 0.001, 1), "100%", Change.RESTART));
-        bounds.put("cold-bears", new Field(units, "0u", Change.RESTART));
-        bounds.put("fall", new Field(time, "0s", Change.RESTART));
-        bounds.put("tip-multiple", new Field(figure(Dimension.NONE, 1, 1000), "1", Change.RESTART));
-        bounds.put(
-                "relay-budget-free",
-                new Field(figure(Dimension.NONE, 0, 1e6), "0", Change.RESTART));
-        bounds.put("relay-budget-share", new Field(share, "0%", Change.RESTART));
-        bounds.put("relay-budget-span", new Field(time, "0s", Change.RESTART));
-        bounds.put("must-ask-in", new Field(time, "0s", Change.RESTART));
-        bounds.put("largest", new Field(units, "8u", Change.RESTART));
-        all.put("bounds", bounds);
-        all.put(
-                "allowances",
-                fields(
-                        "max-relays",
-                        new Field(figure(Dimension.NONE, 1, 100), "3", Change.RESTART),
-                        "probes",
-                        new Field(flag, "yes", Change.RESTART),
-                        "cancels",
-                        new Field(flag, "yes", Change.RESTART),
-                        "advice",
-                        new Field(flag, "yes", Change.RESTART),
-                        "longest-advice",
-                        new Field(time, "500ms", Change.RESTART)));
-        all.put(
-                "pool",
-                fields(
-                        "targets",
-                        new Field(free(true), null, Change.IN_SERVICE),
-                        "capacity",
-                        new Field(rate, "", Change.IN_SERVICE)));
-        all.put(
-                "plan",
-                fields(
-                        "reserve",
-                        new Field(rate, "0u/s", Change.IN_SERVICE),
-                        "weight",
-                        new Field(figure(Dimension.NONE, 0.001, 1e6), "1", Change.IN_SERVICE),
-                        "limit-rate",
-                        new Field(rate, "0u/s", Change.IN_SERVICE),
-                        "limit-depth",
-                        new Field(units, "0u", Change.IN_SERVICE),
-                        "limit-slack",
-                        new Field(units, "0u", Change.IN_SERVICE)));
-        all.put(
-                "category",
-                fields(
-                        "repeats",
-                        new Field(word("harmless", "stamped", "one-shot"), null, Change.RESTART),
-                        "group",
-                        new Field(word("all", "zone", "cell"), "all", Change.RESTART),
-                        "repeat-window",
-                        new Field(time, "0s", Change.RESTART),
-                        "key-ordered",
-                        new Field(flag, "no", Change.RESTART),
-                        "agreed",
-                        new Field(figure(Dimension.TIME, 1, 100 * 3600e6), null, Change.IN_SERVICE),
-                        "importance",
-                        new Field(figure(Dimension.NONE, 0, 1e6), "1", Change.IN_SERVICE)));
-        all.put("tenant", fields("contact", new Field(free(false), "", Change.IN_SERVICE)));
-        all.put(
-                "volume",
-                fields(
-                        "plan",
-                        new Field(name("plan"), null, Change.IN_SERVICE),
-                        "tenant",
-                        new Field(name("tenant"), "", Change.IN_SERVICE),
-                        "hosts",
-                        new Field(figure(Dimension.NONE, 1, 100_000), "1", Change.RESTART)));
-        return java.util.Collections.unmodifiableMap(all);
-    }
-
-    private static Map<String, Field> fields(Object... pairs) {
-        Map<String, Field> all = new LinkedHashMap<>();
-        for (int i = 0; i < pairs.length; i += 2) {
-            all.put((String) pairs[i], (Field) pairs[i + 1]);
-        }
-        return all;
+        Map<String, Map<String, Field>> kinds = new LinkedHashMap<>();
+        kinds.put("fleet", fleet());
+        kinds.put("bounds", bounds());
+        kinds.put("allowances", allowances());
+        kinds.put("pool", pool());
+        kinds.put("plan", plan());
+        kinds.put("category", category());
+        kinds.put("tenant", tenant());
+        kinds.put("volume", volume());
+        return Collections.unmodifiableMap(kinds);
+    }
+
+    private static Map<String, Field> fleet() {
+        Map<String, Field> fields = new LinkedHashMap<>();
+        fields.put("initiators", required(integer(1, MAX_HOSTS), Change.RESTART));
+        fields.put("list", restart(keyword("pushed", "asked"), "pushed"));
+        return fields;
+    }
+
+    private static Map<String, Field> bounds() {
+        Map<String, Field> fields = new LinkedHashMap<>();
+        fields.put("answer-slack", restart(TIME, "50ms"));
+        fields.put("drain-grace", restart(TIME, "500ms"));
+        fields.put("key-quiet", restart(TIME, "0ms"));
+        fields.put("cold", restart(TIME, "0s"));
+        fields.put("cold-share", restart(quantity(Dimension.SHARE, 0.001, 1), "100%"));
+        fields.put("cold-bears", restart(UNITS, "0u"));
+        fields.put("fall", restart(TIME, "0s"));
+        fields.put("tip-multiple", restart(number(1, 1000), "1"));
+        fields.put("relay-budget-free", restart(number(0, 1e6), "0"));
+        fields.put("relay-budget-share", restart(SHARE, "0%"));
+        fields.put("relay-budget-span", restart(TIME, "0s"));
+        fields.put("must-ask-in", restart(TIME, "0s"));
+        fields.put("largest", restart(UNITS, "8u"));
+        return fields;
+    }
+
+    private static Map<String, Field> allowances() {
+        Map<String, Field> fields = new LinkedHashMap<>();
+        fields.put("max-relays", restart(number(1, 100), "3"));
+        fields.put("probes", restart(FLAG, "yes"));
+        fields.put("cancels", restart(FLAG, "yes"));
+        fields.put("advice", restart(FLAG, "yes"));
+        fields.put("longest-advice", restart(TIME, "500ms"));
+        return fields;
+    }
+
+    private static Map<String, Field> pool() {
+        Map<String, Field> fields = new LinkedHashMap<>();
+        fields.put("targets", required(text(true), Change.IN_SERVICE));
+        fields.put("capacity", inService(RATE, ""));
+        return fields;
+    }
+
+    private static Map<String, Field> plan() {
+        Map<String, Field> fields = new LinkedHashMap<>();
+        fields.put("reserve", inService(RATE, "0u/s"));
+        fields.put("weight", inService(number(0.001, MAX_WEIGHT), "1"));
+        fields.put("limit-rate", inService(RATE, "0u/s"));
+        fields.put("limit-depth", inService(UNITS, "0u"));
+        fields.put("limit-slack", inService(UNITS, "0u"));
+        return fields;
+    }
+
+    private static Map<String, Field> category() {
+        Map<String, Field> fields = new LinkedHashMap<>();
+        Type repeats = keyword("harmless", "stamped", "one-shot");
+        fields.put("repeats", required(repeats, Change.RESTART));
+        fields.put("group", restart(keyword("all", "zone", "cell"), "all"));
+        fields.put("repeat-window", restart(TIME, "0s"));
+        fields.put("key-ordered", restart(FLAG, "no"));
+        fields.put("agreed", required(POSITIVE_TIME, Change.IN_SERVICE));
+        fields.put("importance", inService(number(0, MAX_WEIGHT), "1"));
+        return fields;
+    }
+
+    private static Map<String, Field> tenant() {
+        Map<String, Field> fields = new LinkedHashMap<>();
+        fields.put("contact", inService(text(false), ""));
+        return fields;
+    }
+
+    private static Map<String, Field> volume() {
+        Map<String, Field> fields = new LinkedHashMap<>();
+        fields.put("plan", required(reference("plan"), Change.IN_SERVICE));
+        fields.put("tenant", inService(reference("tenant"), ""));
+        fields.put("hosts", restart(integer(1, MAX_HOSTS), "1"));
+        return fields;
     }
 }
