--- a/config/src/main/java/milletyoke/config/Diagnostic.java
+++ b/config/src/main/java/milletyoke/config/Diagnostic.java
@@ -3,11 +3,15 @@
 import java.util.List;
 
 /**
- * Something to be said of a configuration, at its place. Lines and columns count from 1.
+ * An error or a warning at a place in a configuration.
  *
- * @param code stays the same over versions, as {@code unit} or {@code cycle}
- * @param hint what to do, empty where there is nothing to add
- * @param sourceLine the line itself, without its end
+ * @param isError false for a warning
+ * @param code identifies the kind of problem and stays the same over versions, as {@code unit} or
+ *     {@code cycle}
+ * @param line counted from 1
+ * @param column counted from 1
+ * @param hint what to do; empty where there is nothing to add
+ * @param sourceLine the text of the line, without its end
  * @param chain further places that belong to it, as the files of an include cycle
  */
 public record Diagnostic(
@@ -21,7 +25,10 @@
         String sourceLine,
         List<String> chain) {
 
-    /** Several lines: the place and what is wrong, the line, a caret, the hint. */
+    private static final int MAX_QUOTED_CHARS = 120;
+    private static final String INDENT = "    ";
+
+    /** Several lines for people: place and message, the source line, a caret, the hint. */
     public String text() {
         StringBuilder out = new StringBuilder();
         out.append(file)
@@ -37,22 +44,23 @@
                 .append(message)
                 .append('\n');
         if (!sourceLine.isEmpty()) {
-            int from = Math.max(0, Math.min(column - 1 - 60, sourceLine.length()));
-            String part =
-                    sourceLine
-                            .substring(from, Math.min(sourceLine.length(), from + 120))
-                            .replace('\t', ' ');
-            out.append("    ")
-                    .append(part)
-                    .append('\n')
-                    .append("    ")
-                    .append(" ".repeat(Math.max(0, Math.min(part.length(), column - 1 - from))))
-                    .append("^\n");
+            quote(out);
         }
-        chain.forEach(c -> out.append("    ").append(c).append('\n'));
+        chain.forEach(place -> out.append(INDENT).append(place).append('\n'));
         if (!hint.isEmpty()) {
-            out.append("    hint: ").append(hint).append('\n');
+            out.append(INDENT).append("hint: ").append(hint).append('\n');
         }
         return out.toString();
     }
+
+    /** Appends the part of the source line around the column, with a caret below the column. */
+    private void quote(StringBuilder out) {
+        int half = MAX_QUOTED_CHARS / 2;
+        int start = Math.max(0, Math.min(column - 1 - half, sourceLine.length()));
+        int end = Math.min(sourceLine.length(), start + MAX_QUOTED_CHARS);
+        String quoted = sourceLine.substring(start, end).replace('\t', ' ');
+        int caret = Math.max(0, Math.min(quoted.length(), column - 1 - start));
+        out.append(INDENT).append(quoted).append('\n');
+        out.append(INDENT).append(" ".repeat(caret)).append("^\n");
+    }
 }
--- a/config/src/main/java/milletyoke/config/Formatter.java
+++ b/config/src/main/java/milletyoke/config/Formatter.java
@@ -7,82 +7,86 @@
 import org.antlr.v4.runtime.Token;
 
 /**
- * One style for all: four blanks in a block, one statement a line, one empty line at most. Works on
- * tokens, so that every remark stays behind or above what it stood with and no figure is written
- * another way. A file with an error of syntax is left alone.
+ * Formats configuration files: four blanks of indentation, one statement a line, at most one empty
+ * line. Works on tokens, so that comments stay where they belong and numbers as they were written.
+ * A file with a syntax error is not formatted.
  */
 public final class Formatter {
+    private static final String INDENT = "    ";
+
     private final StringBuilder out = new StringBuilder();
     private int depth;
-    private boolean lineStart = true;
+    private boolean isAtLineStart = true;
 
     private Formatter() {}
 
     /**
-     * @return null where the text has errors of syntax, which are in the findings
+     * Formats a text.
+     *
+     * @param diagnostics receives the syntax errors
+     * @return null where there are any
      */
-    public static String format(String file, String text, List<Diagnostic> findings) {
-        List<Diagnostic> own = new ArrayList<>();
-        FleetReader.read(file, text, own);
-        CommonTokenStream tokens = own.isEmpty() ? FleetReader.tokens(file, text, own) : null;
-        findings.addAll(own);
+    public static String format(String file, String text, List<Diagnostic> diagnostics) {
+        List<Diagnostic> errors = new ArrayList<>();
+        FleetReader.read(file, text, errors);
+        CommonTokenStream tokens = errors.isEmpty() ? FleetReader.tokens(file, text, errors) : null;
+        diagnostics.addAll(errors);
         return tokens == null ? null : new Formatter().format(tokens.getTokens());
     }
 
     private String format(List<Token> tokens) {
-        Token before = null;
-        int breaks = 0;
-        for (Token t : tokens) {
-            if (t.getType() == FleetLexer.BLANK) {
-                breaks +=
-                        (int)
-                                t.getText()
-                                        .replace("\r\n", "\n")
-                                        .chars()
-                                        .filter(c -> c == '\n' || c == '\r')
-                                        .count();
+        Token previous = null;
+        int lineBreaks = 0;
+        for (Token token : tokens) {
+            if (token.getType() == FleetLexer.BLANK) {
+                lineBreaks += countLineBreaks(token.getText());
                 continue;
             }
-            if (t.getType() == Token.EOF) {
+            if (token.getType() == Token.EOF) {
                 break;
             }
-            put(before, t, breaks);
-            before = t;
-            breaks = 0;
+            append(previous, token, lineBreaks);
+            previous = token;
+            lineBreaks = 0;
         }
-        return out.isEmpty() || lineStart ? out.toString() : out.append('\n').toString();
+        return out.isEmpty() || isAtLineStart ? out.toString() : out.append('\n').toString();
+    }
+
+    private static int countLineBreaks(String blank) {
+        String normalized = blank.replace("\r\n", "\n");
+        return (int) normalized.chars().filter(c -> c == '\n' || c == '\r').count();
     }
 
-    private void put(Token before, Token t, int breaks) {
-        String text = t.getText();
-        boolean remark = t.getType() == FleetLexer.REMARK;
-        if (remark && before != null && breaks == 0) {
+    private void append(Token previous, Token token, int lineBreaks) {
+        String text = token.getText();
+        boolean isComment = token.getType() == FleetLexer.REMARK;
+        if (isComment && previous != null && lineBreaks == 0) {
             endOfLine();
-            out.setLength(out.length() - 1); // behind what it stood behind
-            out.append("  ").append(clean(text)).append('\n');
+            out.setLength(out.length() - 1); // stays on the line of what it follows
+            out.append("  ").append(text.stripTrailing()).append('\n');
             return;
         }
         if (text.equals("}")) {
             depth--;
             endOfLine();
-        } else if (breaks > 1 && before != null && !before.getText().equals("{")) {
+        } else if (lineBreaks > 1 && previous != null && !previous.getText().equals("{")) {
             endOfLine();
             out.append('\n');
         }
-        if (remark) {
+        if (isComment) {
             endOfLine();
             indent();
-            out.append(clean(text)).append('\n');
-            lineStart = true;
+            out.append(text.stripTrailing()).append('\n');
+            isAtLineStart = true;
             return;
         }
-        if (lineStart) {
+        if (isAtLineStart) {
             indent();
-        } else if (blank(before, text)) {
+        } else if (needsBlank(previous, text)) {
             out.append(' ');
         }
         out.append(text);
-        lineStart = false;
+        isAtLineStart = false;
         if (text.equals("{")) {
             depth++;
             endOfLine();
@@ -91,29 +95,25 @@
         }
     }
 
-    private static String clean(String remark) {
-        return remark.stripTrailing();
-    }
-
-    private static boolean blank(Token before, String text) {
+    private static boolean needsBlank(Token previous, String text) {
         return !text.equals(";")
                 && !text.equals(",")
                 && !text.equals(")")
-                && !before.getText().equals("(");
+                && !previous.getText().equals("(");
     }
 
     private void indent() {
-        out.append("    ".repeat(Math.max(0, depth)));
+        out.append(INDENT.repeat(Math.max(0, depth)));
     }
 
     private void endOfLine() {
-        if (!lineStart) {
+        if (!isAtLineStart) {
             out.append('\n');
-            lineStart = true;
+            isAtLineStart = true;
         }
     }
 
-    /** A name as the language writes it: bare where it can be. */
+    /** A name as the language writes it: without quotes where possible. */
     static String label(String name) {
         return name.matches("[a-zA-Z]([a-zA-Z0-9_]|-[a-zA-Z0-9])*(-?\\*)?")
                 ? name
--- a/config/src/main/java/milletyoke/config/NameSuggestions.java
+++ b/config/src/main/java/milletyoke/config/NameSuggestions.java
@@ -2,30 +2,32 @@
 
 import java.util.Collection;
 
-/** Names that look alike. */
+/** Finds the known name that a misspelt one is most like. */
 final class NameSuggestions {
     private static final int MAX_NAME_CHARS = 64;
 
     private NameSuggestions() {}
 
-    /**
-     * The known name with the fewest changes; the first of equals, so the same hint comes each
-     * time.
-     */
+    /** The known name with the smallest edit distance; the first of equals, for stable hints. */
     static String nearest(String name, Collection<String> known) {
         String best = "";
-        int least = Integer.MAX_VALUE;
+        int leastDistance = Integer.MAX_VALUE;
         String bounded = name.length() > MAX_NAME_CHARS ? name.substring(0, MAX_NAME_CHARS) : name;
-        for (String k : known) {
-            int d = Math.abs(k.length() - bounded.length()) >= least ? least : distance(bounded, k);
-            if (d < least) {
-                least = d;
-                best = k;
+        for (String candidate : known) {
+            int lengthDifference = Math.abs(candidate.length() - bounded.length());
+            int distance =
+                    lengthDifference >= leastDistance
+                            ? leastDistance
+                            : distance(bounded, candidate);
+            if (distance < leastDistance) {
+                leastDistance = distance;
+                best = candidate;
             }
         }
         return best;
     }
 
+    /** Levenshtein distance, ignoring case. */
     private static int distance(String a, String b) {
         int[] row = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
@@ -36,13 +38,11 @@
             row[0] = i;
             for (int j = 1; j <= b.length(); j++) {
                 int above = row[j];
-                int change =
-                        diagonal
-                                + (Character.toLowerCase(a.charAt(i - 1))
-                                                == Character.toLowerCase(b.charAt(j - 1))
-                                        ? 0
-                                        : 1);
-                row[j] = Math.min(change, Math.min(above, row[j - 1]) + 1);
+                boolean isSame =
+                        Character.toLowerCase(a.charAt(i - 1))
+                                == Character.toLowerCase(b.charAt(j - 1));
+                int substitution = diagonal + (isSame ? 0 : 1);
+                row[j] = Math.min(substitution, Math.min(above, row[j - 1]) + 1);
                 diagonal = above;
             }
         }
--- a/config/src/main/java/milletyoke/config/Quantity.java
+++ b/config/src/main/java/milletyoke/config/Quantity.java
@@ -1,15 +1,18 @@
 package milletyoke.config;
 
+import java.math.BigDecimal;
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
 
 /**
- * A figure with its dimension, in base units: microseconds, units, units a second, bytes, parts of
- * one, or none.
+ * A number with its dimension.
+ *
+ * @param value in the base unit of the dimension: microseconds, units, units a second, bytes, or
+ *     parts of one
  */
 public record Quantity(double value, Dimension dimension) {
-    /** What a figure measures. */
+    /** What a quantity measures. */
     public enum Dimension {
         TIME("a time", "250ms"),
         UNITS("units", "36u"),
@@ -21,24 +24,36 @@
         private final String description;
         private final String example;
 
-        Dimension(String words, String example) {
-            this.description = words;
+        Dimension(String description, String example) {
+            this.description = description;
             this.example = example;
         }
 
+        /** The dimension as messages name it. */
         public String description() {
             return description;
         }
 
+        /** A quantity as it could be written, for hints. */
         public String example() {
             return example;
         }
     }
 
-    /** No figure of a configuration is larger; what is beyond is a slip. */
+    /** Largest value in base units; a larger one is taken for a mistake. */
     static final double MAX_VALUE = 1e15;
 
-    private record Unit(Dimension dimension, double base) {}
+    /** A unit that is accepted and never written. */
+    private static final String PARSED_ONLY = "u/min";
+
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    /**
+     * A unit of measure.
+     *
+     * @param factor to the base unit
+     */
+    private record Unit(Dimension dimension, double factor) {}
 
     private static final Map<String, Unit> UNITS = units();
 
@@ -63,7 +78,7 @@
         return all;
     }
 
-    /** What cannot be; the message is for people. */
+    /** An invalid quantity or operation; code, message and hint go into a diagnostic. */
     static final class QuantityFormatException extends Exception {
         private static final long serialVersionUID = 1L;
         final String code;
@@ -76,6 +91,7 @@
         }
     }
 
+    /** Parses a number with its unit. */
     static Quantity of(String text) throws QuantityFormatException {
         int end = 0;
         while (end < text.length()
@@ -92,7 +108,8 @@
                             + NameSuggestions.nearest(name, UNITS.keySet())
                             + "? Known are us, ms, s, min, h; u, ku; u/s, ku/s, u/min; B, KiB, MiB, GiB; %");
         }
-        return checked(Double.parseDouble(text.substring(0, end)) * unit.base(), unit.dimension());
+        return checked(
+                Double.parseDouble(text.substring(0, end)) * unit.factor(), unit.dimension());
     }
 
     private static Quantity checked(double figure, Dimension dimension)
@@ -106,102 +123,107 @@
         return new Quantity(figure, dimension);
     }
 
-    Quantity plus(Quantity o, int sign) throws QuantityFormatException {
-        if (dimension != o.dimension) {
+    /** Adds, or with a sign of -1 subtracts, a quantity of the same dimension. */
+    Quantity plus(Quantity other, int sign) throws QuantityFormatException {
+        if (dimension != other.dimension) {
             throw new QuantityFormatException(
                     "unit",
                     dimension.description()
                             + " and "
-                            + o.dimension.description()
+                            + other.dimension.description()
                             + " cannot be added",
                     "");
         }
-        return checked(value + sign * o.value, dimension);
+        return checked(value + sign * other.value, dimension);
     }
 
-    Quantity times(Quantity o) throws QuantityFormatException {
-        if (dimension == Dimension.NONE || o.dimension == Dimension.NONE) {
-            return checked(value * o.value, dimension == Dimension.NONE ? o.dimension : dimension);
+    /** Multiplies; at most one factor may have a dimension, or they are a rate and a time. */
+    Quantity times(Quantity other) throws QuantityFormatException {
+        if (dimension == Dimension.NONE || other.dimension == Dimension.NONE) {
+            return checked(
+                    value * other.value, dimension == Dimension.NONE ? other.dimension : dimension);
         }
-        if (dimension == Dimension.SHARE || o.dimension == Dimension.SHARE) {
-            return checked(value * o.value, dimension == Dimension.SHARE ? o.dimension : dimension);
+        if (dimension == Dimension.SHARE || other.dimension == Dimension.SHARE) {
+            return checked(
+                    value * other.value,
+                    dimension == Dimension.SHARE ? other.dimension : dimension);
         }
-        if (dimension == Dimension.RATE && o.dimension == Dimension.TIME
-                || dimension == Dimension.TIME && o.dimension == Dimension.RATE) {
-            return checked(value * o.value / 1e6, Dimension.UNITS);
+        boolean isRateTimesTime = dimension == Dimension.RATE && other.dimension == Dimension.TIME;
+        boolean isTimesRate = dimension == Dimension.TIME && other.dimension == Dimension.RATE;
+        if (isRateTimesTime || isTimesRate) {
+            return checked(value * other.value / MICROS_PER_SECOND, Dimension.UNITS);
         }
         throw new QuantityFormatException(
                 "unit",
                 dimension.description()
                         + " times "
-                        + o.dimension.description()
+                        + other.dimension.description()
                         + " is nothing known here",
                 "");
     }
 
-    Quantity dividedBy(Quantity o) throws QuantityFormatException {
-        if (o.value == 0) {
+    /** Divides; by a bare number, by the same dimension, or units by a time or rate. */
+    Quantity dividedBy(Quantity other) throws QuantityFormatException {
+        if (other.value == 0) {
             throw new QuantityFormatException("range", "a division by 0", "");
         }
-        if (o.dimension == Dimension.NONE) {
-            return checked(value / o.value, dimension);
+        if (other.dimension == Dimension.NONE) {
+            return checked(value / other.value, dimension);
         }
-        if (dimension == o.dimension) {
-            return checked(value / o.value, Dimension.NONE);
+        if (dimension == other.dimension) {
+            return checked(value / other.value, Dimension.NONE);
         }
-        if (dimension == Dimension.UNITS && o.dimension == Dimension.TIME) {
-            return checked(value / (o.value / 1e6), Dimension.RATE);
+        if (dimension == Dimension.UNITS && other.dimension == Dimension.TIME) {
+            return checked(value / (other.value / MICROS_PER_SECOND), Dimension.RATE);
         }
-        if (dimension == Dimension.UNITS && o.dimension == Dimension.RATE) {
-            return checked(value / o.value * 1e6, Dimension.TIME);
+        if (dimension == Dimension.UNITS && other.dimension == Dimension.RATE) {
+            return checked(value / other.value * MICROS_PER_SECOND, Dimension.TIME);
         }
         throw new QuantityFormatException(
                 "unit",
                 dimension.description()
                         + " over "
-                        + o.dimension.description()
+                        + other.dimension.description()
                         + " is nothing known here",
                 "");
     }
 
-    /** As an operator would write it: the largest unit that gives a short figure. */
+    /** As an operator would write it: in the largest unit that gives a short and exact number. */
     @Override
     public String toString() {
         if (value == 0 && dimension != Dimension.NONE) {
-            return "0" + smallest();
+            return "0" + smallestUnit();
         }
         String best = null;
-        for (Map.Entry<String, Unit> u : UNITS.entrySet()) {
-            if (u.getValue().dimension() == dimension && !u.getKey().equals("u/min")) {
-                String text = formatNumber(value / u.getValue().base()) + u.getKey();
-                boolean exact =
-                        Double.parseDouble(formatNumber(value / u.getValue().base()))
-                                        * u.getValue().base()
-                                == value;
-                if (best == null || exact && text.length() <= best.length()) {
-                    best = text;
-                }
+        for (Map.Entry<String, Unit> entry : UNITS.entrySet()) {
+            Unit unit = entry.getValue();
+            if (unit.dimension() != dimension || entry.getKey().equals(PARSED_ONLY)) {
+                continue;
+            }
+            String number = formatNumber(value / unit.factor());
+            String text = number + entry.getKey();
+            boolean isExact = Double.parseDouble(number) * unit.factor() == value;
+            if (best == null || (isExact && text.length() <= best.length())) {
+                best = text;
             }
         }
         return best;
     }
 
-    private String smallest() {
+    private String smallestUnit() {
         return UNITS.entrySet().stream()
-                .filter(u -> u.getValue().dimension() == dimension)
+                .filter(unit -> unit.getValue().dimension() == dimension)
                 .findFirst()
                 .orElseThrow()
                 .getKey();
     }
 
+    /** A number without an exponent or needless digits. */
     static String formatNumber(double figure) {
         if (figure == Math.rint(figure) && Math.abs(figure) <= MAX_VALUE) {
             return Long.toString((long) figure);
         }
-        String text =
-                new java.math.BigDecimal(Double.toString(figure))
-                        .stripTrailingZeros()
-                        .toPlainString();
+        String text = new BigDecimal(Double.toString(figure)).stripTrailingZeros().toPlainString();
         return text.toLowerCase(Locale.ROOT);
     }
 }
--- a/config/src/test/java/milletyoke/config/CheckerTest.java
+++ b/config/src/test/java/milletyoke/config/CheckerTest.java
@@ -26,13 +26,17 @@
     @TempDir Path folder;
 
     @Test
-    void whatIsRightIsTaken() {
+    void resolvesAValidConfiguration() {
         Checker.Result r =
                 InMemorySourceProvider.check(
                         BASE
                                 + "let one = 10u/s;\ntemplate t { weight 2; reserve one * 2; }\n"
-                                + "plan club like t { weight 3; }\npool main { targets a, b; }\nvolume club-* { plan club; hosts 2; }\n"
-                                + "volume club-1 { plan basic; }\nroute volume club-* to main;\nroute prefix \"/scores/\" to main;");
+                                + "plan club like t { weight 3; }\n"
+                                + "pool main { targets a, b; }\n"
+                                + "volume club-* { plan club; hosts 2; }\n"
+                                + "volume club-1 { plan basic; }\n"
+                                + "route volume club-* to main;\n"
+                                + "route prefix \"/scores/\" to main;");
         assertTrue(r.isValid(), () -> r.diagnostics().toString());
         assertEquals(20, r.fleet().block("plan", "club").number("reserve"));
         assertEquals(
@@ -88,7 +92,7 @@
                 "pool p { targets a, b }                     | syntax      | ",
                 "volume v { plan \"basic                     | syntax      | ",
             })
-    void saysWhatIsWrongAndWhere(String line, String code, String hint) {
+    void reportsErrorAndItsPlace(String line, String code, String hint) {
         Checker.Result r = InMemorySourceProvider.check(BASE + line);
         Diagnostic f =
                 r.diagnostics().stream()
@@ -102,7 +106,7 @@
     }
 
     @Test
-    void everythingWrongIsFoundInOnePass() {
+    void reportsAllErrorsInOnePass() {
         Checker.Result r =
                 InMemorySourceProvider.check(
                         "fleet { initiators 0; }\nplan a { weight 0; }\nplan b { wight 1; }\n"
@@ -114,7 +118,7 @@
     }
 
     @Test
-    void warningsDoNotRefuse() {
+    void warningsDoNotMakeItInvalid() {
         Checker.Result r =
                 InMemorySourceProvider.check(
                         BASE
@@ -127,7 +131,7 @@
     }
 
     @Test
-    void reservesBeyondWhatAPoolBears() {
+    void reportsReservationsOverAPoolsCapacity() {
         Checker.Result r =
                 InMemorySourceProvider.check(
                         BASE
@@ -143,7 +147,7 @@
     // ---- Includes ----
 
     @Test
-    void includeCyclesAreToldWithTheWholeChain() {
+    void reportsIncludeCyclesWithTheirChain() {
         Checker.Result one =
                 Checker.check(new InMemorySourceProvider().with("f", BASE + "include \"f\";"), "f");
         assertEquals("cycle", one.diagnostics().get(0).code());
@@ -163,7 +167,7 @@
     }
 
     @Test
-    void theIncludingFileHidesAndSiblingsMayNot() {
+    void onlyTheIncludingFileReplacesABlock() {
         Checker.Result hides =
                 Checker.check(
                         new InMemorySourceProvider()
@@ -192,7 +196,7 @@
     }
 
     @Test
-    void oneFileThroughTwoNamesIsReadOnce() throws Exception {
+    void readsAFileWithTwoNamesOnce() throws Exception {
         Path part = Files.writeString(folder.resolve("part.fleet"), "plan x { weight 1; }\n");
         Files.createSymbolicLink(folder.resolve("other.fleet"), part);
         Path main =
@@ -212,7 +216,7 @@
     // ---- Bounds ----
 
     @Test
-    void whatNestsWithoutEndIsRefusedAtItsLine() {
+    void rejectsDeepNestingAtItsLine() {
         for (String deep :
                 List.of(
                         "let a = " + "(".repeat(10_000) + "1" + ")".repeat(10_000) + ";",
@@ -233,7 +237,7 @@
     }
 
     @Test
-    void aFileOfTenMegabytesIsReadAndOneBeyondTheBoundIsNot() {
+    void readsTenMegabytesAndRejectsAFileOverTheLimit() {
         String remark = "# " + "x".repeat(998) + "\n";
         assertTrue(InMemorySourceProvider.check(BASE + remark.repeat(10_000)).isValid());
         assertEquals(
@@ -245,7 +249,7 @@
     }
 
     @Test
-    void endingsAndMarksOfTextDoNotMatter() {
+    void lineEndingsAndByteOrderMarksDoNotMatter() {
         Fleet plain = InMemorySourceProvider.check(BASE).fleet();
         assertEquals(plain, InMemorySourceProvider.check(BASE.strip()).fleet());
         assertEquals(plain, InMemorySourceProvider.check(BASE.replace("\n", "\r\n")).fleet());
@@ -258,7 +262,7 @@
     // ---- The page ----
 
     @Test
-    void everyExampleOfThePageIsTaken() throws Exception {
+    void checksEveryExampleOfTheDocumentation() throws Exception {
         Matcher m =
                 Pattern.compile("(?s)```fleet\n(.*?)```")
                         .matcher(Files.readString(Path.of("../docs/configuration.md")));
