--- a/config/src/main/java/milletyoke/config/FleetDiff.java
+++ b/config/src/main/java/milletyoke/config/FleetDiff.java
@@ -39,6 +39,7 @@
      * @param before the value in the first configuration; empty where it is unset
      * @param after the value in the second configuration; empty where it is unset
      * @param whom the volumes that it concerns, in words; empty where it concerns all
+     * @param taken how it is applied
      */
     public record Change(
             String what,
@@ -46,11 +47,11 @@
             String before,
             String after,
             String whom,
-            ApplyMode applyMode) {
+            ApplyMode taken) {
         /** The change on one line, for people. */
         public String text() {
             String concerns = whom.isEmpty() ? "" : ", " + whom;
-            String mode = applyMode.name().toLowerCase(Locale.ROOT).replace('_', ' ');
+            String mode = taken.name().toLowerCase(Locale.ROOT).replace('_', ' ');
             return what + ": " + description() + concerns + "  [" + mode + "]";
         }
 
--- a/gateway/src/main/java/milletyoke/gateway/reload/ConfigUpdate.java
+++ b/gateway/src/main/java/milletyoke/gateway/reload/ConfigUpdate.java
@@ -22,7 +22,7 @@
         List<FleetDiff.Change> changes = FleetDiff.between(inForce, next);
         List<String> why = new ArrayList<>();
         for (FleetDiff.Change c : changes) {
-            switch (c.applyMode()) {
+            switch (c.taken()) {
                 case RESTART -> why.add(c.text() + ": needs a restart");
                 case REFUSED -> why.add(c.text() + ": accesses of it may be held");
                 case IN_SERVICE -> {}
