--- a/gateway/src/main/java/milletyoke/gateway/console/PageModels.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/PageModels.java
@@ -526,10 +526,10 @@
         figures.put("discovery", setup.discovery().toString());
         figures.put("initiators", given.initiatorCount());
         figures.put("list must be asked", given.mustWatchEndpoints());
-        figures.put("allowances", given.capabilities().toString());
-        figures.put("bounds", given.limits().toString());
-        figures.put("transport", setup.transport().toString());
-        figures.put("room", setup.capacity().toString());
+        figures.put("allowances", SettingsText.allowances(given.capabilities()));
+        figures.put("bounds", SettingsText.bounds(given.limits()));
+        figures.put("transport", SettingsText.transport(setup.transport()));
+        figures.put("room", SettingsText.room(setup.capacity()));
         List<List<Object>> plans = new ArrayList<>();
         given.plans()
                 .forEach(
@@ -672,9 +672,13 @@
         } else if (action instanceof Action.CancelAttempt a) {
             return sight.all() ? "cancel relay " + a.attemptNumber() + " of " + a.id() : "cancel";
         }
-        return action instanceof Action.SendProbe a
-                ? "probe " + a.target()
-                : String.valueOf(action);
+        if (action instanceof Action.SendProbe probe) {
+            return "probe " + probe.target();
+        }
+        if (action instanceof Action.ScheduleWakeUp wakeUp) {
+            return "Wake[in=" + wakeUp.delayMicros() + "]";
+        }
+        return action instanceof Action.WatchEndpoints ? "FollowList[]" : String.valueOf(action);
     }
 
     private static String words(Enum<?> value) {
