--- a/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
@@ -509,7 +509,7 @@
         } else if (told instanceof LoopMessage.EndpointListReceived t) {
             counts.increment(Counter.ENDPOINT_LISTS);
             ledger.happened(roster.listed(now, t.list(), false));
-            painter.happened(
+            painter.addEvent(
                     now,
                     "list",
                     "version "
@@ -524,15 +524,15 @@
         } else if (told instanceof LoopMessage.DiscoveryUnavailable t) {
             counts.increment(Counter.DISCOVERY_UNAVAILABLE);
             ledger.happened(new Event.EndpointListReceived(Event.ListScope.UNAVAILABLE, List.of()));
-            painter.happened(now, "list", "unavailable: " + t.reason(), null);
+            painter.addEvent(now, "list", "unavailable: " + t.reason(), null);
             fact(new LifecycleEvent.DiscoveryUnavailable());
         } else if (told instanceof LoopMessage.BeginShutdown) {
             leaving = true;
             fact(new LifecycleEvent.ShutdownRequested());
         } else if (told instanceof LoopMessage.ApplySettings t) {
-            accounts.provision(t.settings());
+            accounts.applySettings(t.settings());
             ledger.happened(new Event.SettingsChanged(t.settings()));
-            painter.happened(now, "configuration", "a new version holds", null);
+            painter.addEvent(now, "configuration", "a new version holds", null);
             around.provisioned(t.settings());
         } else if (told instanceof LoopMessage.DrainInitiator t) {
             fact(
@@ -550,7 +550,7 @@
         Event.EndpointListReceived change = roster.drain(now, t.target(), t.drained());
         if (change != null) {
             ledger.happened(change);
-            painter.happened(
+            painter.addEvent(
                     now,
                     "operator",
                     t.target()
@@ -576,9 +576,9 @@
             // many
         }
         snapshot =
-                painter.paint(
+                painter.build(
                         now,
-                        new SnapshotBuilder.Loop(
+                        new SnapshotBuilder.LoopStatus(
                                 lifecycle,
                                 around.placesTaken(),
                                 ledger.held(),
@@ -616,7 +616,7 @@
 
     /** Whether the list, as of the latest picture, has such a target. */
     public boolean knows(String target) {
-        return snapshot.targets().stream().anyMatch(t -> t.look().id().equals(target));
+        return snapshot.targets().stream().anyMatch(t -> t.view().id().equals(target));
     }
 
     /** Shows figures of the loop to a reader, on the loop's thread. */
--- a/gateway/src/main/java/milletyoke/gateway/loop/RequestTracker.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/RequestTracker.java
@@ -154,7 +154,7 @@
         byLastCall.add(e);
         unanswered++;
         counts.increment(Counter.REQUESTS);
-        accounts.asked(now, a.getRequestClass(), a.getPlan(), a.getVolume());
+        accounts.onRequest(now, a.getRequestClass(), a.getPlan(), a.getVolume());
         long timeLeft = a.getTimeLeftMicros() - (now - at);
         events.add(
                 new Event.RequestReceived(
@@ -188,15 +188,15 @@
 
     private void over(TrackedRequest e) {
         events.add(new Event.RequestClosed(e.id));
-        answered(e, ServiceStatistics.End.LEFT);
+        answered(e, ServiceStatistics.Outcome.CANCELLED);
         if (e.out) {
             outlet.dropUnsent(e.id, e.relays - 1);
         }
     }
 
-    private void answered(TrackedRequest e, ServiceStatistics.End how) {
+    private void answered(TrackedRequest e, ServiceStatistics.Outcome how) {
         long now = time.getAsLong();
-        accounts.ended(
+        accounts.onRequestEnd(
                 now,
                 e.access.getRequestClass(),
                 e.access.getPlan(),
@@ -227,16 +227,16 @@
             return; // its access is over and forgotten
         }
         e.out = false;
-        accounts.relayEnded(
+        accounts.onAttemptEnd(
                 time.getAsLong(),
                 e.target,
                 outcome == Outcome.SUCCEEDED
-                        ? ServiceStatistics.End.ANSWERED
+                        ? ServiceStatistics.Outcome.ANSWERED
                         : outcome == Outcome.OVERLOADED
                                         || outcome == Outcome.NOT_STARTED
                                         || outcome == Outcome.NO_CONNECTION
-                                ? ServiceStatistics.End.REJECTED
-                                : ServiceStatistics.End.BROKEN_OFF,
+                                ? ServiceStatistics.Outcome.REJECTED
+                                : ServiceStatistics.Outcome.FAILED,
                 lag);
         if (outcome == Outcome.SUCCEEDED && !e.answered) {
             answer(e, ResponseStatus.ANSWERED, 0, payload);
@@ -347,7 +347,7 @@
         int attempt = e.relays++;
         e.out = true;
         e.target = a.target();
-        accounts.relayed(now, a.target());
+        accounts.onAttempt(now, a.target());
         counts.increment(attempt == 0 ? Counter.ATTEMPTS : Counter.RETRIES);
         Attempt.Builder relay =
                 Attempt.newBuilder()
@@ -392,10 +392,10 @@
         answered(
                 e,
                 how == ResponseStatus.ANSWERED
-                        ? ServiceStatistics.End.ANSWERED
+                        ? ServiceStatistics.Outcome.ANSWERED
                         : how == ResponseStatus.REJECTED
-                                ? ServiceStatistics.End.REJECTED
-                                : ServiceStatistics.End.BROKEN_OFF);
+                                ? ServiceStatistics.Outcome.REJECTED
+                                : ServiceStatistics.Outcome.FAILED);
     }
 
     /** For a fault of the decisions: everything held is broken off, which promises nothing. */
--- a/scenario/src/main/java/milletyoke/scenario/ScenarioRunner.java
+++ b/scenario/src/main/java/milletyoke/scenario/ScenarioRunner.java
@@ -545,8 +545,8 @@
                                 "%s: %s; turns p50 %d us, p99 %d us; pictures take %.2f%% of the loop's time",
                                 i.name(),
                                 i.counts(),
-                                p.turnP50Micros(),
-                                p.turnP99Micros(),
+                                p.loopP50Micros(),
+                                p.loopP99Micros(),
                                 100 * p.snapshotCostShare()));
             }
         }
