--- a/gateway/src/main/java/milletyoke/gateway/status/ServiceStatistics.java
+++ b/gateway/src/main/java/milletyoke/gateway/status/ServiceStatistics.java
@@ -1,7 +1,9 @@
 package milletyoke.gateway.status;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashMap;
+import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -12,295 +14,230 @@
 import milletyoke.gateway.status.StatusSnapshot.RequestTally;
 import milletyoke.gateway.status.StatusSnapshot.SecondSummary;
 import milletyoke.scheduler.api.SchedulerSettings;
-import org.HdrHistogram.Histogram;
 
 /**
- * What was asked and got, by category, plan, volume and target: sums since the start, and a ring of
- * seconds for fifteen minutes. Owned by the loop; the ring's rows are immutable and may be read by
- * anybody.
+ * Requests and attempts and how they ended, by request class, plan, volume and target: totals since
+ * the start, and a ring of seconds for fifteen minutes. Written by the event loop alone; the rows
+ * of the ring are immutable and may be read by any thread. Times are microseconds of the monotonic
+ * clock.
  *
- * <p>Bounded whatever clients name: {@value #MOST_VOLUMES} volumes have sums, the least recently
- * asked make room; {@value #MOST_SERIES} volumes and as many targets have a series, those of a
- * second that come beyond are counted under {@code others}.
+ * <p>Memory is bounded whatever clients name: {@value #MAX_VOLUMES} volumes have totals, the least
+ * recently used is evicted; {@value #MAX_SERIES} volumes and as many targets have a series, further
+ * ones of the same second are counted under {@code others}.
  */
 public final class ServiceStatistics {
+    /** How many seconds of rows are kept. */
     public static final int RETAINED_SECONDS = 900;
-    static final int MAX_VOLUMES = 10_000, MAX_SERIES = 128;
-    private static final long MAX_LATENCY_MICROS = 60_000_000;
 
-    /** One second of all series; keys are category:, plan:, volume: and target: with a name. */
-    public record Row(long second, Map<String, SecondSummary> series) {}
-
-    /** Sums that grow, and the second in the making. */
-    private static final class Totals {
-        long asked, answered, inTime, rejected, brokenOff;
+    static final int MAX_VOLUMES = 10_000;
+    static final int MAX_SERIES = 128;
+    private static final int MAX_TARGETS = 4 * MAX_SERIES;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
-        RequestTally tally() {
-            return new RequestTally(asked, answered, inTime, rejected, brokenOff);
-        }
-    }
-
-    private static final class SecondAccumulator {
-        int asked, answered, inTime, rejected, brokenOff;
-
-        /**
-         * A second's times: as they came while they are few, and a histogram beyond. Guards the
-         * loop against a pause at each turn of the second: to read and clear hundreds of histograms
-         * of a few times each took milliseconds, a third of all the loop did. Could harm nothing
-         * but a few KiB a series.
-         */
-        private final int[] few = new int[64];
-
-        private int some;
-        private Histogram many;
-        private boolean spilled;
-
-        void took(long micros) {
-            int time = (int) Math.min(MAX_LATENCY_MICROS, Math.max(0, micros));
-            if (!spilled && some < few.length) {
-                few[some++] = time;
-                return;
-            }
-            if (!spilled) {
-                spilled = true;
-                many = many == null ? new Histogram(MAX_LATENCY_MICROS, 2) : many;
-                for (int each : few) {
-                    many.recordValue(each);
-                }
-            }
-            many.recordValue(time);
-        }
+    private final Map<String, Long> latencyObjectives = new HashMap<>();
+    private final Map<String, Totals> categories = new LinkedHashMap<>();
+    private final Map<String, Totals> plans = new LinkedHashMap<>();
+    private final Map<String, Totals> targets = new LinkedHashMap<>();
 
-        /** By nearest rank, as the histogram has it. */
-        private int percentile(int percent) {
-            if (spilled) {
-                return (int) many.getValueAtPercentile(percent);
-            }
-            return some == 0 ? 0 : few[Math.max(0, (some * percent + 99) / 100 - 1)];
-        }
+    /** In the order of their last use. */
+    private final LinkedHashMap<String, VolumeStatistics> volumes =
+            new LinkedHashMap<>(64, 0.75f, true);
 
-        SecondSummary close() {
-            java.util.Arrays.sort(few, 0, some);
-            SecondSummary s =
-                    new SecondSummary(
-                            asked,
-                            answered,
-                            inTime,
-                            rejected,
-                            brokenOff,
-                            percentile(50),
-                            percentile(99));
-            asked = answered = inTime = rejected = brokenOff = 0;
-            some = 0;
-            if (spilled) {
-                many.reset();
-                spilled = false;
-            }
-            return s;
-        }
+    private final Set<String> changedVolumes = new LinkedHashSet<>();
+    private final List<String> evictedVolumes = new ArrayList<>();
+    private final SeriesGroup categorySeries = new SeriesGroup("category:", MAX_SERIES);
+    private final SeriesGroup planSeries = new SeriesGroup("plan:", MAX_SERIES);
+    private final SeriesGroup volumeSeries = new SeriesGroup("volume:", MAX_SERIES);
+    private final SeriesGroup targetSeries = new SeriesGroup("target:", MAX_SERIES);
+    private final List<SeriesGroup> seriesGroups =
+            List.of(categorySeries, planSeries, volumeSeries, targetSeries);
+    private final AtomicReferenceArray<Row> ring = new AtomicReferenceArray<>(RETAINED_SECONDS);
+    private final boolean isEnabled;
+    private long currentSecond = -1;
 
-        boolean isEmpty() {
-            return asked + answered + rejected + brokenOff == 0;
-        }
+    /** How one request ended for its client, or one attempt at its target. */
+    public enum Outcome {
+        ANSWERED,
+        REJECTED,
+        /** Failed with an unknown outcome. */
+        FAILED,
+        /** The client cancelled or disconnected. */
+        CANCELLED
     }
 
     /**
-     * The series of one kind, by name; nothing is put together or allocated for a name that is
-     * known.
+     * One second of all series.
+     *
+     * @param series keys are {@code category:}, {@code plan:}, {@code volume:} or {@code target:}
+     *     followed by a name
      */
-    private static final class SeriesGroup {
-        private final String prefix;
-        private final Map<String, SecondAccumulator> named = new HashMap<>();
-        private final SecondAccumulator others = new SecondAccumulator();
-
-        SeriesGroup(String prefix) {
-            this.prefix = prefix;
-        }
-
-        SecondAccumulator of(String name) {
-            SecondAccumulator known = named.get(name);
-            if (known == null && (named.size() >= MAX_SERIES || name.equals("others"))) {
-                return others;
-            }
-            if (known == null) {
-                known = new SecondAccumulator();
-                named.put(name, known);
-            }
-            return known;
-        }
-
-        /**
-         * Puts what happened into a row; a series that had nothing in its second gives its slot
-         * back.
-         */
-        void close(Map<String, SecondSummary> row) {
-            named.forEach(
-                    (name, s) -> {
-                        if (!s.isEmpty()) {
-                            row.put(prefix + name, s.close());
-                        }
-                    });
-            named.keySet().removeIf(name -> !row.containsKey(prefix + name));
-            if (!others.isEmpty()) {
-                row.put(prefix + "others", others.close());
-            }
-        }
-    }
+    public record Row(long second, Map<String, SecondSummary> series) {}
 
-    /** A volume's account and what else is told of it. */
+    /** A volume's totals and its latest use. */
     static final class VolumeStatistics {
         final String plan;
-        final Totals account = new Totals();
-        long lastAsked;
-        int held;
+        final Totals totals = new Totals();
+        long lastRequestMicros;
+        int pendingRequests;
 
         VolumeStatistics(String plan) {
             this.plan = plan;
         }
 
         RequestTally tally() {
-            return account.tally();
+            return totals.tally();
         }
     }
 
-    private final Map<String, Long> latencyObjectives = new HashMap<>();
-    private final Map<String, Totals> categories = new LinkedHashMap<>();
-    private final Map<String, Totals> plans = new LinkedHashMap<>();
-    private final Map<String, Totals> targets = new LinkedHashMap<>();
-    private final LinkedHashMap<String, VolumeStatistics> volumes =
-            new LinkedHashMap<>(64, 0.75f, true);
-    private final Set<String> dirty = new LinkedHashSet<>();
-    private final List<String> evictedVolumes = new ArrayList<>();
-    private final SeriesGroup categorySeries = new SeriesGroup("category:"),
-            planSeries = new SeriesGroup("plan:"),
-            volumeSeries = new SeriesGroup("volume:"),
-            targetSeries = new SeriesGroup("target:");
-    private final List<SeriesGroup> kinds =
-            List.of(categorySeries, planSeries, volumeSeries, targetSeries);
-    private final AtomicReferenceArray<Row> ring = new AtomicReferenceArray<>(RETAINED_SECONDS);
-    private final boolean isEnabled;
-    private long currentSecond = -1;
-
-    public ServiceStatistics(SchedulerSettings given) {
-        this(given, true);
+    /** Statistics for the request classes and plans of the settings. */
+    public ServiceStatistics(SchedulerSettings settings) {
+        this(settings, true);
     }
 
     /**
-     * @param isEnabled false where nobody will ever look: then nothing is counted and nothing grows
+     * Statistics that may be switched off.
+     *
+     * @param isEnabled false where nobody reads them: nothing is then counted
      */
-    public ServiceStatistics(SchedulerSettings given, boolean kept) {
-        this.isEnabled = kept;
-        applySettings(given);
+    public ServiceStatistics(SchedulerSettings settings, boolean isEnabled) {
+        this.isEnabled = isEnabled;
+        applySettings(settings);
     }
 
-    /** Takes new categories and plans; those there are keep their sums. */
-    public void applySettings(SchedulerSettings given) {
-        given.requestClasses()
-                .forEach(
-                        c -> {
-                            latencyObjectives.put(c.name(), c.latencyObjectiveMicros());
-                            categories.putIfAbsent(c.name(), new Totals());
-                        });
-        given.plans().forEach(p -> plans.putIfAbsent(p.name(), new Totals()));
-    }
-
-    /** How one access ended for its client. */
-    public enum Outcome {
-        ANSWERED,
-        REJECTED,
-        FAILED,
-        CANCELLED
+    /** Adds new request classes and plans; known ones keep their totals. */
+    public void applySettings(SchedulerSettings settings) {
+        for (SchedulerSettings.RequestClass requestClass : settings.requestClasses()) {
+            latencyObjectives.put(requestClass.name(), requestClass.latencyObjectiveMicros());
+            categories.putIfAbsent(requestClass.name(), new Totals());
+        }
+        for (SchedulerSettings.ServicePlan plan : settings.plans()) {
+            plans.putIfAbsent(plan.name(), new Totals());
+        }
     }
 
-    public void onRequest(long now, String category, String plan, String volume) {
+    /** A request was admitted. */
+    public void onRequest(long nowMicros, String requestClass, String plan, String volume) {
         if (!isEnabled) {
             return;
         }
-        advanceTo(now);
-        count(
-                categories.get(category),
-                categorySeries.of(category),
-                a -> a.asked++,
-                s -> s.asked++);
-        count(plans.get(plan), planSeries.of(plan), a -> a.asked++, s -> s.asked++);
-        VolumeStatistics v = volumes.computeIfAbsent(volume, x -> new VolumeStatistics(plan));
-        v.lastAsked = now;
-        v.held++;
-        count(v.account, volumeSeries.of(volume), a -> a.asked++, s -> s.asked++);
-        dirty.add(volume);
+        advanceTo(nowMicros);
+        countRequest(categories.get(requestClass), categorySeries.series(requestClass));
+        countRequest(plans.get(plan), planSeries.series(plan));
+        VolumeStatistics statistics =
+                volumes.computeIfAbsent(volume, name -> new VolumeStatistics(plan));
+        statistics.lastRequestMicros = nowMicros;
+        statistics.pendingRequests++;
+        countRequest(statistics.totals, volumeSeries.series(volume));
+        changedVolumes.add(volume);
         evictEldestVolume();
     }
 
     /**
-     * @param took microseconds from its coming in
+     * A request ended.
+     *
+     * @param latencyMicros since its arrival
      */
     public void onRequestEnd(
-            long now, String category, String plan, String volume, Outcome how, long took) {
+            long nowMicros,
+            String requestClass,
+            String plan,
+            String volume,
+            Outcome outcome,
+            long latencyMicros) {
         if (!isEnabled) {
             return;
         }
-        advanceTo(now);
-        boolean inTime = how == Outcome.ANSWERED && took <= latencyObjectives.get(category);
-        end(categories.get(category), categorySeries.of(category), how, inTime, took);
-        end(plans.get(plan), planSeries.of(plan), how, inTime, took);
-        VolumeStatistics v = volumes.get(volume);
-        if (v != null) {
-            v.held--;
-            end(v.account, volumeSeries.of(volume), how, inTime, took);
-            dirty.add(volume);
+        advanceTo(nowMicros);
+        boolean isOnTime =
+                outcome == Outcome.ANSWERED && latencyMicros <= latencyObjectives.get(requestClass);
+        countEnd(
+                categories.get(requestClass),
+                categorySeries.series(requestClass),
+                outcome,
+                isOnTime,
+                latencyMicros);
+        countEnd(plans.get(plan), planSeries.series(plan), outcome, isOnTime, latencyMicros);
+        VolumeStatistics statistics = volumes.get(volume);
+        if (statistics != null) {
+            statistics.pendingRequests--;
+            SecondAccumulator series = volumeSeries.series(volume);
+            countEnd(statistics.totals, series, outcome, isOnTime, latencyMicros);
+            changedVolumes.add(volume);
         }
     }
 
-    public void onAttempt(long now, String target) {
+    /** An attempt was sent. */
+    public void onAttempt(long nowMicros, String target) {
         if (!isEnabled) {
             return;
         }
-        advanceTo(now);
-        Totals a =
-                targets.size() < 4 * MAX_SERIES
-                        ? targets.computeIfAbsent(target, t -> new Totals())
+        advanceTo(nowMicros);
+        Totals totals =
+                targets.size() < MAX_TARGETS
+                        ? targets.computeIfAbsent(target, id -> new Totals())
                         : targets.get(target);
-        count(a, targetSeries.of(target), x -> x.asked++, s -> s.asked++);
+        countRequest(totals, targetSeries.series(target));
     }
 
     /**
-     * @param lag microseconds
+     * An attempt ended.
+     *
+     * @param latencyMicros since it was sent
      */
-    public void onAttemptEnd(long now, String target, Outcome how, long lag) {
+    public void onAttemptEnd(long nowMicros, String target, Outcome outcome, long latencyMicros) {
         if (!isEnabled) {
             return;
         }
-        advanceTo(now);
-        end(targets.get(target), targetSeries.of(target), how, how == Outcome.ANSWERED, lag);
+        advanceTo(nowMicros);
+        countEnd(
+                targets.get(target),
+                targetSeries.series(target),
+                outcome,
+                outcome == Outcome.ANSWERED,
+                latencyMicros);
     }
 
-    private interface OnAccount {
-        void add(Totals a);
+    private static void countRequest(Totals totals, SecondAccumulator series) {
+        if (totals != null) {
+            totals.requests++;
+        }
+        series.requests++;
     }
 
-    private interface OnSeries {
-        void add(SecondAccumulator s);
+    private static void countEnd(
+            Totals totals,
+            SecondAccumulator series,
+            Outcome outcome,
+            boolean isOnTime,
+            long latencyMicros) {
+        countInSecond(series, outcome, isOnTime, latencyMicros);
+        if (totals != null) {
+            countInTotals(totals, outcome, isOnTime);
+        }
     }
 
-    private static void count(Totals account, SecondAccumulator of, OnAccount sum, OnSeries now) {
-        if (account != null) {
-            sum.add(account);
+    private static void countInSecond(
+            SecondAccumulator series, Outcome outcome, boolean isOnTime, long latencyMicros) {
+        switch (outcome) {
+            case ANSWERED -> {
+                series.answered++;
+                series.onTime += isOnTime ? 1 : 0;
+                series.latencies.add(latencyMicros);
+            }
+            case REJECTED -> series.rejected++;
+            case FAILED -> series.failed++;
+            case CANCELLED -> {}
         }
-        now.add(of);
     }
 
-    private static void end(
-            Totals account, SecondAccumulator of, Outcome how, boolean inTime, long took) {
-        switch (how) {
+    private static void countInTotals(Totals totals, Outcome outcome, boolean isOnTime) {
+        switch (outcome) {
             case ANSWERED -> {
-                count(account, of, a -> a.answered++, s -> s.answered++);
-                if (inTime) {
-                    count(account, of, a -> a.inTime++, s -> s.inTime++);
-                }
-                of.took(took);
+                totals.answered++;
+                totals.onTime += isOnTime ? 1 : 0;
             }
-            case REJECTED -> count(account, of, a -> a.rejected++, s -> s.rejected++);
-            case FAILED -> count(account, of, a -> a.brokenOff++, s -> s.brokenOff++);
+            case REJECTED -> totals.rejected++;
+            case FAILED -> totals.failed++;
             case CANCELLED -> {}
         }
     }
@@ -309,41 +246,39 @@
         if (volumes.size() > MAX_VOLUMES) {
             String eldest = volumes.keySet().iterator().next();
             volumes.remove(eldest);
-            dirty.remove(eldest);
+            changedVolumes.remove(eldest);
             evictedVolumes.add(eldest);
         }
     }
 
-    /** Closes the seconds that are over. */
-    public void advanceTo(long now) {
-        long current = now / 1_000_000;
-        if (currentSecond == current) {
+    /** Finishes the seconds before the given time. */
+    public void advanceTo(long nowMicros) {
+        long second = nowMicros / MICROS_PER_SECOND;
+        if (currentSecond == second) {
             return;
         }
         if (currentSecond >= 0) {
             Map<String, SecondSummary> row = new TreeMap<>();
-            for (SeriesGroup kind : kinds) {
-                kind.close(row);
+            for (SeriesGroup group : seriesGroups) {
+                group.finishSecond(row);
             }
-            ring.set(
-                    (int) (currentSecond % RETAINED_SECONDS),
-                    new Row(currentSecond, Map.copyOf(row)));
+            int slot = (int) (currentSecond % RETAINED_SECONDS);
+            ring.set(slot, new Row(currentSecond, Map.copyOf(row)));
         }
-        currentSecond = current;
+        currentSecond = second;
     }
 
-    // ---- Reading ----
-
     /**
-     * The rows of the last so many whole seconds, oldest first; seconds in which nothing happened
-     * have none.
+     * The rows of the last whole seconds, oldest first; a second without any event has none. May be
+     * called by any thread.
      */
-    public List<Row> rows(long now, int seconds) {
+    public List<Row> rows(long nowMicros, int seconds) {
         List<Row> rows = new ArrayList<>();
-        long last = now / 1_000_000 - 1;
-        for (long s = last - Math.min(RETAINED_SECONDS - 1, seconds) + 1; s <= last; s++) {
-            Row row = s < 0 ? null : ring.get((int) (s % RETAINED_SECONDS));
-            if (row != null && row.second() == s) {
+        long last = nowMicros / MICROS_PER_SECOND - 1;
+        long first = last - Math.min(RETAINED_SECONDS - 1, seconds) + 1;
+        for (long second = first; second <= last; second++) {
+            Row row = second < 0 ? null : ring.get((int) (second % RETAINED_SECONDS));
+            if (row != null && row.second() == second) {
                 rows.add(row);
             }
         }
@@ -358,45 +293,45 @@
         return tallies(plans);
     }
 
-    private static Map<String, RequestTally> tallies(Map<String, Totals> accounts) {
-        Map<String, RequestTally> all = new LinkedHashMap<>();
-        accounts.forEach((name, a) -> all.put(name, a.tally()));
-        return java.util.Collections.unmodifiableMap(all);
+    private static Map<String, RequestTally> tallies(Map<String, Totals> totalsByName) {
+        Map<String, RequestTally> tallies = new LinkedHashMap<>();
+        totalsByName.forEach((name, totals) -> tallies.put(name, totals.tally()));
+        return Collections.unmodifiableMap(tallies);
     }
 
     RequestTally target(String id) {
-        Totals a = targets.get(id);
-        return a == null ? RequestTally.NONE : a.tally();
+        Totals totals = targets.get(id);
+        return totals == null ? RequestTally.NONE : totals.tally();
     }
 
-    /** Forgets a target that is listed no longer. */
+    /** Removes a target that is no longer in the endpoint list. */
     void removeTarget(String id) {
         targets.remove(id);
     }
 
-    /** Takes up to so many volumes that changed. */
-    List<String> pollChangedVolumes(int most) {
-        List<String> some = new ArrayList<>(Math.min(most, dirty.size()));
-        var each = dirty.iterator();
-        while (each.hasNext() && some.size() < most) {
-            some.add(each.next());
-            each.remove();
+    /** Removes and returns some of the volumes that changed. */
+    List<String> pollChangedVolumes(int max) {
+        List<String> polled = new ArrayList<>(Math.min(max, changedVolumes.size()));
+        Iterator<String> changed = changedVolumes.iterator();
+        while (changed.hasNext() && polled.size() < max) {
+            polled.add(changed.next());
+            changed.remove();
         }
-        return some;
+        return polled;
     }
 
-    int dirty() {
-        return dirty.size();
+    int changedVolumeCount() {
+        return changedVolumes.size();
     }
 
-    /** Takes the volumes that made room for others. */
+    /** Removes and returns the names of the volumes that were evicted. */
     List<String> pollEvictedVolumes() {
-        List<String> gone = new ArrayList<>(evictedVolumes);
+        List<String> polled = new ArrayList<>(evictedVolumes);
         evictedVolumes.clear();
-        return gone;
+        return polled;
     }
 
-    /** Null where it is not known, or made room for others. */
+    /** Null where the volume is not known or was evicted. */
     VolumeStatistics volume(String name) {
         return volumes.get(name);
     }
--- a/gateway/src/main/java/milletyoke/gateway/status/SnapshotBuilder.java
+++ b/gateway/src/main/java/milletyoke/gateway/status/SnapshotBuilder.java
@@ -17,14 +17,18 @@
 import org.pcollections.TreePVector;
 
 /**
- * Makes pictures, on the loop. All targets are looked at each time; of the volumes at most {@value
- * #VOLUMES_A_PICTURE} that changed, so that a picture costs the same however many there are. What
- * differs from the last picture becomes an event.
+ * Builds the status snapshots, on the event loop. Every snapshot has all targets, and of the
+ * volumes that changed at most {@value #MAX_VOLUMES_PER_SNAPSHOT} are brought up to date, so that
+ * its cost does not grow with their number. Differences from the last snapshot become events.
  */
 public final class SnapshotBuilder {
     static final int MAX_VOLUMES_PER_SNAPSHOT = 256;
     private static final int MAX_EVENTS = 2_000;
 
+    // The kinds of events are values of the console's JSON.
+    private static final String TARGET_EVENT = "target";
+    private static final String LIFECYCLE_EVENT = "condition";
+
     private final String name;
     private final RequestScheduler scheduler;
     private final ServiceStatistics statistics;
@@ -33,13 +37,29 @@
     private Map<String, String> lastTargetStates = new HashMap<>();
     private Lifecycle.Transition lastTransition;
 
-    public SnapshotBuilder(String name, RequestScheduler decide, ServiceStatistics accounts) {
+    /**
+     * Creates the builder of one initiator.
+     *
+     * @param name the initiator's
+     */
+    public SnapshotBuilder(String name, RequestScheduler scheduler, ServiceStatistics statistics) {
         this.name = name;
-        this.scheduler = decide;
-        this.statistics = accounts;
+        this.scheduler = scheduler;
+        this.statistics = statistics;
     }
 
-    /** What the loop knows beside the decisions. */
+    /**
+     * What the event loop adds to the scheduler's state.
+     *
+     * @param admittedRequests requests that use a permit
+     * @param pendingRequests requests that the loop tracks
+     * @param utilization of the capacity, from 0 to 1
+     * @param loopDurations microseconds of the loop's recent passes
+     * @param snapshotCostShare share of the loop's time that snapshots and statistics took lately
+     * @param decisions the latest, newest first
+     * @param listedState a target's state in the endpoint list; null where it is not listed
+     * @param isDrainedHere whether an operator drained a target on this initiator
+     */
     public record LoopStatus(
             Lifecycle lifecycle,
             int admittedRequests,
@@ -53,49 +73,27 @@
             Function<String, String> listedState,
             Function<String, Boolean> isDrainedHere) {}
 
-    /** Notes something that no picture shows by itself. @param volume whose it is alone, or null */
-    public void addEvent(long now, String kind, String what, String volume) {
-        events = events.plus(new OperationalEvent(now, kind, what, volume));
+    /**
+     * Adds an event that no snapshot shows by itself.
+     *
+     * @param volume the only one that it concerns; null for none
+     */
+    public void addEvent(long nowMicros, String kind, String description, String volume) {
+        events = events.plus(new OperationalEvent(nowMicros, kind, description, volume));
         if (events.size() > MAX_EVENTS) {
             events = events.minus(0);
         }
     }
 
-    public StatusSnapshot build(long now, LoopStatus loop) {
-        statistics.advanceTo(now);
-        List<StatusSnapshot.Target> targets = new ArrayList<>();
-        for (SchedulerView.TargetView look : SchedulerView.targets(scheduler)) {
-            String listed = loop.listedState().apply(look.id());
-            if (listed != null || look.inFlight() > 0) {
-                targets.add(
-                        new StatusSnapshot.Target(
-                                look,
-                                loop.isDrainedHere().apply(look.id()),
-                                listed == null ? "gone" : listed,
-                                statistics.target(look.id())));
-            } else {
-                statistics.removeTarget(look.id());
-            }
-        }
-        addChangeEvents(now, targets, loop.lifecycle());
-        statistics.pollEvictedVolumes().forEach(v -> volumes = volumes.minus(v));
-        for (String v : statistics.pollChangedVolumes(MAX_VOLUMES_PER_SNAPSHOT)) {
-            ServiceStatistics.VolumeStatistics of = statistics.volume(v);
-            if (of != null) {
-                volumes =
-                        volumes.plus(
-                                v,
-                                new Volume(
-                                        v,
-                                        of.plan,
-                                        of.tally(),
-                                        SchedulerView.volume(scheduler, v),
-                                        of.lastAsked,
-                                        of.held));
-            }
-        }
+    /** Builds the snapshot of now. */
+    public StatusSnapshot build(long nowMicros, LoopStatus loop) {
+        statistics.advanceTo(nowMicros);
+        List<StatusSnapshot.Target> targets = targets(loop);
+        addTargetEvents(nowMicros, targets);
+        addLifecycleEvents(loop.lifecycle());
+        updateVolumes();
         return new StatusSnapshot(
-                now,
+                nowMicros,
                 name,
                 loop.lifecycle().state(),
                 loop.lifecycle().transitions(),
@@ -111,7 +109,7 @@
                 List.copyOf(targets),
                 List.copyOf(SchedulerView.shards(scheduler)),
                 volumes,
-                statistics.dirty(),
+                statistics.changedVolumeCount(),
                 events,
                 statistics.categories(),
                 statistics.plans(),
@@ -119,37 +117,72 @@
                 loop.decisions());
     }
 
-    private void addChangeEvents(
-            long now, List<StatusSnapshot.Target> targets, Lifecycle lifecycle) {
-        Map<String, String> next = new HashMap<>();
-        for (StatusSnapshot.Target t : targets) {
-            String state = t.state();
-            String before = lastTargetStates.get(t.view().id());
-            next.put(t.view().id(), state);
-            if (!state.equals(before)) {
-                addEvent(
-                        now,
-                        "target",
-                        t.view().id()
-                                + (before == null ? " is known: " : ": " + before + " -> ")
-                                + state,
-                        null);
+    /** The targets that are listed or have attempts in flight; others are forgotten. */
+    private List<StatusSnapshot.Target> targets(LoopStatus loop) {
+        List<StatusSnapshot.Target> targets = new ArrayList<>();
+        for (SchedulerView.TargetView view : SchedulerView.targets(scheduler)) {
+            String listedState = loop.listedState().apply(view.id());
+            if (listedState == null && view.inFlight() == 0) {
+                statistics.removeTarget(view.id());
+                continue;
+            }
+            targets.add(
+                    new StatusSnapshot.Target(
+                            view,
+                            loop.isDrainedHere().apply(view.id()),
+                            listedState == null ? "gone" : listedState,
+                            statistics.target(view.id())));
+        }
+        return targets;
+    }
+
+    private void updateVolumes() {
+        for (String evicted : statistics.pollEvictedVolumes()) {
+            volumes = volumes.minus(evicted);
+        }
+        for (String changed : statistics.pollChangedVolumes(MAX_VOLUMES_PER_SNAPSHOT)) {
+            ServiceStatistics.VolumeStatistics current = statistics.volume(changed);
+            if (current != null) {
+                Volume volume =
+                        new Volume(
+                                changed,
+                                current.plan,
+                                current.tally(),
+                                SchedulerView.volume(scheduler, changed),
+                                current.lastRequestMicros,
+                                current.pendingRequests);
+                volumes = volumes.plus(changed, volume);
+            }
+        }
+    }
+
+    private void addTargetEvents(long nowMicros, List<StatusSnapshot.Target> targets) {
+        Map<String, String> targetStates = new HashMap<>();
+        for (StatusSnapshot.Target target : targets) {
+            String id = target.view().id();
+            String state = target.state();
+            String lastState = lastTargetStates.get(id);
+            targetStates.put(id, state);
+            if (!state.equals(lastState)) {
+                String change = lastState == null ? " is known: " : ": " + lastState + " -> ";
+                addEvent(nowMicros, TARGET_EVENT, id + change + state, null);
             }
         }
         lastTargetStates.keySet().stream()
-                .filter(id -> !next.containsKey(id))
+                .filter(id -> !targetStates.containsKey(id))
                 .sorted()
-                .forEach(id -> addEvent(now, "target", id + " is known no more", null));
-        lastTargetStates = next;
-        List<Lifecycle.Transition> past = lifecycle.transitions();
-        int fresh = lastTransition == null ? 0 : past.lastIndexOf(lastTransition) + 1;
-        for (Lifecycle.Transition t : past.subList(fresh, past.size())) {
-            addEvent(
-                    t.atMicros(),
-                    "condition",
-                    t.from() + " -> " + t.to() + ": " + t.reason(),
-                    null);
-            lastTransition = t;
+                .forEach(id -> addEvent(nowMicros, TARGET_EVENT, id + " is known no more", null));
+        lastTargetStates = targetStates;
+    }
+
+    private void addLifecycleEvents(Lifecycle lifecycle) {
+        List<Lifecycle.Transition> transitions = lifecycle.transitions();
+        int reported = lastTransition == null ? 0 : transitions.lastIndexOf(lastTransition) + 1;
+        for (Lifecycle.Transition transition : transitions.subList(reported, transitions.size())) {
+            String change =
+                    transition.from() + " -> " + transition.to() + ": " + transition.reason();
+            addEvent(transition.atMicros(), LIFECYCLE_EVENT, change, null);
+            lastTransition = transition;
         }
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/status/StatusSnapshot.java
+++ b/gateway/src/main/java/milletyoke/gateway/status/StatusSnapshot.java
@@ -10,13 +10,19 @@
 import org.pcollections.PVector;
 
 /**
- * What one initiator believed and did at a moment: immutable, so that any number of readers may
- * hold it while the loop goes on. Volumes are a persistent map of which only the changed part is
- * made anew. Times are microseconds on the initiator's clock.
+ * The status of one initiator at a moment. Immutable, so that any number of threads may read it
+ * while the event loop goes on; volumes are a persistent map of which only the changed part is
+ * replaced.
  *
- * @param unreportedVolumes volumes that changed and are not in it yet
- * @param decisions the latest decisions, the newest first
- * @param snapshotCostShare part of the loop's time that pictures and accounts took, of late
+ * @param atMicros on the initiator's monotonic clock
+ * @param admittedRequests requests that use a permit
+ * @param pendingRequests requests that the event loop tracks
+ * @param utilization of the capacity, from 0 to 1
+ * @param lateShare share of recent responses later than the latency objective
+ * @param retrySuccessShare share of recent retries that succeeded
+ * @param unreportedVolumes volumes that changed and are not up to date in this snapshot
+ * @param snapshotCostShare share of the event loop's time that snapshots and statistics took lately
+ * @param decisions the scheduler's latest, newest first
  */
 public record StatusSnapshot(
         long atMicros,
@@ -43,30 +49,40 @@
         List<DecisionRecord> decisions) {
 
     /**
-     * @param isDrainedHere taken out of service by an operator of this initiator alone
+     * One target.
+     *
+     * @param isDrainedHere whether an operator drained it on this initiator alone
+     * @param listedState its state in the endpoint list
      */
     public record Target(
             SchedulerView.TargetView view,
             boolean isDrainedHere,
             String listedState,
             RequestTally tally) {
-        /** One word for people, the gravest first. */
+        /**
+         * The most serious of its states, in the console's words, which are values of its JSON:
+         * silent is unresponsive, cold is warming up, resting is backing off.
+         */
         public String state() {
-            return isDrainedHere
-                    ? "drained here"
-                    : !view.usable()
-                            ? listedState
-                            : view.nextTrialAtMicros() > 0
-                                    ? "silent"
-                                    : view.warmingUp()
-                                            ? "cold"
-                                            : view.backingOff() ? "resting" : "on";
+            if (isDrainedHere) {
+                return "drained here";
+            }
+            if (!view.usable()) {
+                return listedState;
+            }
+            if (view.nextTrialAtMicros() > 0) {
+                return "silent";
+            }
+            if (view.warmingUp()) {
+                return "cold";
+            }
+            return view.backingOff() ? "resting" : "on";
         }
     }
 
     /**
-     * One volume: what was asked and got through this initiator since its start, and what it has
-     * left.
+     * One volume: its requests through this initiator since the start, and its queue and remaining
+     * rates in the scheduler.
      */
     public record Volume(
             String name,
@@ -77,31 +93,36 @@
             int pendingRequests) {}
 
     /**
-     * Counts since the start.
+     * Counts of requests or attempts since the start.
      *
-     * @param onTime answered within the agreed time of their category
+     * @param onTime answered within the latency objective of their class
      */
     public record RequestTally(
             long requests, long answered, long onTime, long rejected, long failed) {
+        /** No requests. */
         public static final RequestTally NONE = new RequestTally(0, 0, 0, 0, 0);
 
-        /** The part of what was asked that was answered in time; 1 where nothing was. */
+        /** The share of requests that were answered on time; 1 where there were none. */
         public double onTimeShare() {
             return requests == 0 ? 1 : onTime / (double) requests;
         }
     }
 
     /**
-     * Something worth telling.
+     * An event for operators.
      *
-     * @param volume whose it is alone; null for what concerns the initiator or a target
+     * @param volume the only one that it concerns; null for the initiator or a target
      */
     public record OperationalEvent(long atMicros, String kind, String description, String volume) {}
 
-    /** One decision as it was made. @param volume whose access it was about, or null */
+    /**
+     * One decision of the scheduler.
+     *
+     * @param volume of the request; null where it concerns none
+     */
     public record DecisionRecord(long atMicros, Action action, String volume) {}
 
-    /** Figures of one second of one series; times are of answers, in microseconds. */
+    /** One second of one series; the percentiles are of latencies. */
     public record SecondSummary(
             int requests,
             int answered,
--- a/gateway/src/test/java/milletyoke/gateway/status/ServiceStatisticsTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/status/ServiceStatisticsTest.java
@@ -7,11 +7,17 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import milletyoke.scheduler.api.SchedulerSettings;
-import milletyoke.scheduler.api.SchedulerSettings.*;
+import milletyoke.scheduler.api.SchedulerSettings.Capabilities;
+import milletyoke.scheduler.api.SchedulerSettings.DeduplicationScope;
+import milletyoke.scheduler.api.SchedulerSettings.Idempotency;
+import milletyoke.scheduler.api.SchedulerSettings.RequestClass;
+import milletyoke.scheduler.api.SchedulerSettings.RuleLimits;
+import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 import org.junit.jupiter.api.Test;
 
+/** Percentiles, the limit on series and the rows of past seconds. */
 class ServiceStatisticsTest {
-    private static ServiceStatistics accounts() {
+    private static ServiceStatistics newStatistics() {
         return new ServiceStatistics(
                 new SchedulerSettings(
                         1,
@@ -30,18 +36,18 @@
                         false));
     }
 
-    /** Few times and many are told alike, and a second's row holds that second's only. */
+    /** Few and many latencies give the same percentiles; a row holds one second's only. */
     @Test
-    void percentilesOfASecondWhetherFewOrMany() {
-        SplittableRandom chance = new SplittableRandom(4);
-        ServiceStatistics accounts = accounts();
+    void percentilesOfASecondWithFewAndManyLatencies() {
+        SplittableRandom random = new SplittableRandom(4);
+        ServiceStatistics statistics = newStatistics();
         int second = 1;
         for (int count : new int[] {1, 2, 3, 10, 63, 64, 65, 100, 5_000, 7}) {
             int[] times = new int[count];
             for (int i = 0; i < count; i++) {
-                times[i] = 100 + chance.nextInt(200_000);
-                accounts.onRequest(second * 1_000_000L, "read", "free", "v");
-                accounts.onRequestEnd(
+                times[i] = 100 + random.nextInt(200_000);
+                statistics.onRequest(second * 1_000_000L, "read", "free", "v");
+                statistics.onRequestEnd(
                         second * 1_000_000L,
                         "read",
                         "free",
@@ -50,44 +56,41 @@
                         times[i]);
             }
             Arrays.sort(times);
-            accounts.advanceTo((second + 1) * 1_000_000L);
+            statistics.advanceTo((second + 1) * 1_000_000L);
             for (String series : List.of("category:read", "plan:free", "volume:v")) {
-                StatusSnapshot.SecondSummary told =
-                        accounts.rows((second + 1) * 1_000_000L, 1).get(0).series().get(series);
-                assertEquals(count, told.answered());
-                assertNear(times[Math.max(0, (count * 50 + 99) / 100 - 1)], told.p50Micros());
-                assertNear(times[Math.max(0, (count * 99 + 99) / 100 - 1)], told.p99Micros());
+                StatusSnapshot.SecondSummary summary =
+                        statistics.rows((second + 1) * 1_000_000L, 1).get(0).series().get(series);
+                assertEquals(count, summary.answered());
+                assertNear(times[Math.max(0, (count * 50 + 99) / 100 - 1)], summary.p50Micros());
+                assertNear(times[Math.max(0, (count * 99 + 99) / 100 - 1)], summary.p99Micros());
             }
             second++;
         }
     }
 
-    private static void assertNear(int expected, int told) {
-        assertTrue(Math.abs(told - expected) <= expected * 0.02 + 1, told + " for " + expected);
+    private static void assertNear(int expected, int actual) {
+        assertTrue(Math.abs(actual - expected) <= expected * 0.02 + 1, actual + " for " + expected);
     }
 
-    /**
-     * Volumes beyond those with a series are counted together, and a slot not used in a second
-     * comes free.
-     */
+    /** Volumes over the limit are counted together; a series unused in a second makes room. */
     @Test
-    void seriesAreBoundedAndSlotsComeFree() {
-        ServiceStatistics accounts = accounts();
+    void seriesAreBoundedAndUnusedOnesMakeRoom() {
+        ServiceStatistics statistics = newStatistics();
         for (int v = 0; v < 1_000; v++) {
-            accounts.onRequest(1_000_000, "read", "free", "v" + v);
+            statistics.onRequest(1_000_000, "read", "free", "v" + v);
         }
-        accounts.onRequest(2_000_000, "read", "free", "v999");
-        accounts.advanceTo(3_000_000);
-        List<ServiceStatistics.Row> rows = accounts.rows(3_000_000, 2);
+        statistics.onRequest(2_000_000, "read", "free", "v999");
+        statistics.advanceTo(3_000_000);
+        List<ServiceStatistics.Row> rows = statistics.rows(3_000_000, 2);
         assertEquals(
                 1_000 - ServiceStatistics.MAX_SERIES,
                 rows.get(0).series().get("volume:others").requests());
         assertEquals(ServiceStatistics.MAX_SERIES + 3, rows.get(0).series().size());
-        accounts.onRequest(3_000_000, "read", "free", "v999");
-        accounts.advanceTo(4_000_000);
+        statistics.onRequest(3_000_000, "read", "free", "v999");
+        statistics.advanceTo(4_000_000);
         assertEquals(
                 1,
-                accounts.rows(4_000_000, 1).get(0).series().get("volume:v999").requests(),
-                "it has a slot of its own now");
+                statistics.rows(4_000_000, 1).get(0).series().get("volume:v999").requests(),
+                "it has a series of its own now");
     }
 }
