--- a/gateway/src/main/java/milletyoke/gateway/console/AccessScope.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/AccessScope.java
@@ -3,36 +3,36 @@
 import java.util.List;
 
 /**
- * Whose eyes look at the console, and so what they see. A tenant sees its own volumes and what it
- * would be told anyway; what is not its own is, to it, not there.
+ * What the holder of a token may see and do. A tenant sees its own volumes; to it, those of others
+ * do not exist.
  *
- * @param name of the token, for the journal of actions
- * @param volumes of a tenant: names, or prefixes that end in *
+ * @param name of the token, for the audit log
+ * @param volumes of a tenant: names, or prefixes that end in {@code *}
  */
 public record AccessScope(String name, Role role, List<String> volumes) {
-    /** Each may do what the one before may, but a tenant, who sees its own only. */
+    /** A viewer sees all; an operator may also act. */
     public enum Role {
         TENANT,
         VIEWER,
         OPERATOR
     }
 
-    /** Whether it sees more than its own. */
-    boolean all() {
+    /** Whether more than a tenant's own volumes is visible. */
+    boolean seesAll() {
         return role != Role.TENANT;
     }
 
-    boolean acts() {
+    boolean canAct() {
         return role == Role.OPERATOR;
     }
 
     boolean sees(String volume) {
-        return all()
-                || volumes.stream()
-                        .anyMatch(
-                                v ->
-                                        v.endsWith("*")
-                                                ? volume.startsWith(v.substring(0, v.length() - 1))
-                                                : v.equals(volume));
+        return seesAll() || volumes.stream().anyMatch(pattern -> matches(pattern, volume));
+    }
+
+    private static boolean matches(String pattern, String volume) {
+        return pattern.endsWith("*")
+                ? volume.startsWith(pattern.substring(0, pattern.length() - 1))
+                : pattern.equals(volume);
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/console/AuditLog.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/AuditLog.java
@@ -16,54 +16,64 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What operators did through the console: a line of JSON each, appended before the deed; the latest
- * kept in memory.
+ * Operators' actions through the console: one JSON object a line in a file, written before the
+ * action is carried out. The latest are also kept in memory. Any thread may call this.
  */
 final class AuditLog {
     private static final Logger LOG = LoggerFactory.getLogger(AuditLog.class);
-    private static final int KEPT = 200;
+    private static final String FILE_NAME = "actions.jsonl";
+    private static final int MAX_IN_MEMORY = 200;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** One deed. */
-    record Deed(Instant at, String who, String what, String whom) {}
+    /** One action. */
+    record Entry(Instant at, String who, String what, String whom) {}
 
     private final Path file;
-    private final ArrayDeque<Deed> latest = new ArrayDeque<>();
+    private final ArrayDeque<Entry> latest = new ArrayDeque<>();
 
     /**
-     * @param folder null keeps the journal in memory and the log only
+     * Creates the log; its file is created with the first action.
+     *
+     * @param directory null keeps actions in memory and in the daemon's log only
      */
-    AuditLog(Path folder) {
-        file = folder == null ? null : folder.resolve("actions.jsonl");
+    AuditLog(Path directory) {
+        file = directory == null ? null : directory.resolve(FILE_NAME);
     }
 
     /**
-     * @throws IOException where it cannot be written: the deed must not be done then
+     * Records an action, on disk when this returns.
+     *
+     * @throws IOException where it cannot be written: the action must then not be carried out
      */
     synchronized void write(String who, String what, String whom) throws IOException {
-        Deed deed = new Deed(Instant.now(), who, what, whom);
+        Entry entry = new Entry(Instant.now(), who, what, whom);
         if (file != null) {
-            Map<String, String> line = new LinkedHashMap<>();
-            line.put("at", deed.at().toString());
-            line.put("who", who);
-            line.put("what", what);
-            line.put("whom", whom);
-            Files.createDirectories(file.getParent());
-            Files.write(
-                    file,
-                    (JSON.writeValueAsString(line) + "\n").getBytes(StandardCharsets.UTF_8),
-                    StandardOpenOption.CREATE,
-                    StandardOpenOption.APPEND,
-                    StandardOpenOption.DSYNC);
+            append(entry);
         }
-        LOG.info("{} did {} {}", who, what, whom);
-        latest.addLast(deed);
-        if (latest.size() > KEPT) {
+        LOG.info("operator action who={} what={} whom={}", who, what, whom);
+        latest.addLast(entry);
+        if (latest.size() > MAX_IN_MEMORY) {
             latest.removeFirst();
         }
     }
 
-    synchronized List<Deed> latest() {
+    private void append(Entry entry) throws IOException {
+        Map<String, String> line = new LinkedHashMap<>();
+        line.put("at", entry.at().toString());
+        line.put("who", entry.who());
+        line.put("what", entry.what());
+        line.put("whom", entry.whom());
+        Files.createDirectories(file.getParent());
+        Files.write(
+                file,
+                (JSON.writeValueAsString(line) + "\n").getBytes(StandardCharsets.UTF_8),
+                StandardOpenOption.CREATE,
+                StandardOpenOption.APPEND,
+                StandardOpenOption.DSYNC);
+    }
+
+    /** The latest actions, oldest first. */
+    synchronized List<Entry> latest() {
         return new ArrayList<>(latest);
     }
 }
--- /dev/null
+++ b/gateway/src/main/java/milletyoke/gateway/console/Authenticator.java
@@ -0,0 +1,102 @@
+package milletyoke.gateway.console;
+
+import milletyoke.wire.SocketNetwork;
+import org.glassfish.grizzly.http.Cookie;
+import org.glassfish.grizzly.http.server.Request;
+import org.glassfish.grizzly.http.server.Response;
+
+/**
+ * Finds out who sent a request, by bearer token or session cookie, and limits the rate of requests.
+ * Any thread may call this.
+ */
+final class Authenticator {
+    private static final String COOKIE = "milletyoke";
+    private static final String BEARER = "Bearer ";
+    private static final int MAX_AUTHORIZATION_LENGTH = 300;
+    private static final double ANONYMOUS_REQUESTS_PER_SECOND = 20;
+    private static final double ANONYMOUS_BURST = 60;
+    private static final double BURST_SECONDS = 4;
+
+    private final Tokens tokens;
+    private final Sessions sessions = new Sessions();
+    private final RateLimiter tokenLimiter;
+    private final RateLimiter anonymousLimiter =
+            new RateLimiter(ANONYMOUS_REQUESTS_PER_SECOND, ANONYMOUS_BURST);
+
+    /**
+     * Creates the authenticator.
+     *
+     * @param requestsPerSecond rate limit of each token
+     */
+    Authenticator(Tokens tokens, double requestsPerSecond) {
+        this.tokens = tokens;
+        tokenLimiter = new RateLimiter(requestsPerSecond, BURST_SECONDS * requestsPerSecond);
+    }
+
+    /** The caller; null where the request has no valid token. Does not count the request. */
+    Caller authenticate(Request request) {
+        Sessions.Session session = sessions.find(cookie(request), SocketNetwork.monotonicMicros());
+        String bearer = bearerToken(request);
+        String token = bearer;
+        if (token == null && session != null) {
+            token = session.token();
+        }
+        AccessScope scope = token == null ? null : tokens.scope(token);
+        return scope == null ? null : new Caller(scope, token, session, bearer != null);
+    }
+
+    /** Counts a request without a valid token against its address. */
+    void limitAnonymous(Request request) throws HttpProblemException {
+        limit(anonymousLimiter, request.getRemoteAddr());
+    }
+
+    /** Counts a request against its token. */
+    void limit(Caller caller) throws HttpProblemException {
+        limit(tokenLimiter, caller.scope().name());
+    }
+
+    private static void limit(RateLimiter limiter, String key) throws HttpProblemException {
+        if (!limiter.tryAcquire(key, SocketNetwork.monotonicMicros())) {
+            throw HttpProblemException.tooManyRequests();
+        }
+    }
+
+    /** Begins a session where the token is valid; whether it is. */
+    boolean signIn(String token, Response response) {
+        if (tokens.scope(token) == null) {
+            return false;
+        }
+        Sessions.Session session = sessions.begin(token, SocketNetwork.monotonicMicros());
+        response.setHeader(
+                "Set-Cookie", COOKIE + "=" + session.id() + "; Path=/; HttpOnly; SameSite=Strict");
+        return true;
+    }
+
+    void signOut(Caller caller) {
+        if (caller.session() != null) {
+            sessions.end(caller.session().id());
+        }
+    }
+
+    private static String bearerToken(Request request) {
+        String header = request.getHeader("Authorization");
+        boolean isBearer =
+                header != null
+                        && header.startsWith(BEARER)
+                        && header.length() < MAX_AUTHORIZATION_LENGTH;
+        return isBearer ? header.substring(BEARER.length()).trim() : null;
+    }
+
+    private static String cookie(Request request) {
+        Cookie[] cookies = request.getCookies();
+        if (cookies == null) {
+            return null;
+        }
+        for (Cookie cookie : cookies) {
+            if (cookie.getName().equals(COOKIE)) {
+                return cookie.getValue();
+            }
+        }
+        return null;
+    }
+}
--- a/gateway/src/main/java/milletyoke/gateway/console/ConnectionLimitFilter.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/ConnectionLimitFilter.java
@@ -2,55 +2,61 @@
 
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
+import milletyoke.wire.SocketNetwork;
+import org.glassfish.grizzly.CloseListener;
+import org.glassfish.grizzly.CloseType;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.filterchain.BaseFilter;
 import org.glassfish.grizzly.filterchain.FilterChainContext;
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * Bounds the console's connections in number and each in the time that a request may take to come
- * in. Guards against peers that open many, or send a byte now and then (slow loris). Could harm a
- * viewer on a very slow line.
+ * Bounds the console's connections, and the time that a request may take to arrive, against peers
+ * that open many or send a byte now and then (slow loris). It may close the connection of a viewer
+ * on a very slow network.
  */
 final class ConnectionLimitFilter extends BaseFilter {
-    private final int most;
-    private final long patience;
-    private final Map<Connection<?>, Long> since = new ConcurrentHashMap<>();
-
-    /**
-     * @param patience microseconds
-     */
-    ConnectionLimitFilter(int most, long patience) {
-        this.most = most;
-        this.patience = patience;
+    /** While a request is being processed no timeout applies. */
+    private static final long PROCESSING = Long.MAX_VALUE;
+
+    private final int maxConnections;
+    private final long requestTimeoutMicros;
+    private final Map<Connection<?>, Long> waitingSinceMicros = new ConcurrentHashMap<>();
+
+    ConnectionLimitFilter(int maxConnections, long requestTimeoutMicros) {
+        this.maxConnections = maxConnections;
+        this.requestTimeoutMicros = requestTimeoutMicros;
     }
 
     @Override
-    public NextAction handleAccept(FilterChainContext ctx) {
-        Connection<?> connection = ctx.getConnection();
-        if (since.size() >= most) {
+    public NextAction handleAccept(FilterChainContext context) {
+        Connection<?> connection = context.getConnection();
+        if (waitingSinceMicros.size() >= maxConnections) {
             connection.closeSilently();
-            return ctx.getStopAction();
+            return context.getStopAction();
         }
-        since.put(connection, milletyoke.wire.SocketNetwork.monotonicMicros());
-        connection.addCloseListener((closed, type) -> since.remove(connection));
-        return ctx.getInvokeAction();
+        waitingSinceMicros.put(connection, SocketNetwork.monotonicMicros());
+        CloseListener<Connection<?>, CloseType> onClosed =
+                (closed, type) -> waitingSinceMicros.remove(connection);
+        connection.addCloseListener(onClosed);
+        return context.getInvokeAction();
     }
 
-    /** A whole request is here: what follows is this end's time, not the peer's. */
-    void asked(Connection<?> connection) {
-        since.replace(connection, Long.MAX_VALUE);
+    /** A request has arrived completely. */
+    void onRequest(Connection<?> connection) {
+        waitingSinceMicros.replace(connection, PROCESSING);
     }
 
-    /** The answer has left; the next request may take as long again. */
-    void answered(Connection<?> connection) {
-        since.replace(connection, milletyoke.wire.SocketNetwork.monotonicMicros());
+    /** The response was sent; the next request is waited for. */
+    void onResponse(Connection<?> connection) {
+        waitingSinceMicros.replace(connection, SocketNetwork.monotonicMicros());
     }
 
-    void look(long now) {
-        since.forEach(
-                (connection, from) -> {
-                    if (from != Long.MAX_VALUE && now - from > patience) {
+    /** Closes the connections whose request takes too long to arrive. */
+    void closeTimedOut(long nowMicros) {
+        waitingSinceMicros.forEach(
+                (connection, since) -> {
+                    if (since != PROCESSING && nowMicros - since > requestTimeoutMicros) {
                         connection.closeSilently();
                     }
                 });
--- a/gateway/src/main/java/milletyoke/gateway/console/RateLimiter.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/RateLimiter.java
@@ -4,51 +4,52 @@
 import java.util.Map;
 
 /**
- * Requests a second for each caller, as a bucket that fills; remembers the latest callers only.
- * Knows no clock.
+ * A token bucket for each caller, of the most recent callers only. Reads no clock. Any thread may
+ * call this.
  */
 final class RateLimiter {
-    private static final int MOST = 4096;
+    private static final int MAX_CALLERS = 4096;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     private static final class Bucket {
-        double left;
-        long at;
+        double tokens;
+        long refilledAtMicros;
+
+        Bucket(double tokens, long nowMicros) {
+            this.tokens = tokens;
+            refilledAtMicros = nowMicros;
+        }
     }
 
-    private final double perSecond;
+    private final double ratePerSecond;
     private final double burst;
+
+    /** In the order of their last use; the least recently used is evicted. */
     private final LinkedHashMap<String, Bucket> buckets =
             new LinkedHashMap<>(64, 0.75f, true) {
                 private static final long serialVersionUID = 1L;
 
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, Bucket> eldest) {
-                    return size() > MOST;
+                    return size() > MAX_CALLERS;
                 }
             };
 
-    RateLimiter(double perSecond, double burst) {
-        this.perSecond = perSecond;
+    RateLimiter(double ratePerSecond, double burst) {
+        this.ratePerSecond = ratePerSecond;
         this.burst = burst;
     }
 
-    /** Whether one more request of this caller is within its rate. @param now microseconds */
-    synchronized boolean take(String caller, long now) {
-        Bucket b =
-                buckets.computeIfAbsent(
-                        caller,
-                        c -> {
-                            Bucket fresh = new Bucket();
-                            fresh.left = burst;
-                            fresh.at = now;
-                            return fresh;
-                        });
-        b.left = Math.min(burst, b.left + perSecond * (now - b.at) / 1e6);
-        b.at = now;
-        if (b.left < 1) {
+    /** Whether one more request of the caller is within its rate; it is then counted. */
+    synchronized boolean tryAcquire(String caller, long nowMicros) {
+        Bucket bucket = buckets.computeIfAbsent(caller, key -> new Bucket(burst, nowMicros));
+        double refill = ratePerSecond * (nowMicros - bucket.refilledAtMicros) / MICROS_PER_SECOND;
+        bucket.tokens = Math.min(burst, bucket.tokens + refill);
+        bucket.refilledAtMicros = nowMicros;
+        if (bucket.tokens < 1) {
             return false;
         }
-        b.left -= 1;
+        bucket.tokens -= 1;
         return true;
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/console/Sessions.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Sessions.java
@@ -6,50 +6,61 @@
 import java.util.Map;
 
 /**
- * Browsers that signed in: a random cookie each, behind it the token, which is looked at again at
- * every request.
+ * The sessions of browsers that signed in. A session has a random id, which is the cookie, and the
+ * token, which is checked again for every request. Any thread may call this.
  */
 final class Sessions {
-    private static final int MOST = 1_000;
-    private static final long LASTS = 12L * 3600 * 1_000_000;
+    private static final int MAX_SESSIONS = 1_000;
+    private static final long LIFETIME_MICROS = 12L * 3600 * 1_000_000;
+    private static final int ID_BYTES = 24;
 
-    record Session(String id, String token, String csrf, long until) {}
+    /**
+     * One session.
+     *
+     * @param csrf the secret that its forms carry
+     * @param expiresAtMicros on the monotonic clock
+     */
+    record Session(String id, String token, String csrf, long expiresAtMicros) {}
 
     private final SecureRandom random = new SecureRandom();
-    private final LinkedHashMap<String, Session> all =
+
+    /** In the order of their last use; the least recently used is evicted. */
+    private final LinkedHashMap<String, Session> sessions =
             new LinkedHashMap<>(64, 0.75f, true) {
                 private static final long serialVersionUID = 1L;
 
                 @Override
                 protected boolean removeEldestEntry(Map.Entry<String, Session> eldest) {
-                    return size() > MOST;
+                    return size() > MAX_SESSIONS;
                 }
             };
 
-    /**
-     * @param now microseconds
-     */
-    synchronized Session begin(String token, long now) {
-        Session session = new Session(make(), token, make(), now + LASTS);
-        all.put(session.id(), session);
+    synchronized Session begin(String token, long nowMicros) {
+        Session session = new Session(randomId(), token, randomId(), nowMicros + LIFETIME_MICROS);
+        sessions.put(session.id(), session);
         return session;
     }
 
-    synchronized Session of(String id, long now) {
-        Session session = id == null ? null : all.get(id);
-        if (session != null && now > session.until()) {
-            all.remove(id);
+    /**
+     * The session of an id; null where there is none or it has expired.
+     *
+     * @param id null where the request has no cookie
+     */
+    synchronized Session find(String id, long nowMicros) {
+        Session session = id == null ? null : sessions.get(id);
+        if (session != null && nowMicros > session.expiresAtMicros()) {
+            sessions.remove(id);
             return null;
         }
         return session;
     }
 
     synchronized void end(String id) {
-        all.remove(id);
+        sessions.remove(id);
     }
 
-    private String make() {
-        byte[] bytes = new byte[24];
+    private String randomId() {
+        byte[] bytes = new byte[ID_BYTES];
         random.nextBytes(bytes);
         return Base64.getUrlEncoder().withoutPadding().encodeToString(bytes);
     }
--- a/gateway/src/main/java/milletyoke/gateway/console/Tokens.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Tokens.java
@@ -20,113 +20,142 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who may look, from a file that is read anew when it changes: a token that is taken out of it is
- * of no use within a second. The file has SHA-256 of each token, not the token; tokens are 256
- * random bits, so there is nothing to guess.
+ * The access tokens, from a file that is read again when it changes: a token that is removed from
+ * it is invalid within a second. The file holds the SHA-256 of each token; tokens are 256 random
+ * bits, so that they cannot be guessed. Any thread may call this.
  */
 public final class Tokens {
     private static final Logger LOG = LoggerFactory.getLogger(Tokens.class);
-    private static final long LOOK_EVERY = 500_000_000;
+    private static final long CHECK_INTERVAL_NANOS = 500_000_000;
+    private static final int HASH_BYTES = 32;
+    private static final int TOKEN_BYTES = 32;
+    private static final String TOKEN_PREFIX = "my_";
 
-    private record Entry(AccessScope sight, byte[] hash, Instant until) {}
+    private static final class Entry {
+        private final AccessScope scope;
+        private final byte[] hash;
+        private final Instant expiresAt;
+
+        Entry(AccessScope scope, byte[] hash, Instant expiresAt) {
+            this.scope = scope;
+            this.hash = hash;
+            this.expiresAt = expiresAt;
+        }
+    }
 
     private final Path file;
-    private volatile List<Entry> entries = List.of();
-    private FileTime seen;
-    private long lookedAt;
+    private volatile List<Entry> entries;
+    private FileTime lastModified;
+    private long lastCheckNanos;
 
     /**
-     * @throws SetupError where the file cannot be used: a console without tokens is not started
+     * Reads the file.
+     *
+     * @throws ConfigException where it cannot be used: a console without tokens is not started
      */
     public Tokens(Path file) throws ConfigException {
         this.file = file;
         entries = read(file);
-        seen = time();
-        lookedAt = System.nanoTime();
+        lastModified = modificationTime();
+        lastCheckNanos = System.nanoTime();
     }
 
     private static List<Entry> read(Path file) throws ConfigException {
-        SettingsReader f = SettingsReader.read(file);
-        List<Entry> all = new ArrayList<>();
-        for (SettingsReader t : f.objects("tokens", true)) {
-            AccessScope.Role role = t.keyword("role", AccessScope.Role.class, null);
-            String name = t.text("name", null);
-            byte[] hash;
-            try {
-                hash = HexFormat.of().parseHex(t.text("sha256", null));
-            } catch (IllegalArgumentException notHex) {
-                throw t.error("sha256", "64 hex digits are expected");
-            }
-            if (hash.length != 32) {
-                throw t.error("sha256", "64 hex digits are expected");
-            }
-            Instant until = Instant.MAX;
-            try {
-                until = t.has("until") ? Instant.parse(t.text("until", null)) : until;
-            } catch (DateTimeParseException notATime) {
-                throw t.error("until", "a time as 2027-01-31T00:00:00Z is expected");
-            }
-            List<String> volumes =
-                    role == AccessScope.Role.TENANT
-                            ? List.of(t.text("volumes", null).split(",\\s*"))
-                            : List.of();
-            t.rejectUnknown();
-            all.add(new Entry(new AccessScope(name, role, volumes), hash, until));
+        SettingsReader reader = SettingsReader.read(file);
+        List<Entry> entries = new ArrayList<>();
+        for (SettingsReader element : reader.objects("tokens", true)) {
+            entries.add(readEntry(element));
+        }
+        reader.rejectUnknown();
+        return List.copyOf(entries);
+    }
+
+    private static Entry readEntry(SettingsReader reader) throws ConfigException {
+        AccessScope.Role role = reader.keyword("role", AccessScope.Role.class, null);
+        String name = reader.text("name", null);
+        byte[] hash = readHash(reader);
+        Instant expiresAt = readExpiry(reader);
+        List<String> volumes =
+                role == AccessScope.Role.TENANT
+                        ? List.of(reader.text("volumes", null).split(",\\s*", 0))
+                        : List.of();
+        reader.rejectUnknown();
+        return new Entry(new AccessScope(name, role, volumes), hash, expiresAt);
+    }
+
+    private static byte[] readHash(SettingsReader reader) throws ConfigException {
+        byte[] hash;
+        try {
+            hash = HexFormat.of().parseHex(reader.text("sha256", null));
+        } catch (IllegalArgumentException notHex) {
+            throw reader.error("sha256", "64 hex digits are expected");
+        }
+        if (hash.length != HASH_BYTES) {
+            throw reader.error("sha256", "64 hex digits are expected");
+        }
+        return hash;
+    }
+
+    private static Instant readExpiry(SettingsReader reader) throws ConfigException {
+        try {
+            return reader.has("until") ? Instant.parse(reader.text("until", null)) : Instant.MAX;
+        } catch (DateTimeParseException notATime) {
+            throw reader.error("until", "a time as 2027-01-31T00:00:00Z is expected");
         }
-        f.rejectUnknown();
-        return List.copyOf(all);
     }
 
-    private FileTime time() {
+    private FileTime modificationTime() {
         try {
             return Files.getLastModifiedTime(file);
-        } catch (IOException gone) {
+        } catch (IOException missing) {
             return null;
         }
     }
 
     /**
-     * Reads the file again if it changed. One that cannot be used revokes nothing and is logged;
-     * one gone revokes all.
+     * Reads the file again if it changed. A file that cannot be used changes nothing and is logged;
+     * a file that was removed invalidates all tokens.
      */
-    private synchronized void follow() {
-        long now = System.nanoTime();
-        if (now - lookedAt < LOOK_EVERY) {
+    private synchronized void reloadIfChanged() {
+        long nowNanos = System.nanoTime();
+        if (nowNanos - lastCheckNanos < CHECK_INTERVAL_NANOS) {
             return;
         }
-        lookedAt = now;
-        FileTime latest = time();
-        if (latest != null && latest.equals(seen)) {
+        lastCheckNanos = nowNanos;
+        FileTime modified = modificationTime();
+        if (modified != null && modified.equals(lastModified)) {
             return;
         }
-        seen = latest;
-        if (latest == null) {
-            LOG.warn("{} is gone: no token is valid any more", file);
+        lastModified = modified;
+        if (modified == null) {
+            LOG.warn("token file missing, all tokens are invalid file={}", file);
             entries = List.of();
             return;
         }
         try {
             entries = read(file);
-            LOG.info("{} was read again: {} tokens", file, entries.size());
-        } catch (ConfigException bad) {
-            LOG.error("the tokens stay as they were: {}", bad.getMessage());
+            LOG.info("token file reloaded file={} tokens={}", file, entries.size());
+        } catch (ConfigException invalid) {
+            LOG.error("token file invalid, tokens unchanged error={}", invalid.getMessage());
         }
     }
 
     /**
-     * Whose token it is; null where it is nobody's. Takes as long for any token: every entry is
-     * compared in full.
+     * The scope of a token; null where it is invalid or expired. Compares with every entry in full,
+     * so that the time taken says nothing of the token.
      */
-    public AccessScope sight(String token) {
-        follow();
+    public AccessScope scope(String token) {
+        reloadIfChanged();
         byte[] hash = hash(token);
         Entry found = null;
-        for (Entry e : entries) {
-            found = MessageDigest.isEqual(e.hash(), hash) ? e : found;
+        for (Entry entry : entries) {
+            found = MessageDigest.isEqual(entry.hash, hash) ? entry : found;
         }
-        return found == null || Instant.now().isAfter(found.until()) ? null : found.sight();
+        boolean isValid = found != null && !Instant.now().isAfter(found.expiresAt);
+        return isValid ? found.scope : null;
     }
 
+    /** The SHA-256 of a token. */
     public static byte[] hash(String token) {
         try {
             return MessageDigest.getInstance("SHA-256")
@@ -136,10 +165,10 @@
         }
     }
 
-    /** A new token. */
+    /** Makes a new random token. */
     public static String make() {
-        byte[] random = new byte[32];
+        byte[] random = new byte[TOKEN_BYTES];
         new SecureRandom().nextBytes(random);
-        return "my_" + Base64.getUrlEncoder().withoutPadding().encodeToString(random);
+        return TOKEN_PREFIX + Base64.getUrlEncoder().withoutPadding().encodeToString(random);
     }
 }
