--- a/config/src/main/java/milletyoke/config/Diagnostic.java
+++ b/config/src/main/java/milletyoke/config/Diagnostic.java
@@ -3,25 +3,32 @@
 import java.util.List;
 
 /**
- * Something to be said of a configuration, at its place. Lines and columns count from 1.
+ * An error or a warning at a place in a configuration.
  *
- * @param code stays the same over versions, as {@code unit} or {@code cycle}
- * @param hint what to do, empty where there is nothing to add
- * @param shown the line itself, without its end
+ * @param isError false for a warning
+ * @param code identifies the kind of problem and stays the same over versions, as {@code unit} or
+ *     {@code cycle}
+ * @param line counted from 1
+ * @param column counted from 1
+ * @param hint what to do; empty where there is nothing to add
+ * @param sourceLine the text of the line, without its end
  * @param chain further places that belong to it, as the files of an include cycle
  */
 public record Diagnostic(
-        boolean error,
+        boolean isError,
         String code,
         String file,
         int line,
         int column,
         String message,
         String hint,
-        String shown,
+        String sourceLine,
         List<String> chain) {
 
-    /** Several lines: the place and what is wrong, the line, a caret, the hint. */
+    private static final int MAX_QUOTED_CHARS = 120;
+    private static final String INDENT = "    ";
+
+    /** Several lines for people: place and message, the source line, a caret, the hint. */
     public String text() {
         StringBuilder out = new StringBuilder();
         out.append(file)
@@ -30,27 +37,30 @@
                 .append(':')
                 .append(column)
                 .append(": ")
-                .append(error ? "error" : "warning")
+                .append(isError ? "error" : "warning")
                 .append(" [")
                 .append(code)
                 .append("]: ")
                 .append(message)
                 .append('\n');
-        if (!shown.isEmpty()) {
-            int from = Math.max(0, Math.min(column - 1 - 60, shown.length()));
-            String part =
-                    shown.substring(from, Math.min(shown.length(), from + 120)).replace('\t', ' ');
-            out.append("    ")
-                    .append(part)
-                    .append('\n')
-                    .append("    ")
-                    .append(" ".repeat(Math.max(0, Math.min(part.length(), column - 1 - from))))
-                    .append("^\n");
+        if (!sourceLine.isEmpty()) {
+            quote(out);
         }
-        chain.forEach(c -> out.append("    ").append(c).append('\n'));
+        chain.forEach(place -> out.append(INDENT).append(place).append('\n'));
         if (!hint.isEmpty()) {
-            out.append("    hint: ").append(hint).append('\n');
+            out.append(INDENT).append("hint: ").append(hint).append('\n');
         }
         return out.toString();
     }
+
+    /** Appends the part of the source line around the column, with a caret below the column. */
+    private void quote(StringBuilder out) {
+        int half = MAX_QUOTED_CHARS / 2;
+        int start = Math.max(0, Math.min(column - 1 - half, sourceLine.length()));
+        int end = Math.min(sourceLine.length(), start + MAX_QUOTED_CHARS);
+        String quoted = sourceLine.substring(start, end).replace('\t', ' ');
+        int caret = Math.max(0, Math.min(quoted.length(), column - 1 - start));
+        out.append(INDENT).append(quoted).append('\n');
+        out.append(INDENT).append(" ".repeat(caret)).append("^\n");
+    }
 }
--- a/config/src/main/java/milletyoke/config/SyntaxTree.java
+++ b/config/src/main/java/milletyoke/config/SyntaxTree.java
@@ -2,44 +2,75 @@
 
 import java.util.List;
 
-/** One file as it stands, after parsing and before any meaning. */
+/** The syntax of one file, after parsing and before any meaning. */
 final class SyntaxTree {
     private SyntaxTree() {}
 
-    /** Where something stands. */
-    record At(String file, int line, int column) {}
+    /** A place in a file; lines and columns count from 1. */
+    record Position(String file, int line, int column) {}
 
+    /** One file; statements that the parser could not finish are left out. */
     record File(String name, List<Statement> statements) {}
 
+    /** A top-level statement. */
     sealed interface Statement {
-        At at();
+        Position at();
     }
 
-    record Include(At at, String pattern) implements Statement {}
+    /** {@code include "pattern";}. */
+    record Include(Position at, String pattern) implements Statement {}
 
-    record Let(At at, String name, Expression value) implements Statement {}
+    /** {@code let name = value;}. */
+    record Let(Position at, String name, Expression value) implements Statement {}
 
-    /** A block; {@code parent} null where it is like none. */
+    /**
+     * A block of settings.
+     *
+     * @param name empty for a kind that stands once
+     * @param parent the block or template that it is like; null for none
+     */
     record Block(
-            At at, String kind, String name, String parent, At parentAt, List<Setting> settings)
+            Position at,
+            String kind,
+            String name,
+            String parent,
+            Position parentAt,
+            List<Setting> settings)
             implements Statement {}
 
-    record Route(At at, String what, String pattern, String pool, At poolAt) implements Statement {}
+    /**
+     * {@code route what pattern to pool;}.
+     *
+     * @param what volume or prefix
+     */
+    record Route(Position at, String what, String pattern, String pool, Position poolAt)
+            implements Statement {}
 
-    record Setting(At at, String name, List<Value> values) {}
+    /** A setting in a block. */
+    record Setting(Position at, String name, List<Value> values) {}
 
-    /** Exactly one of expression and text is set. */
-    record Value(At at, Expression expression, String text) {}
+    /** One value of a setting; exactly one of expression and text is set. */
+    record Value(Position at, Expression expression, String text) {}
 
+    /** A value that is computed, or a bare name. */
     sealed interface Expression {
-        At at();
+        Position at();
     }
 
-    record Figure(At at, String text) implements Expression {}
+    /** A number with its unit, as written. */
+    record NumberLiteral(Position at, String text) implements Expression {}
 
-    record Word(At at, String name) implements Expression {}
+    /** A bare name: a constant where a quantity is expected, else a keyword or a block's name. */
+    record NameReference(Position at, String name) implements Expression {}
 
-    record Minus(At at, Expression of) implements Expression {}
+    /** An expression with its sign changed. */
+    record Negation(Position at, Expression operand) implements Expression {}
 
-    record Binary(At at, char op, Expression left, Expression right) implements Expression {}
+    /**
+     * Two expressions and an operator.
+     *
+     * @param operator one of {@code + - * /}
+     */
+    record Binary(Position at, char operator, Expression left, Expression right)
+            implements Expression {}
 }
--- a/gateway/src/main/java/milletyoke/gateway/status/SnapshotBuilder.java
+++ b/gateway/src/main/java/milletyoke/gateway/status/SnapshotBuilder.java
@@ -17,138 +17,172 @@
 import org.pcollections.TreePVector;
 
 /**
- * Makes pictures, on the loop. All targets are looked at each time; of the volumes at most {@value
- * #VOLUMES_A_PICTURE} that changed, so that a picture costs the same however many there are. What
- * differs from the last picture becomes an event.
+ * Builds the status snapshots, on the event loop. Every snapshot has all targets, and of the
+ * volumes that changed at most {@value #MAX_VOLUMES_PER_SNAPSHOT} are brought up to date, so that
+ * its cost does not grow with their number. Differences from the last snapshot become events.
  */
 public final class SnapshotBuilder {
-    static final int VOLUMES_A_PICTURE = 256;
-    private static final int EVENTS = 2_000;
+    static final int MAX_VOLUMES_PER_SNAPSHOT = 256;
+    private static final int MAX_EVENTS = 2_000;
+
+    // The kinds of events are values of the console's JSON.
+    private static final String TARGET_EVENT = "target";
+    private static final String LIFECYCLE_EVENT = "condition";
 
     private final String name;
-    private final RequestScheduler decide;
-    private final ServiceStatistics accounts;
+    private final RequestScheduler scheduler;
+    private final ServiceStatistics statistics;
     private PMap<String, Volume> volumes = HashTreePMap.empty();
     private PVector<OperationalEvent> events = TreePVector.empty();
-    private Map<String, String> states = new HashMap<>();
+    private Map<String, String> lastTargetStates = new HashMap<>();
     private Lifecycle.Transition lastTransition;
 
-    public SnapshotBuilder(String name, RequestScheduler decide, ServiceStatistics accounts) {
+    /**
+     * Creates the builder of one initiator.
+     *
+     * @param name the initiator's
+     */
+    public SnapshotBuilder(String name, RequestScheduler scheduler, ServiceStatistics statistics) {
         this.name = name;
-        this.decide = decide;
-        this.accounts = accounts;
+        this.scheduler = scheduler;
+        this.statistics = statistics;
     }
 
-    /** What the loop knows beside the decisions. */
-    public record Loop(
+    /**
+     * What the event loop adds to the scheduler's state.
+     *
+     * @param admittedRequests requests that use a permit
+     * @param pendingRequests requests that the loop tracks
+     * @param utilization of the capacity, from 0 to 1
+     * @param loopDurations microseconds of the loop's recent passes
+     * @param snapshotCostShare share of the loop's time that snapshots and statistics took lately
+     * @param decisions the latest, newest first
+     * @param listedState a target's state in the endpoint list; null where it is not listed
+     * @param isDrainedHere whether an operator drained a target on this initiator
+     */
+    public record LoopStatus(
             Lifecycle lifecycle,
-            int places,
-            int held,
-            int out,
-            double used,
-            long version,
-            Histogram turns,
-            double costs,
-            List<StatusSnapshot.DecisionRecord> decided,
-            Function<String, String> listedAs,
-            Function<String, Boolean> drainedHere) {}
+            int admittedRequests,
+            int pendingRequests,
+            int attemptsInFlight,
+            double utilization,
+            long endpointListRevision,
+            Histogram loopDurations,
+            double snapshotCostShare,
+            List<StatusSnapshot.DecisionRecord> decisions,
+            Function<String, String> listedState,
+            Function<String, Boolean> isDrainedHere) {}
 
-    /** Notes something that no picture shows by itself. @param volume whose it is alone, or null */
-    public void happened(long now, String kind, String what, String volume) {
-        events = events.plus(new OperationalEvent(now, kind, what, volume));
-        if (events.size() > EVENTS) {
+    /**
+     * Adds an event that no snapshot shows by itself.
+     *
+     * @param volume the only one that it concerns; null for none
+     */
+    public void addEvent(long nowMicros, String kind, String description, String volume) {
+        events = events.plus(new OperationalEvent(nowMicros, kind, description, volume));
+        if (events.size() > MAX_EVENTS) {
             events = events.minus(0);
         }
     }
 
-    public StatusSnapshot paint(long now, Loop loop) {
-        accounts.turn(now);
-        List<StatusSnapshot.Target> targets = new ArrayList<>();
-        for (SchedulerView.TargetView look : SchedulerView.targets(decide)) {
-            String listed = loop.listedAs().apply(look.id());
-            if (listed != null || look.inFlight() > 0) {
-                targets.add(
-                        new StatusSnapshot.Target(
-                                look,
-                                loop.drainedHere().apply(look.id()),
-                                listed == null ? "gone" : listed,
-                                accounts.target(look.id())));
-            } else {
-                accounts.forgetTarget(look.id());
-            }
-        }
-        tellChanges(now, targets, loop.lifecycle());
-        accounts.takeForgotten().forEach(v -> volumes = volumes.minus(v));
-        for (String v : accounts.takeDirty(VOLUMES_A_PICTURE)) {
-            ServiceStatistics.OfVolume of = accounts.volume(v);
-            if (of != null) {
-                volumes =
-                        volumes.plus(
-                                v,
-                                new Volume(
-                                        v,
-                                        of.plan,
-                                        of.tally(),
-                                        SchedulerView.volume(decide, v),
-                                        of.lastAsked,
-                                        of.held));
-            }
-        }
+    /** Builds the snapshot of now. */
+    public StatusSnapshot build(long nowMicros, LoopStatus loop) {
+        statistics.advanceTo(nowMicros);
+        List<StatusSnapshot.Target> targets = targets(loop);
+        addTargetEvents(nowMicros, targets);
+        addLifecycleEvents(loop.lifecycle());
+        updateVolumes();
         return new StatusSnapshot(
-                now,
+                nowMicros,
                 name,
                 loop.lifecycle().state(),
                 loop.lifecycle().transitions(),
-                loop.places(),
-                loop.held(),
-                loop.out(),
-                loop.used(),
-                loop.version(),
-                SchedulerView.lateShare(decide),
-                SchedulerView.retrySuccessShare(decide),
-                loop.turns().getValueAtPercentile(50),
-                loop.turns().getValueAtPercentile(99),
+                loop.admittedRequests(),
+                loop.pendingRequests(),
+                loop.attemptsInFlight(),
+                loop.utilization(),
+                loop.endpointListRevision(),
+                SchedulerView.lateShare(scheduler),
+                SchedulerView.retrySuccessShare(scheduler),
+                loop.loopDurations().getValueAtPercentile(50),
+                loop.loopDurations().getValueAtPercentile(99),
                 List.copyOf(targets),
-                List.copyOf(SchedulerView.shards(decide)),
+                List.copyOf(SchedulerView.shards(scheduler)),
                 volumes,
-                accounts.dirty(),
+                statistics.changedVolumeCount(),
                 events,
-                accounts.categories(),
-                accounts.plans(),
-                loop.costs(),
-                loop.decided());
+                statistics.categories(),
+                statistics.plans(),
+                loop.snapshotCostShare(),
+                loop.decisions());
+    }
+
+    /** The targets that are listed or have attempts in flight; others are forgotten. */
+    private List<StatusSnapshot.Target> targets(LoopStatus loop) {
+        List<StatusSnapshot.Target> targets = new ArrayList<>();
+        for (SchedulerView.TargetView view : SchedulerView.targets(scheduler)) {
+            String listedState = loop.listedState().apply(view.id());
+            if (listedState == null && view.inFlight() == 0) {
+                statistics.removeTarget(view.id());
+                continue;
+            }
+            targets.add(
+                    new StatusSnapshot.Target(
+                            view,
+                            loop.isDrainedHere().apply(view.id()),
+                            listedState == null ? "gone" : listedState,
+                            statistics.target(view.id())));
+        }
+        return targets;
     }
 
-    private void tellChanges(long now, List<StatusSnapshot.Target> targets, Lifecycle lifecycle) {
-        Map<String, String> next = new HashMap<>();
-        for (StatusSnapshot.Target t : targets) {
-            String state = t.state();
-            String before = states.get(t.look().id());
-            next.put(t.look().id(), state);
-            if (!state.equals(before)) {
-                happened(
-                        now,
-                        "target",
-                        t.look().id()
-                                + (before == null ? " is known: " : ": " + before + " -> ")
-                                + state,
-                        null);
+    private void updateVolumes() {
+        for (String evicted : statistics.pollEvictedVolumes()) {
+            volumes = volumes.minus(evicted);
+        }
+        for (String changed : statistics.pollChangedVolumes(MAX_VOLUMES_PER_SNAPSHOT)) {
+            ServiceStatistics.VolumeStatistics current = statistics.volume(changed);
+            if (current != null) {
+                Volume volume =
+                        new Volume(
+                                changed,
+                                current.plan,
+                                current.tally(),
+                                SchedulerView.volume(scheduler, changed),
+                                current.lastRequestMicros,
+                                current.pendingRequests);
+                volumes = volumes.plus(changed, volume);
             }
         }
-        states.keySet().stream()
-                .filter(id -> !next.containsKey(id))
+    }
+
+    private void addTargetEvents(long nowMicros, List<StatusSnapshot.Target> targets) {
+        Map<String, String> targetStates = new HashMap<>();
+        for (StatusSnapshot.Target target : targets) {
+            String id = target.view().id();
+            String state = target.state();
+            String lastState = lastTargetStates.get(id);
+            targetStates.put(id, state);
+            if (!state.equals(lastState)) {
+                String change = lastState == null ? " is known: " : ": " + lastState + " -> ";
+                addEvent(nowMicros, TARGET_EVENT, id + change + state, null);
+            }
+        }
+        lastTargetStates.keySet().stream()
+                .filter(id -> !targetStates.containsKey(id))
                 .sorted()
-                .forEach(id -> happened(now, "target", id + " is known no more", null));
-        states = next;
-        List<Lifecycle.Transition> past = lifecycle.transitions();
-        int fresh = lastTransition == null ? 0 : past.lastIndexOf(lastTransition) + 1;
-        for (Lifecycle.Transition t : past.subList(fresh, past.size())) {
-            happened(
-                    t.atMicros(),
-                    "condition",
-                    t.from() + " -> " + t.to() + ": " + t.reason(),
-                    null);
-            lastTransition = t;
+                .forEach(id -> addEvent(nowMicros, TARGET_EVENT, id + " is known no more", null));
+        lastTargetStates = targetStates;
+    }
+
+    private void addLifecycleEvents(Lifecycle lifecycle) {
+        List<Lifecycle.Transition> transitions = lifecycle.transitions();
+        int reported = lastTransition == null ? 0 : transitions.lastIndexOf(lastTransition) + 1;
+        for (Lifecycle.Transition transition : transitions.subList(reported, transitions.size())) {
+            String change =
+                    transition.from() + " -> " + transition.to() + ": " + transition.reason();
+            addEvent(transition.atMicros(), LIFECYCLE_EVENT, change, null);
+            lastTransition = transition;
         }
     }
 }
--- a/wire/src/main/java/milletyoke/wire/SocketPeerConnection.java
+++ b/wire/src/main/java/milletyoke/wire/SocketPeerConnection.java
@@ -12,16 +12,24 @@
 import org.glassfish.grizzly.WriteResult;
 import org.glassfish.grizzly.nio.NIOConnection;
 
-/** A peer at the other end of a TCP connection. */
+/** A peer connection over TCP. */
 final class SocketPeerConnection extends PeerConnection {
-    private static final AtomicInteger NEXT = new AtomicInteger();
+    private static final AtomicInteger NEXT_ID = new AtomicInteger();
 
     private final Connection<SocketAddress> connection;
 
     @SuppressWarnings("unchecked") // a TCP connection's addresses are socket addresses
     SocketPeerConnection(
-            Connection<?> connection, PeerListener handler, FrameLimits bounds, FrameObserver tap) {
-        super(NEXT.incrementAndGet(), handler, bounds, tap, SocketNetwork::monotonicMicros);
+            Connection<?> connection,
+            PeerListener listener,
+            FrameLimits limits,
+            FrameObserver observer) {
+        super(
+                NEXT_ID.incrementAndGet(),
+                listener,
+                limits,
+                observer,
+                SocketNetwork::monotonicMicros);
         this.connection = (Connection<SocketAddress>) connection;
     }
 
@@ -33,16 +41,17 @@
     @Override
     protected void write(List<Frame> frames, int size) {
         connection.write(
-                new FrameFilter.Frames(frames),
-                new EmptyCompletionHandler<WriteResult<FrameFilter.Frames, SocketAddress>>() {
+                new FrameFilter.FrameBatch(frames),
+                new EmptyCompletionHandler<WriteResult<FrameFilter.FrameBatch, SocketAddress>>() {
                     @Override
-                    public void completed(WriteResult<FrameFilter.Frames, SocketAddress> result) {
-                        written(size);
+                    public void completed(
+                            WriteResult<FrameFilter.FrameBatch, SocketAddress> result) {
+                        onWritten(size);
                     }
 
                     @Override
                     public void failed(Throwable cause) {
-                        written(size);
+                        onWritten(size);
                         close("writing failed: " + cause.getMessage());
                     }
                 });
@@ -54,12 +63,12 @@
     }
 
     @Override
-    protected void cut() {
+    protected void disconnectWithReset() {
         try {
             ((SocketChannel) ((NIOConnection) connection).getChannel())
                     .setOption(StandardSocketOptions.SO_LINGER, 0);
-        } catch (IOException | RuntimeException alreadyGone) {
-            // closed below all the same
+        } catch (IOException | RuntimeException alreadyClosed) {
+            // it is closed below in any case
         }
         connection.terminateSilently();
     }
