--- a/cli/src/main/java/milletyoke/cli/DiscoveryCommand.java
+++ b/cli/src/main/java/milletyoke/cli/DiscoveryCommand.java
@@ -41,7 +41,7 @@
                         "--target: a1=0@127.0.0.1:7500 is expected, not " + text);
             }
             Address at = Address.of(parts[2]);
-            discovery.add(
+            discovery.update(
                     Target.newBuilder()
                             .setId(parts[0])
                             .setShard(Integer.parseInt(parts[1]))
--- a/cli/src/main/java/milletyoke/cli/LoadCommand.java
+++ b/cli/src/main/java/milletyoke/cli/LoadCommand.java
@@ -118,7 +118,7 @@
                         FrameObserver.NONE);
         for (String text : initiators) {
             Address at = Address.of(text);
-            clients.addInitiator(text, at.host(), at.port());
+            clients.addServer(text, at.host(), at.port());
         }
         if (!clients.awaitConnected(5_000)) {
             System.err.println("milletyoke: no way in within 5 s");
@@ -127,10 +127,10 @@
         clients.start();
         for (int second = 1; second <= seconds; second++) {
             Thread.sleep(1_000);
-            System.out.printf("%3d s  %s%n", second, clients.service().summary());
+            System.out.printf("%3d s  %s%n", second, clients.serviceLevels().summary());
         }
         int left = clients.stop(abandon + 1_000);
-        System.out.print(clients.service().text());
+        System.out.print(clients.serviceLevels().text());
         return left == 0 ? 0 : 1;
     }
 }
--- a/cli/src/main/java/milletyoke/cli/RatesCommand.java
+++ b/cli/src/main/java/milletyoke/cli/RatesCommand.java
@@ -47,16 +47,16 @@
         for (int rate : rates) {
             ScenarioRunner.ScenarioResult through = play(day.at(rate), false);
             ScenarioRunner.ScenarioResult straight = play(day.at(rate), true);
-            Histogram a = through.service().times();
-            Histogram b = straight.service().times();
+            Histogram a = through.service().latencies();
+            Histogram b = straight.service().latencies();
             System.out.printf(
                     "%7d %7d %15.3f %7.2f %9.2f %18.3f %7.2f %9.2f %12.2f %8.2f %12s %26.0f%n",
                     rate,
                     through.service().totalRequests(),
-                    through.service().overall(),
+                    through.service().overallServiceLevel(),
                     millis(a, 50),
                     millis(a, 99),
-                    straight.service().overall(),
+                    straight.service().overallServiceLevel(),
                     millis(b, 50),
                     millis(b, 99),
                     millis(a, 50) - millis(b, 50),
--- a/cli/src/main/java/milletyoke/cli/ScenarioCommand.java
+++ b/cli/src/main/java/milletyoke/cli/ScenarioCommand.java
@@ -130,9 +130,9 @@
                     "service with %d viewers and %d streams %.3f, without %.3f, ratio %.3f%n",
                     viewers,
                     viewers,
-                    played.service().overall(),
-                    alone.service().overall(),
-                    played.service().overall() / alone.service().overall());
+                    played.service().overallServiceLevel(),
+                    alone.service().overallServiceLevel(),
+                    played.service().overallServiceLevel() / alone.service().overallServiceLevel());
             return played;
         } finally {
             Files.delete(tokens);
@@ -152,10 +152,10 @@
         System.out.print(bare.service().text());
         System.out.printf(
                 "through the initiators: p50 %+.2f ms, CPU %+.0f us for each access, service %+.3f%n",
-                (through.service().times().getValueAtPercentile(50)
-                                - bare.service().times().getValueAtPercentile(50))
+                (through.service().latencies().getValueAtPercentile(50)
+                                - bare.service().latencies().getValueAtPercentile(50))
                         / 1e3,
                 through.cpuMicros() - bare.cpuMicros(),
-                through.service().overall() - bare.service().overall());
+                through.service().overallServiceLevel() - bare.service().overallServiceLevel());
     }
 }
--- a/cli/src/main/java/milletyoke/cli/SimulationCommand.java
+++ b/cli/src/main/java/milletyoke/cli/SimulationCommand.java
@@ -85,14 +85,14 @@
                                     ? keep
                                     : Files.createTempFile("milletyoke-", ".recording");
             try {
-                SimulationRun.Came came = SimulationRun.of(day, recording);
+                SimulationRun.SimulationResult came = SimulationRun.of(day, recording);
                 Audit.Report report = bare ? null : Audit.recording(recording);
                 boolean kept =
                         came.isClean() && came.unfinished() == 0 && (bare || report.isClean());
                 System.out.printf(
                         "%-32s service %.4f  digest %016x  %,d events in %.2f s, %,.0f a second  %s%n",
                         day.name(),
-                        came.service().overall(),
+                        came.service().overallServiceLevel(),
                         came.digest(),
                         came.events(),
                         came.wall() / 1e6,
@@ -389,10 +389,10 @@
                     plays.add(SimulationRun.of(day, null, false, null, n).service());
                 }
                 for (String category : sockets.requestClasses().keySet()) {
-                    double here = 100 * sockets.requestClass(category).service();
+                    double here = 100 * sockets.requestClass(category).serviceLevel();
                     var lab =
                             plays.stream()
-                                    .mapToDouble(s -> 100 * s.requestClass(category).service())
+                                    .mapToDouble(s -> 100 * s.requestClass(category).serviceLevel())
                                     .summaryStatistics();
                     far += Math.abs(lab.getAverage() - here) > allowed ? 1 : 0;
                     System.out.printf(
--- a/scenario/src/main/java/milletyoke/scenario/CapturedLoad.java
+++ b/scenario/src/main/java/milletyoke/scenario/CapturedLoad.java
@@ -82,21 +82,21 @@
                                 one.timeLeftMicros()));
             }
         }
-        trace.sort(Comparator.comparingLong(LoadProfile.TracedRequest::at));
+        trace.sort(Comparator.comparingLong(LoadProfile.TracedRequest::offsetMicros));
         if (!trace.isEmpty()) { // what came first comes at once; files that began together stay in
             // step
-            long first = trace.get(0).at();
+            long first = trace.get(0).offsetMicros();
             trace.replaceAll(
                     t ->
                             new LoadProfile.TracedRequest(
-                                    t.at() - first,
-                                    t.kind(),
+                                    t.offsetMicros() - first,
+                                    t.requestClass(),
                                     t.volume(),
-                                    t.door(),
+                                    t.initiator(),
                                     t.shard(),
                                     t.extent(),
                                     t.units(),
-                                    t.timeLeft()));
+                                    t.timeLeftMicros()));
         }
         all.clear();
         all.addAll(volumes.values());
--- a/scenario/src/main/java/milletyoke/scenario/ScenarioRunner.java
+++ b/scenario/src/main/java/milletyoke/scenario/ScenarioRunner.java
@@ -164,12 +164,12 @@
         ports = new int[initiators.length];
         running = new boolean[initiators.length];
         discovery = new Discovery(0, chance.nextLong(), clockwork, tap("discovery"), world);
-        discovery.lag(day.fleet().listLag()[0], day.fleet().listLag()[1]);
+        discovery.setUpdateLag(day.fleet().listLag()[0], day.fleet().listLag()[1]);
         for (int shard = 0; shard < day.fleet().targets(); shard++) {
             Target target = target("t" + (shard + 1), shard);
             target.start(false);
             targets.add(target);
-            discovery.add(entry(target, Health.ACTIVE));
+            discovery.update(entry(target, Health.ACTIVE));
         }
         for (int i = 0; i < initiators.length; i++) {
             startInitiator(i);
@@ -178,10 +178,10 @@
                 new LoadGenerator(
                         demand(), straight, chance.nextLong(), clockwork, tap("client"), world);
         for (int i = 0; i < initiators.length; i++) {
-            clients.addInitiator(initiators[i].name(), "127.0.0.1", ports[i]);
+            clients.addServer(initiators[i].name(), "127.0.0.1", ports[i]);
         }
         if (straight) {
-            targets.forEach(t -> clients.addInitiator(t.id(), "127.0.0.1", t.port()));
+            targets.forEach(t -> clients.addServer(t.id(), "127.0.0.1", t.port()));
         }
         if (!world.isVirtual()) {
             Thread naps = new Thread(this::watchForStandstill, "naps");
@@ -527,12 +527,12 @@
         for (long second = 1; world.monotonicMicros() < start + day.durationMicros(); second++) {
             long until = Math.min(start + second * 1_000_000, start + day.durationMicros());
             world.sleep(until - world.monotonicMicros());
-            each.accept(clients.service());
+            each.accept(clients.serviceLevels());
         }
         before.run();
         long longest = day.kinds().stream().mapToLong(Scenario.Kind::abandon).max().orElse(0);
         int unfinished = clients.stop((longest + day.bounds().answerSlack()) / 1000 + 1_000);
-        double cpuEach = (cpu() - cpu) / 1e3 / Math.max(1, clients.service().totalRequests());
+        double cpuEach = (cpu() - cpu) / 1e3 / Math.max(1, clients.serviceLevels().totalRequests());
         List<String> counts = new ArrayList<>();
         boolean clean = true;
         for (int n = 0; n < initiators.length; n++) {
@@ -551,7 +551,7 @@
             }
         }
         return new ScenarioResult(
-                clients.service(),
+                clients.serviceLevels(),
                 unfinished,
                 cpuEach,
                 counts,
@@ -570,7 +570,7 @@
 
     private void arrange(Fault t) {
         if (t.under() > 0) {
-            after(t.atMicros(), () -> await(t, clients.service().sums()));
+            after(t.atMicros(), () -> await(t, clients.serviceLevels().sums()));
             return;
         }
         after(
@@ -588,7 +588,7 @@
         after(
                 100_000,
                 () -> {
-                    double[] now = clients.service().sums();
+                    double[] now = clients.serviceLevels().sums();
                     double[][] kept =
                             java.util.Arrays.copyOf(seconds, Math.min(10, seconds.length + 1));
                     System.arraycopy(seconds, 0, kept, 1, kept.length - 1);
@@ -656,23 +656,29 @@
 
     private void strike(Fault t) throws Exception {
         switch (t.type()) {
-            case HANG -> span(t, x -> x.hang(true), x -> x.hang(false));
+            case HANG -> span(t, x -> x.setHanging(true), x -> x.setHanging(false));
             case UNREACHABLE ->
                     span(
                             t,
                             x -> {
-                                x.refuse(true);
+                                x.setRefusingConnections(true);
                                 x.resetConnections();
                             },
-                            x -> x.refuse(false));
-            case SLOW -> span(t, x -> x.slow(t.magnitude()), x -> x.slow(1));
+                            x -> x.setRefusingConnections(false));
+            case SLOW ->
+                    span(t, x -> x.setSlowdownFactor(t.magnitude()), x -> x.setSlowdownFactor(1));
             case PAUSES ->
                     span(
                             t,
-                            x -> x.pauses(t.intervalMicros(), t.range()[0], t.range()[1]),
-                            x -> x.pauses(0, 0, 0));
-            case ERRORS -> span(t, x -> x.errors(t.magnitude()), x -> x.errors(0));
-            case LOST -> span(t, x -> x.dropsReplies(t.magnitude()), x -> x.dropsReplies(0));
+                            x -> x.setPauses(t.intervalMicros(), t.range()[0], t.range()[1]),
+                            x -> x.setPauses(0, 0, 0));
+            case ERRORS ->
+                    span(t, x -> x.setErrorFraction(t.magnitude()), x -> x.setErrorFraction(0));
+            case LOST ->
+                    span(
+                            t,
+                            x -> x.setDroppedReplyFraction(t.magnitude()),
+                            x -> x.setDroppedReplyFraction(0));
             case RESETS -> {
                 List<Target> whom = struckTargets(t);
                 for (long in = 0; in < t.durationMicros(); in += t.intervalMicros()) {
@@ -684,13 +690,13 @@
             case DRAIN ->
                     span(
                             t,
-                            x -> discovery.change(entry(x, Health.DRAINING)),
-                            x -> discovery.change(entry(x, Health.ACTIVE)));
+                            x -> discovery.scheduleUpdate(entry(x, Health.DRAINING)),
+                            x -> discovery.scheduleUpdate(entry(x, Health.ACTIVE)));
             case AGE -> age(t);
             case LIST_LATE -> {
-                discovery.lag(t.range()[0], t.range()[1]);
+                discovery.setUpdateLag(t.range()[0], t.range()[1]);
                 long[] usual = day.fleet().listLag();
-                after(t.durationMicros(), () -> discovery.lag(usual[0], usual[1]));
+                after(t.durationMicros(), () -> discovery.setUpdateLag(usual[0], usual[1]));
             }
             case LIST_PARTIAL -> {
                 Set<String> hidden = new LinkedHashSet<>();
@@ -699,8 +705,8 @@
                 after(t.durationMicros(), () -> discovery.hide(Set.of()));
             }
             case LIST_UNAVAILABLE -> {
-                discovery.unavailable(true);
-                after(t.durationMicros(), () -> discovery.unavailable(false));
+                discovery.setUnavailable(true);
+                after(t.durationMicros(), () -> discovery.setUnavailable(false));
             }
             case LIST_FLAP -> flap(t);
             case PARTITION -> partition(t);
@@ -724,12 +730,12 @@
                 struck(new Scenario.Selection(1, 0), volumes.size()).stream()
                         .limit(t.count())
                         .forEach(v -> whom.add(volumes.get(v)));
-                clients.surge(whom, t.magnitude());
-                after(t.durationMicros(), () -> clients.surge(Set.of(), 0));
+                clients.setSurge(whom, t.magnitude());
+                after(t.durationMicros(), () -> clients.setSurge(Set.of(), 0));
             }
             case HOTKEY -> {
-                clients.hotKey(t.magnitude());
-                after(t.durationMicros(), () -> clients.hotKey(0));
+                clients.setHotKeyFraction(t.magnitude());
+                after(t.durationMicros(), () -> clients.setHotKeyFraction(0));
             }
             case LIMIT -> changeLimit(t);
             case RECONNECT -> {
@@ -835,13 +841,13 @@
 
     private void restart(Target target, long down) {
         target.kill();
-        discovery.change(entry(target, Health.REMOVED));
+        discovery.scheduleUpdate(entry(target, Health.REMOVED));
         after(
                 down,
                 () -> {
-                    launched.put(target.id(), discovery.now());
+                    launched.put(target.id(), discovery.wallClockMicros());
                     target.start(true);
-                    discovery.change(entry(target, Health.ACTIVE));
+                    discovery.scheduleUpdate(entry(target, Health.ACTIVE));
                 });
     }
 
@@ -856,23 +862,23 @@
             after(
                     t.durationMicros() * i / whom.size(),
                     () -> {
-                        discovery.change(entry(old, Health.DRAINING));
+                        discovery.scheduleUpdate(entry(old, Health.DRAINING));
                         Target next = target(old.id() + "n", old.shard());
-                        launched.put(next.id(), discovery.now());
+                        launched.put(next.id(), discovery.wallClockMicros());
                         next.start(true);
-                        discovery.change(entry(next, Health.ACTIVE));
+                        discovery.scheduleUpdate(entry(next, Health.ACTIVE));
                         synchronized (targets) {
                             targets.set(old.shard(), next);
                             replaced.add(old);
                         }
                         if (straight) {
-                            clients.moveInitiator(old.shard(), next.port());
+                            clients.moveServer(old.shard(), next.port());
                         }
                         after(
                                 t.downtimeMicros() + day.fleet().listLag()[1],
                                 () -> {
                                     old.kill();
-                                    discovery.change(entry(old, Health.REMOVED));
+                                    discovery.scheduleUpdate(entry(old, Health.REMOVED));
                                 });
                     });
         }
@@ -883,14 +889,16 @@
         List<Target> whom = struckTargets(t);
         for (int step = 1; step <= 10; step++) {
             double factor = 1 + (t.magnitude() - 1) * step / 10;
-            after(t.durationMicros() * step / 10, () -> whom.forEach(x -> x.slow(factor)));
+            after(
+                    t.durationMicros() * step / 10,
+                    () -> whom.forEach(x -> x.setSlowdownFactor(factor)));
         }
         after(
                 t.durationMicros(),
                 () ->
                         whom.forEach(
                                 x -> {
-                                    x.slow(1);
+                                    x.setSlowdownFactor(1);
                                     restart(x, t.downtimeMicros());
                                 }));
     }
--- a/scenario/src/main/java/milletyoke/scenario/script/Scenario.java
+++ b/scenario/src/main/java/milletyoke/scenario/script/Scenario.java
@@ -5,7 +5,7 @@
 import milletyoke.gateway.config.DeploymentSettings;
 import milletyoke.scheduler.api.SchedulerSettings;
 import milletyoke.standins.LoadProfile;
-import milletyoke.standins.Work;
+import milletyoke.standins.WorkDistribution;
 
 /**
  * A day to be played: who is there, what is asked, and what goes wrong when. Times are
@@ -68,7 +68,7 @@
             double crowd,
             long connecting,
             double warmUnits,
-            Work work) {}
+            WorkDistribution work) {}
 
     /** What clients know of a category beside its provisioning. */
     public record Kind(
--- a/scenario/src/main/java/milletyoke/scenario/script/ScenarioParser.java
+++ b/scenario/src/main/java/milletyoke/scenario/script/ScenarioParser.java
@@ -16,7 +16,7 @@
 import milletyoke.scheduler.api.SchedulerSettings.Idempotency;
 import milletyoke.scheduler.api.SchedulerSettings.RequestClass;
 import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
-import milletyoke.standins.Work;
+import milletyoke.standins.WorkDistribution;
 
 /**
  * Reads the notation of bad days, one statement a line, # before a remark; docs/rehearsal.md has
@@ -281,9 +281,9 @@
         return network;
     }
 
-    private static Work work(Tokenizer w) throws ScenarioFormatException {
+    private static WorkDistribution work(Tokenizer w) throws ScenarioFormatException {
         try {
-            return Work.of(w.text("work", "even"));
+            return WorkDistribution.of(w.text("work", "even"));
         } catch (IllegalArgumentException wrong) {
             throw w.wrong("work: " + wrong.getMessage());
         }
--- a/scenario/src/test/java/milletyoke/scenario/ConsoleTest.java
+++ b/scenario/src/test/java/milletyoke/scenario/ConsoleTest.java
@@ -437,8 +437,8 @@
             ScenarioRunner.ScenarioResult result = played.get(60, TimeUnit.SECONDS);
             assertEquals(0, result.unfinished());
             assertTrue(
-                    result.service().overall() < 0.9,
-                    "it was not flooded: " + result.service().overall());
+                    result.service().overallServiceLevel() < 0.9,
+                    "it was not flooded: " + result.service().overallServiceLevel());
         } finally {
             beside.shutdownNow();
         }
--- a/scenario/src/test/java/milletyoke/scenario/ScriptedPeers.java
+++ b/scenario/src/test/java/milletyoke/scenario/ScriptedPeers.java
@@ -175,7 +175,7 @@
     void list(String id, int shard, int port, Health health) throws Exception {
         long lists = initiator.counts().get(Counter.ENDPOINT_LISTS);
         until(() -> initiator.counts().get(Counter.ENDPOINT_LISTS) > 0, "the first list has come");
-        discovery.add(
+        discovery.update(
                 Target.newBuilder()
                         .setId(id)
                         .setShard(shard)
--- a/simulation/src/main/java/milletyoke/simulation/experiment/ExperimentRunner.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/ExperimentRunner.java
@@ -79,22 +79,22 @@
                 arm.variant().isEmpty()
                         ? arm.scheduler().decisions()
                         : variants.get(arm.variant().replace("{x}", run.value()));
-        SimulationRun.Came came =
+        SimulationRun.SimulationResult came =
                 SimulationRun.of(experiment.dayOf(run), null, arm.straight(), decisions);
         ServiceLevelRecorder s = came.service();
         Map<String, Double> categories = new LinkedHashMap<>();
-        s.requestClasses().forEach((name, line) -> categories.put(name, line.service()));
+        s.requestClasses().forEach((name, line) -> categories.put(name, line.serviceLevel()));
         return new ResultRow(
                 arm.name(),
                 run.value(),
                 run.seed(),
-                s.overall(),
+                s.overallServiceLevel(),
                 categories,
                 s.inTimeByPlan(),
                 came.seconds(),
-                s.times().getValueAtPercentile(50) / 1e3,
-                s.times().getValueAtPercentile(99) / 1e3,
-                s.evenness(),
+                s.latencies().getValueAtPercentile(50) / 1e3,
+                s.latencies().getValueAtPercentile(99) / 1e3,
+                s.fairnessIndex(),
                 came.coldUsed(),
                 s.totalRequests(),
                 came.unfinished(),
--- a/simulation/src/main/java/milletyoke/simulation/faults/FaultSearch.java
+++ b/simulation/src/main/java/milletyoke/simulation/faults/FaultSearch.java
@@ -76,7 +76,7 @@
         Path recording = null;
         try {
             recording = audited ? Files.createTempFile("milletyoke-", ".recording") : null;
-            SimulationRun.Came came = SimulationRun.of(day, recording);
+            SimulationRun.SimulationResult came = SimulationRun.of(day, recording);
             String why =
                     came.unfinished() > 0
                             ? came.unfinished() + " without an answer"
@@ -93,7 +93,7 @@
                                         .orElse("a rule was broken")
                                         .strip();
             }
-            return new Failure(day, came.service().overall(), !why.isEmpty(), why);
+            return new Failure(day, came.service().overallServiceLevel(), !why.isEmpty(), why);
         } catch (IOException failed) {
             throw new UncheckedIOException(failed);
         } catch (RuntimeException fault) {
--- a/simulation/src/main/java/milletyoke/simulation/run/SimulationRun.java
+++ b/simulation/src/main/java/milletyoke/simulation/run/SimulationRun.java
@@ -29,7 +29,7 @@
      * @param events that happened
      * @param wall microseconds that the play took
      */
-    public record Came(
+    public record SimulationResult(
             ServiceLevelRecorder service,
             List<Double> seconds,
             long unfinished,
@@ -42,7 +42,7 @@
     /**
      * @param recording where all that the ends of connections saw is written; null for nowhere
      */
-    public static Came of(Scenario day, Path recording) throws IOException {
+    public static SimulationResult of(Scenario day, Path recording) throws IOException {
         return of(day, recording, false, null);
     }
 
@@ -50,7 +50,7 @@
      * @param straight clients go straight to the targets, for comparison
      * @param instead of the product's decisions; null for these
      */
-    public static Came of(
+    public static SimulationResult of(
             Scenario day, Path recording, boolean straight, Supplier<Scheduler> instead)
             throws IOException {
         return of(day, recording, straight, instead, 0);
@@ -60,7 +60,7 @@
      * @param turn another one is the same day with the same draws, and frames travel otherwise, as
      *     no play on sockets is the next
      */
-    public static Came of(
+    public static SimulationResult of(
             Scenario day, Path recording, boolean straight, Supplier<Scheduler> instead, long turn)
             throws IOException {
         long began = System.nanoTime();
@@ -73,8 +73,8 @@
                 new ScenarioRunner(day, recording, straight, null, world, instead)) {
             List<Double> seconds = new ArrayList<>();
             ScenarioRunner.ScenarioResult played =
-                    stage.run(service -> seconds.add(service.overall()), () -> {});
-            return new Came(
+                    stage.run(service -> seconds.add(service.overallServiceLevel()), () -> {});
+            return new SimulationResult(
                     played.service(),
                     seconds,
                     played.unfinished(),
--- a/simulation/src/test/java/milletyoke/simulation/ExperimentTest.java
+++ b/simulation/src/test/java/milletyoke/simulation/ExperimentTest.java
@@ -30,7 +30,7 @@
 import milletyoke.simulation.policy.Variant;
 import milletyoke.simulation.report.Report;
 import milletyoke.simulation.run.SimulationRun;
-import milletyoke.standins.Work;
+import milletyoke.standins.WorkDistribution;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -231,7 +231,7 @@
     void workVariesRoundItsMean() {
         double last = 0;
         for (String text : List.of("even", "gamma:4", "exponential", "lognormal:1.2")) {
-            Work work = Work.of(text);
+            WorkDistribution work = WorkDistribution.of(text);
             double sum = 0;
             double squares = 0;
             int n = 200_000;
@@ -246,7 +246,7 @@
             last = spread;
         }
         for (String bad : List.of("", "odd", "gamma", "gamma:0", "lognormal:x", "even:2")) {
-            assertThrows(IllegalArgumentException.class, () -> Work.of(bad), bad);
+            assertThrows(IllegalArgumentException.class, () -> WorkDistribution.of(bad), bad);
         }
     }
 
--- a/simulation/src/test/java/milletyoke/simulation/SimulationTest.java
+++ b/simulation/src/test/java/milletyoke/simulation/SimulationTest.java
@@ -62,7 +62,7 @@
 
     private Audit.Report kept(Scenario day) throws Exception {
         Path recording = folder.resolve("recording");
-        SimulationRun.Came came = SimulationRun.of(day, recording);
+        SimulationRun.SimulationResult came = SimulationRun.of(day, recording);
         Audit.Report report = Audit.recording(recording);
         assertTrue(report.isClean(), () -> day.name() + "\n" + report.text(true));
         assertEquals(0, came.unfinished(), "every access has its answer");
@@ -110,14 +110,14 @@
     @Test
     void theSameSeedPlaysTheSameOnAnyNumberOfThreads() throws Exception {
         Scenario day = ScenarioParser.read(REHEARSALS.resolve("overlap-hang-restart-kill.day"));
-        SimulationRun.Came alone = SimulationRun.of(day, null);
+        SimulationRun.SimulationResult alone = SimulationRun.of(day, null);
         for (int threads : new int[] {2, 6}) {
             ExecutorService workers = Executors.newFixedThreadPool(threads);
-            List<Future<SimulationRun.Came>> plays =
+            List<Future<SimulationRun.SimulationResult>> plays =
                     IntStream.range(0, 6)
                             .mapToObj(n -> workers.submit(() -> SimulationRun.of(day, null)))
                             .toList();
-            for (Future<SimulationRun.Came> play : plays) {
+            for (Future<SimulationRun.SimulationResult> play : plays) {
                 assertEquals(alone.digest(), play.get().digest());
                 assertEquals(alone.service().text(), play.get().service().text());
             }
@@ -134,8 +134,8 @@
         double quiet =
                 SimulationRun.of(cut.with(cut.name(), cut.seed(), List.of()), null)
                         .service()
-                        .overall();
-        double grey = SimulationRun.of(cut, null).service().overall();
+                        .overallServiceLevel();
+        double grey = SimulationRun.of(cut, null).service().overallServiceLevel();
         assertTrue(quiet - grey > 0.005, "it costs something: " + quiet + ", " + grey);
         assertTrue(
                 quiet - grey < 0.15,
@@ -151,7 +151,7 @@
         for (SchedulerChoice scheduler :
                 List.of(SchedulerChoice.AT_ONCE, SchedulerChoice.FAIR_ROUNDS)) {
             Path recording = folder.resolve("recording");
-            SimulationRun.Came came =
+            SimulationRun.SimulationResult came =
                     SimulationRun.of(day, recording, false, scheduler.decisions());
             Audit.Report report = Audit.recording(recording);
             for (int rule : new int[] {1, 2, 7}) {
@@ -207,7 +207,9 @@
                 crowded < plain - 0.05,
                 "targets that lose to a crowd do less: " + crowded + ", " + plain);
         assertTrue(
-                SimulationRun.of(ScenarioParser.read("d", "d", crowd), null).service().overall()
+                SimulationRun.of(ScenarioParser.read("d", "d", crowd), null)
+                                .service()
+                                .overallServiceLevel()
                         > crowded + 0.05,
                 "windows leave them less of one");
         Scenario cold = ScenarioParser.read(OWN.resolve("cold-restart-40.day"));
@@ -215,19 +217,23 @@
                 Files.readString(OWN.resolve("cold-restart-40.day"))
                         .replaceAll("(?m)^targets .*$", "$0 warmunits=20");
         assertTrue(
-                SimulationRun.of(ScenarioParser.read("d", "d", byWork), null).service().overall()
-                        > SimulationRun.of(cold, null).service().overall(),
+                SimulationRun.of(ScenarioParser.read("d", "d", byWork), null)
+                                .service()
+                                .overallServiceLevel()
+                        > SimulationRun.of(cold, null).service().overallServiceLevel(),
                 "targets that are warm after twenty units do more");
         String costly =
                 Files.readString(REHEARSALS.resolve("reconnect.day"))
                         .replaceAll("(?m)^targets .*$", "$0 connecting=200ms");
         assertTrue(
-                SimulationRun.of(ScenarioParser.read("d", "d", costly), null).service().overall()
+                SimulationRun.of(ScenarioParser.read("d", "d", costly), null)
+                                .service()
+                                .overallServiceLevel()
                         < SimulationRun.of(
                                         ScenarioParser.read(REHEARSALS.resolve("reconnect.day")),
                                         null)
                                 .service()
-                                .overall());
+                                .overallServiceLevel());
     }
 
     @Test
@@ -236,14 +242,14 @@
         double near =
                 SimulationRun.of(ScenarioParser.read("d", "d", text), null)
                         .service()
-                        .times()
+                        .latencies()
                         .getValueAtPercentile(50);
         double far =
                 SimulationRun.of(
                                 ScenarioParser.read("d", "d", text + "\nnetwork travel=4ms..6ms"),
                                 null)
                         .service()
-                        .times()
+                        .latencies()
                         .getValueAtPercentile(50);
         assertTrue(
                 far > near + 18_000 && far < near + 26_000,
@@ -257,7 +263,7 @@
                         false,
                         SchedulerChoice.AT_ONCE.decisions())
                 .service()
-                .overall();
+                .overallServiceLevel();
     }
 
     /**
@@ -302,7 +308,7 @@
                             folder.resolve("again.day").toString(),
                             "again",
                             text.replace("retries=0", "retries=0" + speed));
-            SimulationRun.Came replayed = SimulationRun.of(again, null);
+            SimulationRun.SimulationResult replayed = SimulationRun.of(again, null);
             came.forEach(
                     (category, n) ->
                             assertEquals(
@@ -402,7 +408,7 @@
                         world,
                         1,
                         null);
-        discovery.add(
+        discovery.update(
                 milletyoke.wire.proto.Target.newBuilder()
                         .setId("t")
                         .setShard(0)
--- a/standins/src/main/java/milletyoke/standins/DeduplicationCache.java
+++ b/standins/src/main/java/milletyoke/standins/DeduplicationCache.java
@@ -8,22 +8,22 @@
  * is not run again.
  */
 public final class DeduplicationCache {
-    private final long window;
-    private final Map<String, Long> runAt = new LinkedHashMap<>();
+    private final long windowMicros;
+    private final Map<String, Long> executedAtMicros = new LinkedHashMap<>();
 
     /**
-     * @param window microseconds for which a mark is known
+     * @param windowMicros microseconds for which a mark is known
      */
     public DeduplicationCache(long window) {
-        this.window = window;
+        this.windowMicros = window;
     }
 
     /** Whether this is the mark's first run within the window; it is known from now on. */
-    public synchronized boolean first(String mark, long now) {
-        var oldest = runAt.entrySet().iterator();
-        while (oldest.hasNext() && oldest.next().getValue() < now - window) {
+    public synchronized boolean recordExecution(String mark, long now) {
+        var oldest = executedAtMicros.entrySet().iterator();
+        while (oldest.hasNext() && oldest.next().getValue() < now - windowMicros) {
             oldest.remove();
         }
-        return runAt.putIfAbsent(mark, now) == null;
+        return executedAtMicros.putIfAbsent(mark, now) == null;
     }
 }
--- a/standins/src/main/java/milletyoke/standins/Discovery.java
+++ b/standins/src/main/java/milletyoke/standins/Discovery.java
@@ -28,18 +28,18 @@
  * each change, and changes keep their order. A follower gets the whole list and then every change.
  */
 public final class Discovery implements PeerListener {
-    private final ExecutionEnvironment world;
-    private final Network wire;
+    private final ExecutionEnvironment environment;
+    private final Network network;
     private final Network.Listener listener;
-    private final ScheduledExecutorService clockwork;
-    private final SplittableRandom chance;
-    private final Map<String, milletyoke.wire.proto.Target> known = new LinkedHashMap<>();
-    private final Set<PeerConnection> followers = new LinkedHashSet<>();
-    private long version = 1;
-    private long leastLag, mostLag;
-    private long lastDue;
-    private boolean unavailable;
-    private Set<String> hidden = Set.of();
+    private final ScheduledExecutorService executor;
+    private final SplittableRandom random;
+    private final Map<String, milletyoke.wire.proto.Target> entries = new LinkedHashMap<>();
+    private final Set<PeerConnection> watchers = new LinkedHashSet<>();
+    private long revision = 1;
+    private long minLagMicros, maxLagMicros;
+    private long lastUpdateAtMicros;
+    private boolean isUnavailable;
+    private Set<String> hiddenIds = Set.of();
 
     /**
      * @param port 0 takes a free one
@@ -56,12 +56,12 @@
             FrameObserver tap,
             ExecutionEnvironment world)
             throws IOException {
-        this.world = world;
-        this.clockwork = clockwork;
-        chance = new SplittableRandom(seed);
-        wire = world.openNetwork("discovery", 1, tap);
+        this.environment = world;
+        this.executor = clockwork;
+        random = new SplittableRandom(seed);
+        network = world.openNetwork("discovery", 1, tap);
         listener =
-                wire.listen(
+                network.listen(
                         "127.0.0.1",
                         port,
                         Role.DISCOVERY,
@@ -74,8 +74,8 @@
     }
 
     /** The clock on which starts are told (microseconds). */
-    public long now() {
-        return world.wallClockMicros();
+    public long wallClockMicros() {
+        return environment.wallClockMicros();
     }
 
     public static milletyoke.wire.proto.Target entry(
@@ -92,68 +92,70 @@
     }
 
     /** How late changes are told from now on (microseconds). */
-    public synchronized void lag(long least, long most) {
-        leastLag = least;
-        mostLag = most;
+    public synchronized void setUpdateLag(long least, long most) {
+        minLagMicros = least;
+        maxLagMicros = most;
     }
 
     /** A change that is so from now on; it is told after the lag. */
-    public synchronized void change(milletyoke.wire.proto.Target entry) {
-        long now = world.monotonicMicros();
-        lastDue =
+    public synchronized void scheduleUpdate(milletyoke.wire.proto.Target entry) {
+        long now = environment.monotonicMicros();
+        lastUpdateAtMicros =
                 Math.max(
-                        lastDue,
+                        lastUpdateAtMicros,
                         now
-                                + leastLag
-                                + (mostLag > leastLag ? chance.nextLong(mostLag - leastLag) : 0));
-        clockwork.schedule(() -> add(entry), lastDue - now, TimeUnit.MICROSECONDS);
+                                + minLagMicros
+                                + (maxLagMicros > minLagMicros
+                                        ? random.nextLong(maxLagMicros - minLagMicros)
+                                        : 0));
+        executor.schedule(() -> update(entry), lastUpdateAtMicros - now, TimeUnit.MICROSECONDS);
     }
 
     /** What is known from the outset. */
-    public synchronized void add(milletyoke.wire.proto.Target entry) {
-        version++;
+    public synchronized void update(milletyoke.wire.proto.Target entry) {
+        revision++;
         if (entry.getHealth() == Health.REMOVED) {
-            known.remove(entry.getId());
+            entries.remove(entry.getId());
         } else {
-            known.put(entry.getId(), entry);
+            entries.put(entry.getId(), entry);
         }
-        if (!hidden.contains(entry.getId())) {
-            tell(Scope.UPDATE, List.of(entry));
+        if (!hiddenIds.contains(entry.getId())) {
+            broadcast(Scope.UPDATE, List.of(entry));
         }
     }
 
     /** Leaves some targets out of the list, as if they were gone, until all are shown again. */
     public synchronized void hide(Set<String> targets) {
-        hidden = Set.copyOf(targets);
-        version++;
-        tell(Scope.REPLACE, shown());
+        hiddenIds = Set.copyOf(targets);
+        revision++;
+        broadcast(Scope.REPLACE, visibleEntries());
     }
 
-    private List<milletyoke.wire.proto.Target> shown() {
-        return known.values().stream().filter(t -> !hidden.contains(t.getId())).toList();
+    private List<milletyoke.wire.proto.Target> visibleEntries() {
+        return entries.values().stream().filter(t -> !hiddenIds.contains(t.getId())).toList();
     }
 
     /** Drops every subscription and serves none until it is available again. */
-    public synchronized void unavailable(boolean on) {
-        unavailable = on;
+    public synchronized void setUnavailable(boolean on) {
+        isUnavailable = on;
         if (on) {
-            tell(Scope.UNAVAILABLE, List.of());
-            followers.clear();
+            broadcast(Scope.UNAVAILABLE, List.of());
+            watchers.clear();
         }
     }
 
-    private void tell(Scope scope, List<milletyoke.wire.proto.Target> targets) {
-        Frame frame = frame(scope, targets);
-        List.copyOf(followers).forEach(f -> f.send(frame));
+    private void broadcast(Scope scope, List<milletyoke.wire.proto.Target> targets) {
+        Frame frame = endpointListFrame(scope, targets);
+        List.copyOf(watchers).forEach(f -> f.send(frame));
     }
 
-    private Frame frame(Scope scope, List<milletyoke.wire.proto.Target> targets) {
+    private Frame endpointListFrame(Scope scope, List<milletyoke.wire.proto.Target> targets) {
         return Frame.newBuilder()
                 .setEndpointList(
                         EndpointList.newBuilder()
-                                .setRevision(version)
+                                .setRevision(revision)
                                 .setScope(scope)
-                                .setNow(now())
+                                .setNow(wallClockMicros())
                                 .addAllTarget(targets))
                 .build();
     }
@@ -170,20 +172,20 @@
             throw new MalformedFrameException(
                     "discovery is asked to be followed, not " + frame.getBodyCase());
         }
-        if (unavailable) {
-            peer.send(frame(Scope.UNAVAILABLE, List.of()));
+        if (isUnavailable) {
+            peer.send(endpointListFrame(Scope.UNAVAILABLE, List.of()));
         } else {
-            followers.add(peer);
-            peer.send(frame(Scope.REPLACE, shown()));
+            watchers.add(peer);
+            peer.send(endpointListFrame(Scope.REPLACE, visibleEntries()));
         }
     }
 
     @Override
     public synchronized void onClosed(PeerConnection peer, String why) {
-        followers.remove(peer);
+        watchers.remove(peer);
     }
 
     public void stop() {
-        wire.close();
+        network.close();
     }
 }
--- a/standins/src/main/java/milletyoke/standins/LoadGenerator.java
+++ b/standins/src/main/java/milletyoke/standins/LoadGenerator.java
@@ -38,14 +38,14 @@
 public final class LoadGenerator {
     private static final FrameLimits BOUNDS = new FrameLimits(4 << 20, 64 << 20, 5_000_000, 0);
 
-    private final LoadProfile demand;
-    private final boolean straight;
-    private final ExecutionEnvironment world;
-    private final Network wire;
-    private final ScheduledExecutorService clockwork;
-    private final ServiceLevelRecorder service;
-    private final SplittableRandom chance;
-    private final List<Door> doors = new ArrayList<>();
+    private final LoadProfile profile;
+    private final boolean isDirect;
+    private final ExecutionEnvironment environment;
+    private final Network network;
+    private final ScheduledExecutorService executor;
+    private final ServiceLevelRecorder serviceLevels;
+    private final SplittableRandom random;
+    private final List<ServerLink> links = new ArrayList<>();
     private final AtomicLong numbers = new AtomicLong();
     private final AtomicInteger pendingCount = new AtomicInteger();
     private final Thread pace;
@@ -69,15 +69,15 @@
     private String[] runExtents;
 
     /** Where accesses go: one connection, made again whenever it is lost. */
-    private final class Door implements PeerListener {
+    private final class ServerLink implements PeerListener {
         final String name;
-        final Map<Long, Try> pending = new ConcurrentHashMap<>();
+        final Map<Long, ClientAttempt> pending = new ConcurrentHashMap<>();
         volatile String host;
         volatile int port;
         volatile PeerConnection peer;
         private volatile PeerConnection leaving;
 
-        Door(String name, String host, int port) {
+        ServerLink(String name, String host, int port) {
             this.name = name;
             this.host = host;
             this.port = port;
@@ -85,13 +85,13 @@
 
         void connect() {
             if (!stopped) {
-                wire.connect(
+                network.connect(
                         host,
                         port,
-                        straight ? Role.INITIATOR : Role.CLIENT,
+                        isDirect ? Role.INITIATOR : Role.CLIENT,
                         this,
                         BOUNDS,
-                        why -> clockwork.schedule(this::connect, 50, TimeUnit.MILLISECONDS));
+                        why -> executor.schedule(this::connect, 50, TimeUnit.MILLISECONDS));
             }
         }
 
@@ -105,14 +105,14 @@
             switch (frame.getBodyCase()) {
                 case RESPONSE -> {
                     Response a = frame.getResponse();
-                    Try t = pending.remove(a.getNumber());
+                    ClientAttempt t = pending.remove(a.getNumber());
                     if (t != null) {
                         answered(t, a);
                     }
                     closeIfDone(from);
                 }
                 case ATTEMPT_REPLY -> {
-                    Try t = pending.remove(frame.getAttemptReply().getNumber());
+                    ClientAttempt t = pending.remove(frame.getAttemptReply().getNumber());
                     if (t != null) {
                         replied(t, frame.getAttemptReply().getOutcome());
                     }
@@ -146,7 +146,7 @@
          * Hands an access to the open connection; null where there is none. Nothing joins one that
          * is going away.
          */
-        synchronized PeerConnection enter(Try t) {
+        synchronized PeerConnection enter(ClientAttempt t) {
             t.peer = peer;
             if (peer != null) {
                 pending.put(t.number, t);
@@ -160,17 +160,17 @@
                 peer = null;
             }
             // What was out there has no answer; a client repeats it where that is harmless.
-            for (Try t : new ArrayList<>(pending.values())) {
+            for (ClientAttempt t : new ArrayList<>(pending.values())) {
                 if (t.peer == gone && pending.remove(t.number) != null) {
                     lost(t);
                 }
             }
-            clockwork.schedule(this::connect, 50, TimeUnit.MILLISECONDS);
+            executor.schedule(this::connect, 50, TimeUnit.MILLISECONDS);
         }
     }
 
     /** One try of one access. */
-    private static final class Try {
+    private static final class ClientAttempt {
         final LoadProfile.RequestClass kind;
         final LoadProfile.Volume volume;
         final int shard;
@@ -185,7 +185,7 @@
         long number;
         PeerConnection peer;
 
-        Try(
+        ClientAttempt(
                 LoadProfile.RequestClass kind,
                 LoadProfile.Volume volume,
                 int shard,
@@ -210,14 +210,14 @@
             this.vanishes = vanishes;
         }
 
-        Try next() {
-            return new Try(
+        ClientAttempt next() {
+            return new ClientAttempt(
                     kind, volume, shard, extent, units, mark, door, due, until, tries + 1, false);
         }
     }
 
     /**
-     * @param straight to targets, by shard, with nothing between
+     * @param isDirect to targets, by shard, with nothing between
      */
     public LoadGenerator(
             LoadProfile demand,
@@ -230,7 +230,7 @@
     }
 
     /**
-     * @param world that they live in
+     * @param environment that they live in
      */
     public LoadGenerator(
             LoadProfile demand,
@@ -240,59 +240,60 @@
             FrameObserver tap,
             ExecutionEnvironment world)
             throws IOException {
-        this.world = world;
-        this.demand = demand;
-        this.straight = straight;
-        this.clockwork = clockwork;
-        service = new ServiceLevelRecorder(demand);
-        chance = new SplittableRandom(seed);
-        wire = world.openNetwork("client", 2, tap);
+        this.environment = world;
+        this.profile = demand;
+        this.isDirect = straight;
+        this.executor = clockwork;
+        serviceLevels = new ServiceLevelRecorder(demand);
+        random = new SplittableRandom(seed);
+        network = world.openNetwork("client", 2, tap);
         runs = new long[demand.volumes().size()];
-        upTo = demand.volumes().stream().mapToDouble(LoadProfile.Volume::part).toArray();
+        upTo = demand.volumes().stream().mapToDouble(LoadProfile.Volume::demandFraction).toArray();
         Arrays.parallelPrefix(upTo, Double::sum);
         runExtents = new String[demand.volumes().size()];
         pace = new Thread(this::pace, "clients-pace");
         pace.setDaemon(true);
     }
 
-    public void addInitiator(String name, String host, int port) {
-        Door door = new Door(name, host, port);
-        doors.add(door);
+    public void addServer(String name, String host, int port) {
+        ServerLink door = new ServerLink(name, host, port);
+        links.add(door);
         door.connect();
     }
 
     /** A door moved, as an initiator or target does that comes back elsewhere. */
-    public void moveInitiator(int door, int port) {
-        doors.get(door).port = port;
+    public void moveServer(int door, int port) {
+        links.get(door).port = port;
     }
 
-    public ServiceLevelRecorder service() {
-        return service;
+    public ServiceLevelRecorder serviceLevels() {
+        return serviceLevels;
     }
 
     /** Waits until every door is open; false where one is not in time. */
     public boolean awaitConnected(long millis) throws InterruptedException {
-        long until = world.monotonicMicros() + millis * 1000;
-        while (doors.stream().anyMatch(d -> d.peer == null)) {
-            if (world.monotonicMicros() > until) {
+        long until = environment.monotonicMicros() + millis * 1000;
+        while (links.stream().anyMatch(d -> d.peer == null)) {
+            if (environment.monotonicMicros() > until) {
                 return false;
             }
-            world.sleep(1_000);
+            environment.sleep(1_000);
         }
         return true;
     }
 
     public void start() {
-        due = world.monotonicMicros();
+        due = environment.monotonicMicros();
         beganAt = due;
-        if (!demand.trace().isEmpty()) {
-            clockwork.execute(this::traceNext);
-        } else if (demand.closed() > 0) {
-            for (int program = 0; program < demand.closed(); program++) {
+        if (!profile.trace().isEmpty()) {
+            executor.execute(this::traceNext);
+        } else if (profile.closedLoopClients() > 0) {
+            for (int program = 0; program < profile.closedLoopClients(); program++) {
                 askAfter(
-                        program % demand.volumes().size(), chance.nextLong(1_000 + demand.think()));
+                        program % profile.volumes().size(),
+                        random.nextLong(1_000 + profile.thinkTimeMicros()));
             }
-        } else if (world.isVirtual()) {
+        } else if (environment.isVirtual()) {
             paceNext();
         } else {
             pace.start();
@@ -302,8 +303,8 @@
     /**
      * Some volumes ask for so much more that all traffic grows by this part; an empty set ends it.
      */
-    public void surge(Set<String> volumes, double by) {
-        List<LoadProfile.Volume> all = demand.volumes();
+    public void setSurge(Set<String> volumes, double by) {
+        List<LoadProfile.Volume> all = profile.volumes();
         surges =
                 IntStream.range(0, all.size())
                         .filter(v -> volumes.contains(all.get(v).name()))
@@ -312,13 +313,13 @@
     }
 
     /** This part of accesses goes to one piece of data. */
-    public void hotKey(double part) {
+    public void setHotKeyFraction(double part) {
         hot = part;
     }
 
     /** Closes every client connection at once; they connect again. */
     public void reconnect() {
-        for (Door door : doors) {
+        for (ServerLink door : links) {
             PeerConnection peer = door.peer;
             if (peer != null) {
                 peer.close("clients reconnect");
@@ -332,19 +333,19 @@
     public int stop(long millis) throws InterruptedException {
         stopped = true;
         pace.join(); // at once where it never was started
-        long until = world.monotonicMicros() + millis * 1000;
-        while (pendingCount.get() > 0 && world.monotonicMicros() < until) {
-            world.sleep(5_000);
+        long until = environment.monotonicMicros() + millis * 1000;
+        while (pendingCount.get() > 0 && environment.monotonicMicros() < until) {
+            environment.sleep(5_000);
         }
         int left = pendingCount.get();
-        wire.close();
+        network.close();
         return left;
     }
 
     /** Stops at once, whatever is out. */
     public void abort() {
         stopped = true;
-        wire.abort();
+        network.abort();
     }
 
     // ---- Sending ----
@@ -352,7 +353,7 @@
     private void pace() {
         while (!stopped) {
             due += gap();
-            long wait = due - world.monotonicMicros();
+            long wait = due - environment.monotonicMicros();
             if (wait > 0) {
                 LockSupport.parkNanos(wait * 1000);
             }
@@ -363,14 +364,14 @@
     /** As {@link #pace}, by a timer for each access. */
     private void paceNext() {
         due += gap();
-        clockwork.schedule(
+        executor.schedule(
                 () -> {
                     if (!stopped) {
                         first(pickVolume());
                         paceNext();
                     }
                 },
-                due - world.monotonicMicros(),
+                due - environment.monotonicMicros(),
                 TimeUnit.MICROSECONDS);
     }
 
@@ -381,11 +382,11 @@
      * NSDI 2006).
      */
     private void askAfter(int volume, long micros) {
-        clockwork.schedule(
+        executor.schedule(
                 () -> {
                     if (!stopped) {
                         synchronized (this) {
-                            due = world.monotonicMicros();
+                            due = environment.monotonicMicros();
                             first(volume);
                         }
                     }
@@ -399,65 +400,74 @@
      * demand's speed has it.
      */
     private void traceNext() {
-        while (!stopped && traced < demand.trace().size()) {
-            LoadProfile.TracedRequest next = demand.trace().get(traced);
-            due = beganAt + next.at();
-            if (due > world.monotonicMicros()) {
-                clockwork.schedule(
-                        this::traceNext, due - world.monotonicMicros(), TimeUnit.MICROSECONDS);
+        while (!stopped && traced < profile.trace().size()) {
+            LoadProfile.TracedRequest next = profile.trace().get(traced);
+            due = beganAt + next.offsetMicros();
+            if (due > environment.monotonicMicros()) {
+                executor.schedule(
+                        this::traceNext,
+                        due - environment.monotonicMicros(),
+                        TimeUnit.MICROSECONDS);
                 return;
             }
             traced++;
             String mark = "m" + numbers.incrementAndGet() + "." + next.volume().name();
             ask(
-                    new Try(
-                            next.kind(),
+                    new ClientAttempt(
+                            next.requestClass(),
                             next.volume(),
                             next.shard(),
                             next.extent(),
                             next.units(),
                             mark,
-                            straight ? Math.max(0, next.shard()) : next.door(),
+                            isDirect ? Math.max(0, next.shard()) : next.initiator(),
                             due,
-                            due + next.timeLeft(),
+                            due + next.timeLeftMicros(),
                             0,
                             false));
         }
     }
 
     private long gap() {
-        return (long) (-Math.log(1 - chance.nextDouble()) * 1e6 / (demand.rate() * (1 + extra)));
+        return (long)
+                (-Math.log(1 - random.nextDouble())
+                        * 1e6
+                        / (profile.requestsPerSecond() * (1 + extra)));
     }
 
     private void first(int volume) {
         ask(draw(due, volume));
     }
 
-    private void ask(Try first) {
-        service.asked(first.kind.name(), first.volume.name());
+    private void ask(ClientAttempt first) {
+        serviceLevels.recordRequest(first.kind.name(), first.volume.name());
         pendingCount.incrementAndGet();
         send(first);
     }
 
-    private Try draw(long due, int v) {
+    private ClientAttempt draw(long due, int v) {
         LoadProfile.RequestClass kind = pickKind();
-        LoadProfile.Volume volume = demand.volumes().get(v);
-        boolean toHot = hot > 0 && chance.nextDouble() < hot;
-        int shard = volume.shards()[toHot ? 0 : chance.nextInt(volume.shards().length)];
+        LoadProfile.Volume volume = profile.volumes().get(v);
+        boolean toHot = hot > 0 && random.nextDouble() < hot;
+        int shard = volume.shards()[toHot ? 0 : random.nextInt(volume.shards().length)];
         String extent = toHot ? "hot-" + shard : extent(v, shard);
-        double units = kind.leastUnits() + chance.nextInt(kind.mostUnits() - kind.leastUnits() + 1);
-        int lead = chance.nextDouble() < 0.6 ? 0 : chance.nextInt(volume.initiators().length);
-        int door = straight ? shard : volume.initiators()[lead];
-        boolean impatient = demand.impatient() > 0 && chance.nextDouble() < demand.impatient();
+        double units = kind.minUnits() + random.nextInt(kind.maxUnits() - kind.minUnits() + 1);
+        int lead = random.nextDouble() < 0.6 ? 0 : random.nextInt(volume.initiators().length);
+        int door = isDirect ? shard : volume.initiators()[lead];
+        boolean impatient =
+                profile.shortDeadlineFraction() > 0
+                        && random.nextDouble() < profile.shortDeadlineFraction();
         long time =
                 impatient
-                        ? chance.nextLong(demand.leastTime(), demand.mostTime() + 1)
-                        : kind.abandon();
+                        ? random.nextLong(
+                                profile.minShortDeadlineMicros(),
+                                profile.maxShortDeadlineMicros() + 1)
+                        : kind.deadlineMicros();
         String mark = "m" + numbers.incrementAndGet() + "." + volume.name();
-        return new Try(
+        return new ClientAttempt(
                 kind,
                 volume,
-                kind.anywhere() && !straight ? -1 : shard,
+                kind.isNewObject() && !isDirect ? -1 : shard,
                 extent,
                 units,
                 mark,
@@ -465,18 +475,18 @@
                 due,
                 due + time,
                 0,
-                demand.vanish() > 0 && chance.nextDouble() < demand.vanish());
+                profile.cancelFraction() > 0 && random.nextDouble() < profile.cancelFraction());
     }
 
     private LoadProfile.RequestClass pickKind() {
-        double left = chance.nextDouble();
-        for (LoadProfile.RequestClass kind : demand.kinds()) {
+        double left = random.nextDouble();
+        for (LoadProfile.RequestClass kind : profile.requestClasses()) {
             left -= kind.share();
             if (left < 0) {
                 return kind;
             }
         }
-        return demand.kinds().get(0);
+        return profile.requestClasses().get(0);
     }
 
     /**
@@ -485,9 +495,9 @@
      */
     private int pickVolume() {
         int[] surging = surges;
-        double part = chance.nextDouble() * (1 + extra);
+        double part = random.nextDouble() * (1 + extra);
         if (part >= 1 && surging.length > 0) {
-            return surging[chance.nextInt(surging.length)];
+            return surging[random.nextInt(surging.length)];
         }
         int at = Arrays.binarySearch(upTo, part);
         return Math.min(upTo.length - 1, at >= 0 ? at + 1 : -at - 1);
@@ -496,40 +506,41 @@
     /** Programs send several accesses to one piece of data in a row. */
     private String extent(int v, int shard) {
         if (runs[v]-- <= 0 || runExtents[v] == null) {
-            runs[v] = chance.nextInt(6);
-            runExtents[v] = "x" + chance.nextInt(1000);
+            runs[v] = random.nextInt(6);
+            runExtents[v] = "x" + random.nextInt(1000);
         }
         return runExtents[v] + "." + v + "." + shard;
     }
 
-    private void send(Try t) {
-        Door door = doors.get(t.door);
-        long now = world.monotonicMicros();
+    private void send(ClientAttempt t) {
+        ServerLink door = links.get(t.door);
+        long now = environment.monotonicMicros();
         long left = t.until - now;
         if (left <= 0) {
-            finish(t, () -> service.unanswered(t.kind.name()));
+            finish(t, () -> serviceLevels.recordUnanswered(t.kind.name()));
             return;
         }
         t.number = numbers.incrementAndGet();
         PeerConnection peer = door.enter(t);
         if (peer == null) {
-            service.unreachable(t.kind.name());
-            again(t, 0, () -> service.unanswered(t.kind.name()));
+            serviceLevels.recordUnreachable(t.kind.name());
+            again(t, 0, () -> serviceLevels.recordUnanswered(t.kind.name()));
             return;
         }
-        boolean sent = peer.send(straight ? relay(t, left) : access(t, left));
+        boolean sent = peer.send(isDirect ? relay(t, left) : access(t, left));
         if (!sent) {
             if (door.pending.remove(t.number) != null) {
-                service.unreachable(t.kind.name());
-                again(t, 0, () -> service.unanswered(t.kind.name()));
+                serviceLevels.recordUnreachable(t.kind.name());
+                again(t, 0, () -> serviceLevels.recordUnanswered(t.kind.name()));
             }
             return;
         }
-        long patience = t.vanishes ? Math.min(left / 4, 50_000) : left + demand.answerSlack();
-        clockwork.schedule(() -> giveUp(door, t, t.vanishes), patience, TimeUnit.MICROSECONDS);
+        long patience =
+                t.vanishes ? Math.min(left / 4, 50_000) : left + profile.responseSlackMicros();
+        executor.schedule(() -> giveUp(door, t, t.vanishes), patience, TimeUnit.MICROSECONDS);
     }
 
-    private Frame access(Try t, long left) {
+    private Frame access(ClientAttempt t, long left) {
         Request.Builder a =
                 Request.newBuilder()
                         .setNumber(t.number)
@@ -540,18 +551,18 @@
                         .setInitiatorCount(t.volume.initiators().length)
                         .setUnits(t.units)
                         .setTimeLeftMicros(left)
-                        .setWrite(t.kind.write())
+                        .setWrite(t.kind.isWrite())
                         .setIdempotencyKey(t.mark);
         if (t.shard >= 0) {
             a.setShard(t.shard);
         }
-        if (t.kind.write()) {
+        if (t.kind.isWrite()) {
             a.setPayload(ByteString.copyFrom(new byte[(int) (64 * t.units)]));
         }
         return Frame.newBuilder().setRequest(a).build();
     }
 
-    private Frame relay(Try t, long left) {
+    private Frame relay(ClientAttempt t, long left) {
         return Frame.newBuilder()
                 .setAttempt(
                         Attempt.newBuilder()
@@ -563,89 +574,98 @@
                                 .setRequestClass(t.kind.name())
                                 .setUnits(t.units)
                                 .setTimeLeftMicros(left)
-                                .setWrite(t.kind.write())
+                                .setWrite(t.kind.isWrite())
                                 .setIdempotencyKey(t.mark)
                                 .setPayload(
-                                        t.kind.write()
+                                        t.kind.isWrite()
                                                 ? ByteString.copyFrom(
                                                         new byte[(int) (64 * t.units)])
                                                 : ByteString.EMPTY))
                 .build();
     }
 
-    private void giveUp(Door door, Try t, boolean leaves) {
+    private void giveUp(ServerLink door, ClientAttempt t, boolean leaves) {
         if (door.pending.remove(t.number) != null) {
-            if (leaves && !straight) {
+            if (leaves && !isDirect) {
                 t.peer.send(
                         Frame.newBuilder()
                                 .setCancelRequest(CancelRequest.newBuilder().setNumber(t.number))
                                 .build());
             }
-            finish(t, () -> service.unanswered(t.kind.name()));
+            finish(t, () -> serviceLevels.recordUnanswered(t.kind.name()));
             door.closeIfDone(t.peer);
         }
     }
 
     // ---- What comes back ----
 
-    private void answered(Try t, Response a) {
+    private void answered(ClientAttempt t, Response a) {
         switch (a.getStatus()) {
             case ANSWERED -> served(t);
             case REJECTED ->
-                    again(t, a.getRetryAfterMicros(), () -> service.rejected(t.kind.name()));
+                    again(
+                            t,
+                            a.getRetryAfterMicros(),
+                            () -> serviceLevels.recordRejection(t.kind.name()));
             default -> {
-                if (t.kind.repeats() == LoadProfile.Idempotency.IDEMPOTENT) {
-                    again(t, 0, () -> service.brokenOff(t.kind.name()));
+                if (t.kind.idempotency() == LoadProfile.Idempotency.IDEMPOTENT) {
+                    again(t, 0, () -> serviceLevels.recordFailure(t.kind.name()));
                 } else {
-                    finish(t, () -> service.brokenOff(t.kind.name()));
+                    finish(t, () -> serviceLevels.recordFailure(t.kind.name()));
                 }
             }
         }
     }
 
-    private void replied(Try t, Outcome outcome) {
+    private void replied(ClientAttempt t, Outcome outcome) {
         switch (outcome) {
             case SUCCEEDED -> served(t);
-            case OVERLOADED, NOT_STARTED -> again(t, 0, () -> service.rejected(t.kind.name()));
-            default -> finish(t, () -> service.brokenOff(t.kind.name()));
+            case OVERLOADED, NOT_STARTED ->
+                    again(t, 0, () -> serviceLevels.recordRejection(t.kind.name()));
+            default -> finish(t, () -> serviceLevels.recordFailure(t.kind.name()));
         }
     }
 
-    private void served(Try t) {
-        long micros = world.monotonicMicros() - t.due;
+    private void served(ClientAttempt t) {
+        long micros = environment.monotonicMicros() - t.due;
         finish(
                 t,
                 () ->
-                        service.answered(
-                                t.kind.name(), t.volume.name(), micros, micros <= t.kind.agreed()));
+                        serviceLevels.recordAnswer(
+                                t.kind.name(),
+                                t.volume.name(),
+                                micros,
+                                micros <= t.kind.latencyObjectiveMicros()));
     }
 
-    private void lost(Try t) {
+    private void lost(ClientAttempt t) {
         boolean harmless =
-                t.kind.repeats() == LoadProfile.Idempotency.IDEMPOTENT
-                        || t.kind.repeats() == LoadProfile.Idempotency.IDEMPOTENCY_KEY
-                                && t.kind.stampedForAll();
+                t.kind.idempotency() == LoadProfile.Idempotency.IDEMPOTENT
+                        || t.kind.idempotency() == LoadProfile.Idempotency.IDEMPOTENCY_KEY
+                                && t.kind.isDeduplicatedFleetWide();
         if (harmless) {
-            again(t, 0, () -> service.unanswered(t.kind.name()));
+            again(t, 0, () -> serviceLevels.recordUnanswered(t.kind.name()));
         } else {
-            finish(t, () -> service.unanswered(t.kind.name()));
+            finish(t, () -> serviceLevels.recordUnanswered(t.kind.name()));
         }
     }
 
-    private void again(Try t, long advised, Runnable otherwise) {
-        long wait = advised > 0 ? advised : demand.retryWait();
-        if (t.tries >= demand.retries() || world.monotonicMicros() + wait >= t.until || stopped) {
+    private void again(ClientAttempt t, long advised, Runnable otherwise) {
+        long wait = advised > 0 ? advised : profile.retryDelayMicros();
+        if (t.tries >= profile.retries()
+                || environment.monotonicMicros() + wait >= t.until
+                || stopped) {
             finish(t, otherwise);
             return;
         }
-        clockwork.schedule(() -> send(t.next()), wait, TimeUnit.MICROSECONDS);
+        executor.schedule(() -> send(t.next()), wait, TimeUnit.MICROSECONDS);
     }
 
-    private void finish(Try t, Runnable count) {
+    private void finish(ClientAttempt t, Runnable count) {
         count.run();
         pendingCount.decrementAndGet();
-        if (demand.closed() > 0) {
-            askAfter(demand.volumes().indexOf(t.volume), demand.think());
+        if (profile.closedLoopClients() > 0) {
+            askAfter(profile.volumes().indexOf(t.volume), profile.thinkTimeMicros());
         }
     }
 }
--- a/standins/src/main/java/milletyoke/standins/ServiceLevelRecorder.java
+++ b/standins/src/main/java/milletyoke/standins/ServiceLevelRecorder.java
@@ -11,15 +11,15 @@
 public final class ServiceLevelRecorder {
     /** One category's figures. */
     public static final class ClassStatistics {
-        public long requests, answered, inTime, rejected, brokenOff, unanswered, unreachable;
-        public final Histogram times = new Histogram(3_600_000_000L, 3);
-        private final double importance;
+        public long requests, answered, inTime, rejected, failed, unanswered, unreachable;
+        public final Histogram latencies = new Histogram(3_600_000_000L, 3);
+        private final double priorityWeight;
 
         ClassStatistics(double importance) {
-            this.importance = importance;
+            this.priorityWeight = importance;
         }
 
-        public double service() {
+        public double serviceLevel() {
             return requests == 0 ? 1 : inTime / (double) requests;
         }
 
@@ -28,14 +28,14 @@
                     "%9d asked  %5.1f%% in time  %5.1f%% answered  %5.1f%% rejected  %5.2f%% broken off"
                             + "  %d unanswered  p50 %.1f  p99 %.1f  p99.9 %.1f ms",
                     requests,
-                    100 * service(),
+                    100 * serviceLevel(),
                     part(answered),
                     part(rejected),
-                    part(brokenOff),
+                    part(failed),
                     unanswered,
-                    times.getValueAtPercentile(50) / 1e3,
-                    times.getValueAtPercentile(99) / 1e3,
-                    times.getValueAtPercentile(99.9) / 1e3);
+                    latencies.getValueAtPercentile(50) / 1e3,
+                    latencies.getValueAtPercentile(99) / 1e3,
+                    latencies.getValueAtPercentile(99.9) / 1e3);
         }
 
         private double part(long count) {
@@ -48,54 +48,55 @@
     /** By plan: asked and answered in time. */
     private final Map<String, long[]> plans = new LinkedHashMap<>();
 
-    private final Map<String, String> planOf = new LinkedHashMap<>();
+    private final Map<String, String> planByVolume = new LinkedHashMap<>();
 
     /** By volume, in the order of the demand: asked and answered in time. */
     private final Map<String, long[]> volumes = new LinkedHashMap<>();
 
     ServiceLevelRecorder(LoadProfile demand) {
-        demand.kinds()
-                .forEach(k -> requestClasses.put(k.name(), new ClassStatistics(k.importance())));
+        demand.requestClasses()
+                .forEach(
+                        k -> requestClasses.put(k.name(), new ClassStatistics(k.priorityWeight())));
         demand.volumes()
                 .forEach(
                         v -> {
                             volumes.put(v.name(), new long[2]);
                             plans.putIfAbsent(v.plan(), new long[2]);
-                            planOf.put(v.name(), v.plan());
+                            planByVolume.put(v.name(), v.plan());
                         });
     }
 
-    synchronized void asked(String kind, String volume) {
+    synchronized void recordRequest(String kind, String volume) {
         requestClasses.get(kind).requests++;
         volumes.get(volume)[0]++;
-        plans.get(planOf.get(volume))[0]++;
+        plans.get(planByVolume.get(volume))[0]++;
     }
 
     /**
      * @param micros since the first try was due
      */
-    synchronized void answered(String kind, String volume, long micros, boolean inTime) {
+    synchronized void recordAnswer(String kind, String volume, long micros, boolean inTime) {
         volumes.get(volume)[1] += inTime ? 1 : 0;
-        plans.get(planOf.get(volume))[1] += inTime ? 1 : 0;
+        plans.get(planByVolume.get(volume))[1] += inTime ? 1 : 0;
         ClassStatistics line = requestClasses.get(kind);
         line.answered++;
         line.inTime += inTime ? 1 : 0;
-        line.times.recordValue(Math.min(3_600_000_000L, Math.max(0, micros)));
+        line.latencies.recordValue(Math.min(3_600_000_000L, Math.max(0, micros)));
     }
 
-    synchronized void rejected(String kind) {
+    synchronized void recordRejection(String kind) {
         requestClasses.get(kind).rejected++;
     }
 
-    synchronized void brokenOff(String kind) {
-        requestClasses.get(kind).brokenOff++;
+    synchronized void recordFailure(String kind) {
+        requestClasses.get(kind).failed++;
     }
 
-    synchronized void unanswered(String kind) {
+    synchronized void recordUnanswered(String kind) {
         requestClasses.get(kind).unanswered++;
     }
 
-    synchronized void unreachable(String kind) {
+    synchronized void recordUnreachable(String kind) {
         requestClasses.get(kind).unreachable++;
     }
 
@@ -104,7 +105,7 @@
     }
 
     /** Importance answered in its agreed time over the importance asked for. */
-    public synchronized double overall() {
+    public synchronized double overallServiceLevel() {
         double[] sums = sums();
         return sums[0] == 0 ? 1 : sums[1] / sums[0];
     }
@@ -114,7 +115,7 @@
      * 1984) over the part of each one's accesses that were answered in time. 1 where all are served
      * alike, 1/n where one of n has it all.
      */
-    public synchronized double evenness() {
+    public synchronized double fairnessIndex() {
         double sum = 0, squares = 0;
         int count = 0;
         for (long[] v : volumes.values()) {
@@ -143,8 +144,8 @@
     public synchronized double[] sums() {
         double[] sums = new double[2];
         for (ClassStatistics line : requestClasses.values()) {
-            sums[0] += line.importance * line.requests;
-            sums[1] += line.importance * line.inTime;
+            sums[0] += line.priorityWeight * line.requests;
+            sums[1] += line.priorityWeight * line.inTime;
         }
         return sums;
     }
@@ -153,9 +154,9 @@
         return requestClasses.values().stream().mapToLong(l -> l.requests).sum();
     }
 
-    public synchronized Histogram times() {
+    public synchronized Histogram latencies() {
         Histogram all = new Histogram(3_600_000_000L, 3);
-        requestClasses.values().forEach(l -> all.add(l.times));
+        requestClasses.values().forEach(l -> all.add(l.latencies));
         return all;
     }
 
@@ -163,7 +164,7 @@
         StringBuilder text = new StringBuilder();
         requestClasses.forEach(
                 (name, line) -> text.append(String.format("  %-16s %s%n", name, line.text())));
-        return text.append(String.format("  service %.3f%n", overall())).toString();
+        return text.append(String.format("  service %.3f%n", overallServiceLevel())).toString();
     }
 
     /** One short line for a live view. */
@@ -174,7 +175,7 @@
                         text.append(
                                 String.format(
                                         "  %s %d asked, %.1f%% in time",
-                                        name, line.requests, 100 * line.service())));
+                                        name, line.requests, 100 * line.serviceLevel())));
         return text.toString().trim();
     }
 }
--- a/standins/src/main/java/milletyoke/standins/Target.java
+++ b/standins/src/main/java/milletyoke/standins/Target.java
@@ -36,46 +36,46 @@
 public final class Target implements PeerListener {
     private final String id;
     private final int shard;
-    private final TargetBehavior nature;
-    private final ScheduledExecutorService clockwork;
-    private final Function<String, DeduplicationCache> marksOf;
-    private final FrameObserver tap;
-    private final ExecutionListener witness;
-    private final SplittableRandom chance;
-
-    private final ExecutionEnvironment world;
-    private Network wire;
-    private Network.Listener listener;
+    private final TargetBehavior behavior;
+    private final ScheduledExecutorService executor;
+    private final Function<String, DeduplicationCache> deduplicationCacheOf;
+    private final FrameObserver observer;
+    private final ExecutionListener executionListener;
+    private final SplittableRandom random;
+
+    private final ExecutionEnvironment environment;
+    private Network network;
+    private Network.Listener networkListener;
     private int port;
-    private int life;
+    private int incarnation;
     private boolean up;
     private long startedAt;
-    private boolean cold;
+    private boolean isWarmingUp;
 
-    private final ArrayDeque<Job> waiting = new ArrayDeque<>();
+    private final ArrayDeque<Job> queue = new ArrayDeque<>();
     private final Set<Job> running = new LinkedHashSet<>();
-    private final ArrayDeque<String> extents = new ArrayDeque<>();
-    private final ArrayDeque<long[]> coldSent = new ArrayDeque<>();
+    private final ArrayDeque<String> recentExtents = new ArrayDeque<>();
+    private final ArrayDeque<long[]> warmUpArrivals = new ArrayDeque<>();
     private final Set<PeerConnection> peers = new LinkedHashSet<>();
-    private double coldUnits;
-    private double unitsDone;
+    private double warmUpUnits;
+    private double completedUnits;
     private double warmUpBudgetUsed;
-    private double putOffWork;
-    private long stillUntil;
+    private double deferredWorkMicros;
+    private long stalledUntilMicros;
 
     private volatile boolean hangs;
     private volatile boolean fallen;
     private volatile boolean refuses;
-    private volatile double slow = 1;
-    private volatile double errors;
-    private volatile double dropsReplies;
+    private volatile double slowdownFactor = 1;
+    private volatile double errorFraction;
+    private volatile double droppedReplyFraction;
     private volatile long pauseEvery, pauseLeast, pauseMost;
 
     private record Job(PeerConnection peer, Attempt relay, long came, int life) {}
 
     /**
-     * @param marksOf the marks its group knows, by category; null for a category whose repeats are
-     *     not dropped
+     * @param deduplicationCacheOf the marks its group knows, by category; null for a category whose
+     *     repeats are not dropped
      */
     public Target(
             String id,
@@ -90,7 +90,7 @@
     }
 
     /**
-     * @param world that it lives in
+     * @param environment that it lives in
      */
     public Target(
             String id,
@@ -102,15 +102,15 @@
             FrameObserver tap,
             ExecutionListener witness,
             ExecutionEnvironment world) {
-        this.world = world;
+        this.environment = world;
         this.id = id;
         this.shard = shard;
-        this.nature = nature;
-        this.clockwork = clockwork;
-        this.marksOf = marksOf;
-        this.tap = tap;
-        this.witness = witness;
-        chance = new SplittableRandom(seed);
+        this.behavior = nature;
+        this.executor = clockwork;
+        this.deduplicationCacheOf = marksOf;
+        this.observer = tap;
+        this.executionListener = witness;
+        random = new SplittableRandom(seed);
     }
 
     public String id() {
@@ -121,8 +121,8 @@
         return shard;
     }
 
-    public TargetBehavior nature() {
-        return nature;
+    public TargetBehavior behavior() {
+        return behavior;
     }
 
     public synchronized int port() {
@@ -145,36 +145,37 @@
      * Starts it, on the port it had before if it had one. @param fromCold whether it must warm up
      */
     public synchronized void start(boolean fromCold) throws IOException {
-        wire = world.openNetwork(id, 1, tap);
-        listener =
-                wire.listen(
+        network = environment.openNetwork(id, 1, observer);
+        networkListener =
+                network.listen(
                         "127.0.0.1",
                         port,
                         Role.TARGET,
                         this,
                         new FrameLimits(4 << 20, 16 << 20, 5_000_000, 0));
-        port = listener.port();
-        life++;
+        port = networkListener.port();
+        incarnation++;
         up = true;
-        cold = fromCold;
-        startedAt = world.monotonicMicros();
+        isWarmingUp = fromCold;
+        startedAt = environment.monotonicMicros();
         fallen = false;
         hangs = false;
-        coldUnits = 0;
-        unitsDone = 0;
-        coldSent.clear();
-        witness.note(id, Note.Kind.STARTED, cold ? "cold" : "warm", nature.capacity());
-        tick(life, this::doPutOff, nature.putOffEvery());
-        tick(life, this::pauseOfOwn, nature.pauseEvery());
+        warmUpUnits = 0;
+        completedUnits = 0;
+        warmUpArrivals.clear();
+        executionListener.note(
+                id, Note.Kind.STARTED, isWarmingUp ? "cold" : "warm", behavior.unitsPerSecond());
+        tick(incarnation, this::doPutOff, behavior.deferredWorkPeriodMicros());
+        tick(incarnation, this::pauseOfOwn, behavior.pausePeriodMicros());
     }
 
     private void tick(int ofLife, Runnable task, long every) {
         if (every > 0) {
-            long in = (long) (every * (0.5 + chance.nextDouble()));
-            clockwork.schedule(
+            long in = (long) (every * (0.5 + random.nextDouble()));
+            executor.schedule(
                     () -> {
                         synchronized (this) {
-                            if (life != ofLife || !up) {
+                            if (incarnation != ofLife || !up) {
                                 return;
                             }
                             task.run();
@@ -194,68 +195,68 @@
                 return;
             }
             up = false;
-            life++;
-            waiting.clear();
+            incarnation++;
+            queue.clear();
             running.clear();
-            extents.clear();
+            recentExtents.clear();
             peers.clear();
-            putOffWork = 0;
-            old = wire;
+            deferredWorkMicros = 0;
+            old = network;
         }
-        witness.note(id, Note.Kind.KILLED, "", 0);
+        executionListener.note(id, Note.Kind.KILLED, "", 0);
         old.abort();
     }
 
     // ---- Faults to order; each stays until it is taken back ----
 
     /** Takes accesses and answers none. What it took meanwhile stays unanswered. */
-    public void hang(boolean on) {
+    public void setHanging(boolean on) {
         hangs = on;
         if (!on) {
             synchronized (this) {
-                waiting.clear();
+                queue.clear();
                 running.clear();
             }
         }
     }
 
     /** All work takes so many times as long. */
-    public void slow(double factor) {
-        slow = factor;
+    public void setSlowdownFactor(double factor) {
+        slowdownFactor = factor;
     }
 
     /** Quickly fails this part of what it gets; half of those were run. */
-    public void errors(double part) {
-        errors = part;
+    public void setErrorFraction(double part) {
+        errorFraction = part;
     }
 
     /** Never answers this part of what it gets; half of those were run. */
-    public void dropsReplies(double part) {
-        dropsReplies = part;
+    public void setDroppedReplyFraction(double part) {
+        droppedReplyFraction = part;
     }
 
     /** Stands still now and then; 0 ends it. Times are microseconds. */
-    public synchronized void pauses(long every, long least, long most) {
+    public synchronized void setPauses(long every, long least, long most) {
         boolean was = pauseEvery > 0;
         pauseEvery = every;
         pauseLeast = least;
         pauseMost = most;
         if (every > 0 && !was) {
-            pauseToOrder(life);
+            pauseToOrder(incarnation);
         }
     }
 
     private void pauseToOrder(int ofLife) {
-        clockwork.schedule(
+        executor.schedule(
                 () -> {
                     synchronized (this) {
-                        if (life == ofLife && pauseEvery > 0) {
-                            stand(chance.nextLong(pauseLeast, Math.max(pauseMost, pauseLeast + 1)));
+                        if (incarnation == ofLife && pauseEvery > 0) {
+                            stand(random.nextLong(pauseLeast, Math.max(pauseMost, pauseLeast + 1)));
                             pauseToOrder(ofLife);
                         }
                     }
                 },
-                (long) (pauseEvery * (0.5 + chance.nextDouble())),
+                (long) (pauseEvery * (0.5 + random.nextDouble())),
                 TimeUnit.MICROSECONDS);
     }
 
@@ -270,21 +271,21 @@
     }
 
     /** Accepts connections and says no hello: it cannot be reached, though its port is open. */
-    public void refuse(boolean on) {
+    public void setRefusingConnections(boolean on) {
         refuses = on;
     }
 
     private void pauseOfOwn() {
-        stand(nature.pause());
+        stand(behavior.pauseMicros());
     }
 
     private void stand(long micros) {
-        stillUntil = Math.max(stillUntil, world.monotonicMicros() + micros);
+        stalledUntilMicros = Math.max(stalledUntilMicros, environment.monotonicMicros() + micros);
     }
 
     private void doPutOff() {
-        long work = (long) (putOffWork / nature.speed() / nature.cores());
-        putOffWork = 0;
+        long work = (long) (deferredWorkMicros / behavior.speed() / behavior.cores());
+        deferredWorkMicros = 0;
         if (work > 0) {
             stand(work);
         }
@@ -296,14 +297,14 @@
     public void onReady(PeerConnection peer) {
         boolean taken;
         synchronized (this) {
-            taken = peers.size() < nature.connections() && !refuses;
+            taken = peers.size() < behavior.maxConnections() && !refuses;
             if (taken) {
                 peers.add(peer);
             }
         }
-        if (taken && nature.connecting() > 0) {
+        if (taken && behavior.connectionSetupMicros() > 0) {
             synchronized (this) {
-                stand(nature.connecting());
+                stand(behavior.connectionSetupMicros());
             }
         }
         if (!taken) {
@@ -344,7 +345,7 @@
      * heard of again.
      */
     private Outcome take(PeerConnection peer, Attempt relay) {
-        long now = world.monotonicMicros();
+        long now = environment.monotonicMicros();
         press(now, relay.getUnits());
         if (hangs || fallen || !up) {
             return null;
@@ -352,23 +353,23 @@
         if (relay.hasShard() && relay.getShard() != shard) {
             return Outcome.NOT_STARTED;
         }
-        if (errors > 0 && chance.nextDouble() < errors) {
-            if (chance.nextBoolean()) {
+        if (errorFraction > 0 && random.nextDouble() < errorFraction) {
+            if (random.nextBoolean()) {
                 effect(relay, now);
             }
             return Outcome.ERROR;
         }
-        if (dropsReplies > 0 && chance.nextDouble() < dropsReplies) {
-            if (chance.nextBoolean()) {
+        if (droppedReplyFraction > 0 && random.nextDouble() < droppedReplyFraction) {
+            if (random.nextBoolean()) {
                 effect(relay, now);
             }
             return null;
         }
-        Job job = new Job(peer, relay, now, life);
-        if (running.size() < nature.cores()) {
+        Job job = new Job(peer, relay, now, incarnation);
+        if (running.size() < behavior.cores()) {
             begin(job, now);
-        } else if (waiting.size() < nature.room()) {
-            waiting.add(job);
+        } else if (queue.size() < behavior.queueCapacity()) {
+            queue.add(job);
         } else {
             return Outcome.OVERLOADED;
         }
@@ -380,36 +381,49 @@
      * stays down.
      */
     private void press(long now, double units) {
-        if (!cold || now > startedAt + nature.warm()) {
+        if (!isWarmingUp || now > startedAt + behavior.warmUpMicros()) {
             return;
         }
-        coldSent.addLast(new long[] {now, Double.doubleToLongBits(units)});
-        coldUnits += units;
-        while (coldSent.peekFirst()[0] <= now - nature.fall()) {
-            coldUnits -= Double.longBitsToDouble(coldSent.removeFirst()[1]);
+        warmUpArrivals.addLast(new long[] {now, Double.doubleToLongBits(units)});
+        warmUpUnits += units;
+        while (warmUpArrivals.peekFirst()[0] <= now - behavior.overloadWindowMicros()) {
+            warmUpUnits -= Double.longBitsToDouble(warmUpArrivals.removeFirst()[1]);
         }
-        double bears = nature.tipMultiple() * nature.capacity() * warmth(now) * nature.fall() / 1e6;
-        warmUpBudgetUsed = nature.fall() > 0 ? Math.max(warmUpBudgetUsed, coldUnits / bears) : 0;
-        if (nature.fall() > 0 && coldUnits > bears && !fallen) {
+        double bears =
+                behavior.overloadFactor()
+                        * behavior.unitsPerSecond()
+                        * warmth(now)
+                        * behavior.overloadWindowMicros()
+                        / 1e6;
+        warmUpBudgetUsed =
+                behavior.overloadWindowMicros() > 0
+                        ? Math.max(warmUpBudgetUsed, warmUpUnits / bears)
+                        : 0;
+        if (behavior.overloadWindowMicros() > 0 && warmUpUnits > bears && !fallen) {
             fallen = true;
-            witness.note(id, Note.Kind.OVERLOAD_COLLAPSE, "", coldUnits / bears);
+            executionListener.note(id, Note.Kind.OVERLOAD_COLLAPSE, "", warmUpUnits / bears);
         }
     }
 
     private double warmth(long now) {
         double age =
-                nature.warm() == 0 ? 1 : Math.min(1, (now - startedAt) / (double) nature.warm());
+                behavior.warmUpMicros() == 0
+                        ? 1
+                        : Math.min(1, (now - startedAt) / (double) behavior.warmUpMicros());
         age =
-                nature.warmUnits() > 0
-                        ? Math.min(1, Math.max(age, unitsDone / nature.warmUnits()))
+                behavior.warmUpUnits() > 0
+                        ? Math.min(1, Math.max(age, completedUnits / behavior.warmUpUnits()))
                         : age;
-        return cold ? nature.coldShare() + (1 - nature.coldShare()) * age : 1;
+        return isWarmingUp
+                ? behavior.initialCapacityFraction()
+                        + (1 - behavior.initialCapacityFraction()) * age
+                : 1;
     }
 
     private void begin(Job job, long now) {
         Attempt r = job.relay();
         if (now > job.came() + r.getTimeLeftMicros()) {
-            clockwork.execute(
+            executor.execute(
                     () ->
                             reply(
                                     job.peer(),
@@ -419,42 +433,42 @@
         }
         running.add(job);
         if (!effect(r, now)) {
-            clockwork.schedule(() -> finish(job), 200, TimeUnit.MICROSECONDS);
+            executor.schedule(() -> finish(job), 200, TimeUnit.MICROSECONDS);
             return;
         }
         double work =
                 r.getUnits()
-                        * nature.unit()
-                        * nature.work().factor(chance.nextDouble())
-                        * (1 + nature.crowd() * waiting.size());
+                        * behavior.unitMicros()
+                        * behavior.workDistribution().factor(random.nextDouble())
+                        * (1 + behavior.queueingPenalty() * queue.size());
         if (!r.getExtent().isEmpty() && r.getAttemptNumber() == 0 && remembers(r.getExtent())) {
-            work *= 1 - nature.extentSaves();
+            work *= 1 - behavior.rememberedExtentSaving();
         }
         if (r.getWrite()) {
-            putOffWork += work * nature.putOff();
-            work *= 1 - nature.putOff();
+            deferredWorkMicros += work * behavior.deferredWriteFraction();
+            work *= 1 - behavior.deferredWriteFraction();
         }
-        long takes = (long) (work * slow / nature.speed() / warmth(now));
-        clockwork.schedule(
+        long takes = (long) (work * slowdownFactor / behavior.speed() / warmth(now));
+        executor.schedule(
                 () -> finish(job),
-                Math.max(takes, stillUntil - now + takes),
+                Math.max(takes, stalledUntilMicros - now + takes),
                 TimeUnit.MICROSECONDS);
     }
 
     private boolean remembers(String extent) {
-        boolean known = extents.remove(extent);
-        extents.addLast(extent);
-        if (extents.size() > nature.extents()) {
-            extents.removeFirst();
+        boolean known = recentExtents.remove(extent);
+        recentExtents.addLast(extent);
+        if (recentExtents.size() > behavior.rememberedExtents()) {
+            recentExtents.removeFirst();
         }
         return known;
     }
 
     /** Has the access's effect; false for a repeat that its mark gives away. */
     private boolean effect(Attempt r, long now) {
-        DeduplicationCache marks = marksOf.apply(r.getRequestClass());
-        boolean first = marks == null || marks.first(r.getIdempotencyKey(), now);
-        witness.note(
+        DeduplicationCache marks = deduplicationCacheOf.apply(r.getRequestClass());
+        boolean first = marks == null || marks.recordExecution(r.getIdempotencyKey(), now);
+        executionListener.note(
                 id,
                 first ? Note.Kind.EXECUTED : Note.Kind.DEDUPLICATED,
                 r.getIdempotencyKey() + " " + r.getRequestClass(),
@@ -464,29 +478,30 @@
 
     private void finish(Job job) {
         synchronized (this) {
-            long now = world.monotonicMicros();
-            if (job.life() != life || hangs || fallen) {
+            long now = environment.monotonicMicros();
+            if (job.life() != incarnation || hangs || fallen) {
                 return;
             }
-            if (now < stillUntil) {
-                clockwork.schedule(() -> finish(job), stillUntil - now, TimeUnit.MICROSECONDS);
+            if (now < stalledUntilMicros) {
+                executor.schedule(
+                        () -> finish(job), stalledUntilMicros - now, TimeUnit.MICROSECONDS);
                 return;
             }
             if (!running.remove(job)) {
                 return;
             }
-            unitsDone += job.relay().getUnits();
-            while (running.size() < nature.cores() && !waiting.isEmpty()) {
-                begin(waiting.removeFirst(), now);
+            completedUnits += job.relay().getUnits();
+            while (running.size() < behavior.cores() && !queue.isEmpty()) {
+                begin(queue.removeFirst(), now);
             }
         }
         reply(job.peer(), job.relay(), Outcome.SUCCEEDED);
     }
 
     private void cancel(PeerConnection peer, long number) {
-        if (nature.dropsCancelled()) {
+        if (behavior.dropsCancelled()) {
             synchronized (this) {
-                waiting.removeIf(j -> j.peer() == peer && j.relay().getNumber() == number);
+                queue.removeIf(j -> j.peer() == peer && j.relay().getNumber() == number);
             }
         }
     }
@@ -497,21 +512,21 @@
             long in;
             synchronized (this) {
                 load = load();
-                in = Math.max(0, stillUntil - world.monotonicMicros());
+                in = Math.max(0, stalledUntilMicros - environment.monotonicMicros());
             }
             Frame answer =
                     Frame.newBuilder()
                             .setProbeReply(ProbeReply.newBuilder().setNumber(number).setLoad(load))
                             .build();
-            clockwork.schedule(() -> peer.send(answer), in, TimeUnit.MICROSECONDS);
+            executor.schedule(() -> peer.send(answer), in, TimeUnit.MICROSECONDS);
         }
     }
 
     private Load load() {
-        return nature.tells()
+        return behavior.reportsLoad()
                 ? Load.newBuilder()
-                        .setQueueLength(waiting.size())
-                        .setBusy(running.size() / (double) nature.cores())
+                        .setQueueLength(queue.size())
+                        .setBusy(running.size() / (double) behavior.cores())
                         .build()
                 : Load.getDefaultInstance();
     }
@@ -538,8 +553,8 @@
     }
 
     /** What is there, for a look from outside. */
-    public synchronized Map<String, Integer> figures() {
+    public synchronized Map<String, Integer> stateCounts() {
         return Map.of(
-                "waiting", waiting.size(), "running", running.size(), "connections", peers.size());
+                "waiting", queue.size(), "running", running.size(), "connections", peers.size());
     }
 }
--- a/standins/src/main/java/milletyoke/standins/Work.java
+++ b/standins/src/main/java/milletyoke/standins/WorkDistribution.java
@@ -9,16 +9,17 @@
 import org.apache.commons.statistics.distribution.UniformContinuousDistribution;
 
 /** How the work of single accesses varies round a mean of 1. Immutable; any thread may ask. */
-public final class Work {
+public final class WorkDistribution {
     /** Even over 0.5 to 1.5. */
-    public static final Work EVEN = new Work(UniformContinuousDistribution.of(0.5, 1.5));
+    public static final WorkDistribution EVEN =
+            new WorkDistribution(UniformContinuousDistribution.of(0.5, 1.5));
 
-    private static final Pattern TEXT =
+    private static final Pattern SYNTAX =
             Pattern.compile("(even|exponential)|(gamma|lognormal):([0-9]+(?:\\.[0-9]+)?)");
 
     private final ContinuousDistribution distribution;
 
-    private Work(ContinuousDistribution distribution) {
+    private WorkDistribution(ContinuousDistribution distribution) {
         this.distribution = distribution;
     }
 
@@ -27,8 +28,8 @@
      *
      * @throws IllegalArgumentException for anything else, with what is expected
      */
-    public static Work of(String text) {
-        Matcher m = TEXT.matcher(text);
+    public static WorkDistribution of(String text) {
+        Matcher m = SYNTAX.matcher(text);
         double figure = m.matches() && m.group(3) != null ? Double.parseDouble(m.group(3)) : 1;
         if (!m.matches() || !(figure >= 0.01 && figure <= 100)) {
             throw new IllegalArgumentException(
@@ -38,9 +39,11 @@
                             + "\"");
         }
         if (m.group(2) == null) {
-            return m.group(1).equals("even") ? EVEN : new Work(ExponentialDistribution.of(1));
+            return m.group(1).equals("even")
+                    ? EVEN
+                    : new WorkDistribution(ExponentialDistribution.of(1));
         }
-        return new Work(
+        return new WorkDistribution(
                 m.group(2).equals("gamma")
                         ? GammaDistribution.of(figure, 1 / figure)
                         : LogNormalDistribution.of(-figure * figure / 2, figure));
--- a/standins/src/main/java/milletyoke/standins/http/ScriptedHttpServer.java
+++ b/standins/src/main/java/milletyoke/standins/http/ScriptedHttpServer.java
@@ -18,7 +18,7 @@
 public final class ScriptedHttpServer implements AutoCloseable {
     /** What becomes of one request; called on the sockets' thread. */
     public interface Script {
-        void asked(HttpConnection conn, HttpMessage request);
+        void onRequest(HttpConnection conn, HttpMessage request);
     }
 
     private final HttpTransport net;
@@ -30,7 +30,7 @@
     public ScriptedHttpServer(String name, Script script) throws IOException {
         this.script = script;
         net = new HttpTransport(name);
-        listener = net.listen("127.0.0.1", 0, Ear::new);
+        listener = net.listen("127.0.0.1", 0, RequestHandler::new);
     }
 
     public int port() {
@@ -70,7 +70,7 @@
         net.close();
     }
 
-    private final class Ear implements HttpTransport.Handler {
+    private final class RequestHandler implements HttpTransport.Handler {
         private final HttpMessageDecoder decoder =
                 new HttpMessageDecoder(
                         HttpMessageDecoder.Side.REQUESTS, HttpMessageDecoder.Limits.DEFAULT);
@@ -85,7 +85,7 @@
             try {
                 for (HttpMessage m = decoder.decode(in); m != null; m = decoder.decode(in)) {
                     requests.add(m);
-                    script.asked(conn, m);
+                    script.onRequest(conn, m);
                 }
             } catch (HttpParseException bad) {
                 conn.close("cannot be read: " + bad.getMessage());
