--- a/cli/src/main/java/milletyoke/cli/AuditCommand.java
+++ b/cli/src/main/java/milletyoke/cli/AuditCommand.java
@@ -16,7 +16,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Audit.Report report = Audit.recording(recording);
+        Audit.Report report = Audit.audit(recording);
         System.out.print(report.text(true));
         return report.isClean() ? 0 : 1;
     }
--- a/cli/src/main/java/milletyoke/cli/DemoCommand.java
+++ b/cli/src/main/java/milletyoke/cli/DemoCommand.java
@@ -42,12 +42,12 @@
                         "%d initiators, %d targets, %.0f accesses a second for %d s; a target hangs at 4 s%n",
                         day.initiators(),
                         day.fleet().targets(),
-                        day.load().rate(),
+                        day.load().requestsPerSecond(),
                         day.durationMicros() / 1_000_000);
                 played = stage.run(System.out::println);
             }
-            System.out.print(played.service().text());
-            Audit.Report report = Audit.recording(recording);
+            System.out.print(played.serviceLevels().text());
+            Audit.Report report = Audit.audit(recording);
             System.out.print(report.text(true));
             return report.isClean() && played.isShutdownClean() && played.unfinished() == 0 ? 0 : 1;
         } finally {
--- a/cli/src/main/java/milletyoke/cli/RatesCommand.java
+++ b/cli/src/main/java/milletyoke/cli/RatesCommand.java
@@ -38,35 +38,35 @@
                     "--at takes rates of 1 a second and more, not " + rates);
         }
         play(
-                day.at(rates.get(0)),
+                day.withRate(rates.get(0)),
                 false); // the machine's compiler has its say before anything is measured
-        play(day.at(rates.get(0)), true);
+        play(day.withRate(rates.get(0)), true);
         System.out.println(
                 "   rate  asked through: in time   p50     p99 ms   straight: in time   p50     p99 ms"
                         + "   added: p50    p99 ms   turn p99 us (slowest initiator)  CPU us/access");
         for (int rate : rates) {
-            ScenarioRunner.ScenarioResult through = play(day.at(rate), false);
-            ScenarioRunner.ScenarioResult straight = play(day.at(rate), true);
-            Histogram a = through.service().latencies();
-            Histogram b = straight.service().latencies();
+            ScenarioRunner.ScenarioResult through = play(day.withRate(rate), false);
+            ScenarioRunner.ScenarioResult straight = play(day.withRate(rate), true);
+            Histogram a = through.serviceLevels().latencies();
+            Histogram b = straight.serviceLevels().latencies();
             System.out.printf(
                     "%7d %7d %15.3f %7.2f %9.2f %18.3f %7.2f %9.2f %12.2f %8.2f %12s %26.0f%n",
                     rate,
-                    through.service().totalRequests(),
-                    through.service().overallServiceLevel(),
+                    through.serviceLevels().totalRequests(),
+                    through.serviceLevels().overallServiceLevel(),
                     millis(a, 50),
                     millis(a, 99),
-                    straight.service().overallServiceLevel(),
+                    straight.serviceLevels().overallServiceLevel(),
                     millis(b, 50),
                     millis(b, 99),
                     millis(a, 50) - millis(b, 50),
                     millis(a, 99) - millis(b, 99),
-                    through.counts().stream()
+                    through.initiatorCounters().stream()
                             .map(c -> c.replaceAll(".*turns p50 \\d+ us, p99 (\\d+) us.*", "$1"))
                             .mapToInt(Integer::parseInt)
                             .max()
                             .orElse(0),
-                    through.cpuMicros());
+                    through.cpuMicrosPerRequest());
         }
         return 0;
     }
--- a/cli/src/main/java/milletyoke/cli/ScenarioCommand.java
+++ b/cli/src/main/java/milletyoke/cli/ScenarioCommand.java
@@ -76,13 +76,13 @@
         try {
             ScenarioRunner.ScenarioResult played =
                     viewers > 0 ? watched(day, recording) : bare(day, recording);
-            System.out.print(played.service().text());
-            played.counts().forEach(c -> System.out.println("  " + c));
-            Audit.Report report = Audit.recording(recording);
+            System.out.print(played.serviceLevels().text());
+            played.initiatorCounters().forEach(c -> System.out.println("  " + c));
+            Audit.Report report = Audit.audit(recording);
             System.out.print(report.text(true));
             System.out.printf(
                     "%d records, %.0f us of CPU for each access, all parts in one process%n",
-                    report.records(), played.cpuMicros());
+                    report.records(), played.cpuMicrosPerRequest());
             if (straight) {
                 compare(day, played);
             }
@@ -130,9 +130,10 @@
                     "service with %d viewers and %d streams %.3f, without %.3f, ratio %.3f%n",
                     viewers,
                     viewers,
-                    played.service().overallServiceLevel(),
-                    alone.service().overallServiceLevel(),
-                    played.service().overallServiceLevel() / alone.service().overallServiceLevel());
+                    played.serviceLevels().overallServiceLevel(),
+                    alone.serviceLevels().overallServiceLevel(),
+                    played.serviceLevels().overallServiceLevel()
+                            / alone.serviceLevels().overallServiceLevel());
             return played;
         } finally {
             Files.delete(tokens);
@@ -149,13 +150,14 @@
             Files.deleteIfExists(recording);
         }
         System.out.println("-- the same load straight to the targets, no scheduling");
-        System.out.print(bare.service().text());
+        System.out.print(bare.serviceLevels().text());
         System.out.printf(
                 "through the initiators: p50 %+.2f ms, CPU %+.0f us for each access, service %+.3f%n",
-                (through.service().latencies().getValueAtPercentile(50)
-                                - bare.service().latencies().getValueAtPercentile(50))
+                (through.serviceLevels().latencies().getValueAtPercentile(50)
+                                - bare.serviceLevels().latencies().getValueAtPercentile(50))
                         / 1e3,
-                through.cpuMicros() - bare.cpuMicros(),
-                through.service().overallServiceLevel() - bare.service().overallServiceLevel());
+                through.cpuMicrosPerRequest() - bare.cpuMicrosPerRequest(),
+                through.serviceLevels().overallServiceLevel()
+                        - bare.serviceLevels().overallServiceLevel());
     }
 }
--- a/cli/src/main/java/milletyoke/cli/SimulationCommand.java
+++ b/cli/src/main/java/milletyoke/cli/SimulationCommand.java
@@ -85,21 +85,21 @@
                                     ? keep
                                     : Files.createTempFile("milletyoke-", ".recording");
             try {
-                SimulationRun.SimulationResult came = SimulationRun.of(day, recording);
-                Audit.Report report = bare ? null : Audit.recording(recording);
+                SimulationRun.SimulationResult came = SimulationRun.run(day, recording);
+                Audit.Report report = bare ? null : Audit.audit(recording);
                 boolean kept =
                         came.isClean() && came.unfinished() == 0 && (bare || report.isClean());
                 System.out.printf(
                         "%-32s service %.4f  digest %016x  %,d events in %.2f s, %,.0f a second  %s%n",
                         day.name(),
-                        came.service().overallServiceLevel(),
+                        came.serviceLevels().overallServiceLevel(),
                         came.digest(),
-                        came.events(),
-                        came.wall() / 1e6,
-                        came.events() * 1e6 / came.wall(),
+                        came.eventCount(),
+                        came.elapsedMicros() / 1e6,
+                        came.eventCount() * 1e6 / came.elapsedMicros(),
                         bare ? "not audited" : kept ? "kept" : "NOT KEPT");
                 if (!brief) {
-                    System.out.print(came.service().text());
+                    System.out.print(came.serviceLevels().text());
                 }
                 if (!bare && !(brief && kept)) {
                     System.out.print(report.text(true));
@@ -303,10 +303,10 @@
             if (storms < 1 || troubles < 1) {
                 throw new IllegalArgumentException("at least one storm of one trouble is played");
             }
-            FaultGenerator.Ranges usual = FaultGenerator.Ranges.usual(troubles);
+            FaultGenerator.Ranges usual = FaultGenerator.Ranges.defaults(troubles);
             FaultGenerator.Ranges ranges =
                     new FaultGenerator.Ranges(
-                            only.isEmpty() ? usual.sorts() : only,
+                            only.isEmpty() ? usual.faultTypes() : only,
                             troubles,
                             least / 100,
                             most / 100,
@@ -320,23 +320,26 @@
                             c ->
                                     System.out.printf(
                                             "%-40s service %.4f  %s%n",
-                                            c.day().name(), c.service(), c.why()));
-            long broken = all.stream().filter(FaultSearch.Failure::broken).count();
+                                            c.scenario().name(), c.serviceLevel(), c.reason()));
+            long broken = all.stream().filter(FaultSearch.Failure::isBroken).count();
             System.out.printf(
                     "%d storms, %d of them broken, mean service %.4f%n",
                     all.size(),
                     broken,
-                    all.stream().mapToDouble(FaultSearch.Failure::service).average().orElse(0));
+                    all.stream()
+                            .mapToDouble(FaultSearch.Failure::serviceLevel)
+                            .average()
+                            .orElse(0));
             FaultSearch.Failure worst = all.get(0);
-            if (worst.broken() || quarry == FaultSearch.SearchGoal.SERVICE) {
+            if (worst.isBroken() || quarry == FaultSearch.SearchGoal.SERVICE) {
                 FaultSearch.Failure small = hunt.shrink(worst, quarry);
                 String text = FaultSearch.script(Files.readString(script), small);
                 System.out.printf(
                         "shrunk to %d of %d troubles, service %.4f  %s%n%s",
-                        small.day().faults().size(),
-                        worst.day().faults().size(),
-                        small.service(),
-                        small.why(),
+                        small.scenario().faults().size(),
+                        worst.scenario().faults().size(),
+                        small.serviceLevel(),
+                        small.reason(),
                         keep == null ? text : "");
                 if (keep != null) {
                     Files.writeString(keep, text);
@@ -382,11 +385,11 @@
             for (Scenario day : ScenarioParser.readAll(scripts)) {
                 ServiceLevelRecorder sockets;
                 try (ScenarioRunner stage = new ScenarioRunner(day, null, false)) {
-                    sockets = stage.run(line -> {}).service();
+                    sockets = stage.run(line -> {}).serviceLevels();
                 }
                 List<ServiceLevelRecorder> plays = new ArrayList<>();
                 for (int n = 0; n < Math.max(1, turns); n++) {
-                    plays.add(SimulationRun.of(day, null, false, null, n).service());
+                    plays.add(SimulationRun.run(day, null, false, null, n).serviceLevels());
                 }
                 for (String category : sockets.requestClasses().keySet()) {
                     double here = 100 * sockets.requestClass(category).serviceLevel();
--- a/scenario/src/main/java/milletyoke/scenario/CapturedLoad.java
+++ b/scenario/src/main/java/milletyoke/scenario/CapturedLoad.java
@@ -27,20 +27,20 @@
      *     the place
      */
     static List<LoadProfile.TracedRequest> of(
-            Scenario day,
+            Scenario scenario,
             List<LoadProfile.RequestClass> kinds,
             List<LoadProfile.Volume> all,
             List<String> names)
             throws IOException {
         Map<String, LoadProfile.Volume> volumes = new LinkedHashMap<>();
         List<LoadProfile.TracedRequest> trace = new ArrayList<>();
-        List<Path> files = day.load().traffic();
+        List<Path> files = scenario.load().captureFiles();
         for (int f = 0; f < files.size(); f++) {
             int n = 0;
             for (CapturedTraffic.CapturedRequest one :
                     CapturedTraffic.read(files.get(f)).requests()) {
                 String place = files.get(f) + ": access " + ++n;
-                LoadProfile.RequestClass kind =
+                LoadProfile.RequestClass requestClass =
                         kinds.stream()
                                 .filter(k -> k.name().equals(one.requestClass()))
                                 .findFirst()
@@ -51,31 +51,32 @@
                                                                 + " is of category "
                                                                 + one.requestClass()
                                                                 + ", which the day does not have"));
-                if (day.plans().stream().noneMatch(p -> p.plan().name().equals(one.plan()))) {
+                if (scenario.planLoads().stream()
+                        .noneMatch(p -> p.plan().name().equals(one.plan()))) {
                     throw new IOException(
                             place + " is of plan " + one.plan() + ", which the day does not have");
                 }
-                if (one.shard() >= day.fleet().targets()) {
+                if (one.shard() >= scenario.fleet().targets()) {
                     throw new IOException(
                             place
                                     + " wants shard "
                                     + one.shard()
                                     + ", and the day has "
-                                    + day.fleet().targets()
+                                    + scenario.fleet().targets()
                                     + " targets, numbered from 0");
                 }
                 int[] through =
-                        new int[Math.max(1, Math.min(one.initiatorCount(), day.initiators()))];
+                        new int[Math.max(1, Math.min(one.initiatorCount(), scenario.initiators()))];
                 LoadProfile.Volume volume =
                         volumes.computeIfAbsent(
                                 one.volume(),
                                 v -> new LoadProfile.Volume(v, one.plan(), 0, new int[0], through));
                 trace.add(
                         new LoadProfile.TracedRequest(
-                                (long) (one.atMicros() / day.load().speed()),
-                                kind,
+                                (long) (one.atMicros() / scenario.load().replaySpeed()),
+                                requestClass,
                                 volume,
-                                f % day.initiators(),
+                                f % scenario.initiators(),
                                 one.shard(),
                                 one.extent(),
                                 one.units(),
--- a/scenario/src/main/java/milletyoke/scenario/ConsoleViewers.java
+++ b/scenario/src/main/java/milletyoke/scenario/ConsoleViewers.java
@@ -33,9 +33,9 @@
                         thread.setDaemon(true);
                         return thread;
                     });
-    private final ConcurrentHistogram times = new ConcurrentHistogram(60_000_000, 3);
-    private final LongAdder failed = new LongAdder(), streamed = new LongAdder();
-    private volatile boolean over;
+    private final ConcurrentHistogram latencies = new ConcurrentHistogram(60_000_000, 3);
+    private final LongAdder failedPages = new LongAdder(), streamedMessages = new LongAdder();
+    private volatile boolean isClosed;
 
     /**
      * @param every milliseconds between two pages of one viewer
@@ -60,7 +60,7 @@
     }
 
     private void poll(HttpClient client, int port, String token, int first, long every) {
-        for (int n = first; !over; n++) {
+        for (int n = first; !isClosed; n++) {
             long began = System.nanoTime();
             try {
                 var answer =
@@ -68,14 +68,14 @@
                                 request(port, token, PATHS.get(n % PATHS.size())),
                                 HttpResponse.BodyHandlers.ofString());
                 if (answer.statusCode() != 200) {
-                    failed.increment();
+                    failedPages.increment();
                 }
-                times.recordValue(Math.min(60_000_000, (System.nanoTime() - began) / 1000));
+                latencies.recordValue(Math.min(60_000_000, (System.nanoTime() - began) / 1000));
                 Thread.sleep(every);
             } catch (InterruptedException stopped) {
                 return;
             } catch (java.io.IOException unanswered) {
-                failed.add(over ? 0 : 1);
+                failedPages.add(isClosed ? 0 : 1);
             }
         }
     }
@@ -86,11 +86,11 @@
                                 request(port, token, "/api/v1/stream?page=overview"),
                                 HttpResponse.BodyHandlers.ofLines())
                         .body()) {
-            lines.takeWhile(l -> !over)
+            lines.takeWhile(l -> !isClosed)
                     .filter(l -> l.startsWith("data:"))
-                    .forEach(l -> streamed.increment());
+                    .forEach(l -> streamedMessages.increment());
         } catch (java.io.IOException | java.io.UncheckedIOException ended) {
-            failed.add(over ? 0 : 1);
+            failedPages.add(isClosed ? 0 : 1);
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
         }
@@ -100,18 +100,18 @@
     public String text() {
         return String.format(
                 "%d pages, %d failed, %d messages on streams; p50 %.1f  p99 %.1f  p99.9 %.1f  most %.1f ms",
-                times.getTotalCount(),
-                failed.sum(),
-                streamed.sum(),
-                times.getValueAtPercentile(50) / 1e3,
-                times.getValueAtPercentile(99) / 1e3,
-                times.getValueAtPercentile(99.9) / 1e3,
-                times.getMaxValue() / 1e3);
+                latencies.getTotalCount(),
+                failedPages.sum(),
+                streamedMessages.sum(),
+                latencies.getValueAtPercentile(50) / 1e3,
+                latencies.getValueAtPercentile(99) / 1e3,
+                latencies.getValueAtPercentile(99.9) / 1e3,
+                latencies.getMaxValue() / 1e3);
     }
 
     @Override
     public void close() {
-        over = true;
+        isClosed = true;
         threads.shutdownNow();
         try {
             threads.awaitTermination(2, TimeUnit.SECONDS);
--- a/scenario/src/main/java/milletyoke/scenario/ScenarioRunner.java
+++ b/scenario/src/main/java/milletyoke/scenario/ScenarioRunner.java
@@ -67,12 +67,12 @@
     private static final Logger LOG = LoggerFactory.getLogger(ScenarioRunner.class);
 
     /** The machine stood still where a short sleep took this much longer (microseconds). */
-    private static final long NAP = 5_000, STOOD = 15_000;
+    private static final long STALL_CHECK_MICROS = 5_000, STALL_THRESHOLD_MICROS = 15_000;
 
-    private final Scenario day;
-    private final ExecutionEnvironment world;
-    private final Supplier<Scheduler> instead;
-    private final boolean straight;
+    private final Scenario scenario;
+    private final ExecutionEnvironment environment;
+    private final Supplier<Scheduler> schedulerOverride;
+    private final boolean isDirect;
     private final Path consoleTokens;
 
     /** Plans as they are now; where their limits change, initiators follow a file. */
@@ -81,35 +81,35 @@
     private volatile InitiatorConfig.FleetFile fleetFile;
     private final Recorder recorder;
     private final Path folder;
-    private final ScheduledExecutorService clockwork;
-    private final SplittableRandom chance;
+    private final ScheduledExecutorService executor;
+    private final SplittableRandom random;
     private final Discovery discovery;
 
     /** By shard: who holds it now. */
     private final List<Target> targets = new ArrayList<>();
 
-    private final List<Target> replaced = new ArrayList<>();
-    private final Map<String, Long> launched = new ConcurrentHashMap<>();
-    private final Map<String, DeduplicationCache> marks = new HashMap<>();
+    private final List<Target> replacedTargets = new ArrayList<>();
+    private final Map<String, Long> startedAtMicros = new ConcurrentHashMap<>();
+    private final Map<String, DeduplicationCache> deduplicationCaches = new HashMap<>();
     private final Initiator[] initiators;
     private final int[] ports;
-    private final boolean[] running;
-    private final LoadGenerator clients;
+    private final boolean[] isRunning;
+    private final LoadGenerator loadGenerator;
     private final List<String> volumes = new ArrayList<>();
-    private volatile boolean over;
+    private volatile boolean isFinished;
 
     /**
      * What came of it.
      *
      * @param unfinished tries still without an answer when all should have had one
-     * @param cpuMicros of this process, for each access asked
+     * @param cpuMicrosPerRequest of this process, for each access asked
      * @param warmUpBudgetUsed the largest part of what a cold target bears that any was sent
      */
     public record ScenarioResult(
-            ServiceLevelRecorder service,
+            ServiceLevelRecorder serviceLevels,
             long unfinished,
-            double cpuMicros,
-            List<String> counts,
+            double cpuMicrosPerRequest,
+            List<String> initiatorCounters,
             boolean isShutdownClean,
             double warmUpBudgetUsed) {}
 
@@ -117,55 +117,58 @@
      * Sets the stage; nothing is asked yet.
      *
      * @param recording where what the sockets saw is written; null for nowhere
-     * @param straight clients go straight to the targets, for comparison; there are no initiators
+     * @param isDirect clients go straight to the targets, for comparison; there are no initiators
      *     then
      */
-    public ScenarioRunner(Scenario day, Path recording, boolean straight) throws IOException {
-        this(day, recording, straight, null);
+    public ScenarioRunner(Scenario scenario, Path recording, boolean straight) throws IOException {
+        this(scenario, recording, straight, null);
     }
 
     /**
      * @param consoleTokens who may look at the initiators' consoles, null for no consoles
      */
-    public ScenarioRunner(Scenario day, Path recording, boolean straight, Path consoleTokens)
+    public ScenarioRunner(Scenario scenario, Path recording, boolean straight, Path consoleTokens)
             throws IOException {
-        this(day, recording, straight, consoleTokens, new SocketEnvironment(), null);
+        this(scenario, recording, straight, consoleTokens, new SocketEnvironment(), null);
     }
 
     /**
-     * @param world that the day is played in; where it is virtual, nobody looks at consoles
-     * @param instead of the product's decisions, for comparison; null for these
+     * @param environment that the day is played in; where it is virtual, nobody looks at consoles
+     * @param schedulerOverride of the product's decisions, for comparison; null for these
      */
     public ScenarioRunner(
-            Scenario day,
+            Scenario scenario,
             Path recording,
             boolean straight,
             Path consoleTokens,
             ExecutionEnvironment world,
             Supplier<Scheduler> instead)
             throws IOException {
-        this.instead = instead;
-        this.world = world;
-        refuseWhatSocketsCannot(day);
-        clockwork = world.newTimerExecutor("clockwork", 3);
+        this.schedulerOverride = instead;
+        this.environment = world;
+        rejectSimulationOnlyScenario(scenario);
+        executor = world.newTimerExecutor("clockwork", 3);
         this.consoleTokens = consoleTokens;
-        this.day = day;
-        this.straight = straight;
-        chance = new SplittableRandom(day.seed());
+        this.scenario = scenario;
+        this.isDirect = straight;
+        random = new SplittableRandom(scenario.seed());
         recorder = recording == null ? null : new Recorder(recording, world::monotonicMicros);
         folder = Files.createTempDirectory("milletyoke-rehearsal");
-        plans.addAll(day.plans().stream().map(Scenario.PlanOf::plan).toList());
+        plans.addAll(scenario.planLoads().stream().map(Scenario.PlanLoad::plan).toList());
         fleetFile =
-                day.faults().stream().anyMatch(t -> t.type() == Scenario.FaultType.LIMIT)
+                scenario.faults().stream()
+                                .anyMatch(fault -> fault.type() == Scenario.FaultType.LIMIT)
                         ? writeFleet()
                         : null;
         note("stage", Note.Kind.RULES, rules(), 0);
-        initiators = new Initiator[straight ? 0 : day.initiators()];
+        initiators = new Initiator[straight ? 0 : scenario.initiators()];
         ports = new int[initiators.length];
-        running = new boolean[initiators.length];
-        discovery = new Discovery(0, chance.nextLong(), clockwork, tap("discovery"), world);
-        discovery.setUpdateLag(day.fleet().listLag()[0], day.fleet().listLag()[1]);
-        for (int shard = 0; shard < day.fleet().targets(); shard++) {
+        isRunning = new boolean[initiators.length];
+        discovery = new Discovery(0, random.nextLong(), executor, observer("discovery"), world);
+        discovery.setUpdateLag(
+                scenario.fleet().endpointListLagMicros()[0],
+                scenario.fleet().endpointListLagMicros()[1]);
+        for (int shard = 0; shard < scenario.fleet().targets(); shard++) {
             Target target = target("t" + (shard + 1), shard);
             target.start(false);
             targets.add(target);
@@ -174,48 +177,48 @@
         for (int i = 0; i < initiators.length; i++) {
             startInitiator(i);
         }
-        clients =
+        loadGenerator =
                 new LoadGenerator(
-                        demand(), straight, chance.nextLong(), clockwork, tap("client"), world);
+                        demand(), straight, random.nextLong(), executor, observer("client"), world);
         for (int i = 0; i < initiators.length; i++) {
-            clients.addServer(initiators[i].name(), "127.0.0.1", ports[i]);
+            loadGenerator.addServer(initiators[i].name(), "127.0.0.1", ports[i]);
         }
         if (straight) {
-            targets.forEach(t -> clients.addServer(t.id(), "127.0.0.1", t.port()));
+            targets.forEach(t -> loadGenerator.addServer(t.id(), "127.0.0.1", t.port()));
         }
         if (!world.isVirtual()) {
-            Thread naps = new Thread(this::watchForStandstill, "naps");
+            Thread naps = new Thread(this::detectMachineStalls, "naps");
             naps.setDaemon(true);
             naps.start();
         }
     }
 
-    private void refuseWhatSocketsCannot(Scenario day) throws IOException {
-        if (!world.isVirtual()) {
-            for (Fault t : day.faults()) {
-                if (t.type().virtual()) {
+    private void rejectSimulationOnlyScenario(Scenario scenario) throws IOException {
+        if (!environment.isVirtual()) {
+            for (Fault fault : scenario.faults()) {
+                if (fault.type().isSimulationOnly()) {
                     throw new IOException(
-                            day.name()
+                            scenario.name()
                                     + ":"
-                                    + t.line()
+                                    + fault.line()
                                     + ": a "
-                                    + t.type().name().toLowerCase(Locale.ROOT)
+                                    + fault.type().name().toLowerCase(Locale.ROOT)
                                     + " is played in the lab alone: bin/milletyoke lab play");
                 }
             }
-            if (day.initiators() > 100 || day.fleet().targets() > 1000) {
+            if (scenario.initiators() > 100 || scenario.fleet().targets() > 1000) {
                 throw new IOException(
-                        day.name()
+                        scenario.name()
                                 + ": up to 100 initiators and 1000 targets are played on sockets, not "
-                                + day.initiators()
+                                + scenario.initiators()
                                 + " and "
-                                + day.fleet().targets()
+                                + scenario.fleet().targets()
                                 + "; the lab plays more: bin/milletyoke lab play");
             }
         }
     }
 
-    private FrameObserver tap(String witness) {
+    private FrameObserver observer(String witness) {
         return recorder == null ? FrameObserver.NONE : recorder.observer(witness);
     }
 
@@ -225,12 +228,12 @@
         }
     }
 
-    private void watchForStandstill() {
-        long last = world.monotonicMicros();
-        while (!over) {
-            LockSupport.parkNanos(NAP * 1000);
-            long now = world.monotonicMicros();
-            if (now - last > NAP + STOOD) {
+    private void detectMachineStalls() {
+        long last = environment.monotonicMicros();
+        while (!isFinished) {
+            LockSupport.parkNanos(STALL_CHECK_MICROS * 1000);
+            long now = environment.monotonicMicros();
+            if (now - last > STALL_CHECK_MICROS + STALL_THRESHOLD_MICROS) {
                 note("machine", Note.Kind.STALLED, "", now - last);
             }
             last = now;
@@ -240,54 +243,55 @@
     // ---- Who is there ----
 
     private String zone(int shard) {
-        return "zone-" + (1 + shard % day.fleet().zones());
+        return "zone-" + (1 + shard % scenario.fleet().zones());
     }
 
     private Target target(String id, int shard) {
-        Scenario.Fleet f = day.fleet();
-        double speed = f.speeds()[0] + chance.nextDouble() * (f.speeds()[1] - f.speeds()[0]);
-        Scenario.BoundsOf b = day.bounds();
-        TargetBehavior nature =
+        Scenario.Fleet f = scenario.fleet();
+        double speed =
+                f.coreSpeeds()[0] + random.nextDouble() * (f.coreSpeeds()[1] - f.coreSpeeds()[0]);
+        Scenario.RuleBounds b = scenario.ruleBounds();
+        TargetBehavior behavior =
                 new TargetBehavior(
                         f.cores(),
                         speed,
-                        f.unit(),
-                        f.room(),
-                        f.connections(),
-                        f.extents(),
-                        f.extentSaves(),
-                        f.putOff(),
-                        f.putOffEvery(),
-                        f.pauseEvery(),
-                        f.pause(),
-                        b.coldShare(),
-                        b.cold(),
-                        b.tipMultiple(),
-                        b.fall(),
-                        f.tells(),
+                        f.unitMicros(),
+                        f.queueCapacity(),
+                        f.maxConnections(),
+                        f.rememberedExtents(),
+                        f.rememberedExtentSaving(),
+                        f.deferredWriteFraction(),
+                        f.deferredWorkPeriodMicros(),
+                        f.pausePeriodMicros(),
+                        f.pauseMicros(),
+                        b.initialCapacityFraction(),
+                        b.warmUpMicros(),
+                        b.overloadFactor(),
+                        b.overloadWindowMicros(),
+                        f.reportsLoad(),
                         f.dropsCancelled(),
-                        f.crowd(),
-                        f.connecting(),
-                        f.warmUnits(),
-                        f.work());
+                        f.queueingPenalty(),
+                        f.connectionSetupMicros(),
+                        f.warmUpUnits(),
+                        f.workDistribution());
         return new Target(
                 id,
                 shard,
-                nature,
-                chance.nextLong(),
-                clockwork,
-                category -> marks(category, shard),
-                tap(id),
+                behavior,
+                random.nextLong(),
+                executor,
+                category -> deduplicationCaches(category, shard),
+                observer(id),
                 this::note,
-                world);
+                environment);
     }
 
     /**
      * The marks that the target of a shard shares with its group; null where repeats are not
      * dropped.
      */
-    private synchronized DeduplicationCache marks(String category, int shard) {
-        for (RequestClass c : day.categories()) {
+    private synchronized DeduplicationCache deduplicationCaches(String category, int shard) {
+        for (RequestClass c : scenario.requestClasses()) {
             if (c.name().equals(category) && c.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
                 String group =
                         c.deduplicationScope() == DeduplicationScope.ALL
@@ -295,7 +299,7 @@
                                 : c.deduplicationScope() == DeduplicationScope.ZONE
                                         ? zone(shard)
                                         : "cell" + shard;
-                return marks.computeIfAbsent(
+                return deduplicationCaches.computeIfAbsent(
                         category + " " + group,
                         g -> new DeduplicationCache(c.deduplicationWindowMicros()));
             }
@@ -305,7 +309,10 @@
 
     private milletyoke.wire.proto.Target entry(Target target, Health health) {
         return Discovery.entry(
-                target, zone(target.shard()), health, launched.getOrDefault(target.id(), 0L));
+                target,
+                zone(target.shard()),
+                health,
+                startedAtMicros.getOrDefault(target.id(), 0L));
     }
 
     private void startInitiator(int i) throws IOException {
@@ -318,7 +325,7 @@
                         new Address("127.0.0.1", discovery.port()),
                         folder.resolve(name),
                         fleetFile == null
-                                ? day.deployment()
+                                ? scenario.deployment()
                                 : FleetConverter.deployment(fleetFile.fleet()),
                         new InitiatorConfig.Transport(
                                 250_000,
@@ -331,8 +338,8 @@
                                 5_000_000,
                                 2),
                         new InitiatorConfig.CapacityLimits(
-                                day.held(),
-                                world.isVirtual() ? 1 << 12 : 1 << 16,
+                                scenario.maxPendingRequests(),
+                                environment.isVirtual() ? 1 << 12 : 1 << 16,
                                 1 << 16,
                                 1e6,
                                 3_600_000_000L),
@@ -343,12 +350,14 @@
                         fleetFile);
         note(name, Note.Kind.STARTED, "initiator", 0);
         try {
-            initiators[i] = Initiator.start(setup, tap(name), world, draw(), instead);
+            initiators[i] =
+                    Initiator.start(
+                            setup, observer(name), environment, nextSeed(), schedulerOverride);
         } catch (ConfigException bad) {
             throw new IOException(bad.getMessage(), bad);
         }
         ports[i] = initiators[i].port();
-        running[i] = true;
+        isRunning[i] = true;
     }
 
     /**
@@ -356,31 +365,31 @@
      * from the seed.
      */
     private LoadProfile demand() throws IOException {
-        SplittableRandom draw = new SplittableRandom(day.seed());
+        SplittableRandom draw = new SplittableRandom(scenario.seed());
         List<LoadProfile.RequestClass> kinds = new ArrayList<>();
-        double shares = day.kinds().stream().mapToDouble(Scenario.Kind::share).sum();
-        for (int k = 0; k < day.kinds().size(); k++) {
-            Scenario.Kind kind = day.kinds().get(k);
-            RequestClass c = day.categories().get(k);
+        double shares = scenario.classLoads().stream().mapToDouble(Scenario.ClassLoad::share).sum();
+        for (int k = 0; k < scenario.classLoads().size(); k++) {
+            Scenario.ClassLoad kind = scenario.classLoads().get(k);
+            RequestClass c = scenario.requestClasses().get(k);
             kinds.add(
                     new LoadProfile.RequestClass(
                             c.name(),
                             kind.share() / shares,
-                            kind.leastUnits(),
-                            kind.mostUnits(),
-                            kind.write(),
+                            kind.minUnits(),
+                            kind.maxUnits(),
+                            kind.isWrite(),
                             c.keyOrdered(),
-                            Scenario.repeats(c),
+                            Scenario.clientIdempotency(c),
                             c.idempotency() == Idempotency.IDEMPOTENCY_KEY
                                     && c.deduplicationScope() == DeduplicationScope.ALL,
                             c.latencyObjectiveMicros(),
-                            kind.abandon(),
+                            kind.deadlineMicros(),
                             c.priorityWeight(),
-                            kind.anywhere()));
+                            kind.isNewObject()));
         }
         List<LoadProfile.Volume> all = new ArrayList<>();
-        double parts = day.plans().stream().mapToDouble(Scenario.PlanOf::share).sum();
-        for (Scenario.PlanOf plan : day.plans()) {
+        double parts = scenario.planLoads().stream().mapToDouble(Scenario.PlanLoad::share).sum();
+        for (Scenario.PlanLoad plan : scenario.planLoads()) {
             for (int v = 0; v < plan.volumes(); v++) {
                 String name = plan.plan().name() + "-" + (v + 1);
                 volumes.add(name);
@@ -389,26 +398,28 @@
                                 name,
                                 plan.plan().name(),
                                 plan.share() / parts / plan.volumes(),
-                                some(draw, day.fleet().targets(), 1 + draw.nextInt(4)),
-                                some(draw, day.initiators(), plan.hosts())));
+                                some(draw, scenario.fleet().targets(), 1 + draw.nextInt(4)),
+                                some(draw, scenario.initiators(), plan.hosts())));
             }
         }
-        Scenario.Load l = day.load();
+        Scenario.Load l = scenario.load();
         List<LoadProfile.TracedRequest> trace =
-                l.traffic().isEmpty() ? List.of() : CapturedLoad.of(day, kinds, all, volumes);
+                l.captureFiles().isEmpty()
+                        ? List.of()
+                        : CapturedLoad.of(scenario, kinds, all, volumes);
         return new LoadProfile(
-                l.rate(),
+                l.requestsPerSecond(),
                 kinds,
                 all,
                 l.retries(),
-                l.retryWait(),
-                l.impatient(),
-                l.littleTime()[0],
-                l.littleTime()[1],
-                l.vanish(),
-                day.bounds().answerSlack(),
-                l.closed(),
-                l.think(),
+                l.retryDelayMicros(),
+                l.shortDeadlineFraction(),
+                l.shortDeadlineMicros()[0],
+                l.shortDeadlineMicros()[1],
+                l.cancelFraction(),
+                scenario.ruleBounds().responseSlackMicros(),
+                l.closedLoopClients(),
+                l.thinkTimeMicros(),
                 trace);
     }
 
@@ -432,7 +443,7 @@
 
     private String rules() {
         List<Map<String, Object>> categories = new ArrayList<>();
-        for (RequestClass c : day.categories()) {
+        for (RequestClass c : scenario.requestClasses()) {
             categories.add(
                     Map.of(
                             "name",
@@ -459,21 +470,21 @@
                                         p.limitBurst(),
                                         "slack",
                                         p.limitSlack())));
-        Scenario.BoundsOf b = day.bounds();
+        Scenario.RuleBounds b = scenario.ruleBounds();
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("categories", categories);
         all.put("plans", plans);
-        all.put("maxRelays", day.allowances().maxAttempts());
-        all.put("answerSlack", b.answerSlack());
-        all.put("drainGrace", b.drainGrace());
-        all.put("keyQuiet", b.keyQuiet());
-        all.put("cold", b.cold());
-        all.put("coldShare", b.coldShare());
-        all.put("fall", b.fall());
-        all.put("tip", b.tipMultiple());
-        all.put("budgetFree", b.budgetFree());
-        all.put("budgetShare", b.budgetShare());
-        all.put("budgetSpan", b.budgetSpan());
+        all.put("maxRelays", scenario.capabilities().maxAttempts());
+        all.put("answerSlack", b.responseSlackMicros());
+        all.put("drainGrace", b.drainGraceMicros());
+        all.put("keyQuiet", b.keyQuietMicros());
+        all.put("cold", b.warmUpMicros());
+        all.put("coldShare", b.initialCapacityFraction());
+        all.put("fall", b.overloadWindowMicros());
+        all.put("tip", b.overloadFactor());
+        all.put("budgetFree", b.retryBudgetMinimum());
+        all.put("budgetShare", b.retryBudgetFraction());
+        all.put("budgetSpan", b.retryBudgetWindowMicros());
         try {
             return new ObjectMapper().writeValueAsString(all);
         } catch (JsonProcessingException impossible) {
@@ -516,28 +527,37 @@
      */
     public ScenarioResult run(Consumer<ServiceLevelRecorder> each, Runnable before)
             throws IOException, InterruptedException {
-        if (!clients.awaitConnected(10_000)) {
+        if (!loadGenerator.awaitConnected(10_000)) {
             throw new IOException("the clients found no way in within 10 s");
         }
-        world.sleep(300_000); // the list reaches every initiator
+        environment.sleep(300_000); // the list reaches every initiator
         long cpu = cpu();
-        day.faults().forEach(this::arrange);
-        clients.start();
-        long start = world.monotonicMicros();
-        for (long second = 1; world.monotonicMicros() < start + day.durationMicros(); second++) {
-            long until = Math.min(start + second * 1_000_000, start + day.durationMicros());
-            world.sleep(until - world.monotonicMicros());
-            each.accept(clients.serviceLevels());
+        scenario.faults().forEach(this::arrange);
+        loadGenerator.start();
+        long start = environment.monotonicMicros();
+        for (long second = 1;
+                environment.monotonicMicros() < start + scenario.durationMicros();
+                second++) {
+            long until = Math.min(start + second * 1_000_000, start + scenario.durationMicros());
+            environment.sleep(until - environment.monotonicMicros());
+            each.accept(loadGenerator.serviceLevels());
         }
         before.run();
-        long longest = day.kinds().stream().mapToLong(Scenario.Kind::abandon).max().orElse(0);
-        int unfinished = clients.stop((longest + day.bounds().answerSlack()) / 1000 + 1_000);
-        double cpuEach = (cpu() - cpu) / 1e3 / Math.max(1, clients.serviceLevels().totalRequests());
+        long longest =
+                scenario.classLoads().stream()
+                        .mapToLong(Scenario.ClassLoad::deadlineMicros)
+                        .max()
+                        .orElse(0);
+        int unfinished =
+                loadGenerator.stop(
+                        (longest + scenario.ruleBounds().responseSlackMicros()) / 1000 + 1_000);
+        double cpuEach =
+                (cpu() - cpu) / 1e3 / Math.max(1, loadGenerator.serviceLevels().totalRequests());
         List<String> counts = new ArrayList<>();
         boolean clean = true;
         for (int n = 0; n < initiators.length; n++) {
             Initiator i = initiators[n];
-            if (running[n]) {
+            if (isRunning[n]) {
                 var p = i.eventLoop().snapshot();
                 clean &= i.shutDown(longest / 1000 + 1_000);
                 counts.add(
@@ -551,12 +571,12 @@
             }
         }
         return new ScenarioResult(
-                clients.serviceLevels(),
+                loadGenerator.serviceLevels(),
                 unfinished,
                 cpuEach,
                 counts,
                 clean,
-                Stream.concat(targets.stream(), replaced.stream())
+                Stream.concat(targets.stream(), replacedTargets.stream())
                         .mapToDouble(Target::warmUpBudgetUsed)
                         .max()
                         .orElse(0));
@@ -568,41 +588,43 @@
                 .getProcessCpuTime();
     }
 
-    private void arrange(Fault t) {
-        if (t.under() > 0) {
-            after(t.atMicros(), () -> await(t, clients.serviceLevels().sums()));
+    private void arrange(Fault fault) {
+        if (fault.belowServiceLevel() > 0) {
+            schedule(fault.atMicros(), () -> await(fault, loadGenerator.serviceLevels().sums()));
             return;
         }
-        after(
-                t.atMicros(),
+        schedule(
+                fault.atMicros(),
                 () -> {
                     LOG.info(
                             "{} strikes",
-                            t.type().name().toLowerCase(Locale.ROOT).replace('_', ' '));
-                    strike(t);
+                            fault.type().name().toLowerCase(Locale.ROOT).replace('_', ' '));
+                    strike(fault);
                 });
     }
 
     /** Looks ten times a second whether service of the last second is under the trouble's part. */
-    private void await(Fault t, double[]... seconds) {
-        after(
+    private void await(Fault fault, double[]... seconds) {
+        schedule(
                 100_000,
                 () -> {
-                    double[] now = clients.serviceLevels().sums();
+                    double[] now = loadGenerator.serviceLevels().sums();
                     double[][] kept =
                             java.util.Arrays.copyOf(seconds, Math.min(10, seconds.length + 1));
                     System.arraycopy(seconds, 0, kept, 1, kept.length - 1);
                     kept[0] = now;
                     double[] before = seconds[seconds.length - 1];
                     double due = now[0] - before[0];
-                    if (seconds.length == 10 && due > 0 && (now[1] - before[1]) / due < t.under()) {
+                    if (seconds.length == 10
+                            && due > 0
+                            && (now[1] - before[1]) / due < fault.belowServiceLevel()) {
                         LOG.info(
                                 "{} strikes, service is {}",
-                                t.type().name().toLowerCase(Locale.ROOT),
+                                fault.type().name().toLowerCase(Locale.ROOT),
                                 (now[1] - before[1]) / due);
-                        strike(t);
+                        strike(fault);
                     } else {
-                        await(t, kept);
+                        await(fault, kept);
                     }
                 });
     }
@@ -611,10 +633,10 @@
         void run() throws Exception;
     }
 
-    private void after(long micros, Task task) {
-        clockwork.schedule(
+    private void schedule(long micros, Task task) {
+        executor.schedule(
                 () -> {
-                    if (over) {
+                    if (isFinished) {
                         return;
                     }
                     try {
@@ -632,7 +654,7 @@
                 TimeUnit.MICROSECONDS);
     }
 
-    private List<Integer> struck(Scenario.Selection whom, int of) {
+    private List<Integer> select(Scenario.Selection whom, int of) {
         if (whom.number() > 0) {
             return List.of(whom.number() - 1);
         }
@@ -640,145 +662,156 @@
         for (int i = 0; i < of; i++) {
             all.add(i);
         }
-        Collections.shuffle(all, new Random(draw()));
+        Collections.shuffle(all, new Random(nextSeed()));
         return all.subList(0, Math.max(1, (int) Math.round(whom.part() * of)));
     }
 
-    private synchronized long draw() {
-        return chance.nextLong();
+    private synchronized long nextSeed() {
+        return random.nextLong();
     }
 
-    private List<Target> struckTargets(Fault t) {
+    private List<Target> selectTargets(Fault fault) {
         synchronized (targets) {
-            return struck(t.selection(), targets.size()).stream().map(targets::get).toList();
+            return select(fault.selection(), targets.size()).stream().map(targets::get).toList();
         }
     }
 
-    private void strike(Fault t) throws Exception {
-        switch (t.type()) {
-            case HANG -> span(t, x -> x.setHanging(true), x -> x.setHanging(false));
+    private void strike(Fault fault) throws Exception {
+        switch (fault.type()) {
+            case HANG -> applyForDuration(fault, x -> x.setHanging(true), x -> x.setHanging(false));
             case UNREACHABLE ->
-                    span(
-                            t,
+                    applyForDuration(
+                            fault,
                             x -> {
                                 x.setRefusingConnections(true);
                                 x.resetConnections();
                             },
                             x -> x.setRefusingConnections(false));
             case SLOW ->
-                    span(t, x -> x.setSlowdownFactor(t.magnitude()), x -> x.setSlowdownFactor(1));
+                    applyForDuration(
+                            fault,
+                            x -> x.setSlowdownFactor(fault.magnitude()),
+                            x -> x.setSlowdownFactor(1));
             case PAUSES ->
-                    span(
-                            t,
-                            x -> x.setPauses(t.intervalMicros(), t.range()[0], t.range()[1]),
+                    applyForDuration(
+                            fault,
+                            x ->
+                                    x.setPauses(
+                                            fault.intervalMicros(),
+                                            fault.range()[0],
+                                            fault.range()[1]),
                             x -> x.setPauses(0, 0, 0));
             case ERRORS ->
-                    span(t, x -> x.setErrorFraction(t.magnitude()), x -> x.setErrorFraction(0));
+                    applyForDuration(
+                            fault,
+                            x -> x.setErrorFraction(fault.magnitude()),
+                            x -> x.setErrorFraction(0));
             case LOST ->
-                    span(
-                            t,
-                            x -> x.setDroppedReplyFraction(t.magnitude()),
+                    applyForDuration(
+                            fault,
+                            x -> x.setDroppedReplyFraction(fault.magnitude()),
                             x -> x.setDroppedReplyFraction(0));
             case RESETS -> {
-                List<Target> whom = struckTargets(t);
-                for (long in = 0; in < t.durationMicros(); in += t.intervalMicros()) {
-                    after(in, () -> whom.forEach(Target::resetConnections));
+                List<Target> whom = selectTargets(fault);
+                for (long in = 0; in < fault.durationMicros(); in += fault.intervalMicros()) {
+                    schedule(in, () -> whom.forEach(Target::resetConnections));
                 }
             }
-            case RESTART -> struckTargets(t).forEach(x -> restart(x, between(t.range())));
-            case ROLL -> roll(t);
+            case RESTART -> selectTargets(fault).forEach(x -> restart(x, between(fault.range())));
+            case ROLL -> roll(fault);
             case DRAIN ->
-                    span(
-                            t,
+                    applyForDuration(
+                            fault,
                             x -> discovery.scheduleUpdate(entry(x, Health.DRAINING)),
                             x -> discovery.scheduleUpdate(entry(x, Health.ACTIVE)));
-            case AGE -> age(t);
+            case AGE -> age(fault);
             case LIST_LATE -> {
-                discovery.setUpdateLag(t.range()[0], t.range()[1]);
-                long[] usual = day.fleet().listLag();
-                after(t.durationMicros(), () -> discovery.setUpdateLag(usual[0], usual[1]));
+                discovery.setUpdateLag(fault.range()[0], fault.range()[1]);
+                long[] usual = scenario.fleet().endpointListLagMicros();
+                schedule(fault.durationMicros(), () -> discovery.setUpdateLag(usual[0], usual[1]));
             }
             case LIST_PARTIAL -> {
                 Set<String> hidden = new LinkedHashSet<>();
-                struckTargets(t).forEach(x -> hidden.add(x.id()));
+                selectTargets(fault).forEach(x -> hidden.add(x.id()));
                 discovery.hide(hidden);
-                after(t.durationMicros(), () -> discovery.hide(Set.of()));
+                schedule(fault.durationMicros(), () -> discovery.hide(Set.of()));
             }
             case LIST_UNAVAILABLE -> {
                 discovery.setUnavailable(true);
-                after(t.durationMicros(), () -> discovery.setUnavailable(false));
+                schedule(fault.durationMicros(), () -> discovery.setUnavailable(false));
             }
-            case LIST_FLAP -> flap(t);
-            case PARTITION -> partition(t);
-            case CLOCK -> world.adjustWallClock(t.durationMicros());
-            case KILL -> struckInitiators(t).forEach(i -> kill(i, between(t.range())));
-            case LEAVE -> struckInitiators(t).forEach(i -> leave(i, between(t.range())));
+            case LIST_FLAP -> flap(fault);
+            case PARTITION -> partition(fault);
+            case CLOCK -> environment.adjustWallClock(fault.durationMicros());
+            case KILL -> selectInitiators(fault).forEach(i -> kill(i, between(fault.range())));
+            case LEAVE -> selectInitiators(fault).forEach(i -> leave(i, between(fault.range())));
             case STILL ->
-                    struckInitiators(t)
+                    selectInitiators(fault)
                             .forEach(
                                     i ->
                                             initiators[i].stall(
-                                                    t.durationMicros() / 1000,
+                                                    fault.durationMicros() / 1000,
                                                     () ->
                                                             note(
                                                                     "initiator-" + (i + 1),
                                                                     Note.Kind.STALLED,
                                                                     "",
-                                                                    t.durationMicros())));
+                                                                    fault.durationMicros())));
             case SURGE -> {
                 Set<String> whom = new LinkedHashSet<>();
-                struck(new Scenario.Selection(1, 0), volumes.size()).stream()
-                        .limit(t.count())
+                select(new Scenario.Selection(1, 0), volumes.size()).stream()
+                        .limit(fault.count())
                         .forEach(v -> whom.add(volumes.get(v)));
-                clients.setSurge(whom, t.magnitude());
-                after(t.durationMicros(), () -> clients.setSurge(Set.of(), 0));
+                loadGenerator.setSurge(whom, fault.magnitude());
+                schedule(fault.durationMicros(), () -> loadGenerator.setSurge(Set.of(), 0));
             }
             case HOTKEY -> {
-                clients.setHotKeyFraction(t.magnitude());
-                after(t.durationMicros(), () -> clients.setHotKeyFraction(0));
+                loadGenerator.setHotKeyFraction(fault.magnitude());
+                schedule(fault.durationMicros(), () -> loadGenerator.setHotKeyFraction(0));
             }
-            case LIMIT -> changeLimit(t);
+            case LIMIT -> changeLimit(fault);
             case RECONNECT -> {
                 note("client", Note.Kind.OTHER, "clients reconnect", 0);
-                clients.reconnect();
+                loadGenerator.reconnect();
             }
         }
     }
 
     private long between(long[] range) {
-        return range[0] + (range[1] > range[0] ? Math.floorMod(draw(), range[1] - range[0]) : 0);
+        return range[0]
+                + (range[1] > range[0] ? Math.floorMod(nextSeed(), range[1] - range[0]) : 0);
     }
 
-    private List<Integer> struckInitiators(Fault t) {
-        return struck(t.selection(), initiators.length).stream()
+    private List<Integer> selectInitiators(Fault fault) {
+        return select(fault.selection(), initiators.length).stream()
                 .filter(i -> initiators.length > 0)
                 .toList();
     }
 
     /** Shown and hidden in turn, shown at the end. */
-    private void flap(Fault t) {
+    private void flap(Fault fault) {
         Set<String> some = new LinkedHashSet<>();
-        struckTargets(t).forEach(x -> some.add(x.id()));
+        selectTargets(fault).forEach(x -> some.add(x.id()));
         boolean hide = true;
-        for (long in = 0; in < t.durationMicros(); in += t.intervalMicros()) {
+        for (long in = 0; in < fault.durationMicros(); in += fault.intervalMicros()) {
             Set<String> next = hide ? some : Set.of();
-            after(in, () -> discovery.hide(next));
+            schedule(in, () -> discovery.hide(next));
             hide = !hide;
         }
-        after(t.durationMicros(), () -> discovery.hide(Set.of()));
+        schedule(fault.durationMicros(), () -> discovery.hide(Set.of()));
     }
 
-    private void partition(Fault t) {
+    private void partition(Fault fault) {
         List<Integer> shards =
-                struck(new Scenario.Selection(t.magnitude(), t.count()), targets.size());
-        for (int i : struckInitiators(t)) {
+                select(new Scenario.Selection(fault.magnitude(), fault.count()), targets.size());
+        for (int i : selectInitiators(fault)) {
             String one = "initiator-" + (i + 1);
             for (int shard : shards) {
                 String other = targets.get(shard).id();
-                boolean work = (t.intervalMicros() & Scenario.GREY) != 0;
-                world.partition(one, other, work, t.durationMicros());
-                if ((t.intervalMicros() & Scenario.ONE_WAY) == 0) {
-                    world.partition(other, one, work, t.durationMicros());
+                boolean work = (fault.intervalMicros() & Scenario.GREY) != 0;
+                environment.partition(one, other, work, fault.durationMicros());
+                if ((fault.intervalMicros() & Scenario.ONE_WAY) == 0) {
+                    environment.partition(other, one, work, fault.durationMicros());
                 }
             }
         }
@@ -791,7 +824,7 @@
      * would.
      */
     private InitiatorConfig.FleetFile writeFleet() throws IOException {
-        SchedulerSettings p = day.deployment().scheduler();
+        SchedulerSettings p = scenario.deployment().scheduler();
         DeploymentSettings now =
                 new DeploymentSettings(
                         new SchedulerSettings(
@@ -801,8 +834,8 @@
                                 p.capabilities(),
                                 p.limits(),
                                 p.mustWatchEndpoints()),
-                        day.deployment().answerSlackMicros(),
-                        day.deployment().drainGraceMicros());
+                        scenario.deployment().answerSlackMicros(),
+                        scenario.deployment().drainGraceMicros());
         Path file = folder.resolve("main.fleet");
         Path aside = folder.resolve("main.fleet.new");
         Files.writeString(aside, FleetConverter.text(now));
@@ -817,35 +850,35 @@
         return new InitiatorConfig.FleetFile(name, checked.fleet(), checked.files());
     }
 
-    private synchronized void changeLimit(Fault t) throws IOException {
+    private synchronized void changeLimit(Fault fault) throws IOException {
         plans.replaceAll(
                 p ->
-                        p.name().equals(t.name())
+                        p.name().equals(fault.name())
                                 ? new ServicePlan(
                                         p.name(),
                                         p.reservationRate(),
                                         p.weight(),
-                                        t.magnitude(),
-                                        t.range()[0],
-                                        t.range()[1])
+                                        fault.magnitude(),
+                                        fault.range()[0],
+                                        fault.range()[1])
                                 : p);
         fleetFile = writeFleet(); // who starts from now on reads this one
         note("stage", Note.Kind.RULES, rules(), 0);
     }
 
-    private void span(Fault t, Consumer<Target> begins, Consumer<Target> ends) {
-        List<Target> whom = struckTargets(t);
+    private void applyForDuration(Fault fault, Consumer<Target> begins, Consumer<Target> ends) {
+        List<Target> whom = selectTargets(fault);
         whom.forEach(begins);
-        after(t.durationMicros(), () -> whom.forEach(ends));
+        schedule(fault.durationMicros(), () -> whom.forEach(ends));
     }
 
     private void restart(Target target, long down) {
         target.kill();
         discovery.scheduleUpdate(entry(target, Health.REMOVED));
-        after(
+        schedule(
                 down,
                 () -> {
-                    launched.put(target.id(), discovery.wallClockMicros());
+                    startedAtMicros.put(target.id(), discovery.wallClockMicros());
                     target.start(true);
                     discovery.scheduleUpdate(entry(target, Health.ACTIVE));
                 });
@@ -855,27 +888,28 @@
      * One after another is told to drain, its successor under a new id starts cold, and then it
      * goes.
      */
-    private void roll(Fault t) {
-        List<Target> whom = struckTargets(t);
+    private void roll(Fault fault) {
+        List<Target> whom = selectTargets(fault);
         for (int i = 0; i < whom.size(); i++) {
             Target old = whom.get(i);
-            after(
-                    t.durationMicros() * i / whom.size(),
+            schedule(
+                    fault.durationMicros() * i / whom.size(),
                     () -> {
                         discovery.scheduleUpdate(entry(old, Health.DRAINING));
                         Target next = target(old.id() + "n", old.shard());
-                        launched.put(next.id(), discovery.wallClockMicros());
+                        startedAtMicros.put(next.id(), discovery.wallClockMicros());
                         next.start(true);
                         discovery.scheduleUpdate(entry(next, Health.ACTIVE));
                         synchronized (targets) {
                             targets.set(old.shard(), next);
-                            replaced.add(old);
+                            replacedTargets.add(old);
                         }
-                        if (straight) {
-                            clients.moveServer(old.shard(), next.port());
+                        if (isDirect) {
+                            loadGenerator.moveServer(old.shard(), next.port());
                         }
-                        after(
-                                t.downtimeMicros() + day.fleet().listLag()[1],
+                        schedule(
+                                fault.downtimeMicros()
+                                        + scenario.fleet().endpointListLagMicros()[1],
                                 () -> {
                                     old.kill();
                                     discovery.scheduleUpdate(entry(old, Health.REMOVED));
@@ -885,54 +919,54 @@
     }
 
     /** Grows slower in ten steps, then is gone and comes back cold. */
-    private void age(Fault t) {
-        List<Target> whom = struckTargets(t);
+    private void age(Fault fault) {
+        List<Target> whom = selectTargets(fault);
         for (int step = 1; step <= 10; step++) {
-            double factor = 1 + (t.magnitude() - 1) * step / 10;
-            after(
-                    t.durationMicros() * step / 10,
+            double factor = 1 + (fault.magnitude() - 1) * step / 10;
+            schedule(
+                    fault.durationMicros() * step / 10,
                     () -> whom.forEach(x -> x.setSlowdownFactor(factor)));
         }
-        after(
-                t.durationMicros(),
+        schedule(
+                fault.durationMicros(),
                 () ->
                         whom.forEach(
                                 x -> {
                                     x.setSlowdownFactor(1);
-                                    restart(x, t.downtimeMicros());
+                                    restart(x, fault.downtimeMicros());
                                 }));
     }
 
     private void kill(int i, long down) {
-        if (!running[i]) {
+        if (!isRunning[i]) {
             return;
         }
-        running[i] = false;
+        isRunning[i] = false;
         note("initiator-" + (i + 1), Note.Kind.KILLED, "", 0);
         initiators[i].kill();
-        after(down, () -> startInitiator(i));
+        schedule(down, () -> startInitiator(i));
     }
 
     private void leave(int i, long down) {
-        if (!running[i]) {
+        if (!isRunning[i]) {
             return;
         }
-        running[i] = false;
+        isRunning[i] = false;
         note("initiator-" + (i + 1), Note.Kind.SHUTTING_DOWN, "", 0);
-        initiators[i].beginShutdown(30_000, () -> after(down, () -> startInitiator(i)));
+        initiators[i].beginShutdown(30_000, () -> schedule(down, () -> startInitiator(i)));
     }
 
     @Override
     public void close() throws IOException {
-        over = true;
-        clients.abort();
-        clockwork.shutdownNow();
+        isFinished = true;
+        loadGenerator.abort();
+        executor.shutdownNow();
         for (Initiator i : initiators) {
             if (i != null) {
                 i.kill();
             }
         }
-        Stream.concat(targets.stream(), replaced.stream()).forEach(Target::kill);
+        Stream.concat(targets.stream(), replacedTargets.stream()).forEach(Target::kill);
         discovery.stop();
         if (recorder != null) {
             recorder.close();
--- a/scenario/src/main/java/milletyoke/scenario/audit/Audit.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/Audit.java
@@ -32,7 +32,7 @@
                     new KeyOrderRule(),
                     new RetryBudgetRule(),
                     new RateLimitRule());
-    private final Map<String, Incarnation> lives = new HashMap<>();
+    private final Map<String, Incarnation> incarnations = new HashMap<>();
     private final Set<String> initiators = new HashSet<>();
 
     private Audit(List<Record> all) {
@@ -70,9 +70,9 @@
                                 v.tested(),
                                 v.excused() > 0 ? ", " + v.excused() + " excused" : "",
                                 v.name(),
-                                v.nearest()));
+                                v.closestCall()));
                 if (details) {
-                    v.shown().forEach(s -> text.append("        ").append(s).append('\n'));
+                    v.details().forEach(s -> text.append("        ").append(s).append('\n'));
                 }
             }
             return text.toString();
@@ -80,7 +80,7 @@
     }
 
     /**
-     * @param shown breaches with their frames, the first ones only
+     * @param details breaches with their frames, the first ones only
      */
     public record Verdict(
             int rule,
@@ -88,188 +88,219 @@
             long tested,
             long violations,
             long excused,
-            String nearest,
-            List<String> shown) {}
+            String closestCall,
+            List<String> details) {}
 
-    public static Report recording(Path recording) throws IOException {
-        return recording(Recorder.readAll(recording));
+    public static Report audit(Path recording) throws IOException {
+        return audit(Recorder.readAll(recording));
     }
 
     /**
      * @throws IllegalArgumentException where the recording has no rules, or cannot be followed
      */
-    public static Report recording(List<Record> records) {
-        return new Audit(records).judge();
+    public static Report audit(List<Record> records) {
+        return new Audit(records).run();
     }
 
-    private Report judge() {
+    private Report run() {
         Record rules =
                 records.stream()
-                        .filter(r -> r.hasNote() && r.getNote().getKind() == Note.Kind.RULES)
+                        .filter(
+                                record ->
+                                        record.hasNote()
+                                                && record.getNote().getKind() == Note.Kind.RULES)
                         .findFirst()
                         .orElseThrow(
                                 () ->
                                         new IllegalArgumentException(
                                                 "the recording does not tell the rules' figures"));
         RuleSettings book = RuleSettings.read(rules.getNote().getText());
-        checks.forEach(c -> c.book = book);
-        for (Record r : records) {
-            if (r.hasNote()
-                    && r.getNote().getKind() == Note.Kind.STARTED
-                    && r.getNote().getText().equals("initiator")) {
-                initiators.add(r.getObserver());
+        checks.forEach(rule -> rule.settings = book);
+        for (Record record : records) {
+            if (record.hasNote()
+                    && record.getNote().getKind() == Note.Kind.STARTED
+                    && record.getNote().getText().equals("initiator")) {
+                initiators.add(record.getObserver());
             }
         }
         for (int i = 0; i < records.size(); i++) {
-            Record r = records.get(i);
-            if (r.hasNote()) {
-                noted(r, i);
-            } else if (initiators.contains(r.getObserver())) {
-                atInitiator(r, i);
+            Record record = records.get(i);
+            if (record.hasNote()) {
+                onNote(record, i);
+            } else if (initiators.contains(record.getObserver())) {
+                onInitiatorRecord(record, i);
             } else {
-                for (RuleCheck c : checks) {
-                    c.elsewhere(r, i);
+                for (RuleCheck rule : checks) {
+                    rule.onOtherRecord(record, i);
                 }
             }
         }
         long end = records.get(records.size() - 1).getAtMicros();
-        lives.values().forEach(l -> checks.forEach(c -> c.lifeEnded(l, l.killedAt >= 0)));
-        checks.forEach(c -> c.finish(end));
+        incarnations
+                .values()
+                .forEach(
+                        incarnation ->
+                                checks.forEach(
+                                        rule ->
+                                                rule.onIncarnationEnded(
+                                                        incarnation, incarnation.killedAt >= 0)));
+        checks.forEach(rule -> rule.finish(end));
         return new Report(checks.stream().map(this::verdict).toList(), records.size());
     }
 
-    private void noted(Record r, int frame) {
-        Note note = r.getNote();
-        if (initiators.contains(r.getObserver())) {
-            Incarnation before = lives.get(r.getObserver());
+    private void onNote(Record record, int frame) {
+        Note note = record.getNote();
+        if (initiators.contains(record.getObserver())) {
+            Incarnation before = incarnations.get(record.getObserver());
             if (note.getKind() == Note.Kind.STARTED) {
                 if (before != null) {
-                    checks.forEach(c -> c.lifeEnded(before, before.killedAt >= 0));
+                    checks.forEach(rule -> rule.onIncarnationEnded(before, before.killedAt >= 0));
                 }
-                lives.put(r.getObserver(), new Incarnation(r.getObserver(), r.getAtMicros()));
+                incarnations.put(
+                        record.getObserver(),
+                        new Incarnation(record.getObserver(), record.getAtMicros()));
             } else if (note.getKind() == Note.Kind.KILLED && before != null) {
-                before.killedAt = r.getAtMicros();
+                before.killedAt = record.getAtMicros();
             }
         }
-        checks.forEach(c -> c.noted(r.getObserver(), note, r.getAtMicros(), frame));
+        checks.forEach(
+                rule -> rule.onNote(record.getObserver(), note, record.getAtMicros(), frame));
     }
 
-    private void atInitiator(Record r, int frame) {
-        Incarnation life = lives.get(r.getObserver());
-        if (life == null || life.killedAt >= 0) {
+    private void onInitiatorRecord(Record record, int frame) {
+        Incarnation incarnation = incarnations.get(record.getObserver());
+        if (incarnation == null || incarnation.killedAt >= 0) {
             return; // its sockets' last words
         }
-        Frame f = r.getFrame();
-        if (r.getDirection() == Direction.CLOSED) {
-            closed(life, r, frame);
+        Frame f = record.getFrame();
+        if (record.getDirection() == Direction.CLOSED) {
+            onConnectionClosed(incarnation, record, frame);
             return;
         }
-        boolean got = r.getDirection() == Direction.GOT;
+        boolean got = record.getDirection() == Direction.GOT;
         switch (f.getBodyCase()) {
-            case REQUEST -> taken(life, r, f.getRequest(), frame);
-            case RESPONSE -> answered(life, r, frame);
+            case REQUEST -> onRequest(incarnation, record, f.getRequest(), frame);
+            case RESPONSE -> onResponse(incarnation, record, frame);
             case CANCEL_REQUEST ->
-                    left(
-                            life,
-                            r.getConnection(),
+                    onClientCancelled(
+                            incarnation,
+                            record.getConnection(),
                             f.getCancelRequest().getNumber(),
-                            r.getAtMicros());
-            case ATTEMPT -> relayed(life, r, frame);
+                            record.getAtMicros());
+            case ATTEMPT -> onAttempt(incarnation, record, frame);
             case ATTEMPT_REPLY ->
-                    ended(
-                            life,
-                            r.getConnection(),
+                    onAttemptEnded(
+                            incarnation,
+                            record.getConnection(),
                             f.getAttemptReply().getNumber(),
                             f.getAttemptReply().getOutcome(),
-                            r.getAtMicros(),
+                            record.getAtMicros(),
                             frame);
             case CANCEL_ATTEMPT ->
-                    ended(
-                            life,
-                            r.getConnection(),
+                    onAttemptEnded(
+                            incarnation,
+                            record.getConnection(),
                             f.getCancelAttempt().getNumber(),
                             Outcome.CANCELLED,
-                            r.getAtMicros(),
+                            record.getAtMicros(),
                             frame);
             case CLOSE -> {
                 if (got && f.getClose().getNothingProcessed()) {
-                    refused(life, r, frame);
+                    onNothingProcessed(incarnation, record, frame);
                 }
             }
             case ENDPOINT_LIST -> {
                 if (got) {
-                    life.told(f.getEndpointList(), r.getAtMicros(), frame);
-                    checks.forEach(c -> c.listed(life, r.getAtMicros()));
+                    incarnation.onEndpointList(f.getEndpointList(), record.getAtMicros(), frame);
+                    checks.forEach(rule -> rule.onEndpointList(incarnation, record.getAtMicros()));
                 }
             }
             default -> {}
         }
     }
 
-    private void taken(Incarnation life, Record r, Request access, int frame) {
-        String id = r.getConnection() + "-" + access.getNumber();
-        ObservedAttempts seen = new ObservedAttempts(life, id, access, frame, r.getAtMicros());
-        life.accesses.put(id, seen);
-        life.byClient
-                .computeIfAbsent(r.getConnection(), c -> new HashMap<>())
-                .put(access.getNumber(), seen);
-        checks.forEach(c -> c.taken(seen));
+    private void onRequest(Incarnation incarnation, Record record, Request access, int frame) {
+        String id = record.getConnection() + "-" + access.getNumber();
+        ObservedRequest request =
+                new ObservedRequest(incarnation, id, access, frame, record.getAtMicros());
+        incarnation.requests.put(id, request);
+        incarnation
+                .requestsByClient
+                .computeIfAbsent(record.getConnection(), c -> new HashMap<>())
+                .put(access.getNumber(), request);
+        checks.forEach(rule -> rule.onRequest(request));
     }
 
-    private void answered(Incarnation life, Record r, int frame) {
-        ObservedAttempts seen =
-                life.byClient
-                        .getOrDefault(r.getConnection(), Map.of())
-                        .get(r.getFrame().getResponse().getNumber());
-        if (seen == null) {
+    private void onResponse(Incarnation incarnation, Record record, int frame) {
+        ObservedRequest request =
+                incarnation
+                        .requestsByClient
+                        .getOrDefault(record.getConnection(), Map.of())
+                        .get(record.getFrame().getResponse().getNumber());
+        if (request == null) {
             return;
         }
-        seen.answers++;
-        checks.forEach(c -> c.answered(seen, r.getFrame().getResponse(), r.getAtMicros(), frame));
-        seen.answerFrame = seen.answerFrame < 0 ? frame : seen.answerFrame;
-        seen.overAt = Math.min(seen.overAt, r.getAtMicros());
+        request.answers++;
+        checks.forEach(
+                rule ->
+                        rule.onResponse(
+                                request,
+                                record.getFrame().getResponse(),
+                                record.getAtMicros(),
+                                frame));
+        request.answerFrame = request.answerFrame < 0 ? frame : request.answerFrame;
+        request.overAt = Math.min(request.overAt, record.getAtMicros());
     }
 
-    private void left(Incarnation life, int connection, long number, long at) {
-        ObservedAttempts seen = life.byClient.getOrDefault(connection, Map.of()).get(number);
-        if (seen != null && !seen.isOver()) {
-            seen.leftAt = at;
+    private void onClientCancelled(Incarnation incarnation, int connection, long number, long at) {
+        ObservedRequest request =
+                incarnation.requestsByClient.getOrDefault(connection, Map.of()).get(number);
+        if (request != null && !request.isOver()) {
+            request.cancelledAt = at;
         }
     }
 
-    private void relayed(Incarnation life, Record r, int frame) {
-        ObservedAttempts seen = life.accesses.get(r.getFrame().getAttempt().getRequestId());
-        if (seen == null) {
+    private void onAttempt(Incarnation incarnation, Record record, int frame) {
+        ObservedRequest request =
+                incarnation.requests.get(record.getFrame().getAttempt().getRequestId());
+        if (request == null) {
             checks.get(0)
-                    .breach(
-                            life.initiator
+                    .recordViolation(
+                            incarnation.initiator
                                     + " relayed "
-                                    + r.getFrame().getAttempt().getRequestId()
+                                    + record.getFrame().getAttempt().getRequestId()
                                     + ", which it never took in this life",
                             frame);
             return;
         }
-        ObservedAttempts.Sent sent =
-                new ObservedAttempts.Sent(
-                        r.getFrame().getAttempt(),
-                        r.getPeer(),
-                        r.getConnection(),
+        ObservedRequest.ObservedAttempt attempt =
+                new ObservedRequest.ObservedAttempt(
+                        record.getFrame().getAttempt(),
+                        record.getPeer(),
+                        record.getConnection(),
                         frame,
-                        r.getAtMicros());
-        seen.relays.add(sent);
-        life.out
-                .computeIfAbsent(r.getConnection(), c -> new HashMap<>())
-                .put(sent.relay.getNumber(), sent);
-        checks.forEach(c -> c.relayed(seen, sent));
+                        record.getAtMicros());
+        request.attempts.add(attempt);
+        incarnation
+                .attemptsByConnection
+                .computeIfAbsent(record.getConnection(), c -> new HashMap<>())
+                .put(attempt.attempt.getNumber(), attempt);
+        checks.forEach(rule -> rule.onAttempt(request, attempt));
     }
 
-    private void ended(
-            Incarnation life, int connection, long number, Outcome outcome, long at, int frame) {
-        ObservedAttempts.Sent sent = life.out.getOrDefault(connection, Map.of()).get(number);
-        if (sent != null && sent.outcome == null) {
-            sent.end(outcome, at, frame);
-            ObservedAttempts seen = life.accesses.get(sent.relay.getRequestId());
-            checks.forEach(c -> c.relayEnded(seen, sent));
+    private void onAttemptEnded(
+            Incarnation incarnation,
+            int connection,
+            long number,
+            Outcome outcome,
+            long at,
+            int frame) {
+        ObservedRequest.ObservedAttempt attempt =
+                incarnation.attemptsByConnection.getOrDefault(connection, Map.of()).get(number);
+        if (attempt != null && attempt.outcome == null) {
+            attempt.end(outcome, at, frame);
+            ObservedRequest request = incarnation.requests.get(attempt.attempt.getRequestId());
+            checks.forEach(rule -> rule.onAttemptEnded(request, attempt));
         }
     }
 
@@ -277,62 +308,91 @@
      * What was sent there never ran, by the target's word; one that has answered there before is
      * not believed.
      */
-    private void refused(Incarnation life, Record r, int frame) {
-        Map<Long, ObservedAttempts.Sent> out = life.out.getOrDefault(r.getConnection(), Map.of());
+    private void onNothingProcessed(Incarnation incarnation, Record record, int frame) {
+        Map<Long, ObservedRequest.ObservedAttempt> out =
+                incarnation.attemptsByConnection.getOrDefault(record.getConnection(), Map.of());
         if (out.values().stream()
-                .allMatch(s -> s.outcome == null || s.outcome == Outcome.CANCELLED)) {
+                .allMatch(
+                        attempt ->
+                                attempt.outcome == null || attempt.outcome == Outcome.CANCELLED)) {
             List.copyOf(out.keySet())
                     .forEach(
                             n ->
-                                    ended(
-                                            life,
-                                            r.getConnection(),
+                                    onAttemptEnded(
+                                            incarnation,
+                                            record.getConnection(),
                                             n,
                                             Outcome.NO_CONNECTION,
-                                            r.getAtMicros(),
+                                            record.getAtMicros(),
                                             frame));
         }
     }
 
-    private void closed(Incarnation life, Record r, int frame) {
+    private void onConnectionClosed(Incarnation incarnation, Record record, int frame) {
         List<Long> numbers =
-                List.copyOf(life.out.getOrDefault(r.getConnection(), Map.of()).keySet());
+                List.copyOf(
+                        incarnation
+                                .attemptsByConnection
+                                .getOrDefault(record.getConnection(), Map.of())
+                                .keySet());
         numbers.forEach(
-                n -> ended(life, r.getConnection(), n, Outcome.RESET, r.getAtMicros(), frame));
-        life.byClient
-                .getOrDefault(r.getConnection(), Map.of())
+                n ->
+                        onAttemptEnded(
+                                incarnation,
+                                record.getConnection(),
+                                n,
+                                Outcome.RESET,
+                                record.getAtMicros(),
+                                frame));
+        incarnation
+                .requestsByClient
+                .getOrDefault(record.getConnection(), Map.of())
                 .keySet()
-                .forEach(n -> left(life, r.getConnection(), n, r.getAtMicros()));
+                .forEach(
+                        n ->
+                                onClientCancelled(
+                                        incarnation,
+                                        record.getConnection(),
+                                        n,
+                                        record.getAtMicros()));
     }
 
-    private Verdict verdict(RuleCheck c) {
+    private Verdict verdict(RuleCheck rule) {
         List<String> shown = new ArrayList<>();
-        for (RuleCheck.Violation b : c.kept.subList(0, Math.min(10, c.kept.size()))) {
-            shown.add("breach: " + b.what());
+        for (RuleCheck.Violation b :
+                rule.keptViolations.subList(0, Math.min(10, rule.keptViolations.size()))) {
+            shown.add("breach: " + b.description());
             for (int frame : b.frames()) {
-                shown.add("  " + brief(frame));
+                shown.add("  " + describeRecord(frame));
             }
         }
-        return new Verdict(c.number, c.rule, c.tested, c.breaches, c.excused, c.nearest(), shown);
+        return new Verdict(
+                rule.number,
+                rule.description,
+                rule.tested,
+                rule.violationCount,
+                rule.excused,
+                rule.closestCall(),
+                shown);
     }
 
-    private String brief(int at) {
+    private String describeRecord(int at) {
         if (at < 0) {
             return "(no frame)";
         }
-        Record r = records.get(at);
+        Record record = records.get(at);
         String what =
-                r.hasNote()
-                        ? r.getNote().getKind() + " " + r.getNote().getText()
-                        : r.getFrame().toString().replaceAll("\\s+", " ");
+                record.hasNote()
+                        ? record.getNote().getKind() + " " + record.getNote().getText()
+                        : record.getFrame().toString().replaceAll("\\s+", " ");
         return String.format(
                 "#%d %d us %s %s %s/%d %s",
                 at,
-                r.getAtMicros(),
-                r.getObserver(),
-                r.getDirection(),
-                r.getPeer(),
-                r.getConnection(),
+                record.getAtMicros(),
+                record.getObserver(),
+                record.getDirection(),
+                record.getPeer(),
+                record.getConnection(),
                 what.length() > 220 ? what.substring(0, 220) + "..." : what);
     }
 }
--- a/scenario/src/main/java/milletyoke/scenario/audit/DrainRule.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/DrainRule.java
@@ -12,38 +12,41 @@
     }
 
     @Override
-    void listed(Incarnation life, long at) {
-        tested += life.list.values().stream().filter(l -> l.barredAt == at).count();
+    void onEndpointList(Incarnation incarnation, long at) {
+        tested +=
+                incarnation.endpoints.values().stream()
+                        .filter(l -> l.unavailableSince == at)
+                        .count();
     }
 
     @Override
-    void relayed(ObservedAttempts seen, ObservedAttempts.Sent sent) {
-        Incarnation.Listed listed = seen.life.list.get(sent.target);
-        if (listed != null && listed.barredAt >= 0) {
-            long after = sent.at - listed.barredAt;
+    void onAttempt(ObservedRequest request, ObservedRequest.ObservedAttempt attempt) {
+        Incarnation.ObservedEndpoint listed = request.incarnation.endpoints.get(attempt.target);
+        if (listed != null && listed.unavailableSince >= 0) {
+            long after = attempt.at - listed.unavailableSince;
             latest = Math.max(latest, after);
-            if (after > book.drainGrace()) {
-                breach(
-                        seen.life.initiator
+            if (after > settings.drainGraceMicros()) {
+                recordViolation(
+                        request.incarnation.initiator
                                 + " sent to "
-                                + sent.target
+                                + attempt.target
                                 + " "
                                 + millis(after)
                                 + " after it was told not to",
-                        listed.barredFrame,
-                        sent.frame);
+                        listed.unavailableFrame,
+                        attempt.frame);
             }
         }
     }
 
     @Override
-    String nearest() {
+    String closestCall() {
         return latest < 0
                 ? "nothing was sent after the word"
                 : "the latest relay left "
                         + millis(latest)
                         + " after the word, "
-                        + millis(book.drainGrace())
+                        + millis(settings.drainGraceMicros())
                         + " are allowed";
     }
 }
--- a/scenario/src/main/java/milletyoke/scenario/audit/FinalAnswerRule.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/FinalAnswerRule.java
@@ -48,56 +48,57 @@
     }
 
     @Override
-    void relayed(ObservedAttempts seen, ObservedAttempts.Sent sent) {
-        if (seen.answers > 0) {
-            breach(
+    void onAttempt(ObservedRequest request, ObservedRequest.ObservedAttempt attempt) {
+        if (request.answers > 0) {
+            recordViolation(
                     "a relay of "
-                            + seen.id
+                            + request.id
                             + " left "
-                            + seen.life.initiator
+                            + request.incarnation.initiator
                             + " after its final answer",
-                    seen.answerFrame,
-                    sent.frame);
-        } else if (sent.at - LEAVE_TRAVELS > seen.leftAt) {
-            breach(
+                    request.answerFrame,
+                    attempt.frame);
+        } else if (attempt.at - LEAVE_TRAVELS > request.cancelledAt) {
+            recordViolation(
                     "a relay of "
-                            + seen.id
+                            + request.id
                             + " left "
-                            + seen.life.initiator
+                            + request.incarnation.initiator
                             + " though its client was gone",
-                    seen.frame,
-                    sent.frame);
+                    request.frame,
+                    attempt.frame);
         }
     }
 
     @Override
-    void answered(ObservedAttempts seen, Response answer, long at, int frame) {
-        if (seen.answers > 1) {
-            breach(
-                    seen.life.initiator + " answered " + seen.id + " twice",
-                    seen.answerFrame,
+    void onResponse(ObservedRequest request, Response answer, long at, int frame) {
+        if (request.answers > 1) {
+            recordViolation(
+                    request.incarnation.initiator + " answered " + request.id + " twice",
+                    request.answerFrame,
                     frame);
         }
-        boolean succeeded = seen.relays.stream().anyMatch(s -> s.outcome == Outcome.SUCCEEDED);
+        boolean succeeded =
+                request.attempts.stream().anyMatch(attempt -> attempt.outcome == Outcome.SUCCEEDED);
         if (answer.getStatus() == ResponseStatus.ANSWERED && !succeeded) {
-            breach(
-                    seen.life.initiator
+            recordViolation(
+                    request.incarnation.initiator
                             + " said that "
-                            + seen.id
+                            + request.id
                             + " succeeded, which no target had told",
                     frame);
         }
     }
 
     @Override
-    void lifeEnded(Incarnation life, boolean killed) {
+    void onIncarnationEnded(Incarnation incarnation, boolean killed) {
         if (!killed) {
-            life.accesses.values().stream()
+            incarnation.requests.values().stream()
                     .filter(s -> !s.isOver())
                     .forEach(
                             s ->
-                                    breach(
-                                            life.initiator
+                                    recordViolation(
+                                            incarnation.initiator
                                                     + " ended and owed an answer for "
                                                     + s.id,
                                             s.frame));
@@ -105,29 +106,30 @@
     }
 
     @Override
-    void elsewhere(Record r, int frame) {
-        if (!r.getObserver().equals("client")) {
+    void onOtherRecord(Record record, int frame) {
+        if (!record.getObserver().equals("client")) {
             return;
         }
-        Frame f = r.getFrame();
-        Map<Long, Asked> own = open.computeIfAbsent(r.getConnection(), c -> new LinkedHashMap<>());
-        if (r.getDirection() == Direction.SENT && f.hasRequest()) {
+        Frame f = record.getFrame();
+        Map<Long, Asked> own =
+                open.computeIfAbsent(record.getConnection(), c -> new LinkedHashMap<>());
+        if (record.getDirection() == Direction.SENT && f.hasRequest()) {
             tested++;
             own.put(
                     f.getRequest().getNumber(),
-                    new Asked(f.getRequest(), frame, r.getAtMicros(), r.getPeer()));
-        } else if (r.getDirection() == Direction.SENT && f.hasCancelRequest()) {
+                    new Asked(f.getRequest(), frame, record.getAtMicros(), record.getPeer()));
+        } else if (record.getDirection() == Direction.SENT && f.hasCancelRequest()) {
             own.remove(f.getCancelRequest().getNumber());
-            seal(r.getConnection(), f.getCancelRequest().getNumber(), -1);
-        } else if (r.getDirection() == Direction.GOT && f.hasResponse()) {
-            got(r, own, f.getResponse(), frame);
-        } else if (r.getDirection() == Direction.CLOSED) {
+            seal(record.getConnection(), f.getCancelRequest().getNumber(), -1);
+        } else if (record.getDirection() == Direction.GOT && f.hasResponse()) {
+            got(record, own, f.getResponse(), frame);
+        } else if (record.getDirection() == Direction.CLOSED) {
             for (Asked a : own.values()) {
-                if (r.getAtMicros()
+                if (record.getAtMicros()
                         > until(a)) { // its time was up before: the closing explains nothing
                     late.add(new Late(a, until(a), a.frame(), "it never had an answer"));
                 } else {
-                    cut.add(new Late(a, r.getAtMicros(), frame, "its connection closed"));
+                    cut.add(new Late(a, record.getAtMicros(), frame, "its connection closed"));
                 }
             }
             own.clear();
@@ -138,41 +140,45 @@
         closedNumbers.computeIfAbsent(connection, c -> new HashMap<>()).put(number, frame);
     }
 
-    private void got(Record r, Map<Long, Asked> own, Response answer, int frame) {
+    private void got(Record record, Map<Long, Asked> own, Response answer, int frame) {
         Asked asked = own.remove(answer.getNumber());
         if (asked != null) {
-            seal(r.getConnection(), answer.getNumber(), frame);
+            seal(record.getConnection(), answer.getNumber(), frame);
             long until = until(asked);
-            least = Math.min(least, until - r.getAtMicros());
-            if (r.getAtMicros() > until) {
+            least = Math.min(least, until - record.getAtMicros());
+            if (record.getAtMicros() > until) {
                 late.add(
                         new Late(
                                 asked,
                                 until,
                                 frame,
-                                "its answer came " + millis(r.getAtMicros() - until) + " late"));
+                                "its answer came "
+                                        + millis(record.getAtMicros() - until)
+                                        + " late"));
             }
             return;
         }
         Integer before =
-                closedNumbers.getOrDefault(r.getConnection(), Map.of()).get(answer.getNumber());
+                closedNumbers
+                        .getOrDefault(record.getConnection(), Map.of())
+                        .get(answer.getNumber());
         if (before == null) {
-            breach(
+            recordViolation(
                     "an answer for number "
                             + answer.getNumber()
                             + ", which this client did not ask",
                     frame);
         } else if (before >= 0) {
-            breach("a second answer for number " + answer.getNumber(), before, frame);
+            recordViolation("a second answer for number " + answer.getNumber(), before, frame);
         }
     }
 
     private long until(Asked asked) {
-        return asked.at() + asked.access().getTimeLeftMicros() + book.answerSlack();
+        return asked.at() + asked.access().getTimeLeftMicros() + settings.responseSlackMicros();
     }
 
     @Override
-    void noted(String witness, Note note, long at, int frame) {
+    void onNote(String witness, Note note, long at, int frame) {
         switch (note.getKind()) {
             case STALLED -> still.add(new Span(at - (long) note.getFigure(), at, witness));
             case KILLED -> kills.computeIfAbsent(witness, w -> new ArrayList<>()).add(at);
@@ -227,7 +233,7 @@
         if (excuse) {
             excused++;
         } else {
-            breach(
+            recordViolation(
                     "access "
                             + l.asked().access().getNumber()
                             + " to "
@@ -240,7 +246,7 @@
     }
 
     @Override
-    String nearest() {
+    String closestCall() {
         return least == Long.MAX_VALUE ? "-" : "the least time to spare was " + millis(least);
     }
 }
--- a/scenario/src/main/java/milletyoke/scenario/audit/Incarnation.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/Incarnation.java
@@ -13,11 +13,12 @@
 final class Incarnation {
     final String initiator;
     final long since;
-    final Map<String, ObservedAttempts> accesses = new LinkedHashMap<>();
-    final Map<Integer, Map<Long, ObservedAttempts.Sent>> out = new HashMap<>();
-    final Map<Integer, Map<Long, ObservedAttempts>> byClient = new HashMap<>();
-    final Map<String, Listed> list = new HashMap<>();
-    final Map<String, ArrayDeque<ObservedAttempts>> keys = new HashMap<>();
+    final Map<String, ObservedRequest> requests = new LinkedHashMap<>();
+    final Map<Integer, Map<Long, ObservedRequest.ObservedAttempt>> attemptsByConnection =
+            new HashMap<>();
+    final Map<Integer, Map<Long, ObservedRequest>> requestsByClient = new HashMap<>();
+    final Map<String, ObservedEndpoint> endpoints = new HashMap<>();
+    final Map<String, ArrayDeque<ObservedRequest>> keys = new HashMap<>();
     final Map<String, Long> keyUnsure = new HashMap<>();
     final ArrayDeque<Long> taken = new ArrayDeque<>();
     final ArrayDeque<Long> further = new ArrayDeque<>();
@@ -29,11 +30,11 @@
      * What it was told last of a target, and when it was told that nothing new may go there (-1: it
      * may).
      */
-    static final class Listed {
+    static final class ObservedEndpoint {
         Target entry;
-        long barredAt = -1;
-        int barredFrame = -1;
-        final Map<Long, Long> startToldAt = new HashMap<>();
+        long unavailableSince = -1;
+        int unavailableFrame = -1;
+        final Map<Long, Long> startReportedAt = new HashMap<>();
     }
 
     Incarnation(String initiator, long since) {
@@ -41,13 +42,13 @@
         this.since = since;
     }
 
-    void told(EndpointList told, long at, int frame) {
+    void onEndpointList(EndpointList told, long at, int frame) {
         if (told.getScope() == Scope.UNAVAILABLE) {
             return;
         }
         if (told.getScope() == Scope.REPLACE) {
             var there = told.getTargetList().stream().map(Target::getId).toList();
-            list.forEach(
+            endpoints.forEach(
                     (id, listed) -> {
                         if (!there.contains(id)) {
                             bar(listed, at, frame);
@@ -55,21 +56,22 @@
                     });
         }
         for (Target t : told.getTargetList()) {
-            Listed listed = list.computeIfAbsent(t.getId(), id -> new Listed());
+            ObservedEndpoint listed =
+                    endpoints.computeIfAbsent(t.getId(), id -> new ObservedEndpoint());
             listed.entry = t;
-            listed.startToldAt.putIfAbsent(t.getStartedAtMicros(), at);
+            listed.startReportedAt.putIfAbsent(t.getStartedAtMicros(), at);
             if (t.getHealth() == Health.ACTIVE) {
-                listed.barredAt = -1;
+                listed.unavailableSince = -1;
             } else {
                 bar(listed, at, frame);
             }
         }
     }
 
-    private static void bar(Listed listed, long at, int frame) {
-        if (listed.barredAt < 0) {
-            listed.barredAt = at;
-            listed.barredFrame = frame;
+    private static void bar(ObservedEndpoint listed, long at, int frame) {
+        if (listed.unavailableSince < 0) {
+            listed.unavailableSince = at;
+            listed.unavailableFrame = frame;
         }
     }
 }
--- a/scenario/src/main/java/milletyoke/scenario/audit/KeyOrderRule.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/KeyOrderRule.java
@@ -14,73 +14,78 @@
     }
 
     @Override
-    void taken(ObservedAttempts seen) {
-        if (applies(seen)) {
-            seen.life
+    void onRequest(ObservedRequest request) {
+        if (applies(request)) {
+            request.incarnation
                     .keys
-                    .computeIfAbsent(seen.access.getExtent(), k -> new ArrayDeque<>())
-                    .addLast(seen);
+                    .computeIfAbsent(request.request.getExtent(), k -> new ArrayDeque<>())
+                    .addLast(request);
         }
     }
 
-    private boolean applies(ObservedAttempts seen) {
-        RuleSettings.Category c = book.categories().get(seen.access.getRequestClass());
-        return c != null && c.ordered() && !seen.access.getExtent().isEmpty();
+    private boolean applies(ObservedRequest request) {
+        RuleSettings.RequestClassRules c =
+                settings.requestClasses().get(request.request.getRequestClass());
+        return c != null && c.isKeyOrdered() && !request.request.getExtent().isEmpty();
     }
 
     @Override
-    void relayed(ObservedAttempts seen, ObservedAttempts.Sent sent) {
-        if (!applies(seen)) {
+    void onAttempt(ObservedRequest request, ObservedRequest.ObservedAttempt attempt) {
+        if (!applies(request)) {
             return;
         }
-        ArrayDeque<ObservedAttempts> turn = seen.life.keys.get(seen.access.getExtent());
-        String key = seen.access.getExtent();
+        ArrayDeque<ObservedRequest> turn =
+                request.incarnation.keys.get(request.request.getExtent());
+        String key = request.request.getExtent();
         // Guards against one that is sent though its turn is long over and nobody of its key is
         // left: rule 1 names that.
-        while (!turn.isEmpty() && turn.peekFirst() != seen && isDone(turn.peekFirst(), sent.at)) {
-            rest(turn.removeFirst(), key, sent.at);
+        while (!turn.isEmpty()
+                && turn.peekFirst() != request
+                && isDone(turn.peekFirst(), attempt.at)) {
+            rest(turn.removeFirst(), key, attempt.at);
         }
-        for (ObservedAttempts before : turn) {
-            if (before == seen) {
+        for (ObservedRequest before : turn) {
+            if (before == request) {
                 break;
             }
-            rest(before, key, sent.at);
-            if (!isDone(before, sent.at)) {
-                breach(
-                        seen.id + " was sent before " + before.id + " of the same key was over",
+            rest(before, key, attempt.at);
+            if (!isDone(before, attempt.at)) {
+                recordViolation(
+                        request.id + " was sent before " + before.id + " of the same key was over",
                         before.frame,
-                        sent.frame);
+                        attempt.frame);
             }
         }
         tested += turn.size() > 1 ? 1 : 0;
-        Long unsure = seen.life.keyUnsure.get(key);
-        if (unsure != null && seen.relays.size() == 1) {
-            long spare = sent.at - (unsure + book.keyQuiet());
+        Long unsure = request.incarnation.keyUnsure.get(key);
+        if (unsure != null && request.attempts.size() == 1) {
+            long spare = attempt.at - (unsure + settings.keyQuietMicros());
             tested++;
             least = Math.min(least, spare);
             if (spare < 0) {
-                breach(
-                        seen.id + " was sent " + millis(-spare) + " before its key had rested",
-                        sent.frame);
+                recordViolation(
+                        request.id + " was sent " + millis(-spare) + " before its key had rested",
+                        attempt.frame);
             }
         }
     }
 
-    private static boolean isDone(ObservedAttempts seen, long now) {
-        return seen.isOver() && seen.relays.stream().allMatch(s -> s.hasEnded(now));
+    private static boolean isDone(ObservedRequest request, long now) {
+        return request.isOver()
+                && request.attempts.stream().allMatch(attempt -> attempt.hasEnded(now));
     }
 
-    private static void rest(ObservedAttempts seen, String key, long now) {
-        for (ObservedAttempts.Sent s : seen.relays) {
-            long since = s.unsureSince(now);
+    private static void rest(ObservedRequest request, String key, long now) {
+        for (ObservedRequest.ObservedAttempt attempt : request.attempts) {
+            long since = attempt.unsureSince(now);
             if (since >= 0) {
-                seen.life.keyUnsure.merge(key, since, Math::max);
+                request.incarnation.keyUnsure.merge(key, since, Math::max);
             }
         }
     }
 
     @Override
-    String nearest() {
+    String closestCall() {
         return least == Long.MAX_VALUE
                 ? "no key had to rest"
                 : "after a rest, the next left " + millis(least) + " later than it might";
--- a/scenario/src/main/java/milletyoke/scenario/audit/ObservedAttempts.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/ObservedRequest.java
@@ -7,45 +7,46 @@
 import milletyoke.wire.proto.Request;
 
 /** One access as its initiator's sockets show it. */
-final class ObservedAttempts {
-    final Incarnation life;
+final class ObservedRequest {
+    final Incarnation incarnation;
     final String id;
-    final Request access;
+    final Request request;
     final int frame;
     final long at;
-    final List<Sent> relays = new ArrayList<>();
+    final List<ObservedAttempt> attempts = new ArrayList<>();
     int answers;
     int answerFrame = -1;
     long overAt = Long.MAX_VALUE;
 
     /** Its client left, or the connection it came on is gone: nothing is owed any more. */
-    long leftAt = Long.MAX_VALUE;
+    long cancelledAt = Long.MAX_VALUE;
 
     boolean drawn;
 
-    ObservedAttempts(Incarnation life, String id, Request access, int frame, long at) {
-        this.life = life;
+    ObservedRequest(Incarnation incarnation, String id, Request access, int frame, long at) {
+        this.incarnation = incarnation;
         this.id = id;
-        this.access = access;
+        this.request = access;
         this.frame = frame;
         this.at = at;
     }
 
     boolean isOver() {
-        return answers > 0 || leftAt != Long.MAX_VALUE;
+        return answers > 0 || cancelledAt != Long.MAX_VALUE;
     }
 
     /**
      * Whether any relay but those from {@code upTo} on may have had its effect, as known at the
      * time.
      */
-    boolean mayHaveRun(int upTo, long now) {
-        return relays.subList(0, upTo).stream().anyMatch(s -> s.mayHaveRun(now));
+    boolean isPossiblyExecuted(int upTo, long now) {
+        return attempts.subList(0, upTo).stream()
+                .anyMatch(attempt -> attempt.isPossiblyExecuted(now));
     }
 
     /** One relay, from the frame that carried it to its outcome. */
-    static final class Sent {
-        final Attempt relay;
+    static final class ObservedAttempt {
+        final Attempt attempt;
         final String target;
         final int connection;
         final int frame;
@@ -60,8 +61,8 @@
         long endedAt;
         int endFrame = -1;
 
-        Sent(Attempt relay, String target, int connection, int frame, long at) {
-            this.relay = relay;
+        ObservedAttempt(Attempt relay, String target, int connection, int frame, long at) {
+            this.attempt = relay;
             this.target = target;
             this.connection = connection;
             this.frame = frame;
@@ -69,14 +70,14 @@
         }
 
         long givenUpAt() {
-            return at + relay.getTimeLeftMicros();
+            return at + attempt.getTimeLeftMicros();
         }
 
         boolean hasEnded(long now) {
             return outcome != null || now >= givenUpAt();
         }
 
-        boolean mayHaveRun(long now) {
+        boolean isPossiblyExecuted(long now) {
             return !hasEnded(now)
                     || outcome != Outcome.OVERLOADED
                             && outcome != Outcome.NOT_STARTED
--- a/scenario/src/main/java/milletyoke/scenario/audit/RateLimitRule.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/RateLimitRule.java
@@ -19,10 +19,10 @@
     private static final long HOLDS_AFTER = 2_000_000;
 
     /** Limits stated later, and from when each must hold; until then the wider of both counts. */
-    private record Stated(long from, Map<String, RuleSettings.Plan> plans) {}
+    private record Stated(long from, Map<String, RuleSettings.PlanLimit> plans) {}
 
     private final java.util.ArrayDeque<Stated> stated = new java.util.ArrayDeque<>();
-    private Map<String, RuleSettings.Plan> inForce;
+    private Map<String, RuleSettings.PlanLimit> inForce;
     private long changes;
     private double deepest;
     private String deepestOf = "";
@@ -32,9 +32,9 @@
     }
 
     @Override
-    void noted(String witness, milletyoke.wire.proto.Note note, long at, int frame) {
+    void onNote(String witness, milletyoke.wire.proto.Note note, long at, int frame) {
         if (note.getKind() == milletyoke.wire.proto.Note.Kind.RULES && inForce == null) {
-            inForce = book.plans();
+            inForce = settings.plans();
         } else if (note.getKind() == milletyoke.wire.proto.Note.Kind.RULES) {
             stated.addLast(new Stated(at + HOLDS_AFTER, RuleSettings.read(note.getText()).plans()));
             changes++;
@@ -46,22 +46,22 @@
             inForce = stated.removeFirst().plans();
             stores.forEach(
                     (volume, s) -> {
-                        RuleSettings.Plan plan = inForce.get(s.plan);
+                        RuleSettings.PlanLimit plan = inForce.get(s.plan);
                         s.units = Math.min(s.units, plan.depth());
                         s.asked = Math.min(s.asked, plan.depth());
                     });
         }
     }
 
-    private RuleSettings.Plan plan(ObservedAttempts seen, long now) {
+    private RuleSettings.PlanLimit plan(ObservedRequest request, long now) {
         advance(now);
-        RuleSettings.Plan plan = inForce.get(seen.access.getPlan());
+        RuleSettings.PlanLimit plan = inForce.get(request.request.getPlan());
         for (Stated s : stated) {
-            RuleSettings.Plan next = s.plans().get(seen.access.getPlan());
+            RuleSettings.PlanLimit next = s.plans().get(request.request.getPlan());
             plan =
                     plan == null || next == null
                             ? null
-                            : new RuleSettings.Plan(
+                            : new RuleSettings.PlanLimit(
                                     Math.max(plan.rate(), next.rate()),
                                     Math.max(plan.depth(), next.depth()),
                                     Math.max(plan.slack(), next.slack()));
@@ -69,12 +69,12 @@
         return plan == null || plan.rate() <= 0 ? null : plan;
     }
 
-    private Store store(ObservedAttempts seen, RuleSettings.Plan plan, long at) {
+    private Store store(ObservedRequest request, RuleSettings.PlanLimit plan, long at) {
         return stores.computeIfAbsent(
-                seen.access.getVolume(),
+                request.request.getVolume(),
                 v -> {
                     Store s = new Store();
-                    s.plan = seen.access.getPlan();
+                    s.plan = request.request.getPlan();
                     s.units = plan.depth();
                     s.asked = plan.depth();
                     s.at = at;
@@ -85,13 +85,14 @@
 
     /** A limit is put to the test when more is asked than it lets through. */
     @Override
-    void taken(ObservedAttempts seen) {
-        RuleSettings.Plan plan = plan(seen, seen.at);
+    void onRequest(ObservedRequest request) {
+        RuleSettings.PlanLimit plan = plan(request, request.at);
         if (plan != null) {
-            Store s = store(seen, plan, seen.at);
-            s.asked = Math.min(plan.depth(), s.asked + plan.rate() * (seen.at - s.askedAt) / 1e6);
-            s.askedAt = seen.at;
-            s.asked -= seen.access.getUnits();
+            Store s = store(request, plan, request.at);
+            s.asked =
+                    Math.min(plan.depth(), s.asked + plan.rate() * (request.at - s.askedAt) / 1e6);
+            s.askedAt = request.at;
+            s.asked -= request.request.getUnits();
             if (s.asked < 0) {
                 tested++;
                 s.asked = Math.max(s.asked, -plan.depth());
@@ -100,32 +101,34 @@
     }
 
     @Override
-    void relayed(ObservedAttempts seen, ObservedAttempts.Sent sent) {
-        RuleSettings.Plan plan = plan(seen, sent.at);
-        if (plan == null || seen.drawn) {
+    void onAttempt(ObservedRequest request, ObservedRequest.ObservedAttempt attempt) {
+        RuleSettings.PlanLimit plan = plan(request, attempt.at);
+        if (plan == null || request.drawn) {
             return;
         }
-        seen.drawn = true;
-        Store s = store(seen, plan, sent.at);
-        s.units = Math.min(plan.depth(), s.units + plan.rate() * Math.max(0, sent.at - s.at) / 1e6);
-        s.at = Math.max(s.at, sent.at);
-        s.units -= seen.access.getUnits();
+        request.drawn = true;
+        Store s = store(request, plan, attempt.at);
+        s.units =
+                Math.min(
+                        plan.depth(), s.units + plan.rate() * Math.max(0, attempt.at - s.at) / 1e6);
+        s.at = Math.max(s.at, attempt.at);
+        s.units -= request.request.getUnits();
         double dip = plan.slack() > 0 ? -s.units / plan.slack() : s.units < 0 ? 2 : 0;
         if (dip > deepest) {
             deepest = dip;
-            deepestOf = seen.access.getVolume();
+            deepestOf = request.request.getVolume();
         }
         if (dip > 1 + 1e-9) {
-            breach(
+            recordViolation(
                     String.format(
                             "%s was sent %.2f units beyond its limit, %.2f are the slack",
-                            seen.access.getVolume(), -s.units, plan.slack()),
-                    sent.frame);
+                            request.request.getVolume(), -s.units, plan.slack()),
+                    attempt.frame);
         }
     }
 
     @Override
-    String nearest() {
+    String closestCall() {
         String changed = changes > 0 ? changes + " changes of limits; " : "";
         return changed
                 + (deepest <= 0
--- a/scenario/src/main/java/milletyoke/scenario/audit/RetryBudgetRule.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/RetryBudgetRule.java
@@ -14,27 +14,33 @@
     }
 
     @Override
-    void taken(ObservedAttempts seen) {
-        seen.life.taken.addLast(seen.at);
+    void onRequest(ObservedRequest request) {
+        request.incarnation.taken.addLast(request.at);
     }
 
     @Override
-    void relayed(ObservedAttempts seen, ObservedAttempts.Sent sent) {
-        if (book.budgetSpan() == 0 || sent.relay.getAttemptNumber() == 0) {
+    void onAttempt(ObservedRequest request, ObservedRequest.ObservedAttempt attempt) {
+        if (settings.retryBudgetWindowMicros() == 0 || attempt.attempt.getAttemptNumber() == 0) {
             return;
         }
         tested++;
-        seen.life.further.addLast(sent.at);
-        long further = within(seen.life.further, sent.at - book.budgetSpan() + APART);
-        long taken = within(seen.life.taken, sent.at - book.budgetSpan() - APART);
-        double may = book.budgetFree() + book.budgetShare() * taken;
+        request.incarnation.further.addLast(attempt.at);
+        long further =
+                within(
+                        request.incarnation.further,
+                        attempt.at - settings.retryBudgetWindowMicros() + APART);
+        long taken =
+                within(
+                        request.incarnation.taken,
+                        attempt.at - settings.retryBudgetWindowMicros() - APART);
+        double may = settings.retryBudgetMinimum() + settings.retryBudgetFraction() * taken;
         highest = Math.max(highest, further / may);
         if (further > may) {
-            breach(
+            recordViolation(
                     String.format(
                             "%s made %d further relays in one span, %.1f are allowed",
-                            seen.life.initiator, further, may),
-                    sent.frame);
+                            request.incarnation.initiator, further, may),
+                    attempt.frame);
         }
     }
 
@@ -46,8 +52,8 @@
     }
 
     @Override
-    String nearest() {
-        return book.budgetSpan() == 0
+    String closestCall() {
+        return settings.retryBudgetWindowMicros() == 0
                 ? "no budget is stated"
                 : String.format("at most %.0f%% of the budget was used", 100 * highest);
     }
--- a/scenario/src/main/java/milletyoke/scenario/audit/RuleCheck.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/RuleCheck.java
@@ -10,58 +10,58 @@
  * The check of one rule: is told what the sockets showed, in order, and remembers how near it came.
  */
 abstract class RuleCheck {
-    private static final int MOST_KEPT = 100;
+    private static final int MAX_KEPT_VIOLATIONS = 100;
 
     final int number;
-    final String rule;
-    RuleSettings book;
+    final String description;
+    RuleSettings settings;
 
     /** How often the recording put the rule to the test. */
     long tested;
 
-    long breaches;
+    long violationCount;
     long excused;
-    final List<Violation> kept = new ArrayList<>();
+    final List<Violation> keptViolations = new ArrayList<>();
 
     /**
      * @param frames places in the recording, counted from 0
      */
-    record Violation(String what, int... frames) {}
+    record Violation(String description, int... frames) {}
 
     RuleCheck(int number, String rule) {
         this.number = number;
-        this.rule = rule;
+        this.description = rule;
     }
 
-    final void breach(String what, int... frames) {
-        breaches++;
-        if (kept.size() < MOST_KEPT) {
-            kept.add(new Violation(what, frames));
+    final void recordViolation(String what, int... frames) {
+        violationCount++;
+        if (keptViolations.size() < MAX_KEPT_VIOLATIONS) {
+            keptViolations.add(new Violation(what, frames));
         }
     }
 
-    void taken(ObservedAttempts seen) {}
+    void onRequest(ObservedRequest request) {}
 
     /** The last of the access's relays was just sent. */
-    void relayed(ObservedAttempts seen, ObservedAttempts.Sent sent) {}
+    void onAttempt(ObservedRequest request, ObservedRequest.ObservedAttempt attempt) {}
 
-    void answered(ObservedAttempts seen, Response answer, long at, int frame) {}
+    void onResponse(ObservedRequest request, Response answer, long at, int frame) {}
 
-    void relayEnded(ObservedAttempts seen, ObservedAttempts.Sent sent) {}
+    void onAttemptEnded(ObservedRequest request, ObservedRequest.ObservedAttempt attempt) {}
 
-    void listed(Incarnation life, long at) {}
+    void onEndpointList(Incarnation incarnation, long at) {}
 
-    void lifeEnded(Incarnation life, boolean killed) {}
+    void onIncarnationEnded(Incarnation incarnation, boolean killed) {}
 
     /** A record of no initiator: what clients and targets saw, and notes. */
-    void elsewhere(Record record, int frame) {}
+    void onOtherRecord(Record record, int frame) {}
 
-    void noted(String witness, Note note, long at, int frame) {}
+    void onNote(String witness, Note note, long at, int frame) {}
 
     void finish(long at) {}
 
     /** How near the recording came to a breach, in the rule's own measure. */
-    abstract String nearest();
+    abstract String closestCall();
 
     static String millis(long micros) {
         return String.format("%.1f ms", micros / 1e3);
--- a/scenario/src/main/java/milletyoke/scenario/audit/RuleSettings.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/RuleSettings.java
@@ -11,30 +11,35 @@
  * audit shares no code with the decisions that it judges. Times are microseconds.
  */
 public record RuleSettings(
-        Map<String, Category> categories,
-        Map<String, Plan> plans,
-        int maxRelays,
-        long answerSlack,
-        long drainGrace,
-        long keyQuiet,
-        long cold,
-        double coldShare,
-        long fall,
-        double tip,
-        double budgetFree,
-        double budgetShare,
-        long budgetSpan) {
+        Map<String, RequestClassRules> requestClasses,
+        Map<String, PlanLimit> plans,
+        int maxAttempts,
+        long responseSlackMicros,
+        long drainGraceMicros,
+        long keyQuietMicros,
+        long warmUpMicros,
+        double initialCapacityFraction,
+        long overloadWindowMicros,
+        double overloadFactor,
+        double retryBudgetMinimum,
+        double retryBudgetFraction,
+        long retryBudgetWindowMicros) {
 
     /**
-     * @param repeats harmless, stamped or one_shot; {@code group} all, zone or cell
+     * @param idempotency harmless, stamped or one_shot; {@code deduplicationScope} all, zone or
+     *     cell
      */
-    public record Category(String repeats, String group, long window, boolean ordered) {
-        boolean harmless() {
-            return repeats.equals("harmless");
+    public record RequestClassRules(
+            String idempotency,
+            String deduplicationScope,
+            long deduplicationWindowMicros,
+            boolean isKeyOrdered) {
+        boolean isIdempotent() {
+            return idempotency.equals("harmless");
         }
     }
 
-    public record Plan(double rate, double depth, double slack) {}
+    public record PlanLimit(double rate, double depth, double slack) {}
 
     /**
      * @throws IllegalArgumentException where a figure is missing
@@ -47,21 +52,21 @@
             throw new IllegalArgumentException(
                     "the recording's rules are not JSON: " + bad.getOriginalMessage());
         }
-        Map<String, Category> categories = new LinkedHashMap<>();
+        Map<String, RequestClassRules> categories = new LinkedHashMap<>();
         for (JsonNode c : need(all, "categories")) {
             categories.put(
                     need(c, "name").asText(),
-                    new Category(
+                    new RequestClassRules(
                             need(c, "repeats").asText(),
                             need(c, "group").asText(),
                             need(c, "window").asLong(),
                             need(c, "ordered").asBoolean()));
         }
-        Map<String, Plan> plans = new LinkedHashMap<>();
+        Map<String, PlanLimit> plans = new LinkedHashMap<>();
         for (JsonNode p : need(all, "plans")) {
             plans.put(
                     need(p, "name").asText(),
-                    new Plan(
+                    new PlanLimit(
                             need(p, "rate").asDouble(),
                             need(p, "depth").asDouble(),
                             need(p, "slack").asDouble()));
--- a/scenario/src/main/java/milletyoke/scenario/audit/SingleExecutionRule.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/SingleExecutionRule.java
@@ -10,9 +10,9 @@
 
 /** Rule 2: nothing has its effect twice, and no two relays of one access are out together. */
 final class SingleExecutionRule extends RuleCheck {
-    private record Ran(String where, int frame) {}
+    private record Execution(String where, int frame) {}
 
-    private final Map<String, Ran> ran = new HashMap<>();
+    private final Map<String, Execution> executions = new HashMap<>();
     private double windowUsed;
     private long unsure;
 
@@ -20,124 +20,149 @@
         super(2, "no effect twice: repeats only as the category allows, one relay out at a time");
     }
 
-    private RuleSettings.Category category(ObservedAttempts seen) {
-        RuleSettings.Category known = book.categories().get(seen.access.getRequestClass());
-        if (known == null && seen.relays.isEmpty()) {
-            return new RuleSettings.Category(
+    private RuleSettings.RequestClassRules category(ObservedRequest request) {
+        RuleSettings.RequestClassRules known =
+                settings.requestClasses().get(request.request.getRequestClass());
+        if (known == null && request.attempts.isEmpty()) {
+            return new RuleSettings.RequestClassRules(
                     "harmless", "all", 0, false); // never taken: it named no category of ours
         }
         if (known == null) {
             throw new IllegalArgumentException(
                     "a relay of category "
-                            + seen.access.getRequestClass()
+                            + request.request.getRequestClass()
                             + ", of which the recording's rules know nothing");
         }
         return known;
     }
 
     @Override
-    void relayed(ObservedAttempts seen, ObservedAttempts.Sent sent) {
-        int k = seen.relays.size() - 1;
-        if (sent.relay.getAttemptNumber() >= book.maxRelays()) {
-            breach(
+    void onAttempt(ObservedRequest request, ObservedRequest.ObservedAttempt attempt) {
+        int k = request.attempts.size() - 1;
+        if (attempt.attempt.getAttemptNumber() >= settings.maxAttempts()) {
+            recordViolation(
                     "relay "
-                            + sent.relay.getAttemptNumber()
+                            + attempt.attempt.getAttemptNumber()
                             + " of "
-                            + seen.id
+                            + request.id
                             + ", "
-                            + book.maxRelays()
+                            + settings.maxAttempts()
                             + " are the most",
-                    sent.frame);
+                    attempt.frame);
         }
-        for (ObservedAttempts.Sent before : seen.relays.subList(0, k)) {
-            if (!before.hasEnded(sent.at)) {
-                breach("two relays of " + seen.id + " out together", before.frame, sent.frame);
+        for (ObservedRequest.ObservedAttempt before : request.attempts.subList(0, k)) {
+            if (!before.hasEnded(attempt.at)) {
+                recordViolation(
+                        "two relays of " + request.id + " out together",
+                        before.frame,
+                        attempt.frame);
             }
         }
-        if (!seen.mayHaveRun(k, sent.at)) {
+        if (!request.isPossiblyExecuted(k, attempt.at)) {
             return;
         }
-        RuleSettings.Category category = category(seen);
-        ObservedAttempts.Sent first =
-                seen.relays.stream().filter(s -> s.mayHaveRun(sent.at)).findFirst().orElseThrow();
-        if (category.repeats().equals("one_shot")) {
-            breach(
-                    "one-shot " + seen.id + " relayed again though it may have run",
+        RuleSettings.RequestClassRules category = category(request);
+        ObservedRequest.ObservedAttempt first =
+                request.attempts.stream()
+                        .filter(earlier -> earlier.isPossiblyExecuted(attempt.at))
+                        .findFirst()
+                        .orElseThrow();
+        if (category.idempotency().equals("one_shot")) {
+            recordViolation(
+                    "one-shot " + request.id + " relayed again though it may have run",
                     first.frame,
-                    sent.frame);
-        } else if (category.repeats().equals("stamped")) {
-            windowUsed = Math.max(windowUsed, (sent.at - first.at) / (double) category.window());
-            if (sent.at > first.at + category.window()) {
-                breach(
+                    attempt.frame);
+        } else if (category.idempotency().equals("stamped")) {
+            windowUsed =
+                    Math.max(
+                            windowUsed,
+                            (attempt.at - first.at)
+                                    / (double) category.deduplicationWindowMicros());
+            if (attempt.at > first.at + category.deduplicationWindowMicros()) {
+                recordViolation(
                         "stamped "
-                                + seen.id
+                                + request.id
                                 + " relayed again "
-                                + millis(sent.at - first.at)
+                                + millis(attempt.at - first.at)
                                 + " after it may have run first",
                         first.frame,
-                        sent.frame);
+                        attempt.frame);
             }
-            if (!sameGroup(seen.life, category, first.target, sent.target)) {
-                breach(
+            if (!sameGroup(request.incarnation, category, first.target, attempt.target)) {
+                recordViolation(
                         "stamped "
-                                + seen.id
+                                + request.id
                                 + " relayed to "
-                                + sent.target
+                                + attempt.target
                                 + ", which does not share the marks of "
                                 + first.target,
                         first.frame,
-                        sent.frame);
+                        attempt.frame);
             }
         }
     }
 
     private static boolean sameGroup(
-            Incarnation life, RuleSettings.Category category, String one, String other) {
-        Incarnation.Listed a = life.list.get(one), b = life.list.get(other);
-        if (category.group().equals("all") || one.equals(other)) {
+            Incarnation incarnation,
+            RuleSettings.RequestClassRules category,
+            String one,
+            String other) {
+        Incarnation.ObservedEndpoint a = incarnation.endpoints.get(one),
+                b = incarnation.endpoints.get(other);
+        if (category.deduplicationScope().equals("all") || one.equals(other)) {
             return true;
         }
         if (a == null || b == null) {
             return false;
         }
-        return category.group().equals("zone")
+        return category.deduplicationScope().equals("zone")
                 ? a.entry.getZone().equals(b.entry.getZone())
                 : a.entry.getShard() == b.entry.getShard();
     }
 
     @Override
-    void answered(ObservedAttempts seen, Response answer, long at, int frame) {
-        for (ObservedAttempts.Sent s :
-                category(seen).harmless() ? List.<ObservedAttempts.Sent>of() : seen.relays) {
-            tested += s.outcome == Outcome.SUCCEEDED ? 0 : 1;
-            unsure += s.outcome != Outcome.SUCCEEDED && s.mayHaveRun(at) ? 1 : 0;
+    void onResponse(ObservedRequest request, Response answer, long at, int frame) {
+        for (ObservedRequest.ObservedAttempt attempt :
+                category(request).isIdempotent()
+                        ? List.<ObservedRequest.ObservedAttempt>of()
+                        : request.attempts) {
+            tested += attempt.outcome == Outcome.SUCCEEDED ? 0 : 1;
+            unsure +=
+                    attempt.outcome != Outcome.SUCCEEDED && attempt.isPossiblyExecuted(at) ? 1 : 0;
         }
         if (answer.getStatus() != ResponseStatus.REJECTED
-                || !seen.mayHaveRun(seen.relays.size(), at)) {
+                || !request.isPossiblyExecuted(request.attempts.size(), at)) {
             return;
         }
-        RuleSettings.Category category = category(seen);
+        RuleSettings.RequestClassRules category = category(request);
         boolean repeatsDropped =
-                category.repeats().equals("stamped") && category.group().equals("all");
-        if (!category.harmless() && !repeatsDropped) {
-            breach(
-                    seen.id + " of " + category.repeats() + " rejected though it may have run",
+                category.idempotency().equals("stamped")
+                        && category.deduplicationScope().equals("all");
+        if (!category.isIdempotent() && !repeatsDropped) {
+            recordViolation(
+                    request.id
+                            + " of "
+                            + category.idempotency()
+                            + " rejected though it may have run",
                     frame);
         }
     }
 
     /** The targets' own word: each run of an access, by its mark. */
     @Override
-    void noted(String witness, Note note, long at, int frame) {
+    void onNote(String witness, Note note, long at, int frame) {
         if (note.getKind() != Note.Kind.EXECUTED) {
             return;
         }
         int blank = note.getText().lastIndexOf(' ');
-        RuleSettings.Category category = book.categories().get(note.getText().substring(blank + 1));
-        if (category != null && category.repeats().equals("one_shot")) {
-            Ran before = ran.put(note.getText().substring(0, blank), new Ran(witness, frame));
+        RuleSettings.RequestClassRules category =
+                settings.requestClasses().get(note.getText().substring(blank + 1));
+        if (category != null && category.idempotency().equals("one_shot")) {
+            Execution before =
+                    executions.put(
+                            note.getText().substring(0, blank), new Execution(witness, frame));
             if (before != null) {
-                breach(
+                recordViolation(
                         "one-shot "
                                 + note.getText()
                                 + " ran at "
@@ -151,7 +176,7 @@
     }
 
     @Override
-    String nearest() {
+    String closestCall() {
         return unsure
                 + " relays that must not run twice ended unsure"
                 + (windowUsed > 0
--- a/scenario/src/main/java/milletyoke/scenario/audit/SlowStartRule.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/SlowStartRule.java
@@ -11,17 +11,17 @@
  * Rule 4, at the targets' end: what all initiators together send a cold one within the fall time.
  */
 final class SlowStartRule extends RuleCheck {
-    private record Came(long at, double units, boolean told) {}
+    private record Arrival(long at, double units, boolean told) {}
 
-    private static final class Warming {
+    private static final class WarmUp {
         long since;
         double capacity;
         double units;
-        final ArrayDeque<Came> window = new ArrayDeque<>();
+        final ArrayDeque<Arrival> window = new ArrayDeque<>();
     }
 
-    private final Map<String, Warming> warming = new HashMap<>();
-    private final Map<String, Map<String, Long>> toldOf = new HashMap<>();
+    private final Map<String, WarmUp> warming = new HashMap<>();
+    private final Map<String, Map<String, Long>> startReports = new HashMap<>();
     private double highest;
     private String highestAt = "";
 
@@ -30,16 +30,16 @@
     }
 
     @Override
-    void noted(String witness, Note note, long at, int frame) {
+    void onNote(String witness, Note note, long at, int frame) {
         if (note.getKind() == Note.Kind.STARTED && note.getText().equals("cold")) {
-            Warming w = new Warming();
+            WarmUp w = new WarmUp();
             w.since = at;
             w.capacity = note.getFigure();
             warming.put(witness, w);
         } else if (note.getKind() == Note.Kind.KILLED || note.getKind() == Note.Kind.STARTED) {
             warming.remove(witness);
         } else if (note.getKind() == Note.Kind.OVERLOAD_COLLAPSE) {
-            breach(
+            recordViolation(
                     witness
                             + " fell over, sent "
                             + String.format("%.2f", note.getFigure())
@@ -49,13 +49,14 @@
     }
 
     @Override
-    void listed(Incarnation life, long at) {
-        life.list.forEach(
+    void onEndpointList(Incarnation incarnation, long at) {
+        incarnation.endpoints.forEach(
                 (target, listed) ->
-                        toldOf.computeIfAbsent(life.initiator, i -> new HashMap<>())
+                        startReports
+                                .computeIfAbsent(incarnation.initiator, i -> new HashMap<>())
                                 .merge(
                                         target,
-                                        listed.startToldAt.values().stream()
+                                        listed.startReportedAt.values().stream()
                                                 .mapToLong(t -> t)
                                                 .max()
                                                 .orElse(at),
@@ -63,50 +64,61 @@
     }
 
     @Override
-    void elsewhere(Record r, int frame) {
-        Warming w = warming.get(r.getObserver());
+    void onOtherRecord(Record record, int frame) {
+        WarmUp w = warming.get(record.getObserver());
         if (w == null
-                || r.getDirection() != Direction.GOT
-                || !r.getFrame().hasAttempt()
-                || book.fall() == 0) {
+                || record.getDirection() != Direction.GOT
+                || !record.getFrame().hasAttempt()
+                || settings.overloadWindowMicros() == 0) {
             return;
         }
-        if (r.getAtMicros() > w.since + book.cold()) {
-            warming.remove(r.getObserver());
+        if (record.getAtMicros() > w.since + settings.warmUpMicros()) {
+            warming.remove(record.getObserver());
             return;
         }
         tested++;
-        double units = r.getFrame().getAttempt().getUnits();
+        double units = record.getFrame().getAttempt().getUnits();
         boolean told =
-                toldOf.getOrDefault(r.getPeer(), Map.of()).getOrDefault(r.getObserver(), 0L)
+                startReports
+                                .getOrDefault(record.getPeer(), Map.of())
+                                .getOrDefault(record.getObserver(), 0L)
                         >= w.since;
-        w.window.addLast(new Came(r.getAtMicros(), units, told));
+        w.window.addLast(new Arrival(record.getAtMicros(), units, told));
         w.units += units;
-        while (w.window.peekFirst().at() <= r.getAtMicros() - book.fall()) {
+        while (w.window.peekFirst().at()
+                <= record.getAtMicros() - settings.overloadWindowMicros()) {
             w.units -= w.window.removeFirst().units();
         }
-        double bears = book.tip() * w.capacity * warmth(w, r.getAtMicros()) * book.fall() / 1e6;
+        double bears =
+                settings.overloadFactor()
+                        * w.capacity
+                        * capacityFraction(w, record.getAtMicros())
+                        * settings.overloadWindowMicros()
+                        / 1e6;
         if (w.units / bears > highest) {
             highest = w.units / bears;
-            highestAt = r.getObserver();
+            highestAt = record.getObserver();
         }
-        double byTold = w.window.stream().filter(Came::told).mapToDouble(Came::units).sum();
+        double byTold = w.window.stream().filter(Arrival::told).mapToDouble(Arrival::units).sum();
         if (w.units > bears && byTold >= w.units * 2 / 3) {
-            breach(
+            recordViolation(
                     String.format(
                             "%s was sent %.1f units within %s while cold, it bears %.1f",
-                            r.getObserver(), w.units, millis(book.fall()), bears),
+                            record.getObserver(),
+                            w.units,
+                            millis(settings.overloadWindowMicros()),
+                            bears),
                     frame);
         }
     }
 
-    private double warmth(Warming w, long at) {
-        double age = Math.min(1, (at - w.since) / (double) Math.max(1, book.cold()));
-        return book.coldShare() + (1 - book.coldShare()) * age;
+    private double capacityFraction(WarmUp w, long at) {
+        double age = Math.min(1, (at - w.since) / (double) Math.max(1, settings.warmUpMicros()));
+        return settings.initialCapacityFraction() + (1 - settings.initialCapacityFraction()) * age;
     }
 
     @Override
-    String nearest() {
+    String closestCall() {
         return highest == 0
                 ? "-"
                 : String.format(
--- a/scenario/src/main/java/milletyoke/scenario/script/Scenario.java
+++ b/scenario/src/main/java/milletyoke/scenario/script/Scenario.java
@@ -12,23 +12,23 @@
  * microseconds.
  *
  * @param durationMicros how long clients ask
- * @param held most accesses that one initiator holds
- * @param unit work of one unit at a core of speed 1
- * @param speeds of cores, least and most; each target draws one
+ * @param maxPendingRequests most accesses that one initiator holds
+ * @param unitMicros work of one unit at a core of speed 1
+ * @param coreSpeeds of cores, least and most; each target draws one
  */
 public record Scenario(
         String name,
         long seed,
         long durationMicros,
         int initiators,
-        int held,
+        int maxPendingRequests,
         Fleet fleet,
-        List<SchedulerSettings.RequestClass> categories,
-        List<Kind> kinds,
-        List<PlanOf> plans,
-        SchedulerSettings.Capabilities allowances,
-        BoundsOf bounds,
-        boolean listAsked,
+        List<SchedulerSettings.RequestClass> requestClasses,
+        List<ClassLoad> classLoads,
+        List<PlanLoad> planLoads,
+        SchedulerSettings.Capabilities capabilities,
+        RuleBounds ruleBounds,
+        boolean mustWatchEndpoints,
         Load load,
         Network network,
         List<Fault> faults) {
@@ -36,10 +36,10 @@
     /**
      * What the lab's network and machines are like; sockets have what they have.
      *
-     * @param travel of a frame from end to end, least and most
-     * @param turn an initiator's loop is busy for so long with each turn
+     * @param latencyMicros of a frame from end to end, least and most
+     * @param loopTurnMicros an initiator's loop is busy for so long with each turn
      */
-    public record Network(long[] travel, long turn) {}
+    public record Network(long[] latencyMicros, long loopTurnMicros) {}
 
     /**
      * How a partition cuts, added up in {@link Fault#intervalMicros}: towards the targets alone;
@@ -52,62 +52,62 @@
             int targets,
             int zones,
             int cores,
-            double[] speeds,
-            long unit,
-            int room,
-            int connections,
-            int extents,
-            double extentSaves,
-            double putOff,
-            long putOffEvery,
-            long pauseEvery,
-            long pause,
-            boolean tells,
+            double[] coreSpeeds,
+            long unitMicros,
+            int queueCapacity,
+            int maxConnections,
+            int rememberedExtents,
+            double rememberedExtentSaving,
+            double deferredWriteFraction,
+            long deferredWorkPeriodMicros,
+            long pausePeriodMicros,
+            long pauseMicros,
+            boolean reportsLoad,
             boolean dropsCancelled,
-            long[] listLag,
-            double crowd,
-            long connecting,
-            double warmUnits,
-            WorkDistribution work) {}
+            long[] endpointListLagMicros,
+            double queueingPenalty,
+            long connectionSetupMicros,
+            double warmUpUnits,
+            WorkDistribution workDistribution) {}
 
     /** What clients know of a category beside its provisioning. */
-    public record Kind(
+    public record ClassLoad(
             double share,
-            int leastUnits,
-            int mostUnits,
-            boolean write,
-            boolean anywhere,
-            long abandon) {}
+            int minUnits,
+            int maxUnits,
+            boolean isWrite,
+            boolean isNewObject,
+            long deadlineMicros) {}
 
     /** A plan, the part of demand on it and how many volumes have it. */
-    public record PlanOf(
+    public record PlanLoad(
             SchedulerSettings.ServicePlan plan, double share, int volumes, int hosts) {}
 
     /** The rules' figures; what a cold target bears follows from the fleet. */
-    public record BoundsOf(
-            long answerSlack,
-            long drainGrace,
-            long keyQuiet,
-            long cold,
-            double coldShare,
-            long fall,
-            double tipMultiple,
-            double budgetFree,
-            double budgetShare,
-            long budgetSpan,
-            long mustAskIn) {}
+    public record RuleBounds(
+            long responseSlackMicros,
+            long drainGraceMicros,
+            long keyQuietMicros,
+            long warmUpMicros,
+            double initialCapacityFraction,
+            long overloadWindowMicros,
+            double overloadFactor,
+            double retryBudgetMinimum,
+            double retryBudgetFraction,
+            long retryBudgetWindowMicros,
+            long watchDeadlineMicros) {}
 
     public record Load(
-            double rate,
+            double requestsPerSecond,
             int retries,
-            long retryWait,
-            double impatient,
-            long[] littleTime,
-            double vanish,
-            int closed,
-            long think,
-            List<Path> traffic,
-            double speed) {}
+            long retryDelayMicros,
+            double shortDeadlineFraction,
+            long[] shortDeadlineMicros,
+            double cancelFraction,
+            int closedLoopClients,
+            long thinkTimeMicros,
+            List<Path> captureFiles,
+            double replaySpeed) {}
 
     /**
      * Something that goes wrong.
@@ -118,8 +118,8 @@
      *     is the part of them
      * @param name of the plan whose limit changes: {@code magnitude} is its rate, {@code range}
      *     depth and slack
-     * @param under 0, or from {@code atMicros} on it comes when service of the last second is under
-     *     this part, once
+     * @param belowServiceLevel 0, or from {@code atMicros} on it comes when service of the last
+     *     second is under this part, once
      */
     public record Fault(
             long atMicros,
@@ -133,7 +133,7 @@
             int count,
             long downtimeMicros,
             String name,
-            double under) {
+            double belowServiceLevel) {
 
         /** One at its time, whatever service is. */
         public Fault(
@@ -164,7 +164,7 @@
         }
 
         /** The same, once service of the last second is under a part. */
-        Fault under(double part) {
+        Fault belowServiceLevel(double part) {
             return new Fault(
                     atMicros,
                     line,
@@ -211,97 +211,102 @@
         CLOCK;
 
         /** Whether only the lab can play it. */
-        public boolean virtual() {
+        public boolean isSimulationOnly() {
             return this == PARTITION || this == CLOCK;
         }
     }
 
     /** Units within the fall time that a cold target always bears, whichever target it is. */
-    public double coldBears() {
-        double weakest = fleet.cores() * fleet.speeds()[0] * 1e6 / fleet.unit();
+    public double warmUpBudgetUnits() {
+        double weakest = fleet.cores() * fleet.coreSpeeds()[0] * 1e6 / fleet.unitMicros();
         return Math.floor(
-                bounds.tipMultiple() * bounds.coldShare() * weakest * bounds.fall() / 1e6 * 0.9);
+                ruleBounds.overloadFactor()
+                        * ruleBounds.initialCapacityFraction()
+                        * weakest
+                        * ruleBounds.overloadWindowMicros()
+                        / 1e6
+                        * 0.9);
     }
 
     /** What its initiators are provisioned with. */
     public DeploymentSettings deployment() {
-        var b = bounds;
+        var b = ruleBounds;
         return new DeploymentSettings(
                 new SchedulerSettings(
                         initiators,
-                        categories,
-                        plans.stream().map(PlanOf::plan).toList(),
-                        allowances,
+                        requestClasses,
+                        planLoads.stream().map(PlanLoad::plan).toList(),
+                        capabilities,
                         new SchedulerSettings.RuleLimits(
-                                b.keyQuiet(),
-                                b.cold(),
-                                b.coldShare(),
-                                coldBears(),
-                                b.fall(),
-                                b.tipMultiple(),
-                                b.budgetFree(),
-                                b.budgetShare(),
-                                b.budgetSpan(),
-                                b.mustAskIn()),
-                        listAsked),
-                b.answerSlack(),
-                b.drainGrace());
+                                b.keyQuietMicros(),
+                                b.warmUpMicros(),
+                                b.initialCapacityFraction(),
+                                warmUpBudgetUnits(),
+                                b.overloadWindowMicros(),
+                                b.overloadFactor(),
+                                b.retryBudgetMinimum(),
+                                b.retryBudgetFraction(),
+                                b.retryBudgetWindowMicros(),
+                                b.watchDeadlineMicros()),
+                        mustWatchEndpoints),
+                b.responseSlackMicros(),
+                b.drainGraceMicros());
     }
 
     /** The same day with other troubles, under another name and seed. */
-    public Scenario with(String called, long otherSeed, List<Fault> others) {
+    public Scenario withFaults(String called, long otherSeed, List<Fault> others) {
         return new Scenario(
                 called,
                 otherSeed,
                 durationMicros,
                 initiators,
-                held,
+                maxPendingRequests,
                 fleet,
-                categories,
-                kinds,
-                plans,
-                allowances,
-                bounds,
-                listAsked,
+                requestClasses,
+                classLoads,
+                planLoads,
+                capabilities,
+                ruleBounds,
+                mustWatchEndpoints,
                 load,
                 network,
                 List.copyOf(others));
     }
 
     /** The same day with another number of accesses a second. */
-    public Scenario at(double rate) {
+    public Scenario withRate(double rate) {
         Load other =
                 new Load(
                         rate,
                         load.retries(),
-                        load.retryWait(),
-                        load.impatient(),
-                        load.littleTime(),
-                        load.vanish(),
-                        load.closed(),
-                        load.think(),
-                        load.traffic(),
-                        load.speed());
+                        load.retryDelayMicros(),
+                        load.shortDeadlineFraction(),
+                        load.shortDeadlineMicros(),
+                        load.cancelFraction(),
+                        load.closedLoopClients(),
+                        load.thinkTimeMicros(),
+                        load.captureFiles(),
+                        load.replaySpeed());
         return new Scenario(
                 name,
                 seed,
                 durationMicros,
                 initiators,
-                held,
+                maxPendingRequests,
                 fleet,
-                categories,
-                kinds,
-                plans,
-                allowances,
-                bounds,
-                listAsked,
+                requestClasses,
+                classLoads,
+                planLoads,
+                capabilities,
+                ruleBounds,
+                mustWatchEndpoints,
                 other,
                 network,
                 faults);
     }
 
     /** How clients know the repeats of a category. */
-    public static LoadProfile.Idempotency repeats(SchedulerSettings.RequestClass c) {
+    public static LoadProfile.Idempotency clientIdempotency(SchedulerSettings.RequestClass c) {
         return LoadProfile.Idempotency.valueOf(c.idempotency().name());
     }
 }
--- a/scenario/src/main/java/milletyoke/scenario/script/ScenarioParser.java
+++ b/scenario/src/main/java/milletyoke/scenario/script/ScenarioParser.java
@@ -25,10 +25,10 @@
 public final class ScenarioParser {
     private final String file;
     private final String name;
-    private final Map<String, Tokenizer> single = new HashMap<>();
+    private final Map<String, Tokenizer> singleStatements = new HashMap<>();
     private final List<Tokenizer> categories = new ArrayList<>();
     private final List<Tokenizer> plans = new ArrayList<>();
-    private final List<Fault> troubles = new ArrayList<>();
+    private final List<Fault> faults = new ArrayList<>();
     private boolean listAsked;
 
     private ScenarioParser(String file, String name) {
@@ -72,14 +72,14 @@
             line++;
             String bare = one.replaceAll("#.*", "").trim();
             if (!bare.isEmpty()) {
-                script.statement(new Tokenizer(file, line, bare), line);
+                script.parseStatement(new Tokenizer(file, line, bare), line);
             }
         }
-        return script.day();
+        return script.buildScenario();
     }
 
-    private void statement(Tokenizer w, int line) throws ScenarioFormatException {
-        String verb = w.next("a statement");
+    private void parseStatement(Tokenizer tokens, int line) throws ScenarioFormatException {
+        String verb = tokens.next("a statement");
         switch (verb) {
             case "seed",
                     "lasts",
@@ -90,35 +90,40 @@
                     "load",
                     "list",
                     "network" -> {
-                if (single.put(verb, w) != null) {
-                    throw w.wrong(verb + " stands there twice");
+                if (singleStatements.put(verb, tokens) != null) {
+                    throw tokens.error(verb + " stands there twice");
                 }
             }
-            case "category" -> categories.add(w);
-            case "plan" -> plans.add(w);
-            case "at" -> troubles.add(trouble(w, w.time("at", w.next("the time"), true), line));
+            case "category" -> categories.add(tokens);
+            case "plan" -> plans.add(tokens);
+            case "at" ->
+                    faults.add(
+                            parseFault(
+                                    tokens,
+                                    tokens.time("at", tokens.next("the time"), true),
+                                    line));
             case "when" -> {
-                String what = w.next("service");
+                String what = tokens.next("service");
                 if (!what.equals("service")) {
-                    throw w.wrong("a trouble can wait for service, not for \"" + what + "\"");
+                    throw tokens.error("a trouble can wait for service, not for \"" + what + "\"");
                 }
-                double under = w.part("under", null);
-                long from = w.time("from", "1s");
+                double under = tokens.fraction("under", null);
+                long from = tokens.time("from", "1s");
                 if (under <= 0) {
-                    throw w.wrong("under must be over 0%");
+                    throw tokens.error("under must be over 0%");
                 }
-                troubles.add(trouble(w, from, line).under(under));
+                faults.add(parseFault(tokens, from, line).belowServiceLevel(under));
             }
             case "then" -> {
-                if (troubles.isEmpty()) {
-                    throw w.wrong("then follows a trouble, and none stands before it");
+                if (faults.isEmpty()) {
+                    throw tokens.error("then follows a trouble, and none stands before it");
                 }
-                long after = w.time("then", w.next("how long after"), true);
-                troubles.add(
-                        trouble(w, troubles.get(troubles.size() - 1).atMicros() + after, line));
+                long after = tokens.time("then", tokens.next("how long after"), true);
+                faults.add(
+                        parseFault(tokens, faults.get(faults.size() - 1).atMicros() + after, line));
             }
             default ->
-                    throw w.wrong(
+                    throw tokens.error(
                             "\""
                                     + verb
                                     + "\" is no statement; seed, lasts, initiators, targets, bounds, "
@@ -126,93 +131,97 @@
         }
     }
 
-    private Tokenizer single(String verb) throws ScenarioFormatException {
-        Tokenizer w = single.get(verb);
-        return w == null ? new Tokenizer(file, 0, "") : w;
+    private Tokenizer singleStatements(String verb) throws ScenarioFormatException {
+        Tokenizer tokens = singleStatements.get(verb);
+        return tokens == null ? new Tokenizer(file, 0, "") : tokens;
     }
 
     // ---- Who is there and what is asked ----
 
-    private Scenario day() throws ScenarioFormatException {
-        Tokenizer seed = single("seed");
+    private Scenario buildScenario() throws ScenarioFormatException {
+        Tokenizer seed = singleStatements("seed");
         String seedText = seed.next();
-        long seedValue = seedText == null ? 1 : (long) seed.figure("seed", seedText, "");
-        seed.done();
-        Tokenizer lasts = single("lasts");
+        long seedValue = seedText == null ? 1 : (long) seed.number("seed", seedText, "");
+        seed.expectEnd();
+        Tokenizer lasts = singleStatements("lasts");
         String lastsText = lasts.next();
         long lastsValue = lastsText == null ? 10_000_000 : lasts.time("lasts", lastsText, false);
-        lasts.done();
-        Tokenizer ini = single("initiators");
+        lasts.expectEnd();
+        Tokenizer ini = singleStatements("initiators");
         String count = ini.next();
-        int initiators = count == null ? 3 : (int) ini.figure("initiators", count, "");
-        int held = ini.whole("held", "10000");
-        ini.done();
+        int initiators = count == null ? 3 : (int) ini.number("initiators", count, "");
+        int held = ini.wholeNumber("held", "10000");
+        ini.expectEnd();
         if (initiators < 1 || initiators > 10_000) {
-            throw ini.wrong("1 to 10000 initiators can be played, not " + initiators);
+            throw ini.error("1 to 10000 initiators can be played, not " + initiators);
         }
-        Scenario.Fleet fleet = fleet(single("targets"), single("list"));
+        Scenario.Fleet fleet = fleet(singleStatements("targets"), singleStatements("list"));
         List<RequestClass> provisioned = new ArrayList<>();
-        List<Scenario.Kind> kinds = new ArrayList<>();
-        for (Tokenizer w : categories) {
-            category(w, provisioned, kinds);
+        List<Scenario.ClassLoad> kinds = new ArrayList<>();
+        for (Tokenizer tokens : categories) {
+            category(tokens, provisioned, kinds);
         }
         if (provisioned.isEmpty()) {
             throw new ScenarioFormatException(file + ": no category is given");
         }
-        List<Scenario.PlanOf> planned = new ArrayList<>();
-        for (Tokenizer w : plans) {
-            planned.add(plan(w));
+        List<Scenario.PlanLoad> planned = new ArrayList<>();
+        for (Tokenizer tokens : plans) {
+            planned.add(plan(tokens));
         }
         if (planned.isEmpty()) {
             throw new ScenarioFormatException(file + ": no plan is given");
         }
-        Scenario.BoundsOf bounds = bounds(single("bounds"));
-        Tokenizer a = single("allowances");
+        Scenario.RuleBounds bounds = bounds(singleStatements("bounds"));
+        Tokenizer a = singleStatements("allowances");
         Capabilities allowances =
                 new Capabilities(
-                        Math.max(1, a.whole("relays", "3")),
+                        Math.max(1, a.wholeNumber("relays", "3")),
                         !a.flag("noprobes"),
                         !a.flag("nocancels"),
                         !a.flag("noadvice"),
                         a.time("advice", "500ms"));
-        a.done();
-        Scenario.Load load = load(single("load"), file);
-        for (Fault t : troubles) {
+        a.expectEnd();
+        Scenario.Load load = load(singleStatements("load"), file);
+        for (Fault fault : faults) {
             boolean known =
                     planned.stream()
                             .anyMatch(
                                     p ->
-                                            p.plan().name().equals(t.name())
+                                            p.plan().name().equals(fault.name())
                                                     && p.plan().limitRate() > 0);
-            if (t.type() == FaultType.LIMIT && !known) {
+            if (fault.type() == FaultType.LIMIT && !known) {
                 throw new ScenarioFormatException(
-                        file + ":" + t.line() + ": no plan with a limit is called " + t.name());
+                        file
+                                + ":"
+                                + fault.line()
+                                + ": no plan with a limit is called "
+                                + fault.name());
             }
             boolean initiator =
-                    t.type() == FaultType.KILL
-                            || t.type() == FaultType.STILL
-                            || t.type() == FaultType.LEAVE
-                            || t.type() == FaultType.PARTITION;
+                    fault.type() == FaultType.KILL
+                            || fault.type() == FaultType.STILL
+                            || fault.type() == FaultType.LEAVE
+                            || fault.type() == FaultType.PARTITION;
             int most = initiator ? initiators : fleet.targets();
-            if (t.type() == FaultType.PARTITION && t.count() > fleet.targets()) {
+            if (fault.type() == FaultType.PARTITION && fault.count() > fleet.targets()) {
                 throw new ScenarioFormatException(
                         file
                                 + ":"
-                                + t.line()
+                                + fault.line()
                                 + ": there are "
                                 + fleet.targets()
                                 + " targets, none has number "
-                                + t.count());
+                                + fault.count());
             }
-            if (t.selection().number() > most) {
+            if (fault.selection().number() > most) {
                 throw new ScenarioFormatException(
                         file
                                 + ":"
-                                + t.line()
+                                + fault.line()
                                 + ": there are "
                                 + most
                                 + ", none has number "
-                                + t.selection().number());
+                                + fault.selection().number());
             }
         }
         return new Scenario(
@@ -229,324 +238,334 @@
                 bounds,
                 listAsked,
                 load,
-                network(single("network")),
-                List.copyOf(troubles));
+                network(singleStatements("network")),
+                List.copyOf(faults));
     }
 
-    private Scenario.Fleet fleet(Tokenizer w, Tokenizer list) throws ScenarioFormatException {
-        String count = w.next();
-        int targets = count == null ? 8 : (int) w.figure("targets", count, "");
+    private Scenario.Fleet fleet(Tokenizer tokens, Tokenizer list) throws ScenarioFormatException {
+        String count = tokens.next();
+        int targets = count == null ? 8 : (int) tokens.number("targets", count, "");
         if (targets < 1 || targets > 10_000) {
-            throw w.wrong("1 to 10000 targets can be played, not " + targets);
+            throw tokens.error("1 to 10000 targets can be played, not " + targets);
         }
         listAsked = list.flag("asked");
-        long[] lag = list.times("lag", "100ms..300ms");
-        list.done();
+        long[] lag = list.timeRange("lag", "100ms..300ms");
+        list.expectEnd();
         Scenario.Fleet fleet =
                 new Scenario.Fleet(
                         targets,
-                        Math.max(1, w.whole("zones", "1")),
-                        Math.max(1, w.whole("cores", "2")),
-                        w.figures("speed", "1..1.4"),
-                        w.time("unit", "2ms"),
-                        w.whole("room", "40"),
-                        Math.max(1, w.whole("connections", "100")),
-                        w.whole("extents", "3"),
-                        w.part("saves", "50%"),
-                        w.part("putoff", "30%"),
-                        w.time("putoffevery", "2s"),
-                        w.time("pauseevery", "0"),
-                        w.time("pause", "100ms"),
-                        w.flag("tells"),
-                        w.flag("dropscancelled"),
+                        Math.max(1, tokens.wholeNumber("zones", "1")),
+                        Math.max(1, tokens.wholeNumber("cores", "2")),
+                        tokens.numberRange("speed", "1..1.4"),
+                        tokens.time("unit", "2ms"),
+                        tokens.wholeNumber("room", "40"),
+                        Math.max(1, tokens.wholeNumber("connections", "100")),
+                        tokens.wholeNumber("extents", "3"),
+                        tokens.fraction("saves", "50%"),
+                        tokens.fraction("putoff", "30%"),
+                        tokens.time("putoffevery", "2s"),
+                        tokens.time("pauseevery", "0"),
+                        tokens.time("pause", "100ms"),
+                        tokens.flag("tells"),
+                        tokens.flag("dropscancelled"),
                         lag,
-                        w.part("crowd", "0"),
-                        w.time("connecting", "0"),
-                        w.figure("warmunits", "0"),
-                        work(w));
-        w.done();
-        if (fleet.unit() <= 0 || fleet.speeds()[0] <= 0) {
-            throw w.wrong("unit and speed must be over 0");
+                        tokens.fraction("crowd", "0"),
+                        tokens.time("connecting", "0"),
+                        tokens.number("warmunits", "0"),
+                        work(tokens));
+        tokens.expectEnd();
+        if (fleet.unitMicros() <= 0 || fleet.coreSpeeds()[0] <= 0) {
+            throw tokens.error("unit and speed must be over 0");
         }
         return fleet;
     }
 
-    private static Scenario.Network network(Tokenizer w) throws ScenarioFormatException {
+    private static Scenario.Network network(Tokenizer tokens) throws ScenarioFormatException {
         Scenario.Network network =
-                new Scenario.Network(w.times("travel", "30us..90us"), w.time("turn", "30us"));
-        w.done();
-        if (network.travel()[0] < 1) {
-            throw w.wrong("travel must be over 0");
+                new Scenario.Network(
+                        tokens.timeRange("travel", "30us..90us"), tokens.time("turn", "30us"));
+        tokens.expectEnd();
+        if (network.latencyMicros()[0] < 1) {
+            throw tokens.error("travel must be over 0");
         }
         return network;
     }
 
-    private static WorkDistribution work(Tokenizer w) throws ScenarioFormatException {
+    private static WorkDistribution work(Tokenizer tokens) throws ScenarioFormatException {
         try {
-            return WorkDistribution.of(w.text("work", "even"));
+            return WorkDistribution.of(tokens.text("work", "even"));
         } catch (IllegalArgumentException wrong) {
-            throw w.wrong("work: " + wrong.getMessage());
+            throw tokens.error("work: " + wrong.getMessage());
         }
     }
 
-    private void category(Tokenizer w, List<RequestClass> provisioned, List<Scenario.Kind> kinds)
+    private void category(
+            Tokenizer tokens, List<RequestClass> provisioned, List<Scenario.ClassLoad> kinds)
             throws ScenarioFormatException {
-        String called = w.next("the category's name");
-        double share = w.part("share", null);
-        Idempotency repeats = word(w, "repeats", Idempotency.class, "harmless");
-        DeduplicationScope group = word(w, "group", DeduplicationScope.class, "all");
-        double[] units = w.figures("units", "1..4");
-        boolean ordered = w.flag("ordered");
-        boolean write = w.flag("write");
-        boolean anywhere = w.flag("anywhere");
+        String called = tokens.next("the category's name");
+        double share = tokens.fraction("share", null);
+        Idempotency repeats = word(tokens, "repeats", Idempotency.class, "harmless");
+        DeduplicationScope group = word(tokens, "group", DeduplicationScope.class, "all");
+        double[] units = tokens.numberRange("units", "1..4");
+        boolean ordered = tokens.flag("ordered");
+        boolean write = tokens.flag("write");
+        boolean anywhere = tokens.flag("anywhere");
         RequestClass category =
                 new RequestClass(
                         called,
                         repeats,
                         group,
-                        w.time("window", "2500ms"),
+                        tokens.time("window", "2500ms"),
                         ordered,
-                        w.time("agreed", null),
-                        w.figure("importance", "1"));
+                        tokens.time("agreed", null),
+                        tokens.number("importance", "1"));
         kinds.add(
-                new Scenario.Kind(
+                new Scenario.ClassLoad(
                         share,
                         (int) units[0],
                         (int) units[1],
                         write,
                         anywhere,
-                        w.time("abandon", null)));
+                        tokens.time("abandon", null)));
         provisioned.add(category);
-        w.done();
+        tokens.expectEnd();
     }
 
     private static <E extends Enum<E>> E word(
-            Tokenizer w, String name, Class<E> words, String usual) throws ScenarioFormatException {
-        String text = w.text(name, usual);
+            Tokenizer tokens, String name, Class<E> words, String usual)
+            throws ScenarioFormatException {
+        String text = tokens.text(name, usual);
         for (E one : words.getEnumConstants()) {
             if (Keyword.of(one).equals(text)) {
                 return one;
             }
         }
-        throw w.wrong(name + ": \"" + text + "\" is not known");
+        throw tokens.error(name + ": \"" + text + "\" is not known");
     }
 
-    private static Scenario.PlanOf plan(Tokenizer w) throws ScenarioFormatException {
-        String called = w.next("the plan's name");
+    private static Scenario.PlanLoad plan(Tokenizer tokens) throws ScenarioFormatException {
+        String called = tokens.next("the plan's name");
         ServicePlan plan =
                 new ServicePlan(
                         called,
-                        w.figure("reserve", "0"),
-                        w.figure("weight", "1"),
-                        w.figure("limit", "0"),
-                        w.figure("depth", "0"),
-                        w.figure("slack", "0"));
-        Scenario.PlanOf of =
-                new Scenario.PlanOf(
+                        tokens.number("reserve", "0"),
+                        tokens.number("weight", "1"),
+                        tokens.number("limit", "0"),
+                        tokens.number("depth", "0"),
+                        tokens.number("slack", "0"));
+        Scenario.PlanLoad of =
+                new Scenario.PlanLoad(
                         plan,
-                        w.part("share", null),
-                        Math.max(1, w.whole("volumes", "8")),
-                        Math.max(1, w.whole("hosts", "2")));
-        w.done();
+                        tokens.fraction("share", null),
+                        Math.max(1, tokens.wholeNumber("volumes", "8")),
+                        Math.max(1, tokens.wholeNumber("hosts", "2")));
+        tokens.expectEnd();
         return of;
     }
 
-    private static Scenario.BoundsOf bounds(Tokenizer w) throws ScenarioFormatException {
-        Scenario.BoundsOf bounds =
-                new Scenario.BoundsOf(
-                        w.time("slack", "100ms"),
-                        w.time("grace", "500ms"),
-                        w.time("keyquiet", "0"),
-                        w.time("cold", "0"),
-                        w.part("coldshare", "30%"),
-                        w.time("fall", "0"),
-                        w.figure("tip", "2"),
-                        w.figure("budgetfree", "0"),
-                        w.part("budgetshare", "0"),
-                        w.time("budgetspan", "0"),
-                        w.time("mustask", "10s"));
-        w.done();
+    private static Scenario.RuleBounds bounds(Tokenizer tokens) throws ScenarioFormatException {
+        Scenario.RuleBounds bounds =
+                new Scenario.RuleBounds(
+                        tokens.time("slack", "100ms"),
+                        tokens.time("grace", "500ms"),
+                        tokens.time("keyquiet", "0"),
+                        tokens.time("cold", "0"),
+                        tokens.fraction("coldshare", "30%"),
+                        tokens.time("fall", "0"),
+                        tokens.number("tip", "2"),
+                        tokens.number("budgetfree", "0"),
+                        tokens.fraction("budgetshare", "0"),
+                        tokens.time("budgetspan", "0"),
+                        tokens.time("mustask", "10s"));
+        tokens.expectEnd();
         return bounds;
     }
 
     /** Files of captured traffic, with commas between; from the script's folder on. */
-    private static List<Path> traffic(Tokenizer w, String file) throws ScenarioFormatException {
-        String text = w.text("traffic", "");
+    private static List<Path> traffic(Tokenizer tokens, String file)
+            throws ScenarioFormatException {
+        String text = tokens.text("traffic", "");
         Path folder = Path.of(file).toAbsolutePath().getParent();
         return text.isEmpty()
                 ? List.of()
                 : java.util.Arrays.stream(text.split(",")).map(folder::resolve).toList();
     }
 
-    private static Scenario.Load load(Tokenizer w, String file) throws ScenarioFormatException {
-        String rate = w.next();
+    private static Scenario.Load load(Tokenizer tokens, String file)
+            throws ScenarioFormatException {
+        String rate = tokens.next();
         Scenario.Load load =
                 new Scenario.Load(
-                        rate == null ? 400 : w.figure("load", rate, "/s"),
-                        w.whole("retries", "1"),
-                        w.time("wait", "100ms"),
-                        w.part("impatient", "0"),
-                        w.times("time", "100ms..200ms"),
-                        w.part("vanish", "0"),
-                        w.whole("closed", "0"),
-                        w.time("think", "0"),
-                        traffic(w, file),
-                        w.figure("speed", "1"));
-        if (!(load.speed() > 0)) {
-            throw w.wrong("speed must be over 0");
+                        rate == null ? 400 : tokens.number("load", rate, "/s"),
+                        tokens.wholeNumber("retries", "1"),
+                        tokens.time("wait", "100ms"),
+                        tokens.fraction("impatient", "0"),
+                        tokens.timeRange("time", "100ms..200ms"),
+                        tokens.fraction("vanish", "0"),
+                        tokens.wholeNumber("closed", "0"),
+                        tokens.time("think", "0"),
+                        traffic(tokens, file),
+                        tokens.number("speed", "1"));
+        if (!(load.replaySpeed() > 0)) {
+            throw tokens.error("speed must be over 0");
         }
-        w.done();
+        tokens.expectEnd();
         return load;
     }
 
     // ---- What goes wrong ----
 
-    private static Fault trouble(Tokenizer w, long at, int line) throws ScenarioFormatException {
-        String verb = w.next("what happens");
+    private static Fault parseFault(Tokenizer tokens, long at, int line)
+            throws ScenarioFormatException {
+        String verb = tokens.next("what happens");
         Selection whom = new Selection(0, 0);
         long span = 0, every = 0, down = 0;
         long[] range = {0, 0};
         double figure = 0;
         int count = 0;
         String name = "";
-        FaultType sort;
+        FaultType type;
         switch (verb) {
             case "hang", "unreachable" -> {
-                sort = verb.equals("hang") ? FaultType.HANG : FaultType.UNREACHABLE;
-                whom = whom(w);
-                span = w.time("for", null);
+                type = verb.equals("hang") ? FaultType.HANG : FaultType.UNREACHABLE;
+                whom = parseSelection(tokens);
+                span = tokens.time("for", null);
             }
             case "slow" -> {
-                sort = FaultType.SLOW;
-                whom = whom(w);
-                figure = w.figure("by", null);
-                span = w.time("for", null);
+                type = FaultType.SLOW;
+                whom = parseSelection(tokens);
+                figure = tokens.number("by", null);
+                span = tokens.time("for", null);
             }
             case "pauses" -> {
-                sort = FaultType.PAUSES;
-                whom = whom(w);
-                range = w.times("of", null);
-                every = w.time("every", "2s");
-                span = w.time("for", null);
+                type = FaultType.PAUSES;
+                whom = parseSelection(tokens);
+                range = tokens.timeRange("of", null);
+                every = tokens.time("every", "2s");
+                span = tokens.time("for", null);
             }
             case "errors", "lost" -> {
-                sort = verb.equals("errors") ? FaultType.ERRORS : FaultType.LOST;
-                whom = whom(w);
-                figure = w.part("part", "60%");
-                span = w.time("for", null);
+                type = verb.equals("errors") ? FaultType.ERRORS : FaultType.LOST;
+                whom = parseSelection(tokens);
+                figure = tokens.fraction("part", "60%");
+                span = tokens.time("for", null);
             }
             case "resets" -> {
-                sort = FaultType.RESETS;
-                whom = whom(w);
-                every = w.time("every", "200ms");
-                span = w.time("for", null);
+                type = FaultType.RESETS;
+                whom = parseSelection(tokens);
+                every = tokens.time("every", "200ms");
+                span = tokens.time("for", null);
             }
             case "restart" -> {
-                sort = FaultType.RESTART;
-                whom = whom(w);
-                range = w.times("down", "500ms");
+                type = FaultType.RESTART;
+                whom = parseSelection(tokens);
+                range = tokens.timeRange("down", "500ms");
             }
             case "roll" -> {
-                sort = FaultType.ROLL;
-                whom = whom(w);
-                span = w.time("over", null);
-                down = w.time("down", "300ms");
+                type = FaultType.ROLL;
+                whom = parseSelection(tokens);
+                span = tokens.time("over", null);
+                down = tokens.time("down", "300ms");
             }
             case "drain" -> {
-                sort = FaultType.DRAIN;
-                whom = whom(w);
-                span = w.time("for", null);
+                type = FaultType.DRAIN;
+                whom = parseSelection(tokens);
+                span = tokens.time("for", null);
             }
             case "age" -> {
-                sort = FaultType.AGE;
-                whom = whom(w);
-                figure = w.figure("to", "6");
-                span = w.time("over", null);
-                down = w.time("down", "500ms");
+                type = FaultType.AGE;
+                whom = parseSelection(tokens);
+                figure = tokens.number("to", "6");
+                span = tokens.time("over", null);
+                down = tokens.time("down", "500ms");
             }
             case "list" -> {
-                String how = w.next("late, partial or unavailable");
-                sort =
+                String how = tokens.next("late, partial or unavailable");
+                type =
                         switch (how) {
                             case "late" -> FaultType.LIST_LATE;
                             case "partial" -> FaultType.LIST_PARTIAL;
                             case "unavailable" -> FaultType.LIST_UNAVAILABLE;
                             case "flap" -> FaultType.LIST_FLAP;
                             default ->
-                                    throw w.wrong(
+                                    throw tokens.error(
                                             "a list is late, partial, unavailable or flaps, not \""
                                                     + how
                                                     + "\"");
                         };
-                if (sort == FaultType.LIST_LATE) {
-                    range = w.times("by", null);
-                } else if (sort == FaultType.LIST_PARTIAL || sort == FaultType.LIST_FLAP) {
-                    whom = whom(w);
-                    every = sort == FaultType.LIST_FLAP ? w.time("every", "200ms") : 0;
+                if (type == FaultType.LIST_LATE) {
+                    range = tokens.timeRange("by", null);
+                } else if (type == FaultType.LIST_PARTIAL || type == FaultType.LIST_FLAP) {
+                    whom = parseSelection(tokens);
+                    every = type == FaultType.LIST_FLAP ? tokens.time("every", "200ms") : 0;
                 }
-                span = w.time("for", null);
+                span = tokens.time("for", null);
             }
             case "kill", "leave" -> {
-                sort = verb.equals("kill") ? FaultType.KILL : FaultType.LEAVE;
-                whom = whom(w);
-                range = w.times("down", "1s");
+                type = verb.equals("kill") ? FaultType.KILL : FaultType.LEAVE;
+                whom = parseSelection(tokens);
+                range = tokens.timeRange("down", "1s");
             }
             case "still" -> {
-                sort = FaultType.STILL;
-                whom = whom(w);
-                span = w.time("for", null);
+                type = FaultType.STILL;
+                whom = parseSelection(tokens);
+                span = tokens.time("for", null);
             }
             case "surge" -> {
-                sort = FaultType.SURGE;
-                count = Math.max(1, w.whole("volumes", "3"));
-                figure = w.part("by", w.text("by", "50%"), 20);
-                span = w.time("for", null);
+                type = FaultType.SURGE;
+                count = Math.max(1, tokens.wholeNumber("volumes", "3"));
+                figure = tokens.fraction("by", tokens.text("by", "50%"), 20);
+                span = tokens.time("for", null);
             }
             case "hotkey" -> {
-                sort = FaultType.HOTKEY;
-                figure = w.part("part", "30%");
-                span = w.time("for", null);
+                type = FaultType.HOTKEY;
+                figure = tokens.fraction("part", "30%");
+                span = tokens.time("for", null);
             }
             case "partition" -> {
-                sort = FaultType.PARTITION;
-                whom = whom(w);
-                Selection there = selection(w, w.text("targets", null));
+                type = FaultType.PARTITION;
+                whom = parseSelection(tokens);
+                Selection there = selection(tokens, tokens.text("targets", null));
                 figure = there.part();
                 count = there.number();
                 every =
-                        (w.flag("oneway") ? Scenario.ONE_WAY : 0)
-                                + (w.flag("grey") ? Scenario.GREY : 0);
-                span = w.time("for", null);
+                        (tokens.flag("oneway") ? Scenario.ONE_WAY : 0)
+                                + (tokens.flag("grey") ? Scenario.GREY : 0);
+                span = tokens.time("for", null);
             }
             case "clock" -> {
-                sort = FaultType.CLOCK;
-                span = w.time("ahead", "0") - w.time("back", "0");
+                type = FaultType.CLOCK;
+                span = tokens.time("ahead", "0") - tokens.time("back", "0");
             }
-            case "reconnect" -> sort = FaultType.RECONNECT;
+            case "reconnect" -> type = FaultType.RECONNECT;
             case "limit" -> {
-                sort = FaultType.LIMIT;
-                name = w.next("the plan");
-                figure = w.figure("rate", null);
-                range = new long[] {w.whole("depth", null), w.whole("slack", "0")};
+                type = FaultType.LIMIT;
+                name = tokens.next("the plan");
+                figure = tokens.number("rate", null);
+                range =
+                        new long[] {
+                            tokens.wholeNumber("depth", null), tokens.wholeNumber("slack", "0")
+                        };
             }
-            default -> throw w.wrong("\"" + verb + "\" is no trouble that can be played");
+            default -> throw tokens.error("\"" + verb + "\" is no trouble that can be played");
         }
-        w.done();
-        return new Fault(at, line, sort, whom, span, figure, range, every, count, down, name);
+        tokens.expectEnd();
+        return new Fault(at, line, type, whom, span, figure, range, every, count, down, name);
     }
 
     /** A part as 40%, or a number as 2. */
-    private static Selection whom(Tokenizer w) throws ScenarioFormatException {
-        return selection(w, w.next("whom it strikes, as 40% or a number from 1"));
+    private static Selection parseSelection(Tokenizer tokens) throws ScenarioFormatException {
+        return selection(tokens, tokens.next("whom it strikes, as 40% or a number from 1"));
     }
 
-    private static Selection selection(Tokenizer w, String text) throws ScenarioFormatException {
+    private static Selection selection(Tokenizer tokens, String text)
+            throws ScenarioFormatException {
         if (text.endsWith("%")) {
-            return new Selection(w.part("whom", text, 1), 0);
+            return new Selection(tokens.fraction("whom", text, 1), 0);
         }
-        int number = (int) w.figure("whom", text, "");
+        int number = (int) tokens.number("whom", text, "");
         if (number < 1) {
-            throw w.wrong("they are numbered from 1");
+            throw tokens.error("they are numbered from 1");
         }
         return new Selection(0, number);
     }
