--- a/scenario/src/main/java/milletyoke/scenario/script/Tokenizer.java
+++ b/scenario/src/main/java/milletyoke/scenario/script/Tokenizer.java
@@ -15,14 +15,14 @@
  * range, 1s..2s.
  */
 final class Tokenizer {
-    private static final Pattern FIGURE =
+    private static final Pattern NUMBER =
             Pattern.compile("(-?[0-9]+(?:\\.[0-9]+)?)(us|ms|s|min|%|/s|)");
 
     private final String place;
-    private final List<String> plain = new ArrayList<>();
-    private final Map<String, String> named = new LinkedHashMap<>();
-    private final Set<String> asked = new HashSet<>();
-    private int plainAsked;
+    private final List<String> words = new ArrayList<>();
+    private final Map<String, String> options = new LinkedHashMap<>();
+    private final Set<String> requestedOptions = new HashSet<>();
+    private int nextWord;
 
     Tokenizer(String file, int line, String text) throws ScenarioFormatException {
         place = file + ":" + line + ": ";
@@ -32,48 +32,48 @@
                 continue;
             }
             if (equals < 0) {
-                plain.add(word);
-            } else if (named.put(word.substring(0, equals), word.substring(equals + 1)) != null) {
-                throw wrong(word.substring(0, equals) + " stands there twice");
+                words.add(word);
+            } else if (options.put(word.substring(0, equals), word.substring(equals + 1)) != null) {
+                throw error(word.substring(0, equals) + " stands there twice");
             }
         }
     }
 
-    ScenarioFormatException wrong(String what) {
+    ScenarioFormatException error(String what) {
         return new ScenarioFormatException(place + what);
     }
 
     /** The next plain word; null where there is none. */
     String next() {
-        return plainAsked < plain.size() ? plain.get(plainAsked++) : null;
+        return nextWord < words.size() ? words.get(nextWord++) : null;
     }
 
     String next(String what) throws ScenarioFormatException {
         String word = next();
         if (word == null) {
-            throw wrong(what + " is missing");
+            throw error(what + " is missing");
         }
         return word;
     }
 
     /** Whether a plain word stands anywhere on the rest of the line; it counts as asked for. */
     boolean flag(String word) {
-        int at = plain.subList(plainAsked, plain.size()).indexOf(word);
+        int at = words.subList(nextWord, words.size()).indexOf(word);
         if (at >= 0) {
-            plain.remove(plainAsked + at);
+            words.remove(nextWord + at);
         }
         return at >= 0;
     }
 
     boolean has(String name) {
-        return named.containsKey(name);
+        return options.containsKey(name);
     }
 
     String text(String name, String usual) throws ScenarioFormatException {
-        asked.add(name);
-        String value = named.getOrDefault(name, usual);
+        requestedOptions.add(name);
+        String value = options.getOrDefault(name, usual);
         if (value == null) {
-            throw wrong(name + "= is missing");
+            throw error(name + "= is missing");
         }
         return value;
     }
@@ -84,18 +84,18 @@
     }
 
     /** Least and most, the same where one figure stands there (microseconds). */
-    long[] times(String name, String usual) throws ScenarioFormatException {
+    long[] timeRange(String name, String usual) throws ScenarioFormatException {
         String[] ends = text(name, usual).split("\\.\\.", 2);
         long least = time(name, ends[0], true);
         long most = time(name, ends[ends.length - 1], true);
         if (most < least) {
-            throw wrong(name + ": " + ends[0] + " is more than " + ends[1]);
+            throw error(name + ": " + ends[0] + " is more than " + ends[1]);
         }
         return new long[] {least, most};
     }
 
     long time(String name, String text, boolean zero) throws ScenarioFormatException {
-        Matcher m = FIGURE.matcher(text);
+        Matcher m = NUMBER.matcher(text);
         double factor =
                 !m.matches()
                         ? -1
@@ -107,37 +107,37 @@
                             default -> m.group(1).equals("0") && zero ? 1 : -1;
                         };
         if (factor < 0 || Double.parseDouble(m.group(1)) < 0) {
-            throw wrong(name + ": a time as 250ms is expected, not " + text);
+            throw error(name + ": a time as 250ms is expected, not " + text);
         }
         return Math.round(Double.parseDouble(m.group(1)) * factor);
     }
 
     /** A part of a whole, as 40% or 0.4. */
-    double part(String name, String usual) throws ScenarioFormatException {
-        return part(name, text(name, usual), 1);
+    double fraction(String name, String usual) throws ScenarioFormatException {
+        return fraction(name, text(name, usual), 1);
     }
 
-    double part(String name, String text, double most) throws ScenarioFormatException {
-        Matcher m = FIGURE.matcher(text);
+    double fraction(String name, String text, double most) throws ScenarioFormatException {
+        Matcher m = NUMBER.matcher(text);
         if (!m.matches() || !(m.group(2).equals("%") || m.group(2).isEmpty())) {
-            throw wrong(name + ": a part as 40% is expected, not " + text);
+            throw error(name + ": a part as 40% is expected, not " + text);
         }
         double part = Double.parseDouble(m.group(1)) / (m.group(2).equals("%") ? 100 : 1);
         if (part < 0 || part > most) {
-            throw wrong(
+            throw error(
                     name + ": " + text + " is out of range, 0% to " + (int) (100 * most) + "% is");
         }
         return part;
     }
 
-    double figure(String name, String usual) throws ScenarioFormatException {
-        return figure(name, text(name, usual), "");
+    double number(String name, String usual) throws ScenarioFormatException {
+        return number(name, text(name, usual), "");
     }
 
-    double figure(String name, String text, String unit) throws ScenarioFormatException {
-        Matcher m = FIGURE.matcher(text);
+    double number(String name, String text, String unit) throws ScenarioFormatException {
+        Matcher m = NUMBER.matcher(text);
         if (!m.matches() || !m.group(2).equals(unit)) {
-            throw wrong(
+            throw error(
                     name
                             + ": a number"
                             + (unit.isEmpty() ? "" : " with " + unit)
@@ -147,33 +147,34 @@
         return Double.parseDouble(m.group(1));
     }
 
-    double[] figures(String name, String usual) throws ScenarioFormatException {
+    double[] numberRange(String name, String usual) throws ScenarioFormatException {
         String[] ends = text(name, usual).split("\\.\\.", 2);
-        return new double[] {figure(name, ends[0], ""), figure(name, ends[ends.length - 1], "")};
+        return new double[] {number(name, ends[0], ""), number(name, ends[ends.length - 1], "")};
     }
 
-    int whole(String name, String usual) throws ScenarioFormatException {
-        double figure = figure(name, usual);
+    int wholeNumber(String name, String usual) throws ScenarioFormatException {
+        double figure = number(name, usual);
         if (figure != Math.rint(figure) || figure < 0 || figure > 1e9) {
-            throw wrong(name + ": a whole number is expected, not " + figure);
+            throw error(name + ": a whole number is expected, not " + figure);
         }
         return (int) figure;
     }
 
     /** To be called last: what was never asked for is not known here. */
-    void done() throws ScenarioFormatException {
-        if (plainAsked < plain.size()) {
-            throw wrong("\"" + plain.get(plainAsked) + "\" has no meaning here");
+    void expectEnd() throws ScenarioFormatException {
+        if (nextWord < words.size()) {
+            throw error("\"" + words.get(nextWord) + "\" has no meaning here");
         }
-        for (String name : named.keySet()) {
-            if (!asked.contains(name)) {
-                throw wrong(
+        for (String name : options.keySet()) {
+            if (!requestedOptions.contains(name)) {
+                throw error(
                         name
                                 + "= is not known here"
-                                + (asked.isEmpty()
+                                + (requestedOptions.isEmpty()
                                         ? ""
                                         : "; known are "
-                                                + String.join(", ", new TreeSet<>(asked))));
+                                                + String.join(
+                                                        ", ", new TreeSet<>(requestedOptions))));
             }
         }
     }
--- a/scenario/src/test/java/milletyoke/scenario/AuditTest.java
+++ b/scenario/src/test/java/milletyoke/scenario/AuditTest.java
@@ -33,10 +33,10 @@
     @BeforeAll
     static void play() throws Exception {
         Path recording = Files.createTempFile("milletyoke-audit", ".recording");
-        try (ScenarioRunner stage =
+        try (ScenarioRunner runner =
                 new ScenarioRunner(
                         ScenarioParser.read(Path.of("days/all-rules.day")), recording, false)) {
-            played = stage.run(line -> {});
+            played = runner.run(line -> {});
         }
         clean = Recorder.readAll(recording);
         Files.delete(recording);
@@ -44,7 +44,7 @@
 
     @Test
     void aDayThatTestsEveryRuleKeepsThem() {
-        Audit.Report report = Audit.recording(clean);
+        Audit.Report report = Audit.audit(clean);
         assertTrue(report.isClean(), () -> report.text(true));
         report.verdicts()
                 .forEach(v -> assertTrue(v.tested() > 0, () -> "untested:\n" + report.text(false)));
@@ -55,28 +55,28 @@
     @Test
     void rule1AnswerThatNeverCame() {
         List<Record> bad = new ArrayList<>(clean);
-        bad.remove(first(r -> client(r) && r.getFrame().hasResponse()));
+        bad.remove(first(record -> client(record) && record.getFrame().hasResponse()));
         named(1, "never had an answer", bad);
     }
 
     @Test
     void rule1SecondAnswer() {
         List<Record> bad = new ArrayList<>(clean);
-        bad.add(later(first(r -> client(r) && r.getFrame().hasResponse()), 10));
+        bad.add(later(first(record -> client(record) && record.getFrame().hasResponse()), 10));
         named(1, "a second answer", bad);
     }
 
     @Test
     void rule1RelayAfterTheAnswer() {
         List<Record> bad = new ArrayList<>(clean);
-        Record relay = relay(r -> true);
+        Record relay = relay(record -> true);
         Record answer =
                 clean.stream()
                         .filter(
-                                r ->
-                                        initiator(r)
-                                                && r.getFrame().hasResponse()
-                                                && sameAccess(relay, r))
+                                record ->
+                                        initiator(record)
+                                                && record.getFrame().hasResponse()
+                                                && sameAccess(relay, record))
                         .findFirst()
                         .orElseThrow();
         bad.add(relay.toBuilder().setAtMicros(answer.getAtMicros() + 5).build());
@@ -88,17 +88,17 @@
     void rule1RelayLongAfterItsKeysTurn() {
         Record relay =
                 relay(
-                        r ->
-                                r.getFrame().getAttempt().getRequestClass().equals("save")
-                                        && !r.getObserver().equals("initiator-2")
+                        record ->
+                                record.getFrame().getAttempt().getRequestClass().equals("save")
+                                        && !record.getObserver().equals("initiator-2")
                                         && clean.stream()
                                                 .anyMatch(
                                                         o ->
-                                                                later(r, 100_000).getAtMicros()
+                                                                later(record, 100_000).getAtMicros()
                                                                                 < o.getAtMicros()
                                                                         && o.getObserver()
                                                                                 .equals(
-                                                                                        r
+                                                                                        record
                                                                                                 .getObserver())
                                                                         && o.getDirection()
                                                                                 == Direction.SENT
@@ -106,14 +106,14 @@
                                                                                 .getAttempt()
                                                                                 .getExtent()
                                                                                 .equals(
-                                                                                        r.getFrame()
+                                                                                        record.getFrame()
                                                                                                 .getAttempt()
                                                                                                 .getExtent())
                                                                         && !o.getFrame()
                                                                                 .getAttempt()
                                                                                 .getRequestId()
                                                                                 .equals(
-                                                                                        r.getFrame()
+                                                                                        record.getFrame()
                                                                                                 .getAttempt()
                                                                                                 .getRequestId())));
         List<Record> bad = new ArrayList<>(clean);
@@ -127,7 +127,13 @@
     @Test
     void rule2OneShotSentTwice() {
         List<Record> bad = new ArrayList<>(clean);
-        Record relay = relay(r -> r.getFrame().getAttempt().getRequestClass().equals("transfer"));
+        Record relay =
+                relay(
+                        record ->
+                                record.getFrame()
+                                        .getAttempt()
+                                        .getRequestClass()
+                                        .equals("transfer"));
         bad.add(further(relay, 1));
         named(2, "two relays", bad);
     }
@@ -137,9 +143,9 @@
         List<Record> bad = new ArrayList<>(clean);
         Record ran =
                 first(
-                        r ->
-                                r.getNote().getKind() == Note.Kind.EXECUTED
-                                        && r.getNote().getText().endsWith("transfer"));
+                        record ->
+                                record.getNote().getKind() == Note.Kind.EXECUTED
+                                        && record.getNote().getText().endsWith("transfer"));
         bad.add(later(ran, 1_000).toBuilder().setObserver("t-other").build());
         named(2, "ran at", bad);
     }
@@ -149,15 +155,19 @@
         List<Record> bad = new ArrayList<>(clean);
         Record reply =
                 first(
-                        r ->
-                                initiator(r)
-                                        && r.getFrame().hasAttemptReply()
-                                        && r.getFrame().getAttemptReply().getOutcome()
+                        record ->
+                                initiator(record)
+                                        && record.getFrame().hasAttemptReply()
+                                        && record.getFrame().getAttemptReply().getOutcome()
                                                 == Outcome.SUCCEEDED
-                                        && isTransfer(r));
+                                        && isTransfer(record));
         Record relay = relayOf(reply);
         Record answer =
-                first(r -> initiator(r) && r.getFrame().hasResponse() && sameAccess(relay, r));
+                first(
+                        record ->
+                                initiator(record)
+                                        && record.getFrame().hasResponse()
+                                        && sameAccess(relay, record));
         bad.remove(answer);
         bad.add(
                 answer.toBuilder()
@@ -175,19 +185,23 @@
         List<Record> bad = new ArrayList<>(clean);
         Record list =
                 first(
-                        r ->
-                                initiator(r)
-                                        && r.getDirection() == Direction.GOT
-                                        && r.getFrame().hasEndpointList()
-                                        && r.getFrame().getEndpointList().getTargetList().stream()
+                        record ->
+                                initiator(record)
+                                        && record.getDirection() == Direction.GOT
+                                        && record.getFrame().hasEndpointList()
+                                        && record
+                                                .getFrame()
+                                                .getEndpointList()
+                                                .getTargetList()
+                                                .stream()
                                                 .anyMatch(t -> t.getHealth() == Health.DRAINING));
         String target = list.getFrame().getEndpointList().getTarget(0).getId();
         Record relay =
                 relay(
-                        r ->
-                                r.getObserver().equals(list.getObserver())
-                                        && r.getPeer().equals(target)
-                                        && r.getAtMicros() < list.getAtMicros());
+                        record ->
+                                record.getObserver().equals(list.getObserver())
+                                        && record.getPeer().equals(target)
+                                        && record.getAtMicros() < list.getAtMicros());
         bad.add(relay.toBuilder().setAtMicros(list.getAtMicros() + 501_000).build());
         named(3, "after it was told not to", bad);
     }
@@ -197,16 +211,16 @@
         List<Record> bad = new ArrayList<>(clean);
         Record up =
                 first(
-                        r ->
-                                r.getNote().getKind() == Note.Kind.STARTED
-                                        && r.getNote().getText().equals("cold"));
+                        record ->
+                                record.getNote().getKind() == Note.Kind.STARTED
+                                        && record.getNote().getText().equals("cold"));
         Record got =
                 first(
-                        r ->
-                                r.getObserver().equals(up.getObserver())
-                                        && r.getAtMicros() > up.getAtMicros() + 300_000
-                                        && r.getDirection() == Direction.GOT
-                                        && r.getFrame().hasAttempt());
+                        record ->
+                                record.getObserver().equals(up.getObserver())
+                                        && record.getAtMicros() > up.getAtMicros() + 300_000
+                                        && record.getDirection() == Direction.GOT
+                                        && record.getFrame().hasAttempt());
         for (int i = 1; i < 4000; i++) {
             bad.add(later(got, i));
         }
@@ -218,23 +232,25 @@
         List<Record> bad = new ArrayList<>(clean);
         Record relay =
                 relay(
-                        r ->
-                                r.getFrame().getAttempt().getRequestClass().equals("save")
-                                        && !r.getFrame().getAttempt().getExtent().isEmpty());
+                        record ->
+                                record.getFrame().getAttempt().getRequestClass().equals("save")
+                                        && !record.getFrame().getAttempt().getExtent().isEmpty());
         Record access =
                 first(
-                        r ->
-                                initiator(r)
-                                        && r.getFrame().hasRequest()
-                                        && r.getDirection() == Direction.GOT
-                                        && (r.getConnection()
+                        record ->
+                                initiator(record)
+                                        && record.getFrame().hasRequest()
+                                        && record.getDirection() == Direction.GOT
+                                        && (record.getConnection()
                                                         + "-"
-                                                        + r.getFrame().getRequest().getNumber())
+                                                        + record.getFrame()
+                                                                .getRequest()
+                                                                .getNumber())
                                                 .equals(
                                                         relay.getFrame()
                                                                 .getAttempt()
                                                                 .getRequestId())
-                                        && r.getObserver().equals(relay.getObserver()));
+                                        && record.getObserver().equals(relay.getObserver()));
         // A second access of the same key is taken right behind and sent while the first one's
         // relay is out.
         Record second =
@@ -265,7 +281,8 @@
     @Test
     void rule6TooManyFurtherRelays() {
         List<Record> bad = new ArrayList<>(clean);
-        Record relay = relay(r -> r.getFrame().getAttempt().getRequestClass().equals("lookup"));
+        Record relay =
+                relay(record -> record.getFrame().getAttempt().getRequestClass().equals("lookup"));
         for (int i = 1; i < 300; i++) {
             bad.add(further(relay, i));
         }
@@ -277,19 +294,19 @@
         List<Record> bad = new ArrayList<>(clean);
         Record relay =
                 relay(
-                        r ->
-                                r.getFrame().getAttempt().getVolume().startsWith("basic")
-                                        && r.getFrame().getAttempt().getAttemptNumber() == 0);
+                        record ->
+                                record.getFrame().getAttempt().getVolume().startsWith("basic")
+                                        && record.getFrame().getAttempt().getAttemptNumber() == 0);
         int at =
                 bad.indexOf(
                         first(
-                                r ->
-                                        initiator(r)
-                                                && r.getFrame().hasRequest()
-                                                && r.getObserver().equals(relay.getObserver())
-                                                && (r.getConnection()
+                                record ->
+                                        initiator(record)
+                                                && record.getFrame().hasRequest()
+                                                && record.getObserver().equals(relay.getObserver())
+                                                && (record.getConnection()
                                                                 + "-"
-                                                                + r.getFrame()
+                                                                + record.getFrame()
                                                                         .getRequest()
                                                                         .getNumber())
                                                         .equals(
@@ -312,8 +329,9 @@
     @Test
     void rule7ALimitThatWasLoweredAndNotKept() {
         List<Record> bad = new ArrayList<>(clean);
-        Record rules = first(r -> r.getNote().getKind() == Note.Kind.RULES);
-        long asked = first(r -> initiator(r) && r.getFrame().hasAttempt()).getAtMicros();
+        Record rules = first(record -> record.getNote().getKind() == Note.Kind.RULES);
+        long asked =
+                first(record -> initiator(record) && record.getFrame().hasAttempt()).getAtMicros();
         bad.add(
                 rules.toBuilder()
                         .setAtMicros(asked + 500_000)
@@ -327,29 +345,31 @@
                                                                 "\"depth\":40.0", "\"depth\":1.0")))
                         .build());
         named(7, "beyond its limit", bad);
-        Audit.Report report = Audit.recording(bad);
+        Audit.Report report = Audit.audit(bad);
         assertTrue(
-                report.rule(7).nearest().startsWith("1 changes of limits"),
-                report.rule(7).nearest());
+                report.rule(7).closestCall().startsWith("1 changes of limits"),
+                report.rule(7).closestCall());
     }
 
     @Test
     void recordingWithoutItsRulesIsRefused() {
         List<Record> bad =
-                clean.stream().filter(r -> r.getNote().getKind() != Note.Kind.RULES).toList();
-        assertThrows(IllegalArgumentException.class, () -> Audit.recording(bad));
+                clean.stream()
+                        .filter(record -> record.getNote().getKind() != Note.Kind.RULES)
+                        .toList();
+        assertThrows(IllegalArgumentException.class, () -> Audit.audit(bad));
     }
 
     // ---- Finding and forging records ----
 
     private static void named(int rule, String what, List<Record> bad) {
-        Audit.Report report = Audit.recording(bad);
+        Audit.Report report = Audit.audit(bad);
         assertTrue(report.rule(rule).violations() > 0, () -> "not found:\n" + report.text(true));
         assertTrue(
-                report.rule(rule).shown().stream().anyMatch(s -> s.contains(what)),
+                report.rule(rule).details().stream().anyMatch(s -> s.contains(what)),
                 () -> report.text(true));
         assertTrue(
-                report.rule(rule).shown().stream().anyMatch(s -> s.trim().startsWith("#")),
+                report.rule(rule).details().stream().anyMatch(s -> s.trim().startsWith("#")),
                 "its frames are shown");
     }
 
@@ -357,29 +377,29 @@
         return clean.stream().filter(which).findFirst().orElseThrow();
     }
 
-    private static boolean client(Record r) {
-        return r.getObserver().equals("client") && r.getDirection() == Direction.GOT;
+    private static boolean client(Record record) {
+        return record.getObserver().equals("client") && record.getDirection() == Direction.GOT;
     }
 
-    private static boolean initiator(Record r) {
-        return r.getObserver().startsWith("initiator-");
+    private static boolean initiator(Record record) {
+        return record.getObserver().startsWith("initiator-");
     }
 
     private static Record relay(Predicate<Record> which) {
         return first(
-                r ->
-                        initiator(r)
-                                && r.getFrame().hasAttempt()
-                                && r.getDirection() == Direction.SENT
-                                && which.test(r));
+                record ->
+                        initiator(record)
+                                && record.getFrame().hasAttempt()
+                                && record.getDirection() == Direction.SENT
+                                && which.test(record));
     }
 
     private static Record relayOf(Record reply) {
         return relay(
-                r ->
-                        r.getObserver().equals(reply.getObserver())
-                                && r.getConnection() == reply.getConnection()
-                                && r.getFrame().getAttempt().getNumber()
+                record ->
+                        record.getObserver().equals(reply.getObserver())
+                                && record.getConnection() == reply.getConnection()
+                                && record.getFrame().getAttempt().getNumber()
                                         == reply.getFrame().getAttemptReply().getNumber());
     }
 
@@ -398,8 +418,8 @@
                                         + answer.getFrame().getResponse().getNumber());
     }
 
-    private static Record later(Record r, long micros) {
-        return r.toBuilder().setAtMicros(r.getAtMicros() + micros).build();
+    private static Record later(Record record, long micros) {
+        return record.toBuilder().setAtMicros(record.getAtMicros() + micros).build();
     }
 
     /** The same relay again as a further one, a moment later. */
--- a/scenario/src/test/java/milletyoke/scenario/BrowserTest.java
+++ b/scenario/src/test/java/milletyoke/scenario/BrowserTest.java
@@ -32,15 +32,15 @@
                 Files.readString(Path.of("days/mass-restart.day"))
                         .replace("lasts 8s", "lasts 60s")
                         .replace("at 2s", "at 4s");
-        try (ScenarioRunner stage =
+        try (ScenarioRunner runner =
                         new ScenarioRunner(
                                 ScenarioParser.read("live.day", "live", day),
                                 null,
                                 false,
                                 Viewer.tokens(folder));
                 Browser browser = new Browser(folder.resolve("profile"))) {
-            beside.submit(() -> stage.run(line -> {}));
-            int port = stage.initiator(0).consolePort();
+            beside.submit(() -> runner.run(line -> {}));
+            int port = runner.initiator(0).consolePort();
             String base = "http://127.0.0.1:" + port;
             browser.open(base + "/");
             assertEquals("/login", browser.value("location.pathname"));
--- a/scenario/src/test/java/milletyoke/scenario/ConsoleTest.java
+++ b/scenario/src/test/java/milletyoke/scenario/ConsoleTest.java
@@ -60,17 +60,17 @@
 
     /** Plays the day beside the test's own deeds. */
     private static Future<ScenarioRunner.ScenarioResult> play(
-            ExecutorService beside, ScenarioRunner stage) {
-        return beside.submit(() -> stage.run(line -> {}));
+            ExecutorService beside, ScenarioRunner runner) {
+        return beside.submit(() -> runner.run(line -> {}));
     }
 
     @Test
     void tenantSeesItsOwnAndNothingElse() throws Exception {
         ExecutorService beside = Executors.newCachedThreadPool();
-        try (ScenarioRunner stage =
+        try (ScenarioRunner runner =
                 stage(String.format(DAY, "20s", 1, 3, "300/s") + "at 1s hang 1 for=500ms\n")) {
-            Future<ScenarioRunner.ScenarioResult> played = play(beside, stage);
-            int port = stage.initiator(0).consolePort();
+            Future<ScenarioRunner.ScenarioResult> played = play(beside, runner);
+            int port = runner.initiator(0).consolePort();
             Thread.sleep(4000);
             Viewer all = new Viewer(port, Viewer.VIEWER);
             Set<String> volumes = names(all.view("volumes"));
@@ -134,8 +134,8 @@
     @Test
     void tokensFormsAndBadInputGetTheRightWord() throws Exception {
         ExecutorService beside = Executors.newCachedThreadPool();
-        try (ScenarioRunner stage = stage(String.format(DAY, "1s", 1, 2, "50/s"))) {
-            int port = stage.initiator(0).consolePort();
+        try (ScenarioRunner runner = stage(String.format(DAY, "1s", 1, 2, "50/s"))) {
+            int port = runner.initiator(0).consolePort();
             Viewer nobody = new Viewer(port, null);
             Viewer operator = new Viewer(port, Viewer.OPERATOR);
             ScriptedPeers.until(
@@ -288,9 +288,9 @@
         long drainedAt;
         try {
             ScenarioRunner.ScenarioResult result;
-            try (ScenarioRunner stage = stage(String.format(DAY, "4s", 2, 3, "400/s"))) {
-                Future<ScenarioRunner.ScenarioResult> played = play(beside, stage);
-                Viewer operator = new Viewer(stage.initiator(0).consolePort(), Viewer.OPERATOR);
+            try (ScenarioRunner runner = stage(String.format(DAY, "4s", 2, 3, "400/s"))) {
+                Future<ScenarioRunner.ScenarioResult> played = play(beside, runner);
+                Viewer operator = new Viewer(runner.initiator(0).consolePort(), Viewer.OPERATOR);
                 Thread.sleep(1500);
                 assertEquals(202, operator.send("POST", "/api/v1/drain").statusCode());
                 drainedAt = milletyoke.wire.SocketNetwork.monotonicMicros();
@@ -304,23 +304,23 @@
                         "what was held is finished");
                 result = played.get();
             }
-            Audit.Report report = Audit.recording(folder.resolve("recording"));
+            Audit.Report report = Audit.audit(folder.resolve("recording"));
             assertTrue(report.isClean(), () -> report.text(true));
             assertTrue(result.isShutdownClean());
             int turnedAway = 0;
-            for (Record r : Recorder.readAll(folder.resolve("recording"))) {
-                if (r.getObserver().equals("initiator-1")
-                        && r.getAtMicros() > drainedAt + 500_000
-                        && r.getFrame().hasResponse()) {
-                    assertEquals(Reason.DRAINED, r.getFrame().getResponse().getReason());
+            for (Record record : Recorder.readAll(folder.resolve("recording"))) {
+                if (record.getObserver().equals("initiator-1")
+                        && record.getAtMicros() > drainedAt + 500_000
+                        && record.getFrame().hasResponse()) {
+                    assertEquals(Reason.DRAINED, record.getFrame().getResponse().getReason());
                     turnedAway++;
                 }
                 assertFalse(
-                        r.getObserver().equals("initiator-1")
-                                && r.getDirection() == Direction.SENT
-                                && r.getFrame().hasAttempt()
-                                && r.getFrame().getAttempt().getAttemptNumber() == 0
-                                && r.getAtMicros() > drainedAt + 500_000,
+                        record.getObserver().equals("initiator-1")
+                                && record.getDirection() == Direction.SENT
+                                && record.getFrame().hasAttempt()
+                                && record.getFrame().getAttempt().getAttemptNumber() == 0
+                                && record.getAtMicros() > drainedAt + 500_000,
                         "a first relay left 500 ms after the drain");
             }
             assertTrue(turnedAway > 50, "clients were told " + turnedAway + " times");
@@ -332,10 +332,10 @@
     @Test
     void rackThatRestartsIsNamedCold() throws Exception {
         ExecutorService beside = Executors.newCachedThreadPool();
-        try (ScenarioRunner stage =
+        try (ScenarioRunner runner =
                 stage(String.format(DAY, "5s", 1, 5, "200/s") + "at 1s restart 40% down=200ms\n")) {
-            Future<ScenarioRunner.ScenarioResult> played = play(beside, stage);
-            Viewer viewer = new Viewer(stage.initiator(0).consolePort(), Viewer.VIEWER);
+            Future<ScenarioRunner.ScenarioResult> played = play(beside, runner);
+            Viewer viewer = new Viewer(runner.initiator(0).consolePort(), Viewer.VIEWER);
             Set<String> cold = new TreeSet<>();
             ScriptedPeers.until(
                     () ->
@@ -392,12 +392,12 @@
         ConcurrentHistogram times = new ConcurrentHistogram(60_000_000, 3);
         AtomicInteger pages = new AtomicInteger(), streamed = new AtomicInteger();
         AtomicBoolean over = new AtomicBoolean();
-        try (ScenarioRunner stage =
+        try (ScenarioRunner runner =
                 stage(
                         String.format(DAY, "8s", 1, 3, "2400/s retries=0")
                                 + "at 2s hang 1 for=2s\n")) {
-            Future<ScenarioRunner.ScenarioResult> played = play(beside, stage);
-            int port = stage.initiator(0).consolePort();
+            Future<ScenarioRunner.ScenarioResult> played = play(beside, runner);
+            int port = runner.initiator(0).consolePort();
             List<Future<?>> viewers = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 Viewer viewer = new Viewer(port, i % 2 == 0 ? Viewer.VIEWER : Viewer.OPERATOR);
@@ -437,8 +437,8 @@
             ScenarioRunner.ScenarioResult result = played.get(60, TimeUnit.SECONDS);
             assertEquals(0, result.unfinished());
             assertTrue(
-                    result.service().overallServiceLevel() < 0.9,
-                    "it was not flooded: " + result.service().overallServiceLevel());
+                    result.serviceLevels().overallServiceLevel() < 0.9,
+                    "it was not flooded: " + result.serviceLevels().overallServiceLevel());
         } finally {
             beside.shutdownNow();
         }
@@ -450,7 +450,7 @@
                 times.getValueAtPercentile(99.9) / 1e3);
         assertTrue(pages.get() > 500, "only " + pages.get() + " pages came");
         assertEquals(100, streamed.get(), "five messages on each of twenty streams");
-        Audit.Report report = Audit.recording(folder.resolve("recording"));
+        Audit.Report report = Audit.audit(folder.resolve("recording"));
         assertTrue(report.isClean(), () -> report.text(true));
     }
 }
--- a/scenario/src/test/java/milletyoke/scenario/ScenariosTest.java
+++ b/scenario/src/test/java/milletyoke/scenario/ScenariosTest.java
@@ -31,19 +31,19 @@
     void keepsEveryRule(String name) throws Exception {
         Path recording = Files.createTempFile("milletyoke-day", ".recording");
         try {
-            ScenarioRunner.ScenarioResult played;
-            try (ScenarioRunner stage =
+            ScenarioRunner.ScenarioResult result;
+            try (ScenarioRunner runner =
                     new ScenarioRunner(
                             ScenarioParser.read(Path.of("days", name + ".day")),
                             recording,
                             false)) {
-                played = stage.run(line -> {});
+                result = runner.run(line -> {});
             }
-            Audit.Report report = Audit.recording(recording);
+            Audit.Report report = Audit.audit(recording);
             assertTrue(report.isClean(), () -> report.text(true));
             assertTrue(report.rule(1).tested() > 1000, "hardly anything was asked");
-            assertEquals(0, played.unfinished());
-            assertTrue(played.isShutdownClean());
+            assertEquals(0, result.unfinished());
+            assertTrue(result.isShutdownClean());
         } finally {
             Files.delete(recording);
         }
--- a/simulation/src/main/java/milletyoke/simulation/environment/SimulatedEnvironment.java
+++ b/simulation/src/main/java/milletyoke/simulation/environment/SimulatedEnvironment.java
@@ -19,29 +19,29 @@
  */
 public final class SimulatedEnvironment implements ExecutionEnvironment {
     /** Some moment; only differences matter. */
-    private static final long BEGINNING = 1_000_000_000L;
+    private static final long START_MICROS = 1_000_000_000L;
 
     /**
      * What the network and the machines are like.
      *
-     * @param leastTravel of a frame from end to end, and {@code mostTravel}; drawn evenly for each
-     *     (microseconds)
-     * @param turn an initiator's loop is busy for so long with each turn (microseconds)
+     * @param minLatencyMicros of a frame from end to end, and {@code maxLatencyMicros}; drawn
+     *     evenly for each (microseconds)
+     * @param loopTurnMicros an initiator's loop is busy for so long with each turn (microseconds)
      */
-    public record Physics(long leastTravel, long mostTravel, long turn) {
+    public record Physics(long minLatencyMicros, long maxLatencyMicros, long loopTurnMicros) {
         /** As loopback sockets of one machine were seen to be. */
         public static final Physics LOOPBACK = new Physics(30, 90, 30);
 
         public Physics {
-            if (leastTravel < 1 || mostTravel < leastTravel || turn < 0) {
+            if (minLatencyMicros < 1 || maxLatencyMicros < minLatencyMicros || loopTurnMicros < 0) {
                 throw new IllegalArgumentException(
                         "a travel of 1 us or more, least first, and a turn of 0 or more are"
                                 + " expected, not "
-                                + leastTravel
+                                + minLatencyMicros
                                 + ", "
-                                + mostTravel
+                                + maxLatencyMicros
                                 + ", "
-                                + turn);
+                                + loopTurnMicros);
             }
         }
     }
@@ -64,45 +64,45 @@
     }
 
     /** Something that was asked for and can still be called off. */
-    interface Pending {
+    interface ScheduledEvent {
         /** False where it has happened or was called off before. */
-        boolean callOff();
+        boolean cancel();
     }
 
     private final Physics physics;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final PriorityQueue<Event> events = new PriorityQueue<>(1 << 12);
-    private final Map<Integer, SimulatedNetwork.Bound> listeners = new HashMap<>();
-    private final List<Cut> cuts = new ArrayList<>();
-    private long now = BEGINNING;
-    private long stepped;
-    private long asked;
-    private long happened;
+    private final Map<Integer, SimulatedNetwork.BoundListener> listeners = new HashMap<>();
+    private final List<Partition> partitions = new ArrayList<>();
+    private long nowMicros = START_MICROS;
+    private long wallClockOffsetMicros;
+    private long nextOrder;
+    private long eventCount;
     private long digest = 0x9E3779B97F4A7C15L;
     private int nextPeer;
     private int nextPort = 20_000;
-    private boolean inside;
+    private boolean isRunning;
 
     public SimulatedEnvironment(long seed, Physics physics) {
         this.physics = physics;
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
     }
 
     // ---- Time ----
 
     @Override
     public long monotonicMicros() {
-        return now;
+        return nowMicros;
     }
 
     @Override
     public long wallClockMicros() {
-        return now + stepped;
+        return nowMicros + wallClockOffsetMicros;
     }
 
     @Override
     public void adjustWallClock(long micros) {
-        stepped += micros;
+        wallClockOffsetMicros += micros;
     }
 
     @Override
@@ -113,31 +113,31 @@
     /** Plays what happens until so much time has passed. */
     @Override
     public void sleep(long micros) {
-        if (inside) {
+        if (isRunning) {
             throw new IllegalStateException(
                     "something in the lab wanted to wait inside of an event; nothing could ever end"
                             + " that wait");
         }
-        long until = now + Math.max(0, micros);
-        inside = true;
+        long until = nowMicros + Math.max(0, micros);
+        isRunning = true;
         try {
             while (!events.isEmpty() && events.peek().at <= until) {
                 Event next = events.poll();
-                now = next.at;
+                nowMicros = next.at;
                 if (next.task != null) {
-                    happened++;
+                    eventCount++;
                     next.task.run();
                 }
             }
-            now = until;
+            nowMicros = until;
         } finally {
-            inside = false;
+            isRunning = false;
         }
     }
 
     /** Asks for something to happen at a time, or now where that is past. */
-    Pending at(long time, Runnable task) {
-        Event event = new Event(Math.max(now, time), asked++, task);
+    ScheduledEvent schedule(long time, Runnable task) {
+        Event event = new Event(Math.max(nowMicros, time), nextOrder++, task);
         events.add(event);
         return () -> {
             boolean was = event.task != null;
@@ -147,8 +147,8 @@
     }
 
     /** Events that have happened. */
-    public long happened() {
-        return happened;
+    public long eventCount() {
+        return eventCount;
     }
 
     /** Stands for all that travelled and when: equal for equal plays. */
@@ -157,7 +157,7 @@
     }
 
     void digest(long what) {
-        long mixed = (digest ^ now) * 0xBF58476D1CE4E5B9L;
+        long mixed = (digest ^ nowMicros) * 0xBF58476D1CE4E5B9L;
         digest = (mixed ^ mixed >>> 29 ^ what) * 0x94D049BB133111EBL;
     }
 
@@ -175,28 +175,28 @@
 
     @Override
     public LoopDriver newLoopDriver(LoopTask turns) {
-        return new LabDrive(turns);
+        return new VirtualLoopDriver(turns);
     }
 
     /** Runs a loop's turns: at once where it is woken, or as soon as its last turn is over. */
-    private final class LabDrive implements LoopDriver {
-        private final LoopTask turns;
+    private final class VirtualLoopDriver implements LoopDriver {
+        private final LoopTask task;
         private long due = Long.MAX_VALUE;
         private long busyUntil;
 
-        LabDrive(LoopTask turns) {
-            this.turns = turns;
+        VirtualLoopDriver(LoopTask turns) {
+            this.task = turns;
         }
 
         @Override
         public void wakeUp() {
-            runAt(Math.max(now, busyUntil));
+            runAt(Math.max(nowMicros, busyUntil));
         }
 
         private void runAt(long time) {
             if (time < due) {
                 due = time;
-                at(time, () -> run(time));
+                schedule(time, () -> run(time));
             }
         }
 
@@ -205,8 +205,8 @@
                 return; // an earlier one was asked for since
             }
             due = Long.MAX_VALUE;
-            long next = turns.runOnce();
-            busyUntil = now + physics.turn();
+            long next = task.runOnce();
+            busyUntil = nowMicros + physics.loopTurnMicros();
             if (next < Long.MAX_VALUE) {
                 runAt(Math.max(next, busyUntil));
             }
@@ -215,7 +215,7 @@
 
     // ---- The network ----
 
-    int peerNumber() {
+    int nextPeerNumber() {
         return ++nextPeer;
     }
 
@@ -226,23 +226,24 @@
         return nextPort++;
     }
 
-    SimulatedNetwork.Bound listener(int port) {
+    SimulatedNetwork.BoundListener listener(int port) {
         return listeners.get(port);
     }
 
     /** False where the port is taken. */
-    boolean bind(int port, SimulatedNetwork.Bound listener) {
+    boolean bind(int port, SimulatedNetwork.BoundListener listener) {
         return listeners.putIfAbsent(port, listener) == null;
     }
 
-    void unbind(int port, SimulatedNetwork.Bound listener) {
+    void unbind(int port, SimulatedNetwork.BoundListener listener) {
         listeners.remove(port, listener);
     }
 
-    long travel() {
-        return physics.leastTravel()
-                + (physics.mostTravel() > physics.leastTravel()
-                        ? chance.nextLong(physics.mostTravel() - physics.leastTravel() + 1)
+    long drawLatencyMicros() {
+        return physics.minLatencyMicros()
+                + (physics.maxLatencyMicros() > physics.minLatencyMicros()
+                        ? random.nextLong(
+                                physics.maxLatencyMicros() - physics.minLatencyMicros() + 1)
                         : 0);
     }
 
@@ -250,19 +251,19 @@
      * A one-way cut: what {@code from} sends to {@code to} waits until it heals, as TCP sends again
      * what was lost.
      */
-    private record Cut(String from, String to, boolean work, long until) {}
+    private record Partition(String from, String to, boolean work, long until) {}
 
     /** Where all is held, new connections do not come about in either direction. */
     @Override
     public void partition(String from, String to, boolean work, long micros) {
-        cuts.removeIf(c -> c.until() <= now);
-        cuts.add(new Cut(from, to, work, now + micros));
+        partitions.removeIf(c -> c.until() <= nowMicros);
+        partitions.add(new Partition(from, to, work, nowMicros + micros));
     }
 
     /** Until when a frame is held back; now where it is not. */
-    long heldUntil(String from, String to, boolean work) {
-        long until = now;
-        for (Cut c : cuts) {
+    long blockedUntil(String from, String to, boolean work) {
+        long until = nowMicros;
+        for (Partition c : partitions) {
             if (c.until() > until
                     && c.from().equals(from)
                     && c.to().equals(to)
--- a/simulation/src/main/java/milletyoke/simulation/environment/SimulatedNetwork.java
+++ b/simulation/src/main/java/milletyoke/simulation/environment/SimulatedNetwork.java
@@ -21,26 +21,30 @@
  * what was sent before (RFC 9293).
  */
 final class SimulatedNetwork implements Network {
-    private final SimulatedEnvironment world;
+    private final SimulatedEnvironment environment;
     final String name;
-    private final FrameObserver tap;
+    private final FrameObserver observer;
     private final Set<SimulatedPeerConnection> peers = new LinkedHashSet<>();
-    private final List<Bound> bound = new ArrayList<>();
-    private boolean gone;
+    private final List<BoundListener> listeners = new ArrayList<>();
+    private boolean isClosed;
 
     SimulatedNetwork(SimulatedEnvironment world, String name, FrameObserver tap) {
-        this.world = world;
+        this.environment = world;
         this.name = name;
-        this.tap = tap;
+        this.observer = tap;
     }
 
     /** A bound port and who answers there. */
-    record Bound(
-            SimulatedNetwork net, int port, Role role, PeerListener handler, FrameLimits bounds)
+    record BoundListener(
+            SimulatedNetwork network,
+            int port,
+            Role role,
+            PeerListener handler,
+            FrameLimits frameLimits)
             implements Listener {
         @Override
         public void stop() {
-            net.world.unbind(port, this);
+            network.environment.unbind(port, this);
         }
     }
 
@@ -48,23 +52,23 @@
     public Listener listen(
             String host, int port, Role role, PeerListener handler, FrameLimits bounds)
             throws IOException {
-        int at = port == 0 ? world.freePort() : port;
-        Bound listener = new Bound(this, at, role, handler, bounds);
-        if (!world.bind(at, listener)) {
+        int at = port == 0 ? environment.freePort() : port;
+        BoundListener listener = new BoundListener(this, at, role, handler, bounds);
+        if (!environment.bind(at, listener)) {
             throw new IOException(
                     "cannot listen at " + host + ":" + at + ": Address already in use");
         }
-        bound.add(listener);
+        listeners.add(listener);
         return listener;
     }
 
     /** A connection in the making. */
-    private static final class Making implements ConnectAttempt {
-        boolean givenUp;
+    private static final class PendingConnection implements ConnectAttempt {
+        boolean isCancelled;
 
         @Override
         public void cancel() {
-            givenUp = true;
+            isCancelled = true;
         }
     }
 
@@ -76,27 +80,27 @@
             PeerListener handler,
             FrameLimits bounds,
             Consumer<String> failed) {
-        Making making = new Making();
-        world.at(
-                world.monotonicMicros() + world.travel(),
-                () -> arrive(making, port, role, handler, bounds, failed));
+        PendingConnection making = new PendingConnection();
+        environment.schedule(
+                environment.monotonicMicros() + environment.drawLatencyMicros(),
+                () -> accept(making, port, role, handler, bounds, failed));
         return making;
     }
 
-    private void arrive(
-            Making making,
+    private void accept(
+            PendingConnection making,
             int port,
             Role role,
             PeerListener handler,
             FrameLimits bounds,
             Consumer<String> failed) {
-        Bound there = world.listener(port);
-        long back = world.monotonicMicros() + world.travel();
+        BoundListener there = environment.listener(port);
+        long back = environment.monotonicMicros() + environment.drawLatencyMicros();
         if (there == null) {
-            world.at(
+            environment.schedule(
                     back,
                     () -> {
-                        if (!gone && !making.givenUp) {
+                        if (!isClosed && !making.isCancelled) {
                             failed.accept("Connection refused");
                         }
                     });
@@ -104,27 +108,30 @@
         }
         long open =
                 Math.max(
-                        world.heldUntil(name, there.net().name, false),
-                        world.heldUntil(there.net().name, name, false));
-        if (open
-                > world.monotonicMicros()) { // the first packet is sent again until it gets through
-            world.at(open, () -> arrive(making, port, role, handler, bounds, failed));
+                        environment.blockedUntil(name, there.network().name, false),
+                        environment.blockedUntil(there.network().name, name, false));
+        if (open > environment.monotonicMicros()) { // the first packet is sent again until it gets
+            // through
+            environment.schedule(open, () -> accept(making, port, role, handler, bounds, failed));
             return;
         }
-        if (gone || making.givenUp) {
+        if (isClosed || making.isCancelled) {
             return;
         }
-        SimulatedPeerConnection near = new SimulatedPeerConnection(this, handler, bounds, tap);
+        SimulatedPeerConnection near = new SimulatedPeerConnection(this, handler, bounds, observer);
         SimulatedPeerConnection far =
                 new SimulatedPeerConnection(
-                        there.net(), there.handler(), there.bounds(), there.net().tap);
-        near.join(far);
-        far.join(near);
-        there.net().opened(far, there.role());
-        world.at(
+                        there.network(),
+                        there.handler(),
+                        there.frameLimits(),
+                        there.network().observer);
+        near.connectTo(far);
+        far.connectTo(near);
+        there.network().opened(far, there.role());
+        environment.schedule(
                 back,
                 () -> {
-                    if (gone || making.givenUp) {
+                    if (isClosed || making.isCancelled) {
                         near.reset();
                     } else {
                         opened(near, role);
@@ -139,51 +146,56 @@
 
     @Override
     public void abort() {
-        gone = true;
-        bound.forEach(Bound::stop);
+        isClosed = true;
+        listeners.forEach(BoundListener::stop);
         new ArrayList<>(peers).forEach(PeerConnection::reset);
         peers.clear();
     }
 
     @Override
     public void close() {
-        bound.forEach(Bound::stop);
+        listeners.forEach(BoundListener::stop);
         new ArrayList<>(peers).forEach(p -> p.closeWithReason("shutting down"));
         peers.clear();
-        gone = true;
+        isClosed = true;
     }
 
     /** One end of a connection. */
     static final class SimulatedPeerConnection extends PeerConnection {
-        private final SimulatedNetwork net;
-        private final SimulatedEnvironment world;
-        private final FrameObserver tap;
-        private SimulatedPeerConnection other;
+        private final SimulatedNetwork network;
+        private final SimulatedEnvironment environment;
+        private final FrameObserver observer;
+        private SimulatedPeerConnection remoteEnd;
         private boolean connected = true;
         private boolean isOpened;
         private long lastArrival;
 
         /** What arrived before this end knew that the connection was open. */
-        private final List<Runnable> early = new ArrayList<>();
+        private final List<Runnable> receivedBeforeOpen = new ArrayList<>();
 
         SimulatedPeerConnection(
                 SimulatedNetwork net, PeerListener handler, FrameLimits bounds, FrameObserver tap) {
-            super(net.world.peerNumber(), handler, bounds, tap, net.world::monotonicMicros);
-            this.net = net;
-            this.tap = tap;
-            world = net.world;
+            super(
+                    net.environment.nextPeerNumber(),
+                    handler,
+                    bounds,
+                    tap,
+                    net.environment::monotonicMicros);
+            this.network = net;
+            this.observer = tap;
+            environment = net.environment;
         }
 
-        void join(SimulatedPeerConnection end) {
-            other = end;
+        void connectTo(SimulatedPeerConnection end) {
+            remoteEnd = end;
         }
 
         void open(Role role, String ownName) {
             isOpened = true;
-            tap.onFrame(this, Direction.OPENED, null);
+            observer.onFrame(this, Direction.OPENED, null);
             sendHello(role, ownName);
-            early.forEach(Runnable::run);
-            early.clear();
+            receivedBeforeOpen.forEach(Runnable::run);
+            receivedBeforeOpen.clear();
         }
 
         @Override
@@ -194,27 +206,27 @@
         @Override
         protected void write(List<Frame> frames, int size) {
             boolean work = frames.stream().anyMatch(f -> f.hasAttempt() || f.hasAttemptReply());
-            long leaves = world.heldUntil(net.name, other.net.name, work);
-            lastArrival = Math.max(lastArrival, leaves + world.travel());
-            world.at(
+            long leaves = environment.blockedUntil(network.name, remoteEnd.network.name, work);
+            lastArrival = Math.max(lastArrival, leaves + environment.drawLatencyMicros());
+            environment.schedule(
                     lastArrival,
                     () -> {
                         written(size);
-                        other.arrives(() -> frames.forEach(other::deliver));
+                        remoteEnd.receive(() -> frames.forEach(remoteEnd::deliver));
                     });
         }
 
-        private void arrives(Runnable what) {
+        private void receive(Runnable what) {
             if (isOpened) {
                 what.run();
             } else {
-                early.add(what);
+                receivedBeforeOpen.add(what);
             }
         }
 
         private void deliver(Frame frame) {
             if (connected) {
-                world.digest(
+                environment.digest(
                         ((long) id() << 40)
                                 + ((long) frame.getBodyCase().getNumber() << 32)
                                 + frame.getSerializedSize());
@@ -236,14 +248,18 @@
         private void end() {
             if (connected) {
                 connected = false;
-                net.peers.remove(this);
+                network.peers.remove(this);
                 lastArrival =
                         Math.max(
                                 lastArrival,
-                                world.heldUntil(net.name, other.net.name, false) + world.travel());
-                world.at(
+                                environment.blockedUntil(
+                                                network.name, remoteEnd.network.name, false)
+                                        + environment.drawLatencyMicros());
+                environment.schedule(
                         lastArrival,
-                        () -> other.arrives(() -> other.close("the connection closed (remotely)")));
+                        () ->
+                                remoteEnd.receive(
+                                        () -> remoteEnd.close("the connection closed (remotely)")));
             }
         }
     }
--- a/simulation/src/main/java/milletyoke/simulation/environment/VirtualTimeExecutor.java
+++ b/simulation/src/main/java/milletyoke/simulation/environment/VirtualTimeExecutor.java
@@ -24,7 +24,7 @@
     /** What a caller may do with something scheduled. */
     private final class Timer<V> extends FutureTask<V> implements ScheduledFuture<V> {
         final long at;
-        SimulatedEnvironment.Pending pending;
+        SimulatedEnvironment.ScheduledEvent pending;
 
         Timer(Callable<V> task, long at) {
             super(task);
@@ -44,12 +44,12 @@
 
         @Override
         public boolean cancel(boolean interrupt) {
-            return pending.callOff() && super.cancel(false);
+            return pending.cancel() && super.cancel(false);
         }
     }
 
     private void at(long time, Runnable task) {
-        world.at(
+        world.schedule(
                 time,
                 () -> {
                     if (!shut) {
@@ -70,7 +70,7 @@
         Timer<V> timer =
                 new Timer<>(task, world.monotonicMicros() + Math.max(0, unit.toMicros(delay)));
         timer.pending =
-                world.at(
+                world.schedule(
                         timer.at,
                         () -> {
                             if (!shut) {
--- a/simulation/src/main/java/milletyoke/simulation/experiment/Experiment.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/Experiment.java
@@ -137,7 +137,7 @@
                         day.getFileName() + " with arm " + run.arm().name(),
                         called,
                         patched(Files.readString(day).lines().toList(), set));
-        return read.with(
+        return read.withFaults(
                 called,
                 read.seed() + 7919L * run.seed(),
                 set.contains("calm") ? List.of() : read.faults());
--- a/simulation/src/main/java/milletyoke/simulation/experiment/ExperimentRunner.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/ExperimentRunner.java
@@ -79,9 +79,9 @@
                 arm.variant().isEmpty()
                         ? arm.scheduler().decisions()
                         : variants.get(arm.variant().replace("{x}", run.value()));
-        SimulationRun.SimulationResult came =
-                SimulationRun.of(experiment.dayOf(run), null, arm.straight(), decisions);
-        ServiceLevelRecorder s = came.service();
+        SimulationRun.SimulationResult result =
+                SimulationRun.run(experiment.dayOf(run), null, arm.straight(), decisions);
+        ServiceLevelRecorder s = result.serviceLevels();
         Map<String, Double> categories = new LinkedHashMap<>();
         s.requestClasses().forEach((name, line) -> categories.put(name, line.serviceLevel()));
         return new ResultRow(
@@ -91,15 +91,15 @@
                 s.overallServiceLevel(),
                 categories,
                 s.inTimeByPlan(),
-                came.seconds(),
+                result.serviceLevelBySecond(),
                 s.latencies().getValueAtPercentile(50) / 1e3,
                 s.latencies().getValueAtPercentile(99) / 1e3,
                 s.fairnessIndex(),
-                came.coldUsed(),
+                result.warmUpBudgetUsed(),
                 s.totalRequests(),
-                came.unfinished(),
-                String.format("%016x", came.digest()),
-                came.events(),
-                came.wall());
+                result.unfinished(),
+                String.format("%016x", result.digest()),
+                result.eventCount(),
+                result.elapsedMicros());
     }
 }
--- a/simulation/src/main/java/milletyoke/simulation/faults/FaultFormatter.java
+++ b/simulation/src/main/java/milletyoke/simulation/faults/FaultFormatter.java
@@ -14,84 +14,91 @@
     /**
      * @throws IllegalArgumentException for a trouble that storms do not draw
      */
-    public static String of(Fault t) {
+    public static String of(Fault fault) {
         String whom =
-                t.selection().number() > 0
-                        ? "" + t.selection().number()
-                        : percent(t.selection().part());
-        String span = " for=" + time(t.durationMicros());
+                fault.selection().number() > 0
+                        ? "" + fault.selection().number()
+                        : percent(fault.selection().part());
+        String span = " for=" + time(fault.durationMicros());
         String start =
-                t.under() > 0
+                fault.belowServiceLevel() > 0
                         ? "when service under="
-                                + percent(t.under())
+                                + percent(fault.belowServiceLevel())
                                 + " from="
-                                + time(t.atMicros())
+                                + time(fault.atMicros())
                                 + " "
-                        : "at " + time(t.atMicros()) + " ";
+                        : "at " + time(fault.atMicros()) + " ";
         return start
-                + switch (t.type()) {
-                    case HANG, UNREACHABLE, DRAIN, STILL -> name(t) + " " + whom + span;
-                    case SLOW -> "slow " + whom + " by=" + t.magnitude() + span;
+                + switch (fault.type()) {
+                    case HANG, UNREACHABLE, DRAIN, STILL -> name(fault) + " " + whom + span;
+                    case SLOW -> "slow " + whom + " by=" + fault.magnitude() + span;
                     case PAUSES ->
                             "pauses "
                                     + whom
                                     + " of="
-                                    + times(t.range())
+                                    + times(fault.range())
                                     + " every="
-                                    + time(t.intervalMicros())
+                                    + time(fault.intervalMicros())
                                     + span;
                     case ERRORS, LOST ->
-                            name(t) + " " + whom + " part=" + percent(t.magnitude()) + span;
-                    case RESETS -> "resets " + whom + " every=" + time(t.intervalMicros()) + span;
-                    case RESTART -> "restart " + whom + " down=" + times(t.range());
+                            name(fault) + " " + whom + " part=" + percent(fault.magnitude()) + span;
+                    case RESETS ->
+                            "resets " + whom + " every=" + time(fault.intervalMicros()) + span;
+                    case RESTART -> "restart " + whom + " down=" + times(fault.range());
                     case ROLL ->
                             "roll "
                                     + whom
                                     + " over="
-                                    + time(t.durationMicros())
+                                    + time(fault.durationMicros())
                                     + " down="
-                                    + time(t.downtimeMicros());
+                                    + time(fault.downtimeMicros());
                     case AGE ->
                             "age "
                                     + whom
                                     + " to="
-                                    + t.magnitude()
+                                    + fault.magnitude()
                                     + " over="
-                                    + time(t.durationMicros())
+                                    + time(fault.durationMicros())
                                     + " down="
-                                    + time(t.downtimeMicros());
-                    case LIST_LATE -> "list late by=" + times(t.range()) + span;
+                                    + time(fault.downtimeMicros());
+                    case LIST_LATE -> "list late by=" + times(fault.range()) + span;
                     case LIST_PARTIAL -> "list partial " + whom + span;
                     case LIST_FLAP ->
-                            "list flap " + whom + " every=" + time(t.intervalMicros()) + span;
+                            "list flap " + whom + " every=" + time(fault.intervalMicros()) + span;
                     case LIST_UNAVAILABLE -> "list unavailable" + span;
-                    case KILL, LEAVE -> name(t) + " " + whom + " down=" + times(t.range());
+                    case KILL, LEAVE -> name(fault) + " " + whom + " down=" + times(fault.range());
                     case SURGE ->
-                            "surge volumes=" + t.count() + " by=" + percent(t.magnitude()) + span;
-                    case HOTKEY -> "hotkey part=" + percent(t.magnitude()) + span;
+                            "surge volumes="
+                                    + fault.count()
+                                    + " by="
+                                    + percent(fault.magnitude())
+                                    + span;
+                    case HOTKEY -> "hotkey part=" + percent(fault.magnitude()) + span;
                     case RECONNECT -> "reconnect";
                     case PARTITION ->
                             "partition "
                                     + whom
                                     + " targets="
-                                    + (t.count() > 0 ? "" + t.count() : percent(t.magnitude()))
-                                    + ((t.intervalMicros() & Scenario.ONE_WAY) != 0
+                                    + (fault.count() > 0
+                                            ? "" + fault.count()
+                                            : percent(fault.magnitude()))
+                                    + ((fault.intervalMicros() & Scenario.ONE_WAY) != 0
                                             ? " oneway"
                                             : "")
-                                    + ((t.intervalMicros() & Scenario.GREY) != 0 ? " grey" : "")
+                                    + ((fault.intervalMicros() & Scenario.GREY) != 0 ? " grey" : "")
                                     + span;
                     case CLOCK ->
                             "clock "
-                                    + (t.durationMicros() < 0 ? "back=" : "ahead=")
-                                    + time(Math.abs(t.durationMicros()));
+                                    + (fault.durationMicros() < 0 ? "back=" : "ahead=")
+                                    + time(Math.abs(fault.durationMicros()));
                     case LIMIT ->
                             throw new IllegalArgumentException(
                                     "a change of a limit is written by hand");
                 };
     }
 
-    private static String name(Fault t) {
-        return t.type().name().toLowerCase(Locale.ROOT);
+    private static String name(Fault fault) {
+        return fault.type().name().toLowerCase(Locale.ROOT);
     }
 
     private static String percent(double part) {
--- a/simulation/src/main/java/milletyoke/simulation/faults/FaultGenerator.java
+++ b/simulation/src/main/java/milletyoke/simulation/faults/FaultGenerator.java
@@ -14,7 +14,7 @@
  * had is left out.
  */
 public final class FaultGenerator {
-    private static final List<FaultType> SORTS =
+    private static final List<FaultType> FAULT_TYPES =
             List.of(
                     FaultType.HANG,
                     FaultType.SLOW,
@@ -43,19 +43,26 @@
     /**
      * Within what storms are drawn.
      *
-     * @param sorts of troubles
-     * @param most troubles in one storm
-     * @param leastPart of targets that one strikes, and {@code mostPart}; in tenths
-     * @param longest a trouble lasts, as a part of the day
+     * @param faultTypes of troubles
+     * @param maxFaults troubles in one storm
+     * @param minTargetFraction of targets that one strikes, and {@code maxTargetFraction}; in
+     *     tenths
+     * @param maxDurationFraction a trouble lasts, as a part of the day
      */
     public record Ranges(
-            List<FaultType> sorts, int most, double leastPart, double mostPart, double longest) {
+            List<FaultType> faultTypes,
+            int maxFaults,
+            double minTargetFraction,
+            double maxTargetFraction,
+            double maxDurationFraction) {
         public Ranges {
-            if (sorts.isEmpty()
-                    || sorts.contains(FaultType.LIMIT)
-                    || most < 1
-                    || !(leastPart >= 0.1 && leastPart <= mostPart && mostPart <= 1)
-                    || !(longest > 0 && longest <= 1)) {
+            if (faultTypes.isEmpty()
+                    || faultTypes.contains(FaultType.LIMIT)
+                    || maxFaults < 1
+                    || !(minTargetFraction >= 0.1
+                            && minTargetFraction <= maxTargetFraction
+                            && maxTargetFraction <= 1)
+                    || !(maxDurationFraction > 0 && maxDurationFraction <= 1)) {
                 throw new IllegalArgumentException(
                         "some troubles but limit, one or more in a storm, parts of 10% to 100% and"
                                 + " the least first, and a longest of up to the whole day are expected");
@@ -63,17 +70,17 @@
         }
 
         /** All troubles, a tenth to four fifths of the targets, up to half of the day. */
-        public static Ranges usual(int most) {
-            return new Ranges(SORTS, most, 0.1, 0.8, 0.5);
+        public static Ranges defaults(int most) {
+            return new Ranges(FAULT_TYPES, most, 0.1, 0.8, 0.5);
         }
     }
 
     private FaultGenerator() {}
 
     /** A day with other troubles, at least one. */
-    public static Scenario over(Scenario base, long seed, Ranges ranges) {
+    public static Scenario generate(Scenario base, long seed, Ranges ranges) {
         SplittableRandom chance = new SplittableRandom(seed);
-        int count = 1 + chance.nextInt(ranges.most());
+        int count = 1 + chance.nextInt(ranges.maxFaults());
         List<Fault> all = new ArrayList<>();
         long at = 0;
         for (int n = 0; n < count; n++) {
@@ -82,18 +89,18 @@
                     cascade
                             ? at + 1000 * (1 + chance.nextLong(1500))
                             : 1000 * chance.nextLong(base.durationMicros() * 8 / 10_000);
-            all.add(trouble(chance, at, ranges, base));
+            all.add(drawFault(chance, at, ranges, base));
         }
         all.sort(Comparator.comparingLong(Fault::atMicros));
-        return base.with(
+        return base.withFaults(
                 base.name() + "-storm-" + Long.toUnsignedString(seed, 36), base.seed() + seed, all);
     }
 
-    private static Fault trouble(SplittableRandom c, long at, Ranges in, Scenario base) {
-        FaultType sort = in.sorts().get(c.nextInt(in.sorts().size()));
-        int tenths = (int) Math.round(10 * in.leastPart());
+    private static Fault drawFault(SplittableRandom c, long at, Ranges in, Scenario base) {
+        FaultType type = in.faultTypes().get(c.nextInt(in.faultTypes().size()));
+        int tenths = (int) Math.round(10 * in.minTargetFraction());
         boolean initiator =
-                switch (sort) {
+                switch (type) {
                     case KILL, STILL, LEAVE, PARTITION -> true;
                     default -> false;
                 };
@@ -103,7 +110,11 @@
                         : new Selection(
                                 (tenths
                                                 + c.nextInt(
-                                                        (int) Math.round(10 * in.mostPart())
+                                                        (int)
+                                                                        Math.round(
+                                                                                10
+                                                                                        * in
+                                                                                                .maxTargetFraction())
                                                                 - tenths
                                                                 + 1))
                                         / 10.0,
@@ -116,30 +127,30 @@
                                                 1,
                                                 (long)
                                                         (base.durationMicros()
-                                                                * in.longest()
+                                                                * in.maxDurationFraction()
                                                                 / 1000))));
         double figure =
-                switch (sort) {
+                switch (type) {
                     case SLOW, AGE -> 2 + c.nextInt(7);
                     case ERRORS, LOST, HOTKEY, PARTITION -> (1 + c.nextInt(9)) / 10.0;
                     case SURGE -> (2 + c.nextInt(20)) / 10.0;
                     default -> 0;
                 };
         long[] range =
-                switch (sort) {
+                switch (type) {
                     case PAUSES -> new long[] {100_000, 400_000};
                     case LIST_LATE -> new long[] {1_000_000, 1_000_000 + 1000 * c.nextLong(3_000)};
                     default -> new long[] {300_000, 300_000 + 1000 * c.nextLong(1_500)};
                 };
         long every =
-                switch (sort) {
+                switch (type) {
                     case PARTITION -> c.nextInt(4);
                     default -> 1000 * (100 + c.nextLong(900));
                 };
-        if (sort == FaultType.CLOCK) {
+        if (type == FaultType.CLOCK) {
             span = (c.nextBoolean() ? 1 : -1) * 1_000_000 * (1 + c.nextLong(30));
         }
-        int count = sort == FaultType.SURGE ? 1 + c.nextInt(4) : 0;
-        return new Fault(at, 0, sort, whom, span, figure, range, every, count, 300_000, "");
+        int count = type == FaultType.SURGE ? 1 + c.nextInt(4) : 0;
+        return new Fault(at, 0, type, whom, span, figure, range, every, count, 300_000, "");
     }
 }
--- a/simulation/src/main/java/milletyoke/simulation/faults/FaultSearch.java
+++ b/simulation/src/main/java/milletyoke/simulation/faults/FaultSearch.java
@@ -27,11 +27,12 @@
     /**
      * One storm played.
      *
-     * @param broken a rule was broken, an access was left without its answer, or the play itself
+     * @param isBroken a rule was broken, an access was left without its answer, or the play itself
      *     failed
-     * @param why of that, in a line; empty where nothing broke
+     * @param reason of that, in a line; empty where nothing broke
      */
-    public record Failure(Scenario day, double service, boolean broken, String why) {}
+    public record Failure(
+            Scenario scenario, double serviceLevel, boolean isBroken, String reason) {}
 
     private final Scenario base;
     private final FaultGenerator.Ranges ranges;
@@ -50,17 +51,17 @@
         try {
             List<Future<Failure>> plays = new ArrayList<>();
             for (int n = 0; n < storms; n++) {
-                Scenario day = FaultGenerator.over(base, firstSeed + n, ranges);
-                plays.add(workers.submit(() -> play(day, quarry == SearchGoal.RULES)));
+                Scenario scenario = FaultGenerator.generate(base, firstSeed + n, ranges);
+                plays.add(workers.submit(() -> evaluate(scenario, quarry == SearchGoal.RULES)));
             }
             List<Failure> all = new ArrayList<>();
             for (Future<Failure> play : plays) {
                 all.add(play.get());
             }
             all.sort(
-                    Comparator.comparing((Failure c) -> !c.broken())
-                            .thenComparingDouble(Failure::service)
-                            .thenComparing(c -> c.day().name()));
+                    Comparator.comparing((Failure c) -> !c.isBroken())
+                            .thenComparingDouble(Failure::serviceLevel)
+                            .thenComparing(c -> c.scenario().name()));
             return all;
         } catch (ExecutionException failed) {
             throw new IOException("a storm could not be played", failed.getCause());
@@ -72,17 +73,17 @@
     /**
      * Plays a day and judges it. @param audited rules are looked at too, which costs a recording
      */
-    public static Failure play(Scenario day, boolean audited) {
+    public static Failure evaluate(Scenario scenario, boolean audited) {
         Path recording = null;
         try {
             recording = audited ? Files.createTempFile("milletyoke-", ".recording") : null;
-            SimulationRun.SimulationResult came = SimulationRun.of(day, recording);
+            SimulationRun.SimulationResult result = SimulationRun.run(scenario, recording);
             String why =
-                    came.unfinished() > 0
-                            ? came.unfinished() + " without an answer"
-                            : !came.isClean() ? "not left clean" : "";
+                    result.unfinished() > 0
+                            ? result.unfinished() + " without an answer"
+                            : !result.isClean() ? "not left clean" : "";
             if (audited && why.isEmpty()) {
-                Audit.Report report = Audit.recording(recording);
+                Audit.Report report = Audit.audit(recording);
                 why =
                         report.isClean()
                                 ? ""
@@ -93,11 +94,12 @@
                                         .orElse("a rule was broken")
                                         .strip();
             }
-            return new Failure(day, came.service().overallServiceLevel(), !why.isEmpty(), why);
+            return new Failure(
+                    scenario, result.serviceLevels().overallServiceLevel(), !why.isEmpty(), why);
         } catch (IOException failed) {
             throw new UncheckedIOException(failed);
         } catch (RuntimeException fault) {
-            return new Failure(day, 0, true, "the play failed: " + fault);
+            return new Failure(scenario, 0, true, "the play failed: " + fault);
         } finally {
             delete(recording);
         }
@@ -118,17 +120,23 @@
      */
     public Failure shrink(Failure found, SearchGoal quarry) {
         double quiet =
-                play(base.with(found.day().name(), found.day().seed(), List.of()), false).service();
-        double bar = quiet - 0.9 * (quiet - found.service());
+                evaluate(
+                                base.withFaults(
+                                        found.scenario().name(),
+                                        found.scenario().seed(),
+                                        List.of()),
+                                false)
+                        .serviceLevel();
+        double bar = quiet - 0.9 * (quiet - found.serviceLevel());
         ScenarioShrinker shrink =
                 new ScenarioShrinker(
-                        day -> {
-                            Failure next = play(day, quarry == SearchGoal.RULES);
+                        scenario -> {
+                            Failure next = evaluate(scenario, quarry == SearchGoal.RULES);
                             return quarry == SearchGoal.RULES
-                                    ? next.broken()
-                                    : next.service() <= bar;
+                                    ? next.isBroken()
+                                    : next.serviceLevel() <= bar;
                         });
-        return play(shrink.smallest(found.day()), quarry == SearchGoal.RULES);
+        return evaluate(shrink.smallest(found.scenario()), quarry == SearchGoal.RULES);
     }
 
     /** The day as a script: the base's own text with these troubles in place of its own. */
@@ -144,17 +152,17 @@
                                                 && !l.strip().startsWith("#"))
                         .collect(Collectors.joining("\n"));
         String troubles =
-                found.day().faults().stream()
+                found.scenario().faults().stream()
                         .map(FaultFormatter::of)
                         .collect(Collectors.joining("\n"));
         String said =
-                found.broken()
-                        ? found.why()
-                        : String.format("service %.4f in the lab", found.service());
+                found.isBroken()
+                        ? found.reason()
+                        : String.format("service %.4f in the lab", found.serviceLevel());
         return "# Found by a hunt: "
                 + said
                 + ".\nseed "
-                + found.day().seed()
+                + found.scenario().seed()
                 + "\n"
                 + kept.strip()
                 + "\n"
--- a/simulation/src/main/java/milletyoke/simulation/faults/ScenarioShrinker.java
+++ b/simulation/src/main/java/milletyoke/simulation/faults/ScenarioShrinker.java
@@ -13,89 +13,89 @@
  * time), then half of how long and of how many.
  */
 public final class ScenarioShrinker {
-    private final Predicate<Scenario> stillBad;
-    private int plays;
+    private final Predicate<Scenario> stillFails;
+    private int runCount;
 
     /**
-     * @param stillBad plays the day; must say the same of the same day every time
+     * @param stillFails plays the day; must say the same of the same day every time
      */
     public ScenarioShrinker(Predicate<Scenario> stillBad) {
-        this.stillBad = stillBad;
+        this.stillFails = stillBad;
     }
 
     /** The smallest found; the day itself where nothing can go. */
-    public Scenario smallest(Scenario day) {
-        Scenario best = day;
-        for (Scenario next = less(best); next != null; next = less(best)) {
+    public Scenario smallest(Scenario scenario) {
+        Scenario best = scenario;
+        for (Scenario next = nextSmaller(best); next != null; next = nextSmaller(best)) {
             best = next;
         }
         return best;
     }
 
     /** How many days were played for it. */
-    public int plays() {
-        return plays;
+    public int runCount() {
+        return runCount;
     }
 
-    private Scenario less(Scenario day) {
-        List<Fault> all = day.faults();
+    private Scenario nextSmaller(Scenario scenario) {
+        List<Fault> all = scenario.faults();
         for (int n = 0; n < all.size() && all.size() > 1; n++) {
             List<Fault> fewer = new ArrayList<>(all);
             fewer.remove(n);
-            if (bad(day, fewer)) {
-                return day.with(day.name(), day.seed(), fewer);
+            if (fails(scenario, fewer)) {
+                return scenario.withFaults(scenario.name(), scenario.seed(), fewer);
             }
         }
         for (int n = 0; n < all.size(); n++) {
             for (Fault smaller : smaller(all.get(n))) {
                 List<Fault> with = new ArrayList<>(all);
                 with.set(n, smaller);
-                if (bad(day, with)) {
-                    return day.with(day.name(), day.seed(), with);
+                if (fails(scenario, with)) {
+                    return scenario.withFaults(scenario.name(), scenario.seed(), with);
                 }
             }
         }
         return null;
     }
 
-    private boolean bad(Scenario day, List<Fault> troubles) {
-        plays++;
-        return stillBad.test(day.with(day.name(), day.seed(), troubles));
+    private boolean fails(Scenario scenario, List<Fault> troubles) {
+        runCount++;
+        return stillFails.test(scenario.withFaults(scenario.name(), scenario.seed(), troubles));
     }
 
-    private static List<Fault> smaller(Fault t) {
+    private static List<Fault> smaller(Fault fault) {
         List<Fault> all = new ArrayList<>();
-        if (t.durationMicros() > 400_000) {
+        if (fault.durationMicros() > 400_000) {
             all.add(
                     new Fault(
-                            t.atMicros(),
-                            t.line(),
-                            t.type(),
-                            t.selection(),
-                            t.durationMicros() / 2000 * 1000,
-                            t.magnitude(),
-                            t.range(),
-                            t.intervalMicros(),
-                            t.count(),
-                            t.downtimeMicros(),
-                            t.name(),
-                            t.under()));
+                            fault.atMicros(),
+                            fault.line(),
+                            fault.type(),
+                            fault.selection(),
+                            fault.durationMicros() / 2000 * 1000,
+                            fault.magnitude(),
+                            fault.range(),
+                            fault.intervalMicros(),
+                            fault.count(),
+                            fault.downtimeMicros(),
+                            fault.name(),
+                            fault.belowServiceLevel()));
         }
-        if (t.selection().part() > 0.2) {
+        if (fault.selection().part() > 0.2) {
             all.add(
                     new Fault(
-                            t.atMicros(),
-                            t.line(),
-                            t.type(),
-                            new Selection(Math.rint(5 * t.selection().part()) / 10, 0),
-                            t.durationMicros(),
-                            t.magnitude(),
-                            t.range(),
-                            t.intervalMicros(),
-                            t.count(),
-                            t.downtimeMicros(),
-                            t.name(),
-                            t.under()));
+                            fault.atMicros(),
+                            fault.line(),
+                            fault.type(),
+                            new Selection(Math.rint(5 * fault.selection().part()) / 10, 0),
+                            fault.durationMicros(),
+                            fault.magnitude(),
+                            fault.range(),
+                            fault.intervalMicros(),
+                            fault.count(),
+                            fault.downtimeMicros(),
+                            fault.name(),
+                            fault.belowServiceLevel()));
         }
         return all;
     }
--- a/simulation/src/main/java/milletyoke/simulation/run/SimulationRun.java
+++ b/simulation/src/main/java/milletyoke/simulation/run/SimulationRun.java
@@ -21,71 +21,76 @@
     /**
      * What came of a day.
      *
-     * @param seconds service of each second's asking so far, in the order of time
+     * @param serviceLevelBySecond service of each second's asking so far, in the order of time
      * @param unfinished tries still without an answer when all should have had one
      * @param isClean every initiator that was there at the end left with nothing unanswered
-     * @param coldUsed the largest part of what a cold target bears that any was sent
+     * @param warmUpBudgetUsed the largest part of what a cold target bears that any was sent
      * @param digest stands for all that travelled and when
-     * @param events that happened
-     * @param wall microseconds that the play took
+     * @param eventCount that happened
+     * @param elapsedMicros microseconds that the play took
      */
     public record SimulationResult(
-            ServiceLevelRecorder service,
-            List<Double> seconds,
+            ServiceLevelRecorder serviceLevels,
+            List<Double> serviceLevelBySecond,
             long unfinished,
             boolean isClean,
-            double coldUsed,
+            double warmUpBudgetUsed,
             long digest,
-            long events,
-            long wall) {}
+            long eventCount,
+            long elapsedMicros) {}
 
     /**
      * @param recording where all that the ends of connections saw is written; null for nowhere
      */
-    public static SimulationResult of(Scenario day, Path recording) throws IOException {
-        return of(day, recording, false, null);
+    public static SimulationResult run(Scenario scenario, Path recording) throws IOException {
+        return run(scenario, recording, false, null);
     }
 
     /**
      * @param straight clients go straight to the targets, for comparison
      * @param instead of the product's decisions; null for these
      */
-    public static SimulationResult of(
-            Scenario day, Path recording, boolean straight, Supplier<Scheduler> instead)
+    public static SimulationResult run(
+            Scenario scenario, Path recording, boolean straight, Supplier<Scheduler> instead)
             throws IOException {
-        return of(day, recording, straight, instead, 0);
+        return run(scenario, recording, straight, instead, 0);
     }
 
     /**
      * @param turn another one is the same day with the same draws, and frames travel otherwise, as
      *     no play on sockets is the next
      */
-    public static SimulationResult of(
-            Scenario day, Path recording, boolean straight, Supplier<Scheduler> instead, long turn)
+    public static SimulationResult run(
+            Scenario scenario,
+            Path recording,
+            boolean straight,
+            Supplier<Scheduler> instead,
+            long turn)
             throws IOException {
         long began = System.nanoTime();
-        Scenario.Network n = day.network();
+        Scenario.Network n = scenario.network();
         SimulatedEnvironment.Physics physics =
-                new SimulatedEnvironment.Physics(n.travel()[0], n.travel()[1], n.turn());
+                new SimulatedEnvironment.Physics(
+                        n.latencyMicros()[0], n.latencyMicros()[1], n.loopTurnMicros());
         SimulatedEnvironment world =
-                new SimulatedEnvironment((day.seed() ^ 0x6C6162L) + 31 * turn, physics);
-        try (ScenarioRunner stage =
-                new ScenarioRunner(day, recording, straight, null, world, instead)) {
+                new SimulatedEnvironment((scenario.seed() ^ 0x6C6162L) + 31 * turn, physics);
+        try (ScenarioRunner runner =
+                new ScenarioRunner(scenario, recording, straight, null, world, instead)) {
             List<Double> seconds = new ArrayList<>();
-            ScenarioRunner.ScenarioResult played =
-                    stage.run(service -> seconds.add(service.overallServiceLevel()), () -> {});
+            ScenarioRunner.ScenarioResult result =
+                    runner.run(service -> seconds.add(service.overallServiceLevel()), () -> {});
             return new SimulationResult(
-                    played.service(),
+                    result.serviceLevels(),
                     seconds,
-                    played.unfinished(),
-                    played.isShutdownClean(),
-                    played.warmUpBudgetUsed(),
+                    result.unfinished(),
+                    result.isShutdownClean(),
+                    result.warmUpBudgetUsed(),
                     world.digest(),
-                    world.happened(),
+                    world.eventCount(),
                     (System.nanoTime() - began) / 1000);
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted while " + day.name() + " was played", stopped);
+            throw new IOException("interrupted while " + scenario.name() + " was played", stopped);
         }
     }
 }
--- a/simulation/src/test/java/milletyoke/simulation/ExperimentTest.java
+++ b/simulation/src/test/java/milletyoke/simulation/ExperimentTest.java
@@ -154,16 +154,16 @@
 
     @Test
     void aVariantWithTheSameFiguresPlaysTheSameAndAnotherDoesNot() throws Exception {
-        Scenario day = ScenarioParser.read(DAY);
-        long own = SimulationRun.of(day, null).digest();
+        Scenario scenario = ScenarioParser.read(DAY);
+        long own = SimulationRun.run(scenario, null).digest();
         assertEquals(
                 own,
-                SimulationRun.of(day, null, false, Variant.of(DECIDE, "MARGIN_STEPS = 1.5"))
+                SimulationRun.run(scenario, null, false, Variant.of(DECIDE, "MARGIN_STEPS = 1.5"))
                         .digest());
         assertNotEquals(
                 own,
-                SimulationRun.of(
-                                day,
+                SimulationRun.run(
+                                scenario,
                                 null,
                                 false,
                                 Variant.of(DECIDE, "FIRST_WINDOW = 1; WINDOW_CEILING = 2"))
@@ -178,13 +178,13 @@
     @Test
     void aStormShrinksToWhatMakesItBad() throws Exception {
         Scenario base = ScenarioParser.read(DAY);
-        Scenario day = null;
-        for (long seed = 1; day == null; seed++) { // one with a kill among others
-            Scenario drawn = FaultGenerator.over(base, seed, FaultGenerator.Ranges.usual(8));
-            day =
+        Scenario scenario = null;
+        for (long seed = 1; scenario == null; seed++) { // one with a kill among others
+            Scenario drawn = FaultGenerator.generate(base, seed, FaultGenerator.Ranges.defaults(8));
+            scenario =
                     drawn.faults().size() > 4
                                     && drawn.faults().stream()
-                                            .anyMatch(t -> t.type() == FaultType.KILL)
+                                            .anyMatch(fault -> fault.type() == FaultType.KILL)
                             ? drawn
                             : null;
         }
@@ -194,9 +194,9 @@
                                 d -> {
                                     seen.add(d.faults().size());
                                     return d.faults().stream()
-                                            .anyMatch(t -> t.type() == FaultType.KILL);
+                                            .anyMatch(fault -> fault.type() == FaultType.KILL);
                                 })
-                        .smallest(day);
+                        .smallest(scenario);
         assertEquals(1, small.faults().size());
         assertEquals(FaultType.KILL, small.faults().get(0).type());
         assertTrue(seen.size() < 100);
@@ -208,14 +208,14 @@
                 new FaultGenerator.Ranges(
                         List.of(FaultType.HANG, FaultType.SLOW), 3, 0.2, 0.4, 0.25);
         for (long seed = 0; seed < 200; seed++) {
-            for (var t : FaultGenerator.over(ScenarioParser.read(DAY), seed, in).faults()) {
+            for (var fault : FaultGenerator.generate(ScenarioParser.read(DAY), seed, in).faults()) {
                 assertTrue(
-                        in.sorts().contains(t.type())
-                                && t.selection().part() >= 0.2
-                                && t.selection().part() <= 0.4
-                                && t.durationMicros()
+                        in.faultTypes().contains(fault.type())
+                                && fault.selection().part() >= 0.2
+                                && fault.selection().part() <= 0.4
+                                && fault.durationMicros()
                                         <= 500_000 + ScenarioParser.read(DAY).durationMicros() / 4,
-                        "" + t);
+                        "" + fault);
             }
         }
         assertThrows(
@@ -259,15 +259,17 @@
         String text = Files.readString(DAY);
         Set<FaultType> met = new HashSet<>();
         for (long seed = 1; seed <= 40; seed++) {
-            Scenario day = FaultGenerator.over(base, seed, FaultGenerator.Ranges.usual(6));
-            day.faults().forEach(t -> met.add(t.type()));
-            String script = FaultSearch.script(text, new FaultSearch.Failure(day, 0.5, false, ""));
-            Scenario again = ScenarioParser.read("found.day", day.name(), script);
-            assertEquals(day.faults().size(), again.faults().size(), script);
+            Scenario scenario =
+                    FaultGenerator.generate(base, seed, FaultGenerator.Ranges.defaults(6));
+            scenario.faults().forEach(fault -> met.add(fault.type()));
+            String script =
+                    FaultSearch.script(text, new FaultSearch.Failure(scenario, 0.5, false, ""));
+            Scenario again = ScenarioParser.read("found.day", scenario.name(), script);
+            assertEquals(scenario.faults().size(), again.faults().size(), script);
             if (seed <= 4) {
                 assertEquals(
-                        SimulationRun.of(day, null).digest(),
-                        SimulationRun.of(again, null).digest(),
+                        SimulationRun.run(scenario, null).digest(),
+                        SimulationRun.run(again, null).digest(),
                         script);
             }
         }
@@ -277,17 +279,17 @@
     @Test
     void aHuntFindsTheSameOnAnyNumberOfThreads() throws Exception {
         FaultSearch one =
-                new FaultSearch(ScenarioParser.read(DAY), FaultGenerator.Ranges.usual(3), 1);
+                new FaultSearch(ScenarioParser.read(DAY), FaultGenerator.Ranges.defaults(3), 1);
         FaultSearch four =
-                new FaultSearch(ScenarioParser.read(DAY), FaultGenerator.Ranges.usual(3), 4);
+                new FaultSearch(ScenarioParser.read(DAY), FaultGenerator.Ranges.defaults(3), 4);
         List<FaultSearch.Failure> first = one.run(100, 6, FaultSearch.SearchGoal.RULES);
         assertEquals(
-                first.stream().map(c -> c.day().name() + c.service()).toList(),
+                first.stream().map(c -> c.scenario().name() + c.serviceLevel()).toList(),
                 four.run(100, 6, FaultSearch.SearchGoal.RULES).stream()
-                        .map(c -> c.day().name() + c.service())
+                        .map(c -> c.scenario().name() + c.serviceLevel())
                         .toList());
         assertTrue(
-                first.stream().noneMatch(FaultSearch.Failure::broken),
+                first.stream().noneMatch(FaultSearch.Failure::isBroken),
                 () -> "a storm broke a rule: " + first);
     }
 
--- a/simulation/src/test/java/milletyoke/simulation/SimulationTest.java
+++ b/simulation/src/test/java/milletyoke/simulation/SimulationTest.java
@@ -60,16 +60,16 @@
         }
     }
 
-    private Audit.Report kept(Scenario day) throws Exception {
+    private Audit.Report kept(Scenario scenario) throws Exception {
         Path recording = folder.resolve("recording");
-        SimulationRun.SimulationResult came = SimulationRun.of(day, recording);
-        Audit.Report report = Audit.recording(recording);
-        assertTrue(report.isClean(), () -> day.name() + "\n" + report.text(true));
-        assertEquals(0, came.unfinished(), "every access has its answer");
+        SimulationRun.SimulationResult result = SimulationRun.run(scenario, recording);
+        Audit.Report report = Audit.audit(recording);
+        assertTrue(report.isClean(), () -> scenario.name() + "\n" + report.text(true));
+        assertEquals(0, result.unfinished(), "every access has its answer");
         assertTrue(
-                came.coldUsed() <= 1,
-                "no cold target is sent more than it bears: " + came.coldUsed());
-        assertTrue(came.isClean(), "every initiator left with nothing unanswered");
+                result.warmUpBudgetUsed() <= 1,
+                "no cold target is sent more than it bears: " + result.warmUpBudgetUsed());
+        assertTrue(result.isClean(), "every initiator left with nothing unanswered");
         return report;
     }
 
@@ -109,33 +109,38 @@
     /** Repeatable, also with others beside it; another seed is another day. */
     @Test
     void theSameSeedPlaysTheSameOnAnyNumberOfThreads() throws Exception {
-        Scenario day = ScenarioParser.read(REHEARSALS.resolve("overlap-hang-restart-kill.day"));
-        SimulationRun.SimulationResult alone = SimulationRun.of(day, null);
+        Scenario scenario =
+                ScenarioParser.read(REHEARSALS.resolve("overlap-hang-restart-kill.day"));
+        SimulationRun.SimulationResult alone = SimulationRun.run(scenario, null);
         for (int threads : new int[] {2, 6}) {
             ExecutorService workers = Executors.newFixedThreadPool(threads);
             List<Future<SimulationRun.SimulationResult>> plays =
                     IntStream.range(0, 6)
-                            .mapToObj(n -> workers.submit(() -> SimulationRun.of(day, null)))
+                            .mapToObj(n -> workers.submit(() -> SimulationRun.run(scenario, null)))
                             .toList();
             for (Future<SimulationRun.SimulationResult> play : plays) {
                 assertEquals(alone.digest(), play.get().digest());
-                assertEquals(alone.service().text(), play.get().service().text());
+                assertEquals(alone.serviceLevels().text(), play.get().serviceLevels().text());
             }
             workers.shutdown();
         }
         assertNotEquals(
                 alone.digest(),
-                SimulationRun.of(day.with("other", day.seed() + 1, day.faults()), null).digest());
+                SimulationRun.run(
+                                scenario.withFaults(
+                                        "other", scenario.seed() + 1, scenario.faults()),
+                                null)
+                        .digest());
     }
 
     @Test
     void aGreyPartitionHurtsWhomItCutsOffAndNobodyElse() throws Exception {
         Scenario cut = ScenarioParser.read(OWN.resolve("grey-partition.day"));
         double quiet =
-                SimulationRun.of(cut.with(cut.name(), cut.seed(), List.of()), null)
-                        .service()
+                SimulationRun.run(cut.withFaults(cut.name(), cut.seed(), List.of()), null)
+                        .serviceLevels()
                         .overallServiceLevel();
-        double grey = SimulationRun.of(cut, null).service().overallServiceLevel();
+        double grey = SimulationRun.run(cut, null).serviceLevels().overallServiceLevel();
         assertTrue(quiet - grey > 0.005, "it costs something: " + quiet + ", " + grey);
         assertTrue(
                 quiet - grey < 0.15,
@@ -147,20 +152,20 @@
 
     @Test
     void plainPoliciesAnswerEverythingInTime() throws Exception {
-        Scenario day = ScenarioParser.read(REHEARSALS.resolve("slow.day"));
+        Scenario scenario = ScenarioParser.read(REHEARSALS.resolve("slow.day"));
         for (SchedulerChoice scheduler :
                 List.of(SchedulerChoice.AT_ONCE, SchedulerChoice.FAIR_ROUNDS)) {
             Path recording = folder.resolve("recording");
-            SimulationRun.SimulationResult came =
-                    SimulationRun.of(day, recording, false, scheduler.decisions());
-            Audit.Report report = Audit.recording(recording);
+            SimulationRun.SimulationResult result =
+                    SimulationRun.run(scenario, recording, false, scheduler.decisions());
+            Audit.Report report = Audit.audit(recording);
             for (int rule : new int[] {1, 2, 7}) {
                 assertEquals(
                         0,
                         report.rule(rule).violations(),
                         () -> scheduler + "\n" + report.text(true));
             }
-            assertEquals(0, came.unfinished());
+            assertEquals(0, result.unfinished());
         }
     }
 
@@ -168,20 +173,20 @@
     void aTroubleThatWaitsForServiceComesOnceItHasFallen() throws Exception {
         String text = Files.readString(OWN.resolve("cascade.day"));
         long without =
-                SimulationRun.of(
+                SimulationRun.run(
                                 ScenarioParser.read("d", "d", text.replaceAll("(?m)^when.*$", "")),
                                 null)
                         .digest();
         assertEquals(
                 without,
-                SimulationRun.of(
+                SimulationRun.run(
                                 ScenarioParser.read(
                                         "d", "d", text.replace("under=70%", "under=1%")),
                                 null)
                         .digest(),
                 "service never falls so low");
         assertNotEquals(
-                without, SimulationRun.of(ScenarioParser.read("d", "d", text), null).digest());
+                without, SimulationRun.run(ScenarioParser.read("d", "d", text), null).digest());
         assertTrue(
                 assertThrows(
                                 ScenarioFormatException.class,
@@ -207,8 +212,8 @@
                 crowded < plain - 0.05,
                 "targets that lose to a crowd do less: " + crowded + ", " + plain);
         assertTrue(
-                SimulationRun.of(ScenarioParser.read("d", "d", crowd), null)
-                                .service()
+                SimulationRun.run(ScenarioParser.read("d", "d", crowd), null)
+                                .serviceLevels()
                                 .overallServiceLevel()
                         > crowded + 0.05,
                 "windows leave them less of one");
@@ -217,22 +222,22 @@
                 Files.readString(OWN.resolve("cold-restart-40.day"))
                         .replaceAll("(?m)^targets .*$", "$0 warmunits=20");
         assertTrue(
-                SimulationRun.of(ScenarioParser.read("d", "d", byWork), null)
-                                .service()
+                SimulationRun.run(ScenarioParser.read("d", "d", byWork), null)
+                                .serviceLevels()
                                 .overallServiceLevel()
-                        > SimulationRun.of(cold, null).service().overallServiceLevel(),
+                        > SimulationRun.run(cold, null).serviceLevels().overallServiceLevel(),
                 "targets that are warm after twenty units do more");
         String costly =
                 Files.readString(REHEARSALS.resolve("reconnect.day"))
                         .replaceAll("(?m)^targets .*$", "$0 connecting=200ms");
         assertTrue(
-                SimulationRun.of(ScenarioParser.read("d", "d", costly), null)
-                                .service()
+                SimulationRun.run(ScenarioParser.read("d", "d", costly), null)
+                                .serviceLevels()
                                 .overallServiceLevel()
-                        < SimulationRun.of(
+                        < SimulationRun.run(
                                         ScenarioParser.read(REHEARSALS.resolve("reconnect.day")),
                                         null)
-                                .service()
+                                .serviceLevels()
                                 .overallServiceLevel());
     }
 
@@ -240,15 +245,15 @@
     void travelIsPartOfEveryAnswer() throws Exception {
         String text = Files.readString(REHEARSALS.resolve("slow.day"));
         double near =
-                SimulationRun.of(ScenarioParser.read("d", "d", text), null)
-                        .service()
+                SimulationRun.run(ScenarioParser.read("d", "d", text), null)
+                        .serviceLevels()
                         .latencies()
                         .getValueAtPercentile(50);
         double far =
-                SimulationRun.of(
+                SimulationRun.run(
                                 ScenarioParser.read("d", "d", text + "\nnetwork travel=4ms..6ms"),
                                 null)
-                        .service()
+                        .serviceLevels()
                         .latencies()
                         .getValueAtPercentile(50);
         assertTrue(
@@ -257,12 +262,12 @@
     }
 
     private static double atOnce(String text) throws Exception {
-        return SimulationRun.of(
+        return SimulationRun.run(
                         ScenarioParser.read("d", "d", text),
                         null,
                         false,
                         SchedulerChoice.AT_ONCE.decisions())
-                .service()
+                .serviceLevels()
                 .overallServiceLevel();
     }
 
@@ -272,18 +277,18 @@
      */
     @Test
     void capturedTrafficIsAskedAgain() throws Exception {
-        Scenario day = ScenarioParser.read(REHEARSALS.resolve("slow.day"));
+        Scenario scenario = ScenarioParser.read(REHEARSALS.resolve("slow.day"));
         long firstTries;
-        try (ScenarioRunner stage =
+        try (ScenarioRunner runner =
                 new ScenarioRunner(
-                        day,
+                        scenario,
                         null,
                         false,
                         null,
                         new SimulatedEnvironment(3, SimulatedEnvironment.Physics.LOOPBACK),
                         null)) {
-            stage.capture(folder.resolve("traffic"));
-            firstTries = stage.run(s -> {}).service().totalRequests();
+            runner.capture(folder.resolve("traffic"));
+            firstTries = runner.run(s -> {}).serviceLevels().totalRequests();
         }
         Map<String, Integer> came = new HashMap<>();
         for (int i = 1; i <= 3; i++) {
@@ -308,12 +313,12 @@
                             folder.resolve("again.day").toString(),
                             "again",
                             text.replace("retries=0", "retries=0" + speed));
-            SimulationRun.SimulationResult replayed = SimulationRun.of(again, null);
+            SimulationRun.SimulationResult replayed = SimulationRun.run(again, null);
             came.forEach(
                     (category, n) ->
                             assertEquals(
                                     n.longValue(),
-                                    replayed.service().requestClass(category).requests));
+                                    replayed.serviceLevels().requestClass(category).requests));
             assertEquals(0, replayed.unfinished());
         }
         Scenario small =
@@ -322,7 +327,7 @@
                         "again",
                         text.replaceAll("(?m)^targets 8 ", "targets 2 "));
         assertTrue(
-                assertThrows(IOException.class, () -> SimulationRun.of(small, null))
+                assertThrows(IOException.class, () -> SimulationRun.run(small, null))
                         .getMessage()
                         .contains("wants shard"));
     }
@@ -333,14 +338,14 @@
      */
     @Test
     void whatComesToALoopThatFailedIsRejected() throws Exception {
-        Scenario day = ScenarioParser.read(REHEARSALS.resolve("slow.day"));
+        Scenario scenario = ScenarioParser.read(REHEARSALS.resolve("slow.day"));
         Path recording = folder.resolve("recording");
         SimulatedEnvironment world =
                 new SimulatedEnvironment(4, SimulatedEnvironment.Physics.LOOPBACK);
         int[] calls = new int[1];
-        try (ScenarioRunner stage =
+        try (ScenarioRunner runner =
                 new ScenarioRunner(
-                        day,
+                        scenario,
                         recording,
                         false,
                         null,
@@ -360,11 +365,11 @@
                                     }
                                     return List.of();
                                 })) {
-            ScenarioRunner.ScenarioResult played = stage.run(s -> {});
-            assertEquals(0, played.unfinished());
-            assertFalse(played.isShutdownClean(), "a loop that failed says so");
+            ScenarioRunner.ScenarioResult result = runner.run(s -> {});
+            assertEquals(0, result.unfinished());
+            assertFalse(result.isShutdownClean(), "a loop that failed says so");
         }
-        assertEquals(0, Audit.recording(recording).rule(1).violations());
+        assertEquals(0, Audit.audit(recording).rule(1).violations());
     }
 
     /** A loop that took more than one turn's part at once dropped what stood next in its queue. */
--- a/standins/src/main/java/milletyoke/standins/LoadGenerator.java
+++ b/standins/src/main/java/milletyoke/standins/LoadGenerator.java
@@ -105,16 +105,16 @@
             switch (frame.getBodyCase()) {
                 case RESPONSE -> {
                     Response a = frame.getResponse();
-                    ClientAttempt t = pending.remove(a.getNumber());
-                    if (t != null) {
-                        answered(t, a);
+                    ClientAttempt attempt = pending.remove(a.getNumber());
+                    if (attempt != null) {
+                        answered(attempt, a);
                     }
                     closeIfDone(from);
                 }
                 case ATTEMPT_REPLY -> {
-                    ClientAttempt t = pending.remove(frame.getAttemptReply().getNumber());
-                    if (t != null) {
-                        replied(t, frame.getAttemptReply().getOutcome());
+                    ClientAttempt attempt = pending.remove(frame.getAttemptReply().getNumber());
+                    if (attempt != null) {
+                        replied(attempt, frame.getAttemptReply().getOutcome());
                     }
                 }
                 default ->
@@ -137,7 +137,8 @@
         }
 
         private void closeIfDone(PeerConnection from) {
-            if (leaving == from && pending.values().stream().noneMatch(t -> t.peer == from)) {
+            if (leaving == from
+                    && pending.values().stream().noneMatch(attempt -> attempt.peer == from)) {
                 from.close("all is answered");
             }
         }
@@ -146,10 +147,10 @@
          * Hands an access to the open connection; null where there is none. Nothing joins one that
          * is going away.
          */
-        synchronized PeerConnection enter(ClientAttempt t) {
-            t.peer = peer;
+        synchronized PeerConnection enter(ClientAttempt attempt) {
+            attempt.peer = peer;
             if (peer != null) {
-                pending.put(t.number, t);
+                pending.put(attempt.number, attempt);
             }
             return peer;
         }
@@ -160,9 +161,9 @@
                 peer = null;
             }
             // What was out there has no answer; a client repeats it where that is harmless.
-            for (ClientAttempt t : new ArrayList<>(pending.values())) {
-                if (t.peer == gone && pending.remove(t.number) != null) {
-                    lost(t);
+            for (ClientAttempt attempt : new ArrayList<>(pending.values())) {
+                if (attempt.peer == gone && pending.remove(attempt.number) != null) {
+                    lost(attempt);
                 }
             }
             executor.schedule(this::connect, 50, TimeUnit.MILLISECONDS);
@@ -186,7 +187,7 @@
         PeerConnection peer;
 
         ClientAttempt(
-                LoadProfile.RequestClass kind,
+                LoadProfile.RequestClass requestClass,
                 LoadProfile.Volume volume,
                 int shard,
                 String extent,
@@ -197,7 +198,7 @@
                 long until,
                 int tries,
                 boolean vanishes) {
-            this.kind = kind;
+            this.kind = requestClass;
             this.volume = volume;
             this.shard = shard;
             this.extent = extent;
@@ -220,20 +221,20 @@
      * @param isDirect to targets, by shard, with nothing between
      */
     public LoadGenerator(
-            LoadProfile demand,
+            LoadProfile profile,
             boolean straight,
             long seed,
             ScheduledExecutorService clockwork,
             FrameObserver tap)
             throws IOException {
-        this(demand, straight, seed, clockwork, tap, new SocketEnvironment());
+        this(profile, straight, seed, clockwork, tap, new SocketEnvironment());
     }
 
     /**
      * @param environment that they live in
      */
     public LoadGenerator(
-            LoadProfile demand,
+            LoadProfile profile,
             boolean straight,
             long seed,
             ScheduledExecutorService clockwork,
@@ -241,24 +242,24 @@
             ExecutionEnvironment world)
             throws IOException {
         this.environment = world;
-        this.profile = demand;
+        this.profile = profile;
         this.isDirect = straight;
         this.executor = clockwork;
-        serviceLevels = new ServiceLevelRecorder(demand);
+        serviceLevels = new ServiceLevelRecorder(profile);
         random = new SplittableRandom(seed);
         network = world.openNetwork("client", 2, tap);
-        runs = new long[demand.volumes().size()];
-        upTo = demand.volumes().stream().mapToDouble(LoadProfile.Volume::demandFraction).toArray();
+        runs = new long[profile.volumes().size()];
+        upTo = profile.volumes().stream().mapToDouble(LoadProfile.Volume::demandFraction).toArray();
         Arrays.parallelPrefix(upTo, Double::sum);
-        runExtents = new String[demand.volumes().size()];
+        runExtents = new String[profile.volumes().size()];
         pace = new Thread(this::pace, "clients-pace");
         pace.setDaemon(true);
     }
 
     public void addServer(String name, String host, int port) {
-        ServerLink door = new ServerLink(name, host, port);
-        links.add(door);
-        door.connect();
+        ServerLink link = new ServerLink(name, host, port);
+        links.add(link);
+        link.connect();
     }
 
     /** A door moved, as an initiator or target does that comes back elsewhere. */
@@ -319,8 +320,8 @@
 
     /** Closes every client connection at once; they connect again. */
     public void reconnect() {
-        for (ServerLink door : links) {
-            PeerConnection peer = door.peer;
+        for (ServerLink link : links) {
+            PeerConnection peer = link.peer;
             if (peer != null) {
                 peer.close("clients reconnect");
             }
@@ -446,12 +447,14 @@
     }
 
     private ClientAttempt draw(long due, int v) {
-        LoadProfile.RequestClass kind = pickKind();
+        LoadProfile.RequestClass requestClass = pickKind();
         LoadProfile.Volume volume = profile.volumes().get(v);
         boolean toHot = hot > 0 && random.nextDouble() < hot;
         int shard = volume.shards()[toHot ? 0 : random.nextInt(volume.shards().length)];
         String extent = toHot ? "hot-" + shard : extent(v, shard);
-        double units = kind.minUnits() + random.nextInt(kind.maxUnits() - kind.minUnits() + 1);
+        double units =
+                requestClass.minUnits()
+                        + random.nextInt(requestClass.maxUnits() - requestClass.minUnits() + 1);
         int lead = random.nextDouble() < 0.6 ? 0 : random.nextInt(volume.initiators().length);
         int door = isDirect ? shard : volume.initiators()[lead];
         boolean impatient =
@@ -462,12 +465,12 @@
                         ? random.nextLong(
                                 profile.minShortDeadlineMicros(),
                                 profile.maxShortDeadlineMicros() + 1)
-                        : kind.deadlineMicros();
+                        : requestClass.deadlineMicros();
         String mark = "m" + numbers.incrementAndGet() + "." + volume.name();
         return new ClientAttempt(
-                kind,
+                requestClass,
                 volume,
-                kind.isNewObject() && !isDirect ? -1 : shard,
+                requestClass.isNewObject() && !isDirect ? -1 : shard,
                 extent,
                 units,
                 mark,
@@ -480,10 +483,10 @@
 
     private LoadProfile.RequestClass pickKind() {
         double left = random.nextDouble();
-        for (LoadProfile.RequestClass kind : profile.requestClasses()) {
-            left -= kind.share();
+        for (LoadProfile.RequestClass requestClass : profile.requestClasses()) {
+            left -= requestClass.share();
             if (left < 0) {
-                return kind;
+                return requestClass;
             }
         }
         return profile.requestClasses().get(0);
@@ -512,160 +515,164 @@
         return runExtents[v] + "." + v + "." + shard;
     }
 
-    private void send(ClientAttempt t) {
-        ServerLink door = links.get(t.door);
+    private void send(ClientAttempt attempt) {
+        ServerLink link = links.get(attempt.door);
         long now = environment.monotonicMicros();
-        long left = t.until - now;
+        long left = attempt.until - now;
         if (left <= 0) {
-            finish(t, () -> serviceLevels.recordUnanswered(t.kind.name()));
+            finish(attempt, () -> serviceLevels.recordUnanswered(attempt.kind.name()));
             return;
         }
-        t.number = numbers.incrementAndGet();
-        PeerConnection peer = door.enter(t);
+        attempt.number = numbers.incrementAndGet();
+        PeerConnection peer = link.enter(attempt);
         if (peer == null) {
-            serviceLevels.recordUnreachable(t.kind.name());
-            again(t, 0, () -> serviceLevels.recordUnanswered(t.kind.name()));
+            serviceLevels.recordUnreachable(attempt.kind.name());
+            again(attempt, 0, () -> serviceLevels.recordUnanswered(attempt.kind.name()));
             return;
         }
-        boolean sent = peer.send(isDirect ? relay(t, left) : access(t, left));
+        boolean sent = peer.send(isDirect ? relay(attempt, left) : access(attempt, left));
         if (!sent) {
-            if (door.pending.remove(t.number) != null) {
-                serviceLevels.recordUnreachable(t.kind.name());
-                again(t, 0, () -> serviceLevels.recordUnanswered(t.kind.name()));
+            if (link.pending.remove(attempt.number) != null) {
+                serviceLevels.recordUnreachable(attempt.kind.name());
+                again(attempt, 0, () -> serviceLevels.recordUnanswered(attempt.kind.name()));
             }
             return;
         }
         long patience =
-                t.vanishes ? Math.min(left / 4, 50_000) : left + profile.responseSlackMicros();
-        executor.schedule(() -> giveUp(door, t, t.vanishes), patience, TimeUnit.MICROSECONDS);
+                attempt.vanishes
+                        ? Math.min(left / 4, 50_000)
+                        : left + profile.responseSlackMicros();
+        executor.schedule(
+                () -> giveUp(link, attempt, attempt.vanishes), patience, TimeUnit.MICROSECONDS);
     }
 
-    private Frame access(ClientAttempt t, long left) {
+    private Frame access(ClientAttempt attempt, long left) {
         Request.Builder a =
                 Request.newBuilder()
-                        .setNumber(t.number)
-                        .setExtent(t.extent)
-                        .setVolume(t.volume.name())
-                        .setPlan(t.volume.plan())
-                        .setRequestClass(t.kind.name())
-                        .setInitiatorCount(t.volume.initiators().length)
-                        .setUnits(t.units)
+                        .setNumber(attempt.number)
+                        .setExtent(attempt.extent)
+                        .setVolume(attempt.volume.name())
+                        .setPlan(attempt.volume.plan())
+                        .setRequestClass(attempt.kind.name())
+                        .setInitiatorCount(attempt.volume.initiators().length)
+                        .setUnits(attempt.units)
                         .setTimeLeftMicros(left)
-                        .setWrite(t.kind.isWrite())
-                        .setIdempotencyKey(t.mark);
-        if (t.shard >= 0) {
-            a.setShard(t.shard);
+                        .setWrite(attempt.kind.isWrite())
+                        .setIdempotencyKey(attempt.mark);
+        if (attempt.shard >= 0) {
+            a.setShard(attempt.shard);
         }
-        if (t.kind.isWrite()) {
-            a.setPayload(ByteString.copyFrom(new byte[(int) (64 * t.units)]));
+        if (attempt.kind.isWrite()) {
+            a.setPayload(ByteString.copyFrom(new byte[(int) (64 * attempt.units)]));
         }
         return Frame.newBuilder().setRequest(a).build();
     }
 
-    private Frame relay(ClientAttempt t, long left) {
+    private Frame relay(ClientAttempt attempt, long left) {
         return Frame.newBuilder()
                 .setAttempt(
                         Attempt.newBuilder()
-                                .setNumber(t.number)
-                                .setRequestId("s-" + t.number)
-                                .setShard(t.shard)
-                                .setExtent(t.extent)
-                                .setVolume(t.volume.name())
-                                .setRequestClass(t.kind.name())
-                                .setUnits(t.units)
+                                .setNumber(attempt.number)
+                                .setRequestId("s-" + attempt.number)
+                                .setShard(attempt.shard)
+                                .setExtent(attempt.extent)
+                                .setVolume(attempt.volume.name())
+                                .setRequestClass(attempt.kind.name())
+                                .setUnits(attempt.units)
                                 .setTimeLeftMicros(left)
-                                .setWrite(t.kind.isWrite())
-                                .setIdempotencyKey(t.mark)
+                                .setWrite(attempt.kind.isWrite())
+                                .setIdempotencyKey(attempt.mark)
                                 .setPayload(
-                                        t.kind.isWrite()
+                                        attempt.kind.isWrite()
                                                 ? ByteString.copyFrom(
-                                                        new byte[(int) (64 * t.units)])
+                                                        new byte[(int) (64 * attempt.units)])
                                                 : ByteString.EMPTY))
                 .build();
     }
 
-    private void giveUp(ServerLink door, ClientAttempt t, boolean leaves) {
-        if (door.pending.remove(t.number) != null) {
+    private void giveUp(ServerLink link, ClientAttempt attempt, boolean leaves) {
+        if (link.pending.remove(attempt.number) != null) {
             if (leaves && !isDirect) {
-                t.peer.send(
+                attempt.peer.send(
                         Frame.newBuilder()
-                                .setCancelRequest(CancelRequest.newBuilder().setNumber(t.number))
+                                .setCancelRequest(
+                                        CancelRequest.newBuilder().setNumber(attempt.number))
                                 .build());
             }
-            finish(t, () -> serviceLevels.recordUnanswered(t.kind.name()));
-            door.closeIfDone(t.peer);
+            finish(attempt, () -> serviceLevels.recordUnanswered(attempt.kind.name()));
+            link.closeIfDone(attempt.peer);
         }
     }
 
     // ---- What comes back ----
 
-    private void answered(ClientAttempt t, Response a) {
+    private void answered(ClientAttempt attempt, Response a) {
         switch (a.getStatus()) {
-            case ANSWERED -> served(t);
+            case ANSWERED -> served(attempt);
             case REJECTED ->
                     again(
-                            t,
+                            attempt,
                             a.getRetryAfterMicros(),
-                            () -> serviceLevels.recordRejection(t.kind.name()));
+                            () -> serviceLevels.recordRejection(attempt.kind.name()));
             default -> {
-                if (t.kind.idempotency() == LoadProfile.Idempotency.IDEMPOTENT) {
-                    again(t, 0, () -> serviceLevels.recordFailure(t.kind.name()));
+                if (attempt.kind.idempotency() == LoadProfile.Idempotency.IDEMPOTENT) {
+                    again(attempt, 0, () -> serviceLevels.recordFailure(attempt.kind.name()));
                 } else {
-                    finish(t, () -> serviceLevels.recordFailure(t.kind.name()));
+                    finish(attempt, () -> serviceLevels.recordFailure(attempt.kind.name()));
                 }
             }
         }
     }
 
-    private void replied(ClientAttempt t, Outcome outcome) {
+    private void replied(ClientAttempt attempt, Outcome outcome) {
         switch (outcome) {
-            case SUCCEEDED -> served(t);
+            case SUCCEEDED -> served(attempt);
             case OVERLOADED, NOT_STARTED ->
-                    again(t, 0, () -> serviceLevels.recordRejection(t.kind.name()));
-            default -> finish(t, () -> serviceLevels.recordFailure(t.kind.name()));
+                    again(attempt, 0, () -> serviceLevels.recordRejection(attempt.kind.name()));
+            default -> finish(attempt, () -> serviceLevels.recordFailure(attempt.kind.name()));
         }
     }
 
-    private void served(ClientAttempt t) {
-        long micros = environment.monotonicMicros() - t.due;
+    private void served(ClientAttempt attempt) {
+        long micros = environment.monotonicMicros() - attempt.due;
         finish(
-                t,
+                attempt,
                 () ->
                         serviceLevels.recordAnswer(
-                                t.kind.name(),
-                                t.volume.name(),
+                                attempt.kind.name(),
+                                attempt.volume.name(),
                                 micros,
-                                micros <= t.kind.latencyObjectiveMicros()));
+                                micros <= attempt.kind.latencyObjectiveMicros()));
     }
 
-    private void lost(ClientAttempt t) {
+    private void lost(ClientAttempt attempt) {
         boolean harmless =
-                t.kind.idempotency() == LoadProfile.Idempotency.IDEMPOTENT
-                        || t.kind.idempotency() == LoadProfile.Idempotency.IDEMPOTENCY_KEY
-                                && t.kind.isDeduplicatedFleetWide();
+                attempt.kind.idempotency() == LoadProfile.Idempotency.IDEMPOTENT
+                        || attempt.kind.idempotency() == LoadProfile.Idempotency.IDEMPOTENCY_KEY
+                                && attempt.kind.isDeduplicatedFleetWide();
         if (harmless) {
-            again(t, 0, () -> serviceLevels.recordUnanswered(t.kind.name()));
+            again(attempt, 0, () -> serviceLevels.recordUnanswered(attempt.kind.name()));
         } else {
-            finish(t, () -> serviceLevels.recordUnanswered(t.kind.name()));
+            finish(attempt, () -> serviceLevels.recordUnanswered(attempt.kind.name()));
         }
     }
 
-    private void again(ClientAttempt t, long advised, Runnable otherwise) {
+    private void again(ClientAttempt attempt, long advised, Runnable otherwise) {
         long wait = advised > 0 ? advised : profile.retryDelayMicros();
-        if (t.tries >= profile.retries()
-                || environment.monotonicMicros() + wait >= t.until
+        if (attempt.tries >= profile.retries()
+                || environment.monotonicMicros() + wait >= attempt.until
                 || stopped) {
-            finish(t, otherwise);
+            finish(attempt, otherwise);
             return;
         }
-        executor.schedule(() -> send(t.next()), wait, TimeUnit.MICROSECONDS);
+        executor.schedule(() -> send(attempt.next()), wait, TimeUnit.MICROSECONDS);
     }
 
-    private void finish(ClientAttempt t, Runnable count) {
+    private void finish(ClientAttempt attempt, Runnable count) {
         count.run();
         pendingCount.decrementAndGet();
         if (profile.closedLoopClients() > 0) {
-            askAfter(profile.volumes().indexOf(t.volume), profile.thinkTimeMicros());
+            askAfter(profile.volumes().indexOf(attempt.volume), profile.thinkTimeMicros());
         }
     }
 }
--- a/standins/src/main/java/milletyoke/standins/ServiceLevelRecorder.java
+++ b/standins/src/main/java/milletyoke/standins/ServiceLevelRecorder.java
@@ -53,11 +53,11 @@
     /** By volume, in the order of the demand: asked and answered in time. */
     private final Map<String, long[]> volumes = new LinkedHashMap<>();
 
-    ServiceLevelRecorder(LoadProfile demand) {
-        demand.requestClasses()
+    ServiceLevelRecorder(LoadProfile profile) {
+        profile.requestClasses()
                 .forEach(
                         k -> requestClasses.put(k.name(), new ClassStatistics(k.priorityWeight())));
-        demand.volumes()
+        profile.volumes()
                 .forEach(
                         v -> {
                             volumes.put(v.name(), new long[2]);
--- a/standins/src/main/java/milletyoke/standins/Target.java
+++ b/standins/src/main/java/milletyoke/standins/Target.java
@@ -80,13 +80,13 @@
     public Target(
             String id,
             int shard,
-            TargetBehavior nature,
+            TargetBehavior behavior,
             long seed,
             ScheduledExecutorService clockwork,
             Function<String, DeduplicationCache> marksOf,
             FrameObserver tap,
             ExecutionListener witness) {
-        this(id, shard, nature, seed, clockwork, marksOf, tap, witness, new SocketEnvironment());
+        this(id, shard, behavior, seed, clockwork, marksOf, tap, witness, new SocketEnvironment());
     }
 
     /**
@@ -95,7 +95,7 @@
     public Target(
             String id,
             int shard,
-            TargetBehavior nature,
+            TargetBehavior behavior,
             long seed,
             ScheduledExecutorService clockwork,
             Function<String, DeduplicationCache> marksOf,
@@ -105,7 +105,7 @@
         this.environment = world;
         this.id = id;
         this.shard = shard;
-        this.behavior = nature;
+        this.behavior = behavior;
         this.executor = clockwork;
         this.deduplicationCacheOf = marksOf;
         this.observer = tap;
