--- a/cli/src/main/java/milletyoke/cli/ArchiveTraining.java
+++ b/cli/src/main/java/milletyoke/cli/ArchiveTraining.java
@@ -1,93 +1,117 @@
 package milletyoke.cli;
 
+import java.io.IOException;
 import java.io.InputStream;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.concurrent.Callable;
+import milletyoke.gateway.config.ConfigException;
 import milletyoke.platform.process.InitiatorProcess;
 import milletyoke.standins.http.ScriptedHttpServer;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.ExitCode;
 
 /**
- * Serves itself a few accesses on loopback and ends. Run once by the build with the JVM told to
- * keep an archive of the classes that were loaded, from which the program then starts in a fraction
- * of the time.
+ * The command {@code practise}: a training run for the JVM's class archive. It serves a few
+ * requests to itself on loopback and ends; the build runs it once with {@code
+ * -XX:ArchiveClassesAtExit}, and the program then starts from that archive in a fraction of the
+ * time.
  */
 @Command(
-        name = "practise",
+        name = ArchiveTraining.NAME,
         hidden = true,
         mixinStandardHelpOptions = true,
         description =
-                "Serves itself a few accesses on loopback and ends; the build makes its class archive so.")
+                "Serves a few requests to itself on loopback and ends; the build makes its class archive so.")
 final class ArchiveTraining implements Callable<Integer> {
-    private static final int ACCESSES = 200;
+    /** The build in deploy/balancer.toml calls the command by this name. */
+    static final String NAME = "practise";
+
+    private static final int REQUESTS = 200;
+    private static final byte[] SUCCESS = "HTTP/1.1 200".getBytes(StandardCharsets.US_ASCII);
+
+    private static final String ENDPOINT_LIST =
+            "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"t\",\"endpoint\":\"127.0.0.1:PORT\","
+                    + "\"az\":\"a\",\"model\":\"m\",\"pod_group\":0,\"state\":\"up\","
+                    + "\"capacity_hint\":1.0,\"boot_ms\":0}]}";
+
+    private static final String CONFIG =
+            "{\"name\":\"practise\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:PORT\","
+                    + "\"seed\":\"1\",\"limits\":{},\"known\":KNOWN,"
+                    + "\"settings\":{\"balancers\":1,\"classes\":[{\"name\":\"c\","
+                    + "\"effect\":\"pure\",\"aim\":400000,\"points\":1}],"
+                    + "\"policies\":[{\"name\":\"p\",\"weight\":1,\"reservation\":1}],"
+                    + "\"limits\":{\"maxAttempts\":3,\"probes\":true,\"retryAfter\":true}}}";
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, ConfigException {
         try (ScriptedHttpServer target =
                 new ScriptedHttpServer(
-                        "target", (c, m) -> ScriptedHttpServer.answer(c, 200, m.body()))) {
-            String list =
-                    "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"t\",\"endpoint\":\"127.0.0.1:"
-                            + target.port()
-                            + "\",\"az\":\"a\",\"model\":\"m\",\"pod_group\":0,\"state\":\"up\",\"capacity_hint\":1.0,\"boot_ms\":0}]}";
+                        "target",
+                        (connection, request) ->
+                                ScriptedHttpServer.answer(connection, 200, request.body()))) {
+            String endpointList = ENDPOINT_LIST.replace("PORT", Integer.toString(target.port()));
             try (ScriptedHttpServer registry =
                     new ScriptedHttpServer(
                             "registry",
-                            (c, m) -> {
-                                if (!m.target().contains("from")) {
+                            (connection, request) -> {
+                                // A watch, which names the revision it starts from, stays open.
+                                if (!request.target().contains("from")) {
                                     ScriptedHttpServer.answer(
-                                            c, 200, list.getBytes(StandardCharsets.UTF_8));
+                                            connection,
+                                            200,
+                                            endpointList.getBytes(StandardCharsets.UTF_8));
                                 }
                             })) {
-                return serve(registry.port(), list);
+                return serve(registry.port(), endpointList);
             }
         }
     }
 
-    private int serve(int registry, String known) throws Exception {
+    private static int serve(int registryPort, String endpointList)
+            throws IOException, ConfigException {
         Path config = Files.createTempFile("practise", ".json");
         Files.writeString(
                 config,
-                "{\"name\":\"practise\",\"listen\":\"127.0.0.1:0\",\"discovery\":\"127.0.0.1:"
-                        + registry
-                        + "\",\"seed\":\"1\",\"limits\":{},\"known\":"
-                        + known
-                        + ",\"settings\":{\"balancers\":1,\"classes\":[{\"name\":\"c\","
-                        + "\"effect\":\"pure\",\"aim\":400000,\"points\":1}],\"policies\":[{\"name\":\"p\",\"weight\":1,\"reservation\":1}],"
-                        + "\"limits\":{\"maxAttempts\":3,\"probes\":true,\"retryAfter\":true}}}");
+                CONFIG.replace("PORT", Integer.toString(registryPort))
+                        .replace("KNOWN", endpointList));
+        InitiatorProcess process = InitiatorProcess.start(config);
         int answered = 0;
-        InitiatorProcess service = InitiatorProcess.start(config);
-        for (int i = 0; i < ACCESSES; i++) {
-            answered += ask(service.port(), i) ? 1 : 0;
+        for (int number = 0; number < REQUESTS; number++) {
+            answered += isAnswered(process.port(), number) ? 1 : 0;
         }
-        service.kill();
+        process.kill();
         Files.delete(config);
-        System.out.println(answered + " of " + ACCESSES + " answered");
-        return answered > 0 ? 0 : 1;
+        System.out.println(answered + " of " + REQUESTS + " answered");
+        return answered > 0 ? ExitCode.OK : ExitCode.SOFTWARE;
     }
 
-    private static boolean ask(int port, int i) throws Exception {
-        try (Socket socket = new Socket("127.0.0.1", port)) {
-            String body = "x".repeat(i);
-            socket.getOutputStream()
-                    .write(
-                            ((i % 2 == 0 ? "PUT" : "GET")
-                                            + " /api HTTP/1.1\r\nHost: a\r\nX-Txn: "
-                                            + i
-                                            + "\r\nX-Lane: c\r\nX-Plan: p\r\nCookie: key=0000000000000001\r\nX-Remaining: 0.500\r\n"
-                                            + "X-IO: volume=0000000000000001,units=1,shard=0,hosts=1\r\nConnection: close\r\nContent-Length: "
-                                            + (i % 2 == 0 ? i : 0)
-                                            + "\r\n\r\n"
-                                            + (i % 2 == 0 ? body : ""))
-                                    .getBytes(StandardCharsets.US_ASCII));
+    /** Sends one request, writes and reads in turn, on a connection of its own. */
+    private static boolean isAnswered(int port, int number) throws IOException {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
+            boolean isWrite = number % 2 == 0;
+            String body = isWrite ? "x".repeat(number) : "";
+            String request = request(isWrite ? "PUT" : "GET", number, body);
+            socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             InputStream in = socket.getInputStream();
-            byte[] start = in.readNBytes(12);
+            byte[] statusLine = in.readNBytes(SUCCESS.length);
             in.readAllBytes();
-            return Arrays.equals(start, "HTTP/1.1 200".getBytes(StandardCharsets.US_ASCII));
+            return Arrays.equals(statusLine, SUCCESS);
         }
     }
+
+    private static String request(String method, int number, String body) {
+        return method
+                + " /api HTTP/1.1\r\nHost: a\r\nX-Txn: "
+                + number
+                + "\r\nX-Lane: c\r\nX-Plan: p\r\nCookie: key=0000000000000001\r\nX-Remaining: 0.500\r\n"
+                + "X-IO: volume=0000000000000001,units=1,shard=0,hosts=1\r\nConnection: close\r\nContent-Length: "
+                + body.length()
+                + "\r\n\r\n"
+                + body;
+    }
 }
--- a/cli/src/main/java/milletyoke/cli/CheckCommand.java
+++ b/cli/src/main/java/milletyoke/cli/CheckCommand.java
@@ -2,38 +2,55 @@
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
+import milletyoke.gateway.config.ConfigException;
 import milletyoke.gateway.config.InitiatorConfig;
 import milletyoke.scenario.script.Scenario;
+import milletyoke.scenario.script.ScenarioFormatException;
 import milletyoke.scenario.script.ScenarioParser;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.ExitCode;
 import picocli.CommandLine.Parameters;
 
+/**
+ * The command {@code check}: reads an initiator's setup or a scenario script without running it.
+ */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
         description =
-                "Checks an initiator's setup, or a script that ends in .day; a finding names file and line.")
+                "Checks an initiator's setup, or a scenario script that ends in .day;"
+                        + " an error names file and line.")
 final class CheckCommand implements Callable<Integer> {
+    private static final String SCRIPT_SUFFIX = ".day";
+
     @Parameters(paramLabel = "FILE")
     private Path file;
 
     @Override
-    public Integer call() throws Exception {
-        if (file.toString().endsWith(".day")) {
-            Scenario day = ScenarioParser.read(file);
-            System.out.printf(
-                    "%s: %d initiators, %d targets, %d troubles: can be played%n",
-                    file, day.initiators(), day.fleet().targets(), day.faults().size());
+    public Integer call() throws ConfigException, ScenarioFormatException {
+        if (file.toString().endsWith(SCRIPT_SUFFIX)) {
+            checkScenario();
         } else {
-            InitiatorConfig setup = InitiatorConfig.read(file);
-            System.out.printf(
-                    "%s: %s at %s, %d categories, %d plans: can be used%n",
-                    file,
-                    setup.name(),
-                    setup.listen(),
-                    setup.deployment().scheduler().requestClasses().size(),
-                    setup.deployment().scheduler().plans().size());
+            checkSetup();
         }
-        return 0;
+        return ExitCode.OK;
+    }
+
+    private void checkScenario() throws ScenarioFormatException {
+        Scenario scenario = ScenarioParser.read(file);
+        System.out.printf(
+                "%s: %d initiators, %d targets, %d troubles: can be played%n",
+                file, scenario.initiators(), scenario.fleet().targets(), scenario.faults().size());
+    }
+
+    private void checkSetup() throws ConfigException {
+        InitiatorConfig config = InitiatorConfig.read(file);
+        System.out.printf(
+                "%s: %s at %s, %d categories, %d plans: can be used%n",
+                file,
+                config.name(),
+                config.listen(),
+                config.deployment().scheduler().requestClasses().size(),
+                config.deployment().scheduler().plans().size());
     }
 }
--- a/cli/src/main/java/milletyoke/cli/DemoCommand.java
+++ b/cli/src/main/java/milletyoke/cli/DemoCommand.java
@@ -1,57 +1,72 @@
 package milletyoke.cli;
 
+import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import milletyoke.scenario.ScenarioRunner;
+import milletyoke.scenario.ScenarioRunner.ScenarioResult;
 import milletyoke.scenario.audit.Audit;
 import milletyoke.scenario.script.Scenario;
+import milletyoke.scenario.script.ScenarioFormatException;
 import milletyoke.scenario.script.ScenarioParser;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.ExitCode;
 import picocli.CommandLine.Option;
 
+/** The command {@code demo}: runs a small scenario on loopback and audits it. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
         description =
-                "Three initiators, eight targets and a small load on loopback, in this process, for 12 s.")
+                "Runs three initiators, eight targets and a small load on loopback, in this process, for 12 s.")
 final class DemoCommand implements Callable<Integer> {
-    @Option(
-            names = "--show-script",
-            description = "Print the script that is played, and play nothing.")
-    private boolean show;
+    private static final String SCRIPT = "demo.day";
+    private static final long MICROS_PER_SECOND = 1_000_000;
+
+    @Option(names = "--show-script", description = "Print the scenario script and run nothing.")
+    private boolean showScript;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, InterruptedException, ScenarioFormatException {
         String text;
-        try (InputStream in = DemoCommand.class.getResourceAsStream("/demo.day")) {
+        try (InputStream in = DemoCommand.class.getResourceAsStream("/" + SCRIPT)) {
             text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
-        if (show) {
+        if (showScript) {
             System.out.print(text);
-            return 0;
+            return ExitCode.OK;
         }
-        Scenario day = ScenarioParser.read("demo.day", "demo", text);
+        return run(ScenarioParser.read(SCRIPT, "demo", text));
+    }
+
+    private static int run(Scenario scenario) throws IOException, InterruptedException {
         Path recording = Files.createTempFile("milletyoke-", ".recording");
         try {
-            ScenarioRunner.ScenarioResult played;
-            try (ScenarioRunner stage = new ScenarioRunner(day, recording, false)) {
-                System.out.printf(
-                        "%d initiators, %d targets, %.0f accesses a second for %d s; a target hangs at 4 s%n",
-                        day.initiators(),
-                        day.fleet().targets(),
-                        day.load().requestsPerSecond(),
-                        day.durationMicros() / 1_000_000);
-                played = stage.run(System.out::println);
+            ScenarioResult result;
+            try (ScenarioRunner runner = new ScenarioRunner(scenario, recording, false)) {
+                printIntroduction(scenario);
+                result = runner.run(System.out::println);
             }
-            System.out.print(played.serviceLevels().text());
+            System.out.print(result.serviceLevels().text());
             Audit.Report report = Audit.audit(recording);
             System.out.print(report.text(true));
-            return report.isClean() && played.isShutdownClean() && played.unfinished() == 0 ? 0 : 1;
+            boolean isKept =
+                    report.isClean() && result.isShutdownClean() && result.unfinished() == 0;
+            return isKept ? ExitCode.OK : ExitCode.SOFTWARE;
         } finally {
             Files.deleteIfExists(recording);
         }
     }
+
+    private static void printIntroduction(Scenario scenario) {
+        System.out.printf(
+                "%d initiators, %d targets, %.0f accesses a second for %d s; a target hangs at 4 s%n",
+                scenario.initiators(),
+                scenario.fleet().targets(),
+                scenario.load().requestsPerSecond(),
+                scenario.durationMicros() / MICROS_PER_SECOND);
+    }
 }
--- a/cli/src/main/java/milletyoke/cli/InitiatorCommand.java
+++ b/cli/src/main/java/milletyoke/cli/InitiatorCommand.java
@@ -1,94 +1,105 @@
 package milletyoke.cli;
 
+import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
 import milletyoke.gateway.Initiator;
+import milletyoke.gateway.config.ConfigException;
 import milletyoke.gateway.config.InitiatorConfig;
 import milletyoke.wire.FrameObserver;
+import milletyoke.wire.SocketNetwork;
 import milletyoke.wire.proto.Note;
 import milletyoke.wire.recording.Recorder;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.ExitCode;
 import picocli.CommandLine.Option;
 
+/**
+ * The command {@code initiator}: one initiator that speaks the product's own protocol. The main
+ * thread waits for its end; a shutdown hook shuts it down gracefully.
+ */
 @Command(
         name = "initiator",
         mixinStandardHelpOptions = true,
         description =
-                "Runs one initiator until SIGTERM or SIGINT; it then answers what it holds and leaves.")
+                "Runs one initiator until SIGTERM or SIGINT; it then answers its pending requests and ends.")
 final class InitiatorCommand implements Callable<Integer> {
+    private static final long END_CHECK_MILLIS = 1_000;
+    private static final long MILLIS_PER_SECOND = 1_000;
+
     @Option(
             names = "--config",
             required = true,
             paramLabel = "FILE",
             description = "Its setup, JSON5.")
-    private Path config;
+    private Path configFile;
 
     @Option(
             names = "--record",
             paramLabel = "FILE",
-            description = "Record what its sockets see, for the audit.")
-    private Path record;
+            description = "Record the frames on its sockets, for the audit.")
+    private Path recordingFile;
 
     @Option(
             names = "--capture",
             paramLabel = "FILE",
             description =
-                    "Keep the traffic that comes in, for replay in a"
-                            + " rehearsal or the lab; a new file.")
-    private Path capture;
+                    "Capture incoming requests in this new file, for replay in a scenario or a simulation.")
+    private Path captureFile;
 
     @Option(
             names = "--leave-time",
             paramLabel = "SECONDS",
             defaultValue = "30",
-            description = "The longest to wait for what is held (${DEFAULT-VALUE}).")
-    private int leaveTime;
+            description = "The longest to wait for pending requests at the end (${DEFAULT-VALUE}).")
+    private int shutdownSeconds;
 
     @Override
-    public Integer call() throws Exception {
-        InitiatorConfig setup = InitiatorConfig.read(config);
-        Recorder recorder =
-                record == null
-                        ? null
-                        : new Recorder(record, milletyoke.wire.SocketNetwork::monotonicMicros);
-        if (recorder != null) {
-            recorder.note(setup.name(), Note.Kind.STARTED, "initiator", 0);
-        }
-        Initiator initiator =
-                Initiator.start(
-                        setup,
-                        recorder == null ? FrameObserver.NONE : recorder.observer(setup.name()));
-        if (capture != null) {
-            initiator.captureTo(capture);
+    public Integer call() throws IOException, ConfigException, InterruptedException {
+        InitiatorConfig config = InitiatorConfig.read(configFile);
+        Recorder recorder = startRecorder(config);
+        FrameObserver observer =
+                recorder == null ? FrameObserver.NONE : recorder.observer(config.name());
+        Initiator initiator = Initiator.start(config, observer);
+        if (captureFile != null) {
+            initiator.captureTo(captureFile);
         }
-        System.out.println(setup.name() + " takes accesses at port " + initiator.port());
-        CountDownLatch left = new CountDownLatch(1);
+        System.out.println(config.name() + " takes accesses at port " + initiator.port());
+        CountDownLatch shutDown = new CountDownLatch(1);
         Runtime.getRuntime()
-                .addShutdownHook(
-                        new Thread(
-                                () -> {
-                                    try {
-                                        initiator.shutDown(leaveTime * 1000L);
-                                        if (recorder != null) {
-                                            recorder.close();
-                                        }
-                                    } catch (Exception failed) {
-                                        System.err.println(
-                                                "milletyoke: leaving failed: "
-                                                        + failed.getMessage());
-                                    }
-                                    left.countDown();
-                                }));
-        while (!initiator.eventLoop().awaitEnd(1_000)) {
-            continue;
+                .addShutdownHook(new Thread(() -> shutDown(initiator, recorder, shutDown)));
+        while (!initiator.eventLoop().awaitEnd(END_CHECK_MILLIS)) {
+            // It still runs.
         }
         if (initiator.eventLoop().fault() != null) {
             System.err.println(
-                    "milletyoke: the loop failed; all that was held has been broken off");
-            Runtime.getRuntime().halt(1);
+                    "milletyoke: the event loop failed; all pending requests were failed");
+            Runtime.getRuntime().halt(ExitCode.SOFTWARE);
+        }
+        shutDown.await(); // the loop ended because the shutdown hook asked it to
+        return ExitCode.OK;
+    }
+
+    /** Returns null where nothing is recorded. */
+    private Recorder startRecorder(InitiatorConfig config) throws IOException {
+        if (recordingFile == null) {
+            return null;
+        }
+        Recorder recorder = new Recorder(recordingFile, SocketNetwork::monotonicMicros);
+        recorder.note(config.name(), Note.Kind.STARTED, "initiator", 0);
+        return recorder;
+    }
+
+    private void shutDown(Initiator initiator, Recorder recorder, CountDownLatch shutDown) {
+        try {
+            initiator.shutDown(shutdownSeconds * MILLIS_PER_SECOND);
+            if (recorder != null) {
+                recorder.close();
+            }
+        } catch (Exception failed) {
+            System.err.println("milletyoke: shutting down failed: " + failed.getMessage());
         }
-        left.await(); // it was asked to leave
-        return 0;
+        shutDown.countDown();
     }
 }
--- a/cli/src/main/java/milletyoke/cli/LoadCommand.java
+++ b/cli/src/main/java/milletyoke/cli/LoadCommand.java
@@ -1,50 +1,64 @@
 package milletyoke.cli;
 
+import java.io.IOException;
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.concurrent.Executors;
+import java.util.stream.IntStream;
 import milletyoke.gateway.config.Address;
+import milletyoke.gateway.config.ConfigException;
 import milletyoke.gateway.config.InitiatorConfig;
 import milletyoke.scheduler.api.SchedulerSettings;
 import milletyoke.standins.LoadGenerator;
 import milletyoke.standins.LoadProfile;
 import milletyoke.wire.FrameObserver;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.ExitCode;
 import picocli.CommandLine.Option;
 
+/** The command {@code load}: an open-loop load on running initiators. */
 @Command(
         name = "load",
         mixinStandardHelpOptions = true,
         description =
-                "Asks running initiators for accesses at a rate, whether or not earlier ones were answered.")
+                "Sends requests to running initiators at a rate, whether or not earlier ones were answered.")
 final class LoadCommand implements Callable<Integer> {
+    private static final int MAX_SECONDS = 3600;
+    private static final int MIN_UNITS = 1;
+    private static final int MAX_UNITS = 4;
+    private static final int RETRIES = 1;
+    private static final long RETRY_DELAY_MICROS = 100_000;
+    private static final long CONNECT_TIMEOUT_MILLIS = 5_000;
+    private static final long STOP_GRACE_MILLIS = 1_000;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final int THREADS = 2;
+
     @Option(
             names = "--config",
             required = true,
             paramLabel = "FILE",
-            description = "An initiator's setup: its categories and plans are asked for.")
-    private Path config;
+            description = "An initiator's setup; its request classes and plans are used.")
+    private Path configFile;
 
     @Option(
             names = "--initiator",
             required = true,
             paramLabel = "HOST:PORT",
-            description = "May come again.")
+            description = "May be repeated.")
     private List<String> initiators;
 
     @Option(
             names = "--shards",
             required = true,
-            description = "Shards 0 to this less one are asked for.")
+            description = "Number of shards; requests go to shards 0 to this less one.")
     private int shards;
 
     @Option(
             names = "--rate",
             defaultValue = "200",
-            description = "Accesses a second (${DEFAULT-VALUE}).")
-    private double rate;
+            description = "Requests a second (${DEFAULT-VALUE}).")
+    private double requestsPerSecond;
 
     @Option(names = "--seconds", defaultValue = "10", description = "How long (${DEFAULT-VALUE}).")
     private int seconds;
@@ -52,85 +66,98 @@
     @Option(
             names = "--abandon-millis",
             defaultValue = "4000",
-            description = "How long each client waits (${DEFAULT-VALUE}).")
-    private long abandon;
+            description = "How long each client waits for an answer (${DEFAULT-VALUE}).")
+    private long deadlineMillis;
 
     @Override
-    public Integer call() throws Exception {
-        if (rate <= 0 || seconds < 1 || seconds > 3600 || shards < 1) {
+    public Integer call() throws IOException, ConfigException, InterruptedException {
+        if (requestsPerSecond <= 0 || seconds < 1 || seconds > MAX_SECONDS || shards < 1) {
             throw new IllegalArgumentException(
                     "--rate over 0, --seconds of 1 to 3600 and --shards of 1 or more are"
                             + " expected");
         }
-        InitiatorConfig setup = InitiatorConfig.read(config);
-        SchedulerSettings given = setup.deployment().scheduler();
-        List<LoadProfile.RequestClass> kinds = new ArrayList<>();
-        for (SchedulerSettings.RequestClass c : given.requestClasses()) {
-            kinds.add(
-                    new LoadProfile.RequestClass(
-                            c.name(),
-                            1.0 / given.requestClasses().size(),
-                            1,
-                            4,
-                            c.idempotency() != SchedulerSettings.Idempotency.IDEMPOTENT,
-                            c.keyOrdered(),
-                            LoadProfile.Idempotency.valueOf(c.idempotency().name()),
-                            c.deduplicationScope() == SchedulerSettings.DeduplicationScope.ALL,
-                            c.latencyObjectiveMicros(),
-                            abandon * 1000,
-                            c.priorityWeight(),
-                            false));
-        }
-        int[] all = java.util.stream.IntStream.range(0, shards).toArray();
-        int[] doors = java.util.stream.IntStream.range(0, initiators.size()).toArray();
-        List<LoadProfile.Volume> volumes =
-                given.plans().stream()
-                        .map(
-                                p ->
-                                        new LoadProfile.Volume(
-                                                "load-" + p.name(),
-                                                p.name(),
-                                                1.0 / given.plans().size(),
-                                                all,
-                                                doors))
-                        .toList();
-        LoadProfile demand =
-                new LoadProfile(
-                        rate,
-                        kinds,
-                        volumes,
-                        1,
-                        100_000,
-                        0,
-                        1,
-                        1,
-                        0,
-                        setup.deployment().answerSlackMicros(),
-                        0,
-                        0,
-                        List.of());
-        LoadGenerator clients =
+        LoadGenerator generator =
                 new LoadGenerator(
-                        demand,
+                        loadProfile(InitiatorConfig.read(configFile)),
                         false,
                         System.nanoTime(),
-                        Executors.newScheduledThreadPool(2),
+                        Executors.newScheduledThreadPool(THREADS),
                         FrameObserver.NONE);
         for (String text : initiators) {
-            Address at = Address.of(text);
-            clients.addServer(text, at.host(), at.port());
+            Address address = Address.of(text);
+            generator.addServer(address.host(), address.port());
         }
-        if (!clients.awaitConnected(5_000)) {
+        if (!generator.awaitConnected(CONNECT_TIMEOUT_MILLIS)) {
             System.err.println("milletyoke: no way in within 5 s");
-            return 1;
+            return ExitCode.SOFTWARE;
         }
-        clients.start();
+        return run(generator);
+    }
+
+    private int run(LoadGenerator generator) throws InterruptedException {
+        generator.start();
         for (int second = 1; second <= seconds; second++) {
             Thread.sleep(1_000);
-            System.out.printf("%3d s  %s%n", second, clients.serviceLevels().summary());
+            System.out.printf("%3d s  %s%n", second, generator.serviceLevels().summary());
         }
-        int left = clients.stop(abandon + 1_000);
-        System.out.print(clients.serviceLevels().text());
-        return left == 0 ? 0 : 1;
+        int unfinished = generator.stop(deadlineMillis + STOP_GRACE_MILLIS);
+        System.out.print(generator.serviceLevels().text());
+        return unfinished == 0 ? ExitCode.OK : ExitCode.SOFTWARE;
+    }
+
+    private LoadProfile loadProfile(InitiatorConfig config) {
+        SchedulerSettings scheduler = config.deployment().scheduler();
+        double classShare = 1.0 / scheduler.requestClasses().size();
+        List<LoadProfile.RequestClass> requestClasses =
+                scheduler.requestClasses().stream()
+                        .map(requestClass -> requestClass(requestClass, classShare))
+                        .toList();
+        return new LoadProfile(
+                requestsPerSecond,
+                requestClasses,
+                volumes(scheduler.plans()),
+                RETRIES,
+                RETRY_DELAY_MICROS,
+                0,
+                1,
+                1,
+                0,
+                config.deployment().answerSlackMicros(),
+                0,
+                0,
+                List.of());
+    }
+
+    private LoadProfile.RequestClass requestClass(
+            SchedulerSettings.RequestClass requestClass, double share) {
+        return new LoadProfile.RequestClass(
+                requestClass.name(),
+                share,
+                MIN_UNITS,
+                MAX_UNITS,
+                requestClass.idempotency() != SchedulerSettings.Idempotency.IDEMPOTENT,
+                requestClass.keyOrdered(),
+                LoadProfile.Idempotency.valueOf(requestClass.idempotency().name()),
+                requestClass.deduplicationScope() == SchedulerSettings.DeduplicationScope.ALL,
+                requestClass.latencyObjectiveMicros(),
+                deadlineMillis * MICROS_PER_MILLI,
+                requestClass.priorityWeight(),
+                false);
+    }
+
+    /** One volume a plan, with data on every shard and requests through every initiator. */
+    private List<LoadProfile.Volume> volumes(List<SchedulerSettings.ServicePlan> plans) {
+        List<Integer> allShards = IntStream.range(0, shards).boxed().toList();
+        List<Integer> allInitiators = IntStream.range(0, initiators.size()).boxed().toList();
+        return plans.stream()
+                .map(
+                        plan ->
+                                new LoadProfile.Volume(
+                                        "load-" + plan.name(),
+                                        plan.name(),
+                                        1.0 / plans.size(),
+                                        allShards,
+                                        allInitiators))
+                .toList();
     }
 }
--- a/cli/src/main/java/milletyoke/cli/Logging.java
+++ b/cli/src/main/java/milletyoke/cli/Logging.java
@@ -10,14 +10,21 @@
 import net.logstash.logback.encoder.LogstashEncoder;
 import org.slf4j.LoggerFactory;
 
-/** How the program tells of itself on standard error: lines of text, or of JSON. */
+/** Configures the log on standard error: lines of text or of JSON. */
 final class Logging {
-    enum Form {
+    private static final String OWN_LOGGERS = "milletyoke";
+    private static final String GRIZZLY_LOGGERS = "org.glassfish.grizzly";
+    private static final String SIMPLE_LOGGER = "org.slf4j.simpleLogger.";
+    private static final String TEXT_PATTERN = "%d{HH:mm:ss.SSS} %-5level %logger{0}: %msg%n";
+
+    /** The format of a line; the constants are the values of the option {@code --log}. */
+    enum Format {
         text,
         json
     }
 
-    enum Depth {
+    /** The least severe level that is shown; the constants are the values of the option. */
+    enum Threshold {
         error,
         warn,
         info,
@@ -27,45 +34,56 @@
     private Logging() {}
 
     /**
-     * Lines of text by the plainest library there is, each behind its milliseconds since the start.
-     * Guards the seconds after a restart on part of a core: the other library takes a third of the
-     * time to start.
+     * Configures the plainest logger, whose lines start with the milliseconds since the process
+     * started. It takes a third of the time that Logback takes to start, which counts during a
+     * restart on a fraction of a core.
      */
-    static void beginPlain() {
+    static void configureSimpleLogger() {
         System.setProperty("slf4j.provider", "org.slf4j.simple.SimpleServiceProvider");
-        System.setProperty("org.slf4j.simpleLogger.showDateTime", "true");
-        System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
-        System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
-        System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "warn");
-        String least = System.getenv().getOrDefault("MILLETYOKE_LOG", "info");
-        System.setProperty("org.slf4j.simpleLogger.log.milletyoke", least);
-        java.util.logging.Logger.getLogger("org.glassfish.grizzly")
-                .setLevel(java.util.logging.Level.SEVERE);
+        System.setProperty(SIMPLE_LOGGER + "showDateTime", "true");
+        System.setProperty(SIMPLE_LOGGER + "showThreadName", "false");
+        System.setProperty(SIMPLE_LOGGER + "showShortLogName", "true");
+        System.setProperty(SIMPLE_LOGGER + "defaultLogLevel", "warn");
+        String ownLevel = System.getenv().getOrDefault("MILLETYOKE_LOG", "info");
+        System.setProperty(SIMPLE_LOGGER + "log." + OWN_LOGGERS, ownLevel);
+        quietGrizzly();
     }
 
-    static void begin(Form form, Depth depth) {
+    /** Configures Logback for the other commands. */
+    static void configure(Format format, Threshold threshold) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
-        Encoder<ILoggingEvent> encoder;
-        if (form == Form.json) {
-            encoder = new LogstashEncoder();
-        } else {
-            PatternLayoutEncoder pattern = new PatternLayoutEncoder();
-            pattern.setPattern("%d{HH:mm:ss.SSS} %-5level %logger{0}: %msg%n");
-            encoder = pattern;
-        }
-        encoder.setContext(context);
-        encoder.start();
-        ConsoleAppender<ILoggingEvent> out = new ConsoleAppender<>();
-        out.setContext(context);
-        out.setTarget("System.err");
-        out.setEncoder(encoder);
-        out.start();
         Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
-        root.addAppender(out);
+        root.addAppender(newAppender(context, format));
         root.setLevel(Level.WARN);
-        context.getLogger("milletyoke").setLevel(Level.toLevel(depth.name()));
-        java.util.logging.Logger.getLogger("org.glassfish.grizzly")
+        context.getLogger(OWN_LOGGERS).setLevel(Level.toLevel(threshold.name()));
+        quietGrizzly();
+    }
+
+    private static ConsoleAppender<ILoggingEvent> newAppender(
+            LoggerContext context, Format format) {
+        Encoder<ILoggingEvent> encoder = newEncoder(format);
+        encoder.setContext(context);
+        encoder.start();
+        ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
+        appender.setContext(context);
+        appender.setTarget("System.err");
+        appender.setEncoder(encoder);
+        appender.start();
+        return appender;
+    }
+
+    private static Encoder<ILoggingEvent> newEncoder(Format format) {
+        if (format == Format.json) {
+            return new LogstashEncoder();
+        }
+        PatternLayoutEncoder encoder = new PatternLayoutEncoder();
+        encoder.setPattern(TEXT_PATTERN);
+        return encoder;
+    }
+
+    private static void quietGrizzly() {
+        java.util.logging.Logger.getLogger(GRIZZLY_LOGGERS)
                 .setLevel(java.util.logging.Level.SEVERE);
     }
 }
--- a/cli/src/main/java/milletyoke/cli/Main.java
+++ b/cli/src/main/java/milletyoke/cli/Main.java
@@ -1,17 +1,27 @@
 package milletyoke.cli;
 
 import java.io.IOException;
+import java.net.BindException;
 import java.util.concurrent.Callable;
+import milletyoke.cli.admin.DrainCommand;
+import milletyoke.cli.admin.EventsCommand;
+import milletyoke.cli.admin.StatusCommand;
+import milletyoke.cli.admin.TargetsCommand;
+import milletyoke.cli.admin.UndrainCommand;
+import milletyoke.cli.admin.VolumesCommand;
+import milletyoke.cli.configuration.ConfigCommand;
+import milletyoke.cli.simulation.SimulateCommand;
 import milletyoke.gateway.config.ConfigException;
 import milletyoke.scenario.script.ScenarioFormatException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.ExitCode;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ScopeType;
 
 /**
- * The command line. Ends with 0, with 1 where what was asked for failed, with 2 where it was asked
- * wrongly.
+ * Entry point of the command line. The exit code is 0 on success, 1 if the command failed, and 2 if
+ * it was used wrongly or a file cannot be used.
  */
 @Command(
         name = "milletyoke",
@@ -31,15 +41,15 @@
             RatesCommand.class,
             AuditCommand.class,
             CheckCommand.class,
-            AdminCommands.Status.class,
-            AdminCommands.Targets.class,
-            AdminCommands.Volumes.class,
-            AdminCommands.Events.class,
-            AdminCommands.Drain.class,
-            AdminCommands.Undrain.class,
+            StatusCommand.class,
+            TargetsCommand.class,
+            VolumesCommand.class,
+            EventsCommand.class,
+            DrainCommand.class,
+            UndrainCommand.class,
             TokenCommand.class,
             ConfigCommand.class,
-            SimulationCommand.class
+            SimulateCommand.class
         },
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {"0:done", "1:failed", "2:wrong use, or a file that cannot be used"})
@@ -49,73 +59,80 @@
             scope = ScopeType.INHERIT,
             defaultValue = "text",
             description =
-                    "Form of the log on standard error: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
-    private Logging.Form log;
+                    "Format of the log on standard error: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
+    private Logging.Format logFormat;
 
     @Option(
             names = "--log-level",
             scope = ScopeType.INHERIT,
             defaultValue = "info",
-            description = "Least serious lines shown: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
-    private Logging.Depth level;
+            description = "Least severe lines shown: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
+    private Logging.Threshold logLevel;
 
+    /** Runs one command and ends the process with its exit code. */
     public static void main(String[] args) {
         System.setProperty("slf4j.internal.verbosity", "WARN");
         System.setProperty("slf4j.provider", "ch.qos.logback.classic.spi.LogbackServiceProvider");
-        if (args.length == 1 && (args[0].equals("serve") || args[0].equals("practise"))) {
-            System.exit(atOnce(args[0]));
+        if (args.length == 1
+                && (args[0].equals(ServeCommand.NAME) || args[0].equals(ArchiveTraining.NAME))) {
+            System.exit(runWithoutParser(args[0]));
         }
         Main main = new Main();
-        CommandLine line = new CommandLine(main);
-        line.setExecutionStrategy(
+        CommandLine commandLine = new CommandLine(main);
+        commandLine.setExecutionStrategy(
                 parsed -> {
-                    Logging.begin(main.log, main.level);
+                    Logging.configure(main.logFormat, main.logLevel);
                     return new CommandLine.RunLast().execute(parsed);
                 });
-        line.setExecutionExceptionHandler(
-                (failure, command, parsed) -> {
-                    boolean wrongUse =
-                            failure instanceof ConfigException
-                                    || failure instanceof ScenarioFormatException
-                                    || failure instanceof IllegalArgumentException;
-                    boolean told = wrongUse || failure instanceof IOException;
-                    System.err.println(
-                            "milletyoke: " + (told ? failure.getMessage() : failure.toString()));
-                    if (!told) {
-                        failure.printStackTrace();
-                    }
-                    return wrongUse
-                                    || failure instanceof java.net.BindException
-                                    || failure.getCause() instanceof java.net.BindException
-                            ? 2
-                            : 1;
-                });
-        System.exit(line.execute(args));
+        commandLine.setExecutionExceptionHandler((failure, command, parsed) -> report(failure));
+        System.exit(commandLine.execute(args));
+    }
+
+    @Override
+    public Integer call() {
+        CommandLine.usage(this, System.err);
+        return ExitCode.USAGE;
     }
 
     /**
-     * Without the command line's parser, which alone takes half of the time to start and whose
-     * classes no archive holds. Guards the seconds after a restart on part of a core, in which
-     * clients have nobody.
+     * Runs a command without the command line's parser, which alone takes half of the time to start
+     * and whose classes are in no class archive. During a restart on a fraction of a core, clients
+     * have no initiator for that time.
      */
-    private static int atOnce(String command) {
-        Logging.beginPlain();
+    private static int runWithoutParser(String command) {
+        Logging.configureSimpleLogger();
         try {
-            return command.equals("serve")
-                    ? new ServeCommand().atOnce()
+            return command.equals(ServeCommand.NAME)
+                    ? new ServeCommand().runFromEnvironment()
                     : new ArchiveTraining().call();
         } catch (ConfigException unusable) {
             System.err.println("milletyoke: " + unusable.getMessage());
-            return 2;
+            return ExitCode.USAGE;
         } catch (Exception failed) {
             System.err.println("milletyoke: " + failed);
-            return failed instanceof IOException ? 2 : 1;
+            return failed instanceof IOException ? ExitCode.USAGE : ExitCode.SOFTWARE;
         }
     }
 
-    @Override
-    public Integer call() {
-        CommandLine.usage(this, System.err);
-        return 2;
+    /** Prints a command's failure in one line, a programming error with its stack trace. */
+    private static int report(Exception failure) {
+        boolean isWrongUse = isWrongUse(failure);
+        if (isWrongUse || failure instanceof IOException) {
+            System.err.println("milletyoke: " + failure.getMessage());
+        } else {
+            System.err.println("milletyoke: " + failure);
+            failure.printStackTrace();
+        }
+        return isWrongUse || isPortInUse(failure) ? ExitCode.USAGE : ExitCode.SOFTWARE;
+    }
+
+    private static boolean isWrongUse(Exception failure) {
+        return failure instanceof ConfigException
+                || failure instanceof ScenarioFormatException
+                || failure instanceof IllegalArgumentException;
+    }
+
+    private static boolean isPortInUse(Exception failure) {
+        return failure instanceof BindException || failure.getCause() instanceof BindException;
     }
 }
--- a/cli/src/main/java/milletyoke/cli/RatesCommand.java
+++ b/cli/src/main/java/milletyoke/cli/RatesCommand.java
@@ -4,22 +4,37 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
+import java.util.regex.Pattern;
 import milletyoke.scenario.ScenarioRunner;
+import milletyoke.scenario.ScenarioRunner.ScenarioResult;
 import milletyoke.scenario.script.Scenario;
+import milletyoke.scenario.script.ScenarioFormatException;
 import milletyoke.scenario.script.ScenarioParser;
 import org.HdrHistogram.Histogram;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.ExitCode;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
+/** The command {@code rates}: what the initiators add to latency, at several rates of requests. */
 @Command(
         name = "rates",
         mixinStandardHelpOptions = true,
         description =
-                "Plays one day at several rates, through the initiators and straight to the targets, in this one process,"
-                        + " and shows what the way through adds. Nothing is recorded or audited: see rehearse.")
+                "Runs one scenario at several rates, through the initiators and directly to the targets,"
+                        + " in this one process, and prints what the initiators add."
+                        + " Nothing is recorded or audited: see scenario.")
 final class RatesCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "SCRIPT", description = "Script of the day; its own rate is not used.")
+    private static final double MICROS_PER_MILLI = 1e3;
+    private static final String HEADER =
+            "   rate  asked through: in time   p50     p99 ms   straight: in time   p50     p99 ms"
+                    + "   added: p50    p99 ms   turn p99 us (slowest initiator)  CPU us/access";
+
+    /** The time of an event loop's turn in an initiator's line of counters. */
+    private static final Pattern TURN_TIMES =
+            Pattern.compile(".*turns p50 \\d+ us, p99 (\\d+) us.*");
+
+    @Parameters(paramLabel = "SCRIPT", description = "Scenario script; its own rate is not used.")
     private Path script;
 
     @Option(
@@ -27,58 +42,72 @@
             split = ",",
             required = true,
             paramLabel = "RATE",
-            description = "Accesses a second.")
+            description = "Requests a second.")
     private List<Integer> rates;
 
     @Override
-    public Integer call() throws Exception {
-        Scenario day = ScenarioParser.read(script);
-        if (rates.stream().anyMatch(r -> r < 1)) {
+    public Integer call() throws IOException, InterruptedException, ScenarioFormatException {
+        Scenario scenario = ScenarioParser.read(script);
+        if (rates.stream().anyMatch(rate -> rate < 1)) {
             throw new IllegalArgumentException(
                     "--at takes rates of 1 a second and more, not " + rates);
         }
-        play(
-                day.withRate(rates.get(0)),
-                false); // the machine's compiler has its say before anything is measured
-        play(day.withRate(rates.get(0)), true);
-        System.out.println(
-                "   rate  asked through: in time   p50     p99 ms   straight: in time   p50     p99 ms"
-                        + "   added: p50    p99 ms   turn p99 us (slowest initiator)  CPU us/access");
+        warmUpCompiler(scenario.withRate(rates.get(0)));
+        System.out.println(HEADER);
         for (int rate : rates) {
-            ScenarioRunner.ScenarioResult through = play(day.withRate(rate), false);
-            ScenarioRunner.ScenarioResult straight = play(day.withRate(rate), true);
-            Histogram a = through.serviceLevels().latencies();
-            Histogram b = straight.serviceLevels().latencies();
-            System.out.printf(
-                    "%7d %7d %15.3f %7.2f %9.2f %18.3f %7.2f %9.2f %12.2f %8.2f %12s %26.0f%n",
-                    rate,
-                    through.serviceLevels().totalRequests(),
-                    through.serviceLevels().overallServiceLevel(),
-                    millis(a, 50),
-                    millis(a, 99),
-                    straight.serviceLevels().overallServiceLevel(),
-                    millis(b, 50),
-                    millis(b, 99),
-                    millis(a, 50) - millis(b, 50),
-                    millis(a, 99) - millis(b, 99),
-                    through.initiatorCounters().stream()
-                            .map(c -> c.replaceAll(".*turns p50 \\d+ us, p99 (\\d+) us.*", "$1"))
-                            .mapToInt(Integer::parseInt)
-                            .max()
-                            .orElse(0),
-                    through.cpuMicrosPerRequest());
+            ScenarioResult scheduled = run(scenario.withRate(rate), false);
+            ScenarioResult direct = run(scenario.withRate(rate), true);
+            printRow(rate, scheduled, direct);
         }
-        return 0;
+        return ExitCode.OK;
     }
 
-    private static double millis(Histogram times, double percentile) {
-        return times.getValueAtPercentile(percentile) / 1e3;
+    /** Lets the JVM compile both paths before anything is measured. */
+    private static void warmUpCompiler(Scenario scenario) throws IOException, InterruptedException {
+        run(scenario, false);
+        run(scenario, true);
     }
 
-    private static ScenarioRunner.ScenarioResult play(Scenario day, boolean straight)
+    private static ScenarioResult run(Scenario scenario, boolean isDirect)
             throws IOException, InterruptedException {
-        try (ScenarioRunner stage = new ScenarioRunner(day, null, straight)) {
-            return stage.run(line -> {});
+        try (ScenarioRunner runner = new ScenarioRunner(scenario, null, isDirect)) {
+            return runner.run(line -> {});
         }
     }
+
+    private static void printRow(int rate, ScenarioResult scheduled, ScenarioResult direct) {
+        Histogram scheduledLatencies = scheduled.serviceLevels().latencies();
+        Histogram directLatencies = direct.serviceLevels().latencies();
+        double scheduledMedian = millis(scheduledLatencies, 50);
+        double scheduledTail = millis(scheduledLatencies, 99);
+        double directMedian = millis(directLatencies, 50);
+        double directTail = millis(directLatencies, 99);
+        System.out.printf(
+                "%7d %7d %15.3f %7.2f %9.2f %18.3f %7.2f %9.2f %12.2f %8.2f %12s %26.0f%n",
+                rate,
+                scheduled.serviceLevels().totalRequests(),
+                scheduled.serviceLevels().overallServiceLevel(),
+                scheduledMedian,
+                scheduledTail,
+                direct.serviceLevels().overallServiceLevel(),
+                directMedian,
+                directTail,
+                scheduledMedian - directMedian,
+                scheduledTail - directTail,
+                slowestTurnMicros(scheduled),
+                scheduled.cpuMicrosPerRequest());
+    }
+
+    /** The largest 99th percentile of an event loop's turn among the initiators. */
+    private static int slowestTurnMicros(ScenarioResult result) {
+        return result.initiatorCounters().stream()
+                .map(line -> TURN_TIMES.matcher(line).replaceAll("$1"))
+                .mapToInt(Integer::parseInt)
+                .max()
+                .orElse(0);
+    }
+
+    private static double millis(Histogram latencies, double percentile) {
+        return latencies.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
+    }
 }
--- a/cli/src/main/java/milletyoke/cli/ServeCommand.java
+++ b/cli/src/main/java/milletyoke/cli/ServeCommand.java
@@ -10,72 +10,82 @@
 import milletyoke.gateway.config.ConfigException;
 import milletyoke.platform.process.InitiatorProcess;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.ExitCode;
 import picocli.CommandLine.Option;
 import sun.misc.Signal;
 
+/**
+ * The command {@code serve}: one initiator in the platform's service. SIGHUP reloads its
+ * configuration; SIGTERM and SIGINT shut it down gracefully. Signals arrive on threads of their
+ * own; the main thread waits.
+ */
 @Command(
-        name = "serve",
+        name = ServeCommand.NAME,
         mixinStandardHelpOptions = true,
         description =
-                "Runs one initiator in the platform's service:"
-                        + " HTTP entry and exit, set up by the file that LB_CONFIG names. SIGHUP reads it again, SIGTERM ends.")
+                "Runs one initiator in the platform's service: HTTP to clients and targets,"
+                        + " configured by the file that LB_CONFIG names."
+                        + " SIGHUP reloads it, SIGTERM ends the process.")
 final class ServeCommand implements Callable<Integer> {
+    static final String NAME = "serve";
+
+    private static final String CONFIG_VARIABLE = "LB_CONFIG";
+    private static final long FAULT_CHECK_MILLIS = 500;
+
     @Option(
             names = "--config",
             paramLabel = "FILE",
-            defaultValue = "${env:LB_CONFIG}",
-            description = "Its configuration, JSON (LB_CONFIG).")
+            defaultValue = "${env:" + CONFIG_VARIABLE + "}",
+            description = "Its configuration, JSON (" + CONFIG_VARIABLE + ").")
     private Path config;
 
     @Override
-    public Integer call() throws Exception {
+    public Integer call() throws IOException, ConfigException, InterruptedException {
         if (config == null) {
             throw new ConfigException("LB_CONFIG is not set, and no --config names the file");
         }
         return run(config);
     }
 
-    /** As {@link #call} with nothing but the environment. */
-    int atOnce() throws Exception {
-        String file = System.getenv("LB_CONFIG");
+    /** Runs the command as {@link #call} does, configured by the environment alone. */
+    int runFromEnvironment() throws IOException, ConfigException, InterruptedException {
+        String file = System.getenv(CONFIG_VARIABLE);
         config = file == null ? null : Path.of(file);
         return call();
     }
 
-    /** One that came while it started is not lost. */
-    private static void reload(InitiatorProcess service, AtomicBoolean asked) {
-        if (service != null && asked.getAndSet(false)) {
-            service.reload();
-        }
-    }
-
-    /**
-     * @return 0 where all that was held was answered, 1 where not
-     */
-    static int run(Path config) throws IOException, ConfigException, InterruptedException {
-        CountDownLatch asked = new CountDownLatch(1);
+    /** Returns 0 if every pending request was answered before the process ends, else 1. */
+    private static int run(Path config) throws IOException, ConfigException, InterruptedException {
+        CountDownLatch shutdownRequested = new CountDownLatch(1);
         AtomicReference<InitiatorProcess> started = new AtomicReference<>();
-        AtomicBoolean reload = new AtomicBoolean();
-        // Before it listens, so before anybody is told that it is ready: SIGHUP would end the
-        // process, SIGTERM lose what is held.
+        AtomicBoolean reloadRequested = new AtomicBoolean();
+        // Before it listens, so before anybody sees it as ready: without a handler, SIGHUP would
+        // end the process and SIGTERM lose its pending requests.
         Signal.handle(
                 new Signal("HUP"),
-                s -> {
-                    reload.set(true);
-                    reload(started.get(), reload);
+                signal -> {
+                    reloadRequested.set(true);
+                    reloadIfRequested(started.get(), reloadRequested);
                 });
-        Signal.handle(new Signal("TERM"), s -> asked.countDown());
-        Signal.handle(new Signal("INT"), s -> asked.countDown());
-        InitiatorProcess service = InitiatorProcess.start(config);
-        started.set(service);
-        reload(service, reload);
-        while (!asked.await(500, TimeUnit.MILLISECONDS)) {
-            if (service.eventLoop().fault() != null) {
+        Signal.handle(new Signal("TERM"), signal -> shutdownRequested.countDown());
+        Signal.handle(new Signal("INT"), signal -> shutdownRequested.countDown());
+        InitiatorProcess process = InitiatorProcess.start(config);
+        started.set(process);
+        reloadIfRequested(process, reloadRequested);
+        while (!shutdownRequested.await(FAULT_CHECK_MILLIS, TimeUnit.MILLISECONDS)) {
+            if (process.eventLoop().fault() != null) {
                 System.err.println(
-                        "milletyoke: the loop failed; all that was held has been broken off");
-                return 1;
+                        "milletyoke: the event loop failed; all pending requests were failed");
+                return ExitCode.SOFTWARE;
             }
         }
-        return service.shutDown() ? 0 : 1;
+        return process.shutDown() ? ExitCode.OK : ExitCode.SOFTWARE;
+    }
+
+    /** Reloads once for all requests since the last reload, also for one made during the start. */
+    private static void reloadIfRequested(InitiatorProcess process, AtomicBoolean reloadRequested) {
+        if (process != null && reloadRequested.getAndSet(false)) {
+            process.reload();
+        }
     }
 }
--- a/cli/src/main/java/milletyoke/cli/TargetCommand.java
+++ b/cli/src/main/java/milletyoke/cli/TargetCommand.java
@@ -1,5 +1,6 @@
 package milletyoke.cli;
 
+import java.io.IOException;
 import java.util.concurrent.Callable;
 import java.util.concurrent.Executors;
 import milletyoke.standins.DeduplicationCache;
@@ -10,59 +11,71 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
+/** The command {@code target}: a stand-in for one storage node. */
 @Command(
         name = "target",
         mixinStandardHelpOptions = true,
-        description = "Runs one stand-in for a storage node; it keeps no data, its work is time.")
+        description = "Runs a stand-in for one storage node; it stores nothing, its work is time.")
 final class TargetCommand implements Callable<Integer> {
-    @Option(names = "--id", required = true)
+    private static final int THREADS = 2;
+    private static final int MAX_CONNECTIONS = 1000;
+    private static final int REMEMBERED_EXTENTS = 3;
+    private static final double REMEMBERED_EXTENT_SAVING = 0.5;
+    private static final double DEFERRED_WRITE_FRACTION = 0.3;
+    private static final long DEFERRED_WORK_PERIOD_MICROS = 2_000_000;
+    private static final long MICROS_PER_MILLI = 1_000;
+
+    @Option(names = "--id", required = true, description = "Its name.")
     private String id;
 
     @Option(names = "--shard", required = true, description = "The shard that it holds.")
     private int shard;
 
-    @Option(names = "--port", defaultValue = "0", description = "0 takes a free one.")
+    @Option(names = "--port", defaultValue = "0", description = "0 picks a free one.")
     private int port;
 
-    @Option(names = "--cores", defaultValue = "2")
+    @Option(
+            names = "--cores",
+            defaultValue = "2",
+            description = "Requests that run at once (${DEFAULT-VALUE}).")
     private int cores;
 
-    @Option(names = "--speed", defaultValue = "1")
-    private double speed;
+    @Option(
+            names = "--speed",
+            defaultValue = "1",
+            description = "Speed of a core (${DEFAULT-VALUE}).")
+    private double coreSpeed;
 
     @Option(
             names = "--unit-micros",
             defaultValue = "2000",
             description = "Work of one unit (${DEFAULT-VALUE}).")
-    private long unit;
+    private long unitMicros;
 
     @Option(
             names = "--room",
             defaultValue = "40",
-            description = "Accesses that may wait (${DEFAULT-VALUE}).")
-    private int room;
+            description = "Requests that may be queued (${DEFAULT-VALUE}).")
+    private int queueCapacity;
 
     @Option(
             names = "--marks-millis",
             defaultValue = "2500",
-            description = "How long this target knows a mark (${DEFAULT-VALUE}).")
-    private long marks;
+            description = "How long this target remembers an idempotency key (${DEFAULT-VALUE}).")
+    private long deduplicationWindowMillis;
 
     @Override
-    public Integer call() throws Exception {
-        TargetBehavior nature =
-                new TargetBehavior(
-                        cores, speed, unit, room, 1000, 3, 0.5, 0.3, 2_000_000, 0, 0, 1, 0, 1, 0,
-                        true, false);
-        DeduplicationCache known = new DeduplicationCache(marks * 1000);
+    public Integer call() throws IOException, InterruptedException {
+        DeduplicationCache executedKeys =
+                new DeduplicationCache(deduplicationWindowMillis * MICROS_PER_MILLI);
         Target target =
                 new Target(
                         id,
                         shard,
-                        nature,
+                        behavior(),
                         System.nanoTime(),
-                        Executors.newScheduledThreadPool(2),
-                        category -> known,
+                        Executors.newScheduledThreadPool(THREADS),
+                        requestClass -> executedKeys,
                         FrameObserver.NONE,
                         ExecutionListener.NONE);
         target.startAt(port);
@@ -70,4 +83,26 @@
         Thread.currentThread().join();
         return 0;
     }
+
+    /** A target that is warm from the start, never pauses and reports its load. */
+    private TargetBehavior behavior() {
+        return new TargetBehavior(
+                cores,
+                coreSpeed,
+                unitMicros,
+                queueCapacity,
+                MAX_CONNECTIONS,
+                REMEMBERED_EXTENTS,
+                REMEMBERED_EXTENT_SAVING,
+                DEFERRED_WRITE_FRACTION,
+                DEFERRED_WORK_PERIOD_MICROS,
+                0,
+                0,
+                1,
+                0,
+                1,
+                0,
+                true,
+                false);
+    }
 }
--- a/cli/src/main/java/milletyoke/cli/TokenCommand.java
+++ b/cli/src/main/java/milletyoke/cli/TokenCommand.java
@@ -4,14 +4,18 @@
 import java.util.concurrent.Callable;
 import milletyoke.gateway.console.Tokens;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.ExitCode;
 import picocli.CommandLine.Option;
 
+/** The command {@code token}: makes an access token for the console. */
 @Command(
         name = "token",
         mixinStandardHelpOptions = true,
         description =
-                "Makes a token for the console: the token on standard output, its line for the file on standard error.")
+                "Makes a token for the console: the token on standard output,"
+                        + " its line for the token file on standard error.")
 final class TokenCommand implements Callable<Integer> {
+    /** The constants are the values of the option and of the token file. */
     enum Role {
         operator,
         viewer,
@@ -21,7 +25,7 @@
     @Option(
             names = "--name",
             required = true,
-            description = "Whose it is, for the journal of actions.")
+            description = "The holder's name, for the audit log.")
     private String name;
 
     @Option(names = "--role", required = true, description = "${COMPLETION-CANDIDATES}")
@@ -29,7 +33,7 @@
 
     @Option(
             names = "--volumes",
-            description = "Of a tenant: its volumes, with commas; a prefix ends in *.")
+            description = "A tenant's volumes, separated by commas; a prefix ends in *.")
     private String volumes;
 
     @Override
@@ -38,7 +42,7 @@
             throw new IllegalArgumentException(
                     "--volumes goes with the role tenant, and that with --volumes");
         }
-        if (name.contains("\"") || volumes != null && volumes.contains("\"")) {
+        if (hasQuotationMark(name) || hasQuotationMark(volumes)) {
             throw new IllegalArgumentException("no quotation marks in names, please");
         }
         String token = Tokens.make();
@@ -49,6 +53,10 @@
                 role,
                 HexFormat.of().formatHex(Tokens.hash(token)),
                 volumes == null ? "" : ", volumes: \"" + volumes + "\"");
-        return 0;
+        return ExitCode.OK;
+    }
+
+    private static boolean hasQuotationMark(String text) {
+        return text != null && text.contains("\"");
     }
 }
--- /dev/null
+++ b/cli/src/main/java/milletyoke/cli/admin/DrainActionCommand.java
@@ -0,0 +1,25 @@
+package milletyoke.cli.admin;
+
+import java.io.IOException;
+import picocli.CommandLine.Parameters;
+
+/** A command that starts or ends draining of an initiator, or of one target at it. */
+abstract class DrainActionCommand extends ConsoleCommand {
+    private final String action;
+
+    @Parameters(
+            arity = "0..1",
+            paramLabel = "TARGET",
+            description = "A target, for this initiator only; without it the initiator itself.")
+    private String target;
+
+    DrainActionCommand(String action) {
+        this.action = action;
+    }
+
+    @Override
+    public Integer call() throws IOException, InterruptedException {
+        String path = target == null ? action : "targets/" + urlEncode(target) + "/" + action;
+        return request("POST", path);
+    }
+}
--- /dev/null
+++ b/cli/src/main/java/milletyoke/cli/admin/StatusCommand.java
@@ -0,0 +1,16 @@
+package milletyoke.cli.admin;
+
+import java.io.IOException;
+import picocli.CommandLine.Command;
+
+/** The command {@code status}: prints an initiator's overview. */
+@Command(
+        name = "status",
+        mixinStandardHelpOptions = true,
+        description = "Prints the state and the main figures of an initiator.")
+public final class StatusCommand extends ConsoleCommand {
+    @Override
+    public Integer call() throws IOException, InterruptedException {
+        return request("GET", "overview");
+    }
+}
--- /dev/null
+++ b/cli/src/main/java/milletyoke/cli/configuration/ConvertCommand.java
@@ -0,0 +1,26 @@
+package milletyoke.cli.configuration;
+
+import java.nio.file.Path;
+import java.util.concurrent.Callable;
+import milletyoke.gateway.config.ConfigException;
+import milletyoke.gateway.config.FleetConverter;
+import milletyoke.gateway.config.InitiatorConfig;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.ExitCode;
+import picocli.CommandLine.Parameters;
+
+/** The command {@code config convert}. */
+@Command(
+        name = "convert",
+        mixinStandardHelpOptions = true,
+        description = "Prints the deployment of an initiator's JSON5 setup in the language.")
+final class ConvertCommand implements Callable<Integer> {
+    @Parameters(paramLabel = "SETUP")
+    private Path file;
+
+    @Override
+    public Integer call() throws ConfigException {
+        System.out.print(FleetConverter.text(InitiatorConfig.read(file).deployment()));
+        return ExitCode.OK;
+    }
+}
--- /dev/null
+++ b/cli/src/main/java/milletyoke/cli/simulation/SearchFaultsCommand.java
@@ -0,0 +1,155 @@
+package milletyoke.cli.simulation;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.concurrent.Callable;
+import milletyoke.scenario.script.Scenario;
+import milletyoke.scenario.script.ScenarioParser;
+import milletyoke.simulation.faults.FaultGenerator;
+import milletyoke.simulation.faults.FaultSearch;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.ExitCode;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+
+/** The command {@code simulate search-faults}. */
+@Command(
+        name = "search-faults",
+        aliases = "hunt",
+        mixinStandardHelpOptions = true,
+        description =
+                "Draws random sets of faults for a scenario, looks for the worst and shrinks it;"
+                        + " 1 if a rule was broken.")
+final class SearchFaultsCommand implements Callable<Integer> {
+    private static final int SHOWN_RUNS = 5;
+    private static final double PERCENT = 100;
+
+    @Parameters(paramLabel = "SCRIPT", description = "The scenario whose faults are replaced.")
+    private Path script;
+
+    @Option(
+            names = "--storms",
+            paramLabel = "N",
+            description = "How many sets of faults are run (${DEFAULT-VALUE}).")
+    private int runs = 100;
+
+    @Option(
+            names = "--seed",
+            paramLabel = "S",
+            description = "Seed of the first run (${DEFAULT-VALUE}).")
+    private long seed = 1;
+
+    @Option(
+            names = "--troubles",
+            paramLabel = "N",
+            description = "Most faults in one run (${DEFAULT-VALUE}).")
+    private int maxFaults = 5;
+
+    @Option(
+            names = "--only",
+            paramLabel = "TYPES",
+            split = ",",
+            description =
+                    "Types of faults that are drawn, as HANG,SLOW;"
+                            + " by default all: ${COMPLETION-CANDIDATES}.")
+    private List<Scenario.FaultType> faultTypes = List.of();
+
+    @Option(
+            names = "--least",
+            paramLabel = "PERCENT",
+            description = "Least part of the targets that one fault hits (${DEFAULT-VALUE}).")
+    private double minTargetPercent = 10;
+
+    @Option(
+            names = "--most",
+            paramLabel = "PERCENT",
+            description = "Largest part of the targets that one fault hits (${DEFAULT-VALUE}).")
+    private double maxTargetPercent = 80;
+
+    @Option(
+            names = "--longest",
+            paramLabel = "PERCENT",
+            description = "Longest part of the scenario that one fault lasts (${DEFAULT-VALUE}).")
+    private double maxDurationPercent = 50;
+
+    @Option(
+            names = "--for",
+            paramLabel = "GOAL",
+            description = "${COMPLETION-CANDIDATES}: a broken rule, or the least service.")
+    private FaultSearch.SearchGoal goal = FaultSearch.SearchGoal.RULES;
+
+    @Option(
+            names = "--keep",
+            paramLabel = "FILE",
+            description = "Write the worst run, shrunk, to this file as a script.")
+    private Path keptScript;
+
+    @Option(
+            names = "--threads",
+            paramLabel = "N",
+            description = "Runs at once; by default one for each core.")
+    private int threads = Runtime.getRuntime().availableProcessors();
+
+    @Override
+    public Integer call() throws Exception {
+        if (runs < 1 || maxFaults < 1) {
+            throw new IllegalArgumentException("at least one storm of one trouble is played");
+        }
+        FaultGenerator.Ranges ranges = ranges();
+        FaultSearch search =
+                new FaultSearch(ScenarioParser.read(script), ranges, Math.max(1, threads));
+        List<FaultSearch.Failure> worstFirst = search.run(seed, runs, goal);
+        long broken = worstFirst.stream().filter(FaultSearch.Failure::isBroken).count();
+        printResults(worstFirst, broken);
+        FaultSearch.Failure worst = worstFirst.get(0);
+        if (worst.isBroken() || goal == FaultSearch.SearchGoal.SERVICE) {
+            shrink(search, worst);
+        }
+        return broken > 0 ? ExitCode.SOFTWARE : ExitCode.OK;
+    }
+
+    private FaultGenerator.Ranges ranges() {
+        FaultGenerator.Ranges defaults = FaultGenerator.Ranges.defaults(maxFaults);
+        return new FaultGenerator.Ranges(
+                faultTypes.isEmpty() ? defaults.faultTypes() : faultTypes,
+                maxFaults,
+                minTargetPercent / PERCENT,
+                maxTargetPercent / PERCENT,
+                maxDurationPercent / PERCENT);
+    }
+
+    private static void printResults(List<FaultSearch.Failure> worstFirst, long broken) {
+        worstFirst.stream().limit(SHOWN_RUNS).forEach(SearchFaultsCommand::printRun);
+        double meanServiceLevel =
+                worstFirst.stream()
+                        .mapToDouble(FaultSearch.Failure::serviceLevel)
+                        .average()
+                        .orElse(0);
+        System.out.printf(
+                "%d storms, %d of them broken, mean service %.4f%n",
+                worstFirst.size(), broken, meanServiceLevel);
+    }
+
+    private static void printRun(FaultSearch.Failure run) {
+        System.out.printf(
+                "%-40s service %.4f  %s%n",
+                run.scenario().name(), run.serviceLevel(), run.reason());
+    }
+
+    private void shrink(FaultSearch search, FaultSearch.Failure worst) throws IOException {
+        FaultSearch.Failure smallest = search.shrink(worst, goal);
+        String text = FaultSearch.script(Files.readString(script), smallest);
+        System.out.printf(
+                "shrunk to %d of %d troubles, service %.4f  %s%n%s",
+                smallest.scenario().faults().size(),
+                worst.scenario().faults().size(),
+                smallest.serviceLevel(),
+                smallest.reason(),
+                keptScript == null ? text : "");
+        if (keptScript != null) {
+            Files.writeString(keptScript, text);
+        }
+    }
+}
--- a/cli/src/test/java/milletyoke/cli/ServeProcessTest.java
+++ b/cli/src/test/java/milletyoke/cli/ServeProcessTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -19,40 +20,46 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** {@code serve} as a process of the platform: its file, its signals, what it ends with. */
+/** Runs {@code serve} as a process: its configuration file, its signals and its exit code. */
 @Timeout(120)
 class ServeProcessTest {
     private static final String CONFIG =
             """
             {"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
              "limits":{"cores":1.0,"memory_mb":192,"sockets":256},
-             "known":{"rev":1,"all":true,"targets":[{"uid":"t","endpoint":"127.0.0.1:1","az":"a","model":"m","pod_group":0,
-               "state":"up","capacity_hint":1.0,"boot_ms":0}]},
-             "settings":{"balancers":1,"classes":[{"name":"c","effect":"pure","aim":400000,"deadline":1000000,"points":1}],
+             "known":{"rev":1,"all":true,"targets":[{"uid":"t","endpoint":"127.0.0.1:1","az":"a","model":"m",
+               "pod_group":0,"state":"up","capacity_hint":1.0,"boot_ms":0}]},
+             "settings":{"balancers":1,
+               "classes":[{"name":"c","effect":"pure","aim":400000,"deadline":1000000,"points":1}],
                "policies":[{"name":"p","weight":1}],"limits":{"maxAttempts":3}}}
             """;
 
     @TempDir Path folder;
 
-    private final List<Process> started = new ArrayList<>();
+    private final ChildProcesses processes = new ChildProcesses();
 
     private Process start(String config) throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), config);
-        ProcessBuilder command =
-                new ProcessBuilder(
-                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                        "-XX:+UseSerialGC",
-                        "-cp",
-                        System.getProperty("java.class.path"),
-                        "milletyoke.cli.Main",
-                        "serve");
-        command.environment().put("LB_CONFIG", file.toString());
-        Process process =
-                command.redirectErrorStream(true)
-                        .redirectOutput(folder.resolve("log").toFile())
-                        .start();
-        started.add(process);
-        return process;
+        return serve(new ProcessBuilder(ChildProcesses.commandLine("serve")), file);
+    }
+
+    /** Runs {@code serve} with all of its output in one log. */
+    private Process serve(ProcessBuilder command, Path config) throws IOException {
+        command.environment().put("LB_CONFIG", config.toString());
+        return processes.start(
+                command.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()));
+    }
+
+    /** Waits until the process listens. @return its port */
+    private int awaitPort(Process process) throws Exception {
+        Matcher line = waitFor(process, "takes accesses at 127.0.0.1:(\\d+)");
+        return Integer.parseInt(line.group(1));
+    }
+
+    private static void awaitReady(int port) throws Exception {
+        while (!ready(port).endsWith("200")) {
+            Thread.sleep(10);
+        }
     }
 
     private String log() throws IOException {
@@ -70,7 +77,7 @@
     }
 
     private static String ready(int port) throws IOException {
-        try (Socket socket = new Socket("127.0.0.1", port)) {
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.getOutputStream()
                     .write(
                             "GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -81,11 +88,11 @@
 
     @AfterEach
     void stopAll() {
-        started.forEach(Process::destroyForcibly);
+        processes.stopAll();
     }
 
     @Test
-    void aFileThatCannotBeUsedEndsItWithTwoAndOneLine() throws Exception {
+    void unusableConfigExitsWithTwoAndPrintsOneLine() throws Exception {
         Process process = start(CONFIG.replace("\"pure\"", "\"perhaps\""));
         assertTrue(process.waitFor(60, TimeUnit.SECONDS));
         assertEquals(2, process.exitValue());
@@ -94,13 +101,10 @@
     }
 
     @Test
-    void hupReadsTheFileAgainAndTermEndsIt() throws Exception {
+    void hangupReloadsTheConfigAndTerminationExitsCleanly() throws Exception {
         Process process = start(CONFIG);
-        int port =
-                Integer.parseInt(waitFor(process, "takes accesses at 127.0.0.1:(\\d+)").group(1));
-        while (!ready(port).endsWith("200")) {
-            Thread.sleep(10);
-        }
+        int port = awaitPort(process);
+        awaitReady(port);
         Files.writeString(
                 folder.resolve("config.json"),
                 CONFIG.replace("127.0.0.1:1\",\"seed", "127.0.0.1:2\",\"seed"));
@@ -116,83 +120,85 @@
     }
 
     /**
-     * The system itself allows no more descriptors than the file says, and idle clients take all
-     * that they are given: discovery is reached again, a target is dialled, and an access is
-     * served.
+     * The system allows no more descriptors than the configuration says, and idle clients use all
+     * that are granted to clients: discovery is reached again, a target is connected, and a request
+     * is served.
      */
     @Test
-    void idleClientsKeepNobodyFromDiscoveryOrTargets() throws Exception {
+    void idleClientsDoNotBlockDiscoveryOrTargets() throws Exception {
         List<Socket> idle = new ArrayList<>();
-        try (ScriptedHttpServer target =
-                        new ScriptedHttpServer(
-                                "target",
-                                (c, m) -> ScriptedHttpServer.answer(c, 200, "served".getBytes()));
-                ScriptedHttpServer discovery =
-                        new ScriptedHttpServer(
-                                "discovery",
-                                (c, m) -> {
-                                    if (!m.target().contains("from")) {
-                                        ScriptedHttpServer.answer(
-                                                c,
-                                                200,
-                                                ("{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"t\",\"endpoint\":\"127.0.0.1:"
-                                                                + target.port()
-                                                                + "\",\"pod_group\":0,\"state\":\"up\"}]}")
-                                                        .getBytes());
-                                    }
-                                })) {
+        try (ScriptedHttpServer target = startTarget();
+                ScriptedHttpServer discovery = startDiscovery(target.port())) {
             Path file =
                     Files.writeString(
                             folder.resolve("config.json"),
                             CONFIG.replace(
                                     "127.0.0.1:1\",\"seed",
                                     "127.0.0.1:" + discovery.port() + "\",\"seed"));
-            ProcessBuilder command =
-                    new ProcessBuilder(
-                            "/bin/sh",
-                            "-c",
-                            "ulimit -n 256; exec \"$0\" -XX:+UseSerialGC -cp \"$1\""
-                                    + " milletyoke.cli.Main serve",
-                            Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                            System.getProperty("java.class.path"));
-            command.environment().put("LB_CONFIG", file.toString());
-            Process process =
-                    command.redirectErrorStream(true)
-                            .redirectOutput(folder.resolve("log").toFile())
-                            .start();
-            started.add(process);
-            int port =
-                    Integer.parseInt(
-                            waitFor(process, "takes accesses at 127.0.0.1:(\\d+)").group(1));
-            while (!ready(port).endsWith("200")) {
-                Thread.sleep(10);
-            }
+            Process process = serve(withDescriptorLimit(256), file);
+            int port = awaitPort(process);
+            awaitReady(port);
             for (int i = 0; i < 600; i++) {
-                idle.add(new Socket("127.0.0.1", port));
+                idle.add(new Socket(InetAddress.getLoopbackAddress(), port));
             }
             int calls = discovery.requests().size();
-            discovery.open().forEach(c -> c.close("cut"));
+            discovery.open().forEach(connection -> connection.close("cut"));
             while (discovery.requests().size() < calls + 2) {
                 assertTrue(process.isAlive(), log());
                 Thread.sleep(5);
             }
-            try (Socket client = new Socket("127.0.0.1", port)) {
-                client.setSoTimeout(30_000);
-                client.getOutputStream()
-                        .write(
-                                ("GET /api HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\nX-Lane: c\r\nX-Plan: p\r\nCookie:"
-                                                + " key=7f3a9c21e0b4d655\r\nX-Remaining: 20.0\r\nX-IO: volume=00000003b4d60021,units=1,shard=0,hosts=1"
-                                                + "\r\n\r\n")
-                                        .getBytes(StandardCharsets.US_ASCII));
-                assertEquals(
-                        "HTTP/1.1 200",
-                        new String(
-                                client.getInputStream().readNBytes(12), StandardCharsets.US_ASCII));
-            }
+            assertEquals("HTTP/1.1 200", sendRequest(port));
         } finally {
-            for (Socket s : idle) {
-                s.close();
+            for (Socket socket : idle) {
+                socket.close();
             }
         }
     }
+
+    private static ScriptedHttpServer startTarget() throws IOException {
+        byte[] body = "served".getBytes(StandardCharsets.UTF_8);
+        return new ScriptedHttpServer(
+                "target",
+                (connection, request) -> ScriptedHttpServer.answer(connection, 200, body));
+    }
+
+    /** Discovery with one target; it leaves a watch, which names a revision, without an answer. */
+    private static ScriptedHttpServer startDiscovery(int targetPort) throws IOException {
+        String list =
+                "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"t\",\"endpoint\":\"127.0.0.1:"
+                        + targetPort
+                        + "\",\"pod_group\":0,\"state\":\"up\"}]}";
+        byte[] body = list.getBytes(StandardCharsets.UTF_8);
+        return new ScriptedHttpServer(
+                "discovery",
+                (connection, request) -> {
+                    if (!request.target().contains("from")) {
+                        ScriptedHttpServer.answer(connection, 200, body);
+                    }
+                });
+    }
+
+    private static ProcessBuilder withDescriptorLimit(int descriptors) {
+        return new ProcessBuilder(
+                "/bin/sh",
+                "-c",
+                "ulimit -n "
+                        + descriptors
+                        + "; exec \"$0\" -XX:+UseSerialGC -cp \"$1\" milletyoke.cli.Main serve",
+                ChildProcesses.JAVA,
+                System.getProperty("java.class.path"));
+    }
+
+    /** Sends one request and returns the start of the answer's status line. */
+    private static String sendRequest(int port) throws IOException {
+        String request =
+                "GET /api HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\nX-Lane: c\r\nX-Plan: p\r\n"
+                        + "Cookie: key=7f3a9c21e0b4d655\r\nX-Remaining: 20.0\r\n"
+                        + "X-IO: volume=00000003b4d60021,units=1,shard=0,hosts=1\r\n\r\n";
+        try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
+            client.setSoTimeout(30_000);
+            client.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
+            return new String(client.getInputStream().readNBytes(12), StandardCharsets.US_ASCII);
+        }
+    }
 }
--- a/scenario/src/main/java/milletyoke/scenario/CapturedLoad.java
+++ b/scenario/src/main/java/milletyoke/scenario/CapturedLoad.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -65,12 +66,16 @@
                                     + scenario.fleet().targets()
                                     + " targets, numbered from 0");
                 }
-                int[] through =
-                        new int[Math.max(1, Math.min(one.initiatorCount(), scenario.initiators()))];
+                // Only the number of initiators matters: each request names its own.
+                int initiatorCount =
+                        Math.max(1, Math.min(one.initiatorCount(), scenario.initiators()));
+                List<Integer> initiators = Collections.nCopies(initiatorCount, 0);
                 LoadProfile.Volume volume =
                         volumes.computeIfAbsent(
                                 one.volume(),
-                                v -> new LoadProfile.Volume(v, one.plan(), 0, new int[0], through));
+                                v ->
+                                        new LoadProfile.Volume(
+                                                v, one.plan(), 0, List.of(), initiators));
                 trace.add(
                         new LoadProfile.TracedRequest(
                                 (long) (one.atMicros() / scenario.load().replaySpeed()),
--- a/scenario/src/main/java/milletyoke/scenario/ConsoleViewers.java
+++ b/scenario/src/main/java/milletyoke/scenario/ConsoleViewers.java
@@ -111,6 +111,11 @@
 
     @Override
     public void close() {
+        stop();
+    }
+
+    /** Ends all viewers; does nothing if they have ended. */
+    public void stop() {
         isClosed = true;
         threads.shutdownNow();
         try {
--- a/scenario/src/main/java/milletyoke/scenario/ScenarioRunner.java
+++ b/scenario/src/main/java/milletyoke/scenario/ScenarioRunner.java
@@ -7,9 +7,11 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
+import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.Comparator;
+import java.util.Deque;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -48,6 +50,7 @@
 import milletyoke.standins.LoadGenerator;
 import milletyoke.standins.LoadProfile;
 import milletyoke.standins.ServiceLevelRecorder;
+import milletyoke.standins.ServiceLevelRecorder.PriorityWeights;
 import milletyoke.standins.Target;
 import milletyoke.standins.TargetBehavior;
 import milletyoke.wire.ExecutionEnvironment;
@@ -69,6 +72,11 @@
     /** The machine stood still where a short sleep took this much longer (microseconds). */
     private static final long STALL_CHECK_MICROS = 5_000, STALL_THRESHOLD_MICROS = 15_000;
 
+    private static final long SERVICE_SAMPLE_MICROS = 100_000;
+
+    /** How many samples make the last second. */
+    private static final int SERVICE_SAMPLES = 10;
+
     private final Scenario scenario;
     private final ExecutionEnvironment environment;
     private final Supplier<Scheduler> schedulerOverride;
@@ -181,10 +189,10 @@
                 new LoadGenerator(
                         demand(), straight, random.nextLong(), executor, observer("client"), world);
         for (int i = 0; i < initiators.length; i++) {
-            loadGenerator.addServer(initiators[i].name(), "127.0.0.1", ports[i]);
+            loadGenerator.addServer("127.0.0.1", ports[i]);
         }
         if (straight) {
-            targets.forEach(t -> loadGenerator.addServer(t.id(), "127.0.0.1", t.port()));
+            targets.forEach(t -> loadGenerator.addServer("127.0.0.1", t.port()));
         }
         if (!world.isVirtual()) {
             Thread naps = new Thread(this::detectMachineStalls, "naps");
@@ -423,7 +431,7 @@
                 trace);
     }
 
-    private static int[] some(SplittableRandom draw, int of, int most) {
+    private static List<Integer> some(SplittableRandom draw, int of, int most) {
         if (of > 64
                 && most < of / 8) { // for a hundred thousand volumes it would be much to shuffle
             // all for each
@@ -431,14 +439,14 @@
             while (few.size() < most) {
                 few.add(draw.nextInt(of));
             }
-            return few.stream().mapToInt(i -> i).toArray();
+            return List.copyOf(few);
         }
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < of; i++) {
             all.add(i);
         }
         Collections.shuffle(all, new Random(draw.nextLong()));
-        return all.subList(0, Math.min(of, most)).stream().mapToInt(i -> i).toArray();
+        return List.copyOf(all.subList(0, Math.min(of, most)));
     }
 
     private String rules() {
@@ -590,42 +598,51 @@
 
     private void arrange(Fault fault) {
         if (fault.belowServiceLevel() > 0) {
-            schedule(fault.atMicros(), () -> await(fault, loadGenerator.serviceLevels().sums()));
+            schedule(
+                    fault.atMicros(),
+                    () -> {
+                        Deque<PriorityWeights> samples = new ArrayDeque<>();
+                        samples.addLast(loadGenerator.serviceLevels().priorityWeights());
+                        awaitServiceBelow(fault, samples);
+                    });
             return;
         }
         schedule(
                 fault.atMicros(),
                 () -> {
-                    LOG.info(
-                            "{} strikes",
-                            fault.type().name().toLowerCase(Locale.ROOT).replace('_', ' '));
+                    LOG.info("fault injected type={}", fault.type());
                     strike(fault);
                 });
     }
 
-    /** Looks ten times a second whether service of the last second is under the trouble's part. */
-    private void await(Fault fault, double[]... seconds) {
+    /**
+     * Starts a fault once the service level of the last second is below the fault's bound.
+     *
+     * @param samples sums of the last second at most, oldest first
+     */
+    private void awaitServiceBelow(Fault fault, Deque<PriorityWeights> samples) {
         schedule(
-                100_000,
+                SERVICE_SAMPLE_MICROS,
                 () -> {
-                    double[] now = loadGenerator.serviceLevels().sums();
-                    double[][] kept =
-                            java.util.Arrays.copyOf(seconds, Math.min(10, seconds.length + 1));
-                    System.arraycopy(seconds, 0, kept, 1, kept.length - 1);
-                    kept[0] = now;
-                    double[] before = seconds[seconds.length - 1];
-                    double due = now[0] - before[0];
-                    if (seconds.length == 10
+                    PriorityWeights now = loadGenerator.serviceLevels().priorityWeights();
+                    PriorityWeights oldest = samples.getFirst();
+                    double due = now.due() - oldest.due();
+                    double serviceLevel = (now.inTime() - oldest.inTime()) / due;
+                    if (samples.size() == SERVICE_SAMPLES
                             && due > 0
-                            && (now[1] - before[1]) / due < fault.belowServiceLevel()) {
+                            && serviceLevel < fault.belowServiceLevel()) {
                         LOG.info(
-                                "{} strikes, service is {}",
-                                fault.type().name().toLowerCase(Locale.ROOT),
-                                (now[1] - before[1]) / due);
+                                "fault injected type={} serviceLevel={}",
+                                fault.type(),
+                                serviceLevel);
                         strike(fault);
-                    } else {
-                        await(fault, kept);
+                        return;
+                    }
+                    samples.addLast(now);
+                    if (samples.size() > SERVICE_SAMPLES) {
+                        samples.removeFirst();
                     }
+                    awaitServiceBelow(fault, samples);
                 });
     }
 
--- a/simulation/src/main/java/milletyoke/simulation/experiment/ResultRow.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/ResultRow.java
@@ -31,7 +31,29 @@
         long events,
         long wall) {
 
+    /** Identifies the run within its experiment. */
     public String key() {
         return arm + "|" + value + "|" + seed;
     }
+
+    /** The same row under another arm's name. */
+    public ResultRow withArm(String newArm) {
+        return new ResultRow(
+                newArm,
+                value,
+                seed,
+                service,
+                categories,
+                plans,
+                seconds,
+                p50,
+                p99,
+                evenness,
+                coldUsed,
+                asked,
+                unfinished,
+                digest,
+                events,
+                wall);
+    }
 }
--- a/simulation/src/test/java/milletyoke/simulation/SimulationTest.java
+++ b/simulation/src/test/java/milletyoke/simulation/SimulationTest.java
@@ -318,7 +318,7 @@
                     (category, n) ->
                             assertEquals(
                                     n.longValue(),
-                                    replayed.serviceLevels().requestClass(category).requests));
+                                    replayed.serviceLevels().requestClass(category).requests()));
             assertEquals(0, replayed.unfinished());
         }
         Scenario small =
--- a/standins/src/main/java/milletyoke/standins/DeduplicationCache.java
+++ b/standins/src/main/java/milletyoke/standins/DeduplicationCache.java
@@ -1,29 +1,38 @@
 package milletyoke.standins;
 
+import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /**
- * The marks that one group of targets knows: a stamped access whose mark was run within the window
- * is not run again.
+ * The idempotency keys that were executed within the deduplication window, for all targets of one
+ * deduplication scope. Thread-safe.
  */
 public final class DeduplicationCache {
     private final long windowMicros;
+
+    /** By key, oldest first. */
     private final Map<String, Long> executedAtMicros = new LinkedHashMap<>();
 
     /**
-     * @param windowMicros microseconds for which a mark is known
+     * Creates an empty cache.
+     *
+     * @param windowMicros how long a key is remembered (microseconds)
      */
-    public DeduplicationCache(long window) {
-        this.windowMicros = window;
+    public DeduplicationCache(long windowMicros) {
+        this.windowMicros = windowMicros;
     }
 
-    /** Whether this is the mark's first run within the window; it is known from now on. */
-    public synchronized boolean recordExecution(String mark, long now) {
-        var oldest = executedAtMicros.entrySet().iterator();
-        while (oldest.hasNext() && oldest.next().getValue() < now - windowMicros) {
-            oldest.remove();
+    /**
+     * Remembers that a key is executed now.
+     *
+     * @return whether this is its first execution within the window
+     */
+    public synchronized boolean recordExecution(String key, long nowMicros) {
+        Iterator<Map.Entry<String, Long>> oldestFirst = executedAtMicros.entrySet().iterator();
+        while (oldestFirst.hasNext() && oldestFirst.next().getValue() < nowMicros - windowMicros) {
+            oldestFirst.remove();
         }
-        return executedAtMicros.putIfAbsent(mark, now) == null;
+        return executedAtMicros.putIfAbsent(key, nowMicros) == null;
     }
 }
--- a/standins/src/main/java/milletyoke/standins/Discovery.java
+++ b/standins/src/main/java/milletyoke/standins/Discovery.java
@@ -8,7 +8,6 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.ScheduledExecutorService;
-import java.util.concurrent.TimeUnit;
 import milletyoke.wire.ExecutionEnvironment;
 import milletyoke.wire.FrameLimits;
 import milletyoke.wire.FrameObserver;
@@ -24,94 +23,104 @@
 import milletyoke.wire.proto.Scope;
 
 /**
- * Tells initiators which targets there are. What happens is known here late, by a lag drawn for
- * each change, and changes keep their order. A follower gets the whole list and then every change.
+ * A stand-in for discovery: it sends the endpoint list to everyone who watches it, and then every
+ * update. Updates may be late, by a lag drawn for each, and keep their order. Thread-safe.
  */
 public final class Discovery implements PeerListener {
+    private static final String HOST = "127.0.0.1";
+    private static final FrameLimits FRAME_LIMITS =
+            new FrameLimits(16 << 20, 64 << 20, 5_000_000, 0);
+
     private final ExecutionEnvironment environment;
     private final Network network;
     private final Network.Listener listener;
-    private final ScheduledExecutorService executor;
+    private final DelayedTasks tasks;
     private final SplittableRandom random;
     private final Map<String, milletyoke.wire.proto.Target> entries = new LinkedHashMap<>();
     private final Set<PeerConnection> watchers = new LinkedHashSet<>();
     private long revision = 1;
-    private long minLagMicros, maxLagMicros;
+    private long minLagMicros;
+    private long maxLagMicros;
     private long lastUpdateAtMicros;
     private boolean isUnavailable;
     private Set<String> hiddenIds = Set.of();
 
     /**
-     * @param port 0 takes a free one
+     * Starts discovery on a socket and the real clock.
+     *
+     * @param port 0 picks a free one
+     * @param seed of the lags
+     * @throws IOException if it cannot listen there
      */
-    public Discovery(int port, long seed, ScheduledExecutorService clockwork, FrameObserver tap)
+    public Discovery(int port, long seed, ScheduledExecutorService executor, FrameObserver observer)
             throws IOException {
-        this(port, seed, clockwork, tap, new SocketEnvironment());
+        this(port, seed, executor, observer, new SocketEnvironment());
     }
 
+    /**
+     * Starts discovery in an environment.
+     *
+     * @param port 0 picks a free one
+     * @param seed of the lags
+     * @throws IOException if it cannot listen there
+     */
     public Discovery(
             int port,
             long seed,
-            ScheduledExecutorService clockwork,
-            FrameObserver tap,
-            ExecutionEnvironment world)
+            ScheduledExecutorService executor,
+            FrameObserver observer,
+            ExecutionEnvironment environment)
             throws IOException {
-        this.environment = world;
-        this.executor = clockwork;
+        this.environment = environment;
+        tasks = new DelayedTasks(executor);
         random = new SplittableRandom(seed);
-        network = world.openNetwork("discovery", 1, tap);
-        listener =
-                network.listen(
-                        "127.0.0.1",
-                        port,
-                        Role.DISCOVERY,
-                        this,
-                        new FrameLimits(16 << 20, 64 << 20, 5_000_000, 0));
+        network = environment.openNetwork("discovery", 1, observer);
+        listener = network.listen(HOST, port, Role.DISCOVERY, this, FRAME_LIMITS);
     }
 
+    /** The port it listens at. */
     public int port() {
         return listener.port();
     }
 
-    /** The clock on which starts are told (microseconds). */
+    /** The clock of the start times in the endpoint list (microseconds). */
     public long wallClockMicros() {
         return environment.wallClockMicros();
     }
 
+    /** The entry of a target, which started at a time of {@link #wallClockMicros}. */
     public static milletyoke.wire.proto.Target entry(
-            Target target, String zone, Health health, long launched) {
+            Target target, String zone, Health health, long startedAtMicros) {
         return milletyoke.wire.proto.Target.newBuilder()
                 .setId(target.id())
                 .setShard(target.shard())
                 .setZone(zone)
                 .setHealth(health)
-                .setStartedAtMicros(launched)
-                .setHost("127.0.0.1")
+                .setStartedAtMicros(startedAtMicros)
+                .setHost(HOST)
                 .setPort(target.port())
                 .build();
     }
 
-    /** How late changes are told from now on (microseconds). */
-    public synchronized void setUpdateLag(long least, long most) {
-        minLagMicros = least;
-        maxLagMicros = most;
+    /** Sets how late updates are from now on (microseconds). */
+    public synchronized void setUpdateLag(long minMicros, long maxMicros) {
+        minLagMicros = minMicros;
+        maxLagMicros = maxMicros;
     }
 
-    /** A change that is so from now on; it is told after the lag. */
+    /** Publishes an update after the lag, and not before an earlier one. */
     public synchronized void scheduleUpdate(milletyoke.wire.proto.Target entry) {
         long now = environment.monotonicMicros();
-        lastUpdateAtMicros =
-                Math.max(
-                        lastUpdateAtMicros,
-                        now
-                                + minLagMicros
-                                + (maxLagMicros > minLagMicros
-                                        ? random.nextLong(maxLagMicros - minLagMicros)
-                                        : 0));
-        executor.schedule(() -> update(entry), lastUpdateAtMicros - now, TimeUnit.MICROSECONDS);
-    }
-
-    /** What is known from the outset. */
+        lastUpdateAtMicros = Math.max(lastUpdateAtMicros, now + drawLagMicros());
+        tasks.schedule(() -> update(entry), lastUpdateAtMicros - now);
+    }
+
+    private long drawLagMicros() {
+        long drawn = maxLagMicros > minLagMicros ? random.nextLong(maxLagMicros - minLagMicros) : 0;
+        return minLagMicros + drawn;
+    }
+
+    /** Publishes an update at once; an entry whose health is REMOVED is deleted. */
     public synchronized void update(milletyoke.wire.proto.Target entry) {
         revision++;
         if (entry.getHealth() == Health.REMOVED) {
@@ -124,21 +133,27 @@
         }
     }
 
-    /** Leaves some targets out of the list, as if they were gone, until all are shown again. */
-    public synchronized void hide(Set<String> targets) {
-        hiddenIds = Set.copyOf(targets);
+    /**
+     * Leaves some targets out of the list, as if they were removed.
+     *
+     * @param targetIds an empty set shows all again
+     */
+    public synchronized void hide(Set<String> targetIds) {
+        hiddenIds = Set.copyOf(targetIds);
         revision++;
         broadcast(Scope.REPLACE, visibleEntries());
     }
 
     private List<milletyoke.wire.proto.Target> visibleEntries() {
-        return entries.values().stream().filter(t -> !hiddenIds.contains(t.getId())).toList();
+        return entries.values().stream()
+                .filter(entry -> !hiddenIds.contains(entry.getId()))
+                .toList();
     }
 
-    /** Drops every subscription and serves none until it is available again. */
-    public synchronized void setUnavailable(boolean on) {
-        isUnavailable = on;
-        if (on) {
+    /** Ends every watch and serves none until it is available again. */
+    public synchronized void setUnavailable(boolean isUnavailable) {
+        this.isUnavailable = isUnavailable;
+        if (isUnavailable) {
             broadcast(Scope.UNAVAILABLE, List.of());
             watchers.clear();
         }
@@ -146,7 +161,7 @@
 
     private void broadcast(Scope scope, List<milletyoke.wire.proto.Target> targets) {
         Frame frame = endpointListFrame(scope, targets);
-        List.copyOf(watchers).forEach(f -> f.send(frame));
+        List.copyOf(watchers).forEach(watcher -> watcher.send(frame));
     }
 
     private Frame endpointListFrame(Scope scope, List<milletyoke.wire.proto.Target> targets) {
@@ -161,30 +176,31 @@
     }
 
     @Override
-    public void onReady(PeerConnection peer) {
-        // it asks when it wants the list
+    public void onReady(PeerConnection connection) {
+        // The peer sends a watch when it wants the list.
     }
 
     @Override
-    public synchronized void onFrame(PeerConnection peer, Frame frame)
+    public synchronized void onFrame(PeerConnection connection, Frame frame)
             throws MalformedFrameException {
         if (frame.getBodyCase() != Frame.BodyCase.WATCH) {
             throw new MalformedFrameException(
                     "discovery is asked to be followed, not " + frame.getBodyCase());
         }
         if (isUnavailable) {
-            peer.send(endpointListFrame(Scope.UNAVAILABLE, List.of()));
+            connection.send(endpointListFrame(Scope.UNAVAILABLE, List.of()));
         } else {
-            watchers.add(peer);
-            peer.send(endpointListFrame(Scope.REPLACE, visibleEntries()));
+            watchers.add(connection);
+            connection.send(endpointListFrame(Scope.REPLACE, visibleEntries()));
         }
     }
 
     @Override
-    public synchronized void onClosed(PeerConnection peer, String why) {
-        watchers.remove(peer);
+    public synchronized void onClosed(PeerConnection connection, String reason) {
+        watchers.remove(connection);
     }
 
+    /** Closes its connections and its port. */
     public void stop() {
         network.close();
     }
--- a/standins/src/main/java/milletyoke/standins/ExecutionListener.java
+++ b/standins/src/main/java/milletyoke/standins/ExecutionListener.java
@@ -2,10 +2,17 @@
 
 import milletyoke.wire.proto.Note;
 
-/** Hears what a stand-in does on no connection. */
+/** Hears of events of a stand-in that no frame shows. Called on any thread, under its locks. */
 @FunctionalInterface
 public interface ExecutionListener {
-    ExecutionListener NONE = (who, kind, text, figure) -> {};
+    /** Ignores every event. */
+    ExecutionListener NONE = (name, kind, text, value) -> {};
 
-    void note(String who, Note.Kind kind, String text, double figure);
+    /**
+     * Something happened.
+     *
+     * @param name of the stand-in
+     * @param text and {@code value}: details, by kind
+     */
+    void note(String name, Note.Kind kind, String text, double value);
 }
--- a/standins/src/main/java/milletyoke/standins/LoadProfile.java
+++ b/standins/src/main/java/milletyoke/standins/LoadProfile.java
@@ -3,19 +3,20 @@
 import java.util.List;
 
 /**
- * What clients ask for. Times are microseconds.
+ * What clients send: how many requests, of which classes, to which volumes. Immutable.
  *
- * @param requestsPerSecond accesses a second in total
- * @param retries further tries of one client for one access
- * @param retryDelayMicros before a further try, where the answer advised nothing
- * @param shortDeadlineFraction this part of accesses comes with little time
- * @param minShortDeadlineMicros of those, and {@code maxShortDeadlineMicros}
- * @param cancelFraction this part of accesses is left by its client after a part of its time
- * @param closedLoopClients 0, or this many programs that each ask again once they have their
- *     answer, in place of the rate
- * @param thinkTimeMicros what a program does between an answer and its next access
- * @param trace captured accesses, in place of the rate; empty for none
- * @param responseSlackMicros beyond the time it tells, a client waits this long
+ * @param requestsPerSecond in total
+ * @param retries most retries of one request
+ * @param retryDelayMicros before a retry for which the answer gave no advice
+ * @param shortDeadlineFraction the fraction of requests that have a short deadline
+ * @param minShortDeadlineMicros the least of the short deadlines, which are drawn evenly
+ * @param maxShortDeadlineMicros the greatest of the short deadlines
+ * @param cancelFraction the fraction of requests that are cancelled after a part of their time
+ * @param responseSlackMicros how long a client waits beyond the deadline that it sends
+ * @param closedLoopClients 0, or so many clients that each send the next request after an answer,
+ *     in place of the rate
+ * @param thinkTimeMicros between an answer to such a client and its next request
+ * @param trace captured requests, in place of the rate; empty for none
  */
 public record LoadProfile(
         double requestsPerSecond,
@@ -33,10 +34,12 @@
         List<TracedRequest> trace) {
 
     /**
-     * One captured access.
+     * One captured request.
      *
-     * @param offsetMicros since the start (microseconds)
+     * @param offsetMicros since the start
+     * @param initiator the index of the initiator that it is sent to
      * @param shard -1 for a new object
+     * @param timeLeftMicros until its deadline
      */
     public record TracedRequest(
             long offsetMicros,
@@ -48,14 +51,25 @@
             double units,
             long timeLeftMicros) {}
 
-    /** How often one access may run, as the client knows it. */
+    /** How often one request may be executed, as the client knows it. */
     public enum Idempotency {
+        /** Any number of times. */
         IDEMPOTENT,
+        /** Executions after the first are dropped by the request's idempotency key. */
         IDEMPOTENCY_KEY,
+        /** Once at most. */
         NON_IDEMPOTENT
     }
 
-    /** One category of accesses. */
+    /**
+     * One class of requests.
+     *
+     * @param share of all requests
+     * @param isDeduplicatedFleetWide whether every target knows the idempotency keys of all
+     * @param deadlineMicros how long a client waits
+     * @param priorityWeight of a request in the service level
+     * @param isNewObject whether the initiator places the request on a shard of its choice
+     */
     public record RequestClass(
             String name,
             double share,
@@ -73,10 +87,15 @@
     /**
      * One volume.
      *
-     * @param demandFraction of the demand
+     * @param plan the name of its service plan
+     * @param demandFraction of all requests
      * @param shards that hold its data
-     * @param initiators through which its accesses come, the leading one first; numbers from 0
+     * @param initiators the indexes of those that its requests go through, the leading one first
      */
     public record Volume(
-            String name, String plan, double demandFraction, int[] shards, int[] initiators) {}
+            String name,
+            String plan,
+            double demandFraction,
+            List<Integer> shards,
+            List<Integer> initiators) {}
 }
--- a/standins/src/main/java/milletyoke/standins/ServiceLevelRecorder.java
+++ b/standins/src/main/java/milletyoke/standins/ServiceLevelRecorder.java
@@ -5,177 +5,266 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What clients got, by category. A time counts from when the access was due to leave, not from when
- * it left, so that a standstill of the sender hides nothing; further tries count towards the first.
+ * Counts what clients got, by request class, volume and service plan. A latency counts from when
+ * the request was due, not from when it was sent, so that a stall of the sender hides nothing;
+ * retries count towards their request. Thread-safe.
  */
 public final class ServiceLevelRecorder {
-    /** One category's figures. */
+    private static final long MAX_LATENCY_MICROS = 3_600_000_000L;
+    private static final int HISTOGRAM_DIGITS = 3;
+    private static final double MICROS_PER_MILLI = 1e3;
+
+    /** The figures of one request class. */
     public static final class ClassStatistics {
-        public long requests, answered, inTime, rejected, failed, unanswered, unreachable;
-        public final Histogram latencies = new Histogram(3_600_000_000L, 3);
+        private final Histogram latencies = newHistogram();
         private final double priorityWeight;
+        private long requests;
+        private long answered;
+        private long inTime;
+        private long rejected;
+        private long failed;
+        private long unanswered;
+        private long unreachable;
 
-        ClassStatistics(double importance) {
-            this.priorityWeight = importance;
+        ClassStatistics(double priorityWeight) {
+            this.priorityWeight = priorityWeight;
         }
 
+        /** The fraction of requests that were answered within the latency objective. */
         public double serviceLevel() {
             return requests == 0 ? 1 : inTime / (double) requests;
         }
 
+        /** Requests that were due. */
+        public long requests() {
+            return requests;
+        }
+
+        /** Requests that were answered. */
+        public long answered() {
+            return answered;
+        }
+
+        /** Requests that were answered within the latency objective. */
+        public long inTime() {
+            return inTime;
+        }
+
+        /** Requests whose last attempt was rejected. */
+        public long rejected() {
+            return rejected;
+        }
+
+        /** Requests that failed; their outcome is unknown. */
+        public long failed() {
+            return failed;
+        }
+
+        /** Requests whose client stopped waiting. */
+        public long unanswered() {
+            return unanswered;
+        }
+
+        /** Attempts that found no open connection. */
+        public long unreachable() {
+            return unreachable;
+        }
+
+        /** Latencies of answered requests (microseconds); live. */
+        public Histogram latencies() {
+            return latencies;
+        }
+
         private String text() {
             return String.format(
                     "%9d asked  %5.1f%% in time  %5.1f%% answered  %5.1f%% rejected  %5.2f%% broken off"
                             + "  %d unanswered  p50 %.1f  p99 %.1f  p99.9 %.1f ms",
                     requests,
                     100 * serviceLevel(),
-                    part(answered),
-                    part(rejected),
-                    part(failed),
+                    percent(answered),
+                    percent(rejected),
+                    percent(failed),
                     unanswered,
-                    latencies.getValueAtPercentile(50) / 1e3,
-                    latencies.getValueAtPercentile(99) / 1e3,
-                    latencies.getValueAtPercentile(99.9) / 1e3);
+                    latencyMillis(50),
+                    latencyMillis(99),
+                    latencyMillis(99.9));
         }
 
-        private double part(long count) {
+        private double percent(long count) {
             return 100.0 * count / Math.max(1, requests);
         }
-    }
 
-    private final Map<String, ClassStatistics> requestClasses = new LinkedHashMap<>();
+        private double latencyMillis(double percentile) {
+            return latencies.getValueAtPercentile(percentile) / MICROS_PER_MILLI;
+        }
+    }
 
-    /** By plan: asked and answered in time. */
-    private final Map<String, long[]> plans = new LinkedHashMap<>();
+    /** The requests of one volume or plan. */
+    private static final class RequestCount {
+        private long requests;
+        private long inTime;
+    }
 
+    private final Map<String, ClassStatistics> requestClasses = new LinkedHashMap<>();
+    private final Map<String, RequestCount> plans = new LinkedHashMap<>();
     private final Map<String, String> planByVolume = new LinkedHashMap<>();
 
-    /** By volume, in the order of the demand: asked and answered in time. */
-    private final Map<String, long[]> volumes = new LinkedHashMap<>();
+    /** By volume, in the order of the profile. */
+    private final Map<String, RequestCount> volumes = new LinkedHashMap<>();
 
     ServiceLevelRecorder(LoadProfile profile) {
-        profile.requestClasses()
-                .forEach(
-                        k -> requestClasses.put(k.name(), new ClassStatistics(k.priorityWeight())));
-        profile.volumes()
-                .forEach(
-                        v -> {
-                            volumes.put(v.name(), new long[2]);
-                            plans.putIfAbsent(v.plan(), new long[2]);
-                            planByVolume.put(v.name(), v.plan());
-                        });
+        for (LoadProfile.RequestClass requestClass : profile.requestClasses()) {
+            requestClasses.put(
+                    requestClass.name(), new ClassStatistics(requestClass.priorityWeight()));
+        }
+        for (LoadProfile.Volume volume : profile.volumes()) {
+            volumes.put(volume.name(), new RequestCount());
+            plans.putIfAbsent(volume.plan(), new RequestCount());
+            planByVolume.put(volume.name(), volume.plan());
+        }
+    }
+
+    private static Histogram newHistogram() {
+        return new Histogram(MAX_LATENCY_MICROS, HISTOGRAM_DIGITS);
     }
 
-    synchronized void recordRequest(String kind, String volume) {
-        requestClasses.get(kind).requests++;
-        volumes.get(volume)[0]++;
-        plans.get(planByVolume.get(volume))[0]++;
+    synchronized void recordRequest(String requestClass, String volume) {
+        requestClasses.get(requestClass).requests++;
+        volumes.get(volume).requests++;
+        planOf(volume).requests++;
+    }
+
+    private RequestCount planOf(String volume) {
+        return plans.get(planByVolume.get(volume));
     }
 
     /**
-     * @param micros since the first try was due
+     * @param latencyMicros since the request was due
      */
-    synchronized void recordAnswer(String kind, String volume, long micros, boolean inTime) {
-        volumes.get(volume)[1] += inTime ? 1 : 0;
-        plans.get(planByVolume.get(volume))[1] += inTime ? 1 : 0;
-        ClassStatistics line = requestClasses.get(kind);
-        line.answered++;
-        line.inTime += inTime ? 1 : 0;
-        line.latencies.recordValue(Math.min(3_600_000_000L, Math.max(0, micros)));
+    synchronized void recordAnswer(
+            String requestClass, String volume, long latencyMicros, boolean isInTime) {
+        ClassStatistics statistics = requestClasses.get(requestClass);
+        statistics.answered++;
+        if (isInTime) {
+            statistics.inTime++;
+            volumes.get(volume).inTime++;
+            planOf(volume).inTime++;
+        }
+        statistics.latencies.recordValue(Math.min(MAX_LATENCY_MICROS, Math.max(0, latencyMicros)));
     }
 
-    synchronized void recordRejection(String kind) {
-        requestClasses.get(kind).rejected++;
+    synchronized void recordRejection(String requestClass) {
+        requestClasses.get(requestClass).rejected++;
     }
 
-    synchronized void recordFailure(String kind) {
-        requestClasses.get(kind).failed++;
+    synchronized void recordFailure(String requestClass) {
+        requestClasses.get(requestClass).failed++;
     }
 
-    synchronized void recordUnanswered(String kind) {
-        requestClasses.get(kind).unanswered++;
+    synchronized void recordUnanswered(String requestClass) {
+        requestClasses.get(requestClass).unanswered++;
     }
 
-    synchronized void recordUnreachable(String kind) {
-        requestClasses.get(kind).unreachable++;
+    synchronized void recordUnreachable(String requestClass) {
+        requestClasses.get(requestClass).unreachable++;
     }
 
-    public synchronized ClassStatistics requestClass(String kind) {
-        return requestClasses.get(kind);
+    /** The live figures of a request class; null for an unknown one. */
+    public synchronized ClassStatistics requestClass(String requestClass) {
+        return requestClasses.get(requestClass);
     }
 
-    /** Importance answered in its agreed time over the importance asked for. */
+    /** The live figures of every request class, in the order of the profile. */
+    public synchronized Map<String, ClassStatistics> requestClasses() {
+        return new LinkedHashMap<>(requestClasses);
+    }
+
+    /**
+     * The priority weight answered within its objective over the weight that was due; 1 if none.
+     */
     public synchronized double overallServiceLevel() {
-        double[] sums = sums();
-        return sums[0] == 0 ? 1 : sums[1] / sums[0];
+        PriorityWeights sums = priorityWeights();
+        return sums.due() == 0 ? 1 : sums.inTime() / sums.due();
     }
 
     /**
-     * How even service is between volumes that asked: the index of Jain, Chiu and Hawe (DEC-TR-301,
-     * 1984) over the part of each one's accesses that were answered in time. 1 where all are served
-     * alike, 1/n where one of n has it all.
+     * How even service is between volumes that sent requests: the index of Jain, Chiu and Hawe
+     * (DEC-TR-301, 1984) over each one's fraction of requests answered in time. 1 if all are served
+     * alike, 1/n if one of n gets everything.
      */
     public synchronized double fairnessIndex() {
-        double sum = 0, squares = 0;
+        double sum = 0;
+        double squares = 0;
         int count = 0;
-        for (long[] v : volumes.values()) {
-            if (v[0] > 0) {
-                double part = v[1] / (double) v[0];
-                sum += part;
-                squares += part * part;
+        for (RequestCount volume : volumes.values()) {
+            if (volume.requests > 0) {
+                double fraction = volume.inTime / (double) volume.requests;
+                sum += fraction;
+                squares += fraction * fraction;
                 count++;
             }
         }
         return squares == 0 ? 1 : sum * sum / (count * squares);
     }
 
-    /** Accesses answered in their agreed time, by plan. */
+    /** Requests answered within their latency objective, by service plan. */
     public synchronized Map<String, Long> inTimeByPlan() {
-        Map<String, Long> all = new LinkedHashMap<>();
-        plans.forEach((plan, counts) -> all.put(plan, counts[1]));
-        return all;
+        Map<String, Long> inTime = new LinkedHashMap<>();
+        plans.forEach((plan, count) -> inTime.put(plan, count.inTime));
+        return inTime;
     }
 
-    public synchronized Map<String, ClassStatistics> requestClasses() {
-        return new LinkedHashMap<>(requestClasses);
-    }
+    /**
+     * Sums of priority weights so far.
+     *
+     * @param due of all requests
+     * @param inTime of those that were answered within their latency objective
+     */
+    public record PriorityWeights(double due, double inTime) {}
 
-    /** Importance asked for and importance answered in its agreed time, so far. */
-    public synchronized double[] sums() {
-        double[] sums = new double[2];
-        for (ClassStatistics line : requestClasses.values()) {
-            sums[0] += line.priorityWeight * line.requests;
-            sums[1] += line.priorityWeight * line.inTime;
+    /** The sums of priority weights so far. */
+    public synchronized PriorityWeights priorityWeights() {
+        double due = 0;
+        double inTime = 0;
+        for (ClassStatistics statistics : requestClasses.values()) {
+            due += statistics.priorityWeight * statistics.requests;
+            inTime += statistics.priorityWeight * statistics.inTime;
         }
-        return sums;
+        return new PriorityWeights(due, inTime);
     }
 
+    /** Requests that were due so far. */
     public synchronized long totalRequests() {
-        return requestClasses.values().stream().mapToLong(l -> l.requests).sum();
+        return requestClasses.values().stream().mapToLong(ClassStatistics::requests).sum();
     }
 
+    /** A copy of the latencies of all classes together (microseconds). */
     public synchronized Histogram latencies() {
-        Histogram all = new Histogram(3_600_000_000L, 3);
-        requestClasses.values().forEach(l -> all.add(l.latencies));
+        Histogram all = newHistogram();
+        requestClasses.values().forEach(statistics -> all.add(statistics.latencies));
         return all;
     }
 
+    /** A report of several lines: each class, and the overall service level. */
     public synchronized String text() {
         StringBuilder text = new StringBuilder();
         requestClasses.forEach(
-                (name, line) -> text.append(String.format("  %-16s %s%n", name, line.text())));
+                (name, statistics) ->
+                        text.append(String.format("  %-16s %s%n", name, statistics.text())));
         return text.append(String.format("  service %.3f%n", overallServiceLevel())).toString();
     }
 
-    /** One short line for a live view. */
+    /** One short line for a live display. */
     public synchronized String summary() {
         StringBuilder text = new StringBuilder();
         requestClasses.forEach(
-                (name, line) ->
+                (name, statistics) ->
                         text.append(
                                 String.format(
                                         "  %s %d asked, %.1f%% in time",
-                                        name, line.requests, 100 * line.serviceLevel())));
+                                        name,
+                                        statistics.requests,
+                                        100 * statistics.serviceLevel())));
         return text.toString().trim();
     }
 }
--- a/standins/src/main/java/milletyoke/standins/Target.java
+++ b/standins/src/main/java/milletyoke/standins/Target.java
@@ -1,15 +1,11 @@
 package milletyoke.standins;
 
-import com.google.protobuf.ByteString;
 import java.io.IOException;
-import java.util.ArrayDeque;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.ScheduledExecutorService;
-import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 import milletyoke.wire.ExecutionEnvironment;
 import milletyoke.wire.FrameLimits;
@@ -20,304 +16,290 @@
 import milletyoke.wire.PeerListener;
 import milletyoke.wire.SocketEnvironment;
 import milletyoke.wire.proto.Attempt;
-import milletyoke.wire.proto.AttemptReply;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Load;
 import milletyoke.wire.proto.Note;
 import milletyoke.wire.proto.Outcome;
-import milletyoke.wire.proto.ProbeReply;
 import milletyoke.wire.proto.Role;
 
 /**
- * A storage node of our own writing: serves relays with cores, a waiting room and faults to order.
- * It keeps no data; work is time. One lock guards its state, and no call to a socket is made under
- * it.
+ * A stand-in for a storage node: it serves attempts with a number of cores and a bounded queue, and
+ * shows faults on request. It stores nothing; its work is time. Frames arrive on the network's
+ * threads, work ends on the executor's; one lock, the target itself, guards its state, and nothing
+ * is sent while it is held.
  */
 public final class Target implements PeerListener {
+    private static final String HOST = "127.0.0.1";
+    private static final FrameLimits FRAME_LIMITS =
+            new FrameLimits(4 << 20, 16 << 20, 5_000_000, 0);
+
     private final String id;
     private final int shard;
     private final TargetBehavior behavior;
-    private final ScheduledExecutorService executor;
-    private final Function<String, DeduplicationCache> deduplicationCacheOf;
+    private final DelayedTasks tasks;
     private final FrameObserver observer;
     private final ExecutionListener executionListener;
     private final SplittableRandom random;
-
     private final ExecutionEnvironment environment;
+    private final TargetFaults faults = new TargetFaults();
+
+    private final AttemptProcessor processor;
+    private final Set<PeerConnection> connections = new LinkedHashSet<>();
     private Network network;
-    private Network.Listener networkListener;
     private int port;
-    private int incarnation;
-    private boolean up;
-    private long startedAt;
-    private boolean isWarmingUp;
-
-    private final ArrayDeque<Job> queue = new ArrayDeque<>();
-    private final Set<Job> running = new LinkedHashSet<>();
-    private final ArrayDeque<String> recentExtents = new ArrayDeque<>();
-    private final ArrayDeque<long[]> warmUpArrivals = new ArrayDeque<>();
-    private final Set<PeerConnection> peers = new LinkedHashSet<>();
-    private double warmUpUnits;
-    private double completedUnits;
-    private double warmUpBudgetUsed;
-    private double deferredWorkMicros;
-    private long stalledUntilMicros;
-
-    private volatile boolean hangs;
-    private volatile boolean fallen;
-    private volatile boolean refuses;
-    private volatile double slowdownFactor = 1;
-    private volatile double errorFraction;
-    private volatile double droppedReplyFraction;
-    private volatile long pauseEvery, pauseLeast, pauseMost;
-
-    private record Job(PeerConnection peer, Attempt relay, long came, int life) {}
+    private long pausePeriodMicros;
+    private long minPauseMicros;
+    private long maxPauseMicros;
 
     /**
-     * @param deduplicationCacheOf the marks its group knows, by category; null for a category whose
-     *     repeats are not dropped
+     * Creates a target on sockets and the real clock; it is not started.
+     *
+     * @param deduplicationCacheOf the idempotency keys known to the target's deduplication scope,
+     *     by request class; null for a class that is not deduplicated
      */
     public Target(
             String id,
             int shard,
             TargetBehavior behavior,
             long seed,
-            ScheduledExecutorService clockwork,
-            Function<String, DeduplicationCache> marksOf,
-            FrameObserver tap,
-            ExecutionListener witness) {
-        this(id, shard, behavior, seed, clockwork, marksOf, tap, witness, new SocketEnvironment());
+            ScheduledExecutorService executor,
+            Function<String, DeduplicationCache> deduplicationCacheOf,
+            FrameObserver observer,
+            ExecutionListener executionListener) {
+        this(
+                id,
+                shard,
+                behavior,
+                seed,
+                executor,
+                deduplicationCacheOf,
+                observer,
+                executionListener,
+                new SocketEnvironment());
     }
 
-    /**
-     * @param environment that it lives in
-     */
+    /** As the other constructor, in an environment. */
     public Target(
             String id,
             int shard,
             TargetBehavior behavior,
             long seed,
-            ScheduledExecutorService clockwork,
-            Function<String, DeduplicationCache> marksOf,
-            FrameObserver tap,
-            ExecutionListener witness,
-            ExecutionEnvironment world) {
-        this.environment = world;
+            ScheduledExecutorService executor,
+            Function<String, DeduplicationCache> deduplicationCacheOf,
+            FrameObserver observer,
+            ExecutionListener executionListener,
+            ExecutionEnvironment environment) {
+        this.environment = environment;
         this.id = id;
         this.shard = shard;
         this.behavior = behavior;
-        this.executor = clockwork;
-        this.deduplicationCacheOf = marksOf;
-        this.observer = tap;
-        this.executionListener = witness;
+        this.observer = observer;
+        this.executionListener = executionListener;
+        tasks = new DelayedTasks(executor);
         random = new SplittableRandom(seed);
-    }
-
+        processor =
+                new AttemptProcessor(
+                        this,
+                        id,
+                        shard,
+                        behavior,
+                        faults,
+                        random,
+                        environment,
+                        tasks,
+                        deduplicationCacheOf,
+                        executionListener);
+    }
+
+    /** Its name in the endpoint list. */
     public String id() {
         return id;
     }
 
+    /** The shard that it holds. */
     public int shard() {
         return shard;
     }
 
+    /** What it is like. */
     public TargetBehavior behavior() {
         return behavior;
     }
 
+    /** The port it listens at, or did before it was killed; 0 before its first start. */
     public synchronized int port() {
         return port;
     }
 
+    /** Whether it is started and not killed since. */
     public synchronized boolean isUp() {
-        return up;
+        return processor.isUp();
     }
 
-    // ---- Its life ----
-
-    /** Starts it warm at a port; 0 takes a free one. */
-    public synchronized void startAt(int at) throws IOException {
-        port = at;
+    /**
+     * Starts it warm.
+     *
+     * @param listenPort 0 picks a free one
+     * @throws IOException if it cannot listen there
+     */
+    public synchronized void startAt(int listenPort) throws IOException {
+        port = listenPort;
         start(false);
     }
 
     /**
-     * Starts it, on the port it had before if it had one. @param fromCold whether it must warm up
+     * Starts it on the port that it had before, if it had one.
+     *
+     * @param isCold whether it must warm up
+     * @throws IOException if it cannot listen there
      */
-    public synchronized void start(boolean fromCold) throws IOException {
+    public synchronized void start(boolean isCold) throws IOException {
         network = environment.openNetwork(id, 1, observer);
-        networkListener =
-                network.listen(
-                        "127.0.0.1",
-                        port,
-                        Role.TARGET,
-                        this,
-                        new FrameLimits(4 << 20, 16 << 20, 5_000_000, 0));
-        port = networkListener.port();
-        incarnation++;
-        up = true;
-        isWarmingUp = fromCold;
-        startedAt = environment.monotonicMicros();
-        fallen = false;
-        hangs = false;
-        warmUpUnits = 0;
-        completedUnits = 0;
-        warmUpArrivals.clear();
+        Network.Listener listener = network.listen(HOST, port, Role.TARGET, this, FRAME_LIMITS);
+        port = listener.port();
+        processor.start(isCold);
+        faults.setHanging(false);
         executionListener.note(
-                id, Note.Kind.STARTED, isWarmingUp ? "cold" : "warm", behavior.unitsPerSecond());
-        tick(incarnation, this::doPutOff, behavior.deferredWorkPeriodMicros());
-        tick(incarnation, this::pauseOfOwn, behavior.pausePeriodMicros());
-    }
-
-    private void tick(int ofLife, Runnable task, long every) {
-        if (every > 0) {
-            long in = (long) (every * (0.5 + random.nextDouble()));
-            executor.schedule(
-                    () -> {
-                        synchronized (this) {
-                            if (incarnation != ofLife || !up) {
-                                return;
-                            }
+                id, Note.Kind.STARTED, isCold ? "cold" : "warm", behavior.unitsPerSecond());
+        int incarnation = processor.incarnation();
+        repeat(incarnation, processor::doDeferredWork, behavior.deferredWorkPeriodMicros());
+        repeat(
+                incarnation,
+                () -> processor.stall(behavior.pauseMicros()),
+                behavior.pausePeriodMicros());
+    }
+
+    /** Runs a task about once a period, for as long as this incarnation lives. */
+    private void repeat(int ofIncarnation, Runnable task, long periodMicros) {
+        if (periodMicros <= 0) {
+            return;
+        }
+        tasks.schedule(
+                () -> {
+                    synchronized (this) {
+                        if (processor.incarnation() == ofIncarnation && processor.isUp()) {
                             task.run();
-                            tick(ofLife, task, every);
+                            repeat(ofIncarnation, task, periodMicros);
                         }
-                    },
-                    in,
-                    TimeUnit.MICROSECONDS);
-        }
+                    }
+                },
+                aboutOnce(periodMicros));
+    }
+
+    /** A delay of half a period to one and a half. */
+    private long aboutOnce(long periodMicros) {
+        return (long) (periodMicros * (0.5 + random.nextDouble()));
     }
 
-    /** Ends it as a kill would: its connections are reset and what it held is forgotten. */
+    /** Ends it as SIGKILL would: its connections are reset and its state is lost. */
     public void kill() {
-        Network old;
+        Network killed;
         synchronized (this) {
-            if (!up) {
+            if (!processor.isUp()) {
                 return;
             }
-            up = false;
-            incarnation++;
-            queue.clear();
-            running.clear();
-            recentExtents.clear();
-            peers.clear();
-            deferredWorkMicros = 0;
-            old = network;
+            processor.stop();
+            connections.clear();
+            killed = network;
         }
         executionListener.note(id, Note.Kind.KILLED, "", 0);
-        old.abort();
+        killed.abort();
     }
 
-    // ---- Faults to order; each stays until it is taken back ----
-
-    /** Takes accesses and answers none. What it took meanwhile stays unanswered. */
-    public void setHanging(boolean on) {
-        hangs = on;
-        if (!on) {
+    /** Accepts attempts and answers none. What it accepted meanwhile stays unanswered. */
+    public void setHanging(boolean isHanging) {
+        faults.setHanging(isHanging);
+        if (!isHanging) {
             synchronized (this) {
-                queue.clear();
-                running.clear();
+                processor.discardPending();
             }
         }
     }
 
-    /** All work takes so many times as long. */
+    /** Multiplies the time of all work by a factor. */
     public void setSlowdownFactor(double factor) {
-        slowdownFactor = factor;
+        faults.setSlowdownFactor(factor);
     }
 
-    /** Quickly fails this part of what it gets; half of those were run. */
-    public void setErrorFraction(double part) {
-        errorFraction = part;
+    /** Fails a fraction of the attempts at once; half of those were executed. */
+    public void setErrorFraction(double fraction) {
+        faults.setErrorFraction(fraction);
     }
 
-    /** Never answers this part of what it gets; half of those were run. */
-    public void setDroppedReplyFraction(double part) {
-        droppedReplyFraction = part;
+    /** Never answers a fraction of the attempts; half of those were executed. */
+    public void setDroppedReplyFraction(double fraction) {
+        faults.setDroppedReplyFraction(fraction);
     }
 
-    /** Stands still now and then; 0 ends it. Times are microseconds. */
-    public synchronized void setPauses(long every, long least, long most) {
-        boolean was = pauseEvery > 0;
-        pauseEvery = every;
-        pauseLeast = least;
-        pauseMost = most;
-        if (every > 0 && !was) {
-            pauseToOrder(incarnation);
+    /** Accepts connections without the protocol's greeting: the target cannot be reached. */
+    public void setRefusingConnections(boolean isRefusing) {
+        faults.setRefusingConnections(isRefusing);
+    }
+
+    /**
+     * Stalls about once a period (microseconds), each time for a drawn duration.
+     *
+     * @param periodMicros 0 ends it
+     */
+    public synchronized void setPauses(long periodMicros, long minMicros, long maxMicros) {
+        boolean wasPausing = pausePeriodMicros > 0;
+        pausePeriodMicros = periodMicros;
+        minPauseMicros = minMicros;
+        maxPauseMicros = maxMicros;
+        if (periodMicros > 0 && !wasPausing) {
+            schedulePause(processor.incarnation());
         }
     }
 
-    private void pauseToOrder(int ofLife) {
-        executor.schedule(
+    private void schedulePause(int ofIncarnation) {
+        tasks.schedule(
                 () -> {
                     synchronized (this) {
-                        if (incarnation == ofLife && pauseEvery > 0) {
-                            stand(random.nextLong(pauseLeast, Math.max(pauseMost, pauseLeast + 1)));
-                            pauseToOrder(ofLife);
+                        if (processor.incarnation() == ofIncarnation && pausePeriodMicros > 0) {
+                            long bound = Math.max(maxPauseMicros, minPauseMicros + 1);
+                            processor.stall(random.nextLong(minPauseMicros, bound));
+                            schedulePause(ofIncarnation);
                         }
                     }
                 },
-                (long) (pauseEvery * (0.5 + random.nextDouble())),
-                TimeUnit.MICROSECONDS);
+                aboutOnce(pausePeriodMicros));
     }
 
-    /** Resets all of its connections; what runs goes on, and its answers are lost. */
+    /** Resets all of its connections; running work goes on, and its replies are lost. */
     public void resetConnections() {
-        List<PeerConnection> now;
+        List<PeerConnection> open;
         synchronized (this) {
-            now = List.copyOf(peers);
-            peers.clear();
+            open = List.copyOf(connections);
+            connections.clear();
         }
-        now.forEach(PeerConnection::reset);
-    }
-
-    /** Accepts connections and says no hello: it cannot be reached, though its port is open. */
-    public void setRefusingConnections(boolean on) {
-        refuses = on;
-    }
-
-    private void pauseOfOwn() {
-        stand(behavior.pauseMicros());
+        open.forEach(PeerConnection::reset);
     }
 
-    private void stand(long micros) {
-        stalledUntilMicros = Math.max(stalledUntilMicros, environment.monotonicMicros() + micros);
-    }
-
-    private void doPutOff() {
-        long work = (long) (deferredWorkMicros / behavior.speed() / behavior.cores());
-        deferredWorkMicros = 0;
-        if (work > 0) {
-            stand(work);
+    @Override
+    public void onReady(PeerConnection connection) {
+        if (!accept(connection)) {
+            connection.refuse("no more connections");
         }
     }
 
-    // ---- Serving ----
-
-    @Override
-    public void onReady(PeerConnection peer) {
-        boolean taken;
-        synchronized (this) {
-            taken = peers.size() < behavior.maxConnections() && !refuses;
-            if (taken) {
-                peers.add(peer);
-            }
-        }
-        if (taken && behavior.connectionSetupMicros() > 0) {
-            synchronized (this) {
-                stand(behavior.connectionSetupMicros());
-            }
+    private synchronized boolean accept(PeerConnection connection) {
+        if (connections.size() >= behavior.maxConnections() || faults.isRefusingConnections()) {
+            return false;
         }
-        if (!taken) {
-            peer.refuse("no more connections");
+        connections.add(connection);
+        if (behavior.connectionSetupMicros() > 0) {
+            processor.stall(behavior.connectionSetupMicros());
         }
+        return true;
     }
 
     @Override
-    public void onFrame(PeerConnection peer, Frame frame) throws MalformedFrameException {
+    public void onFrame(PeerConnection connection, Frame frame) throws MalformedFrameException {
         switch (frame.getBodyCase()) {
-            case ATTEMPT -> relay(peer, frame.getAttempt());
-            case PROBE -> probe(peer, frame.getProbe().getNumber());
-            case CANCEL_ATTEMPT -> cancel(peer, frame.getCancelAttempt().getNumber());
+            case ATTEMPT -> onAttempt(connection, frame.getAttempt());
+            case PROBE -> onProbe(connection, frame.getProbe().getNumber());
+            case CANCEL_ATTEMPT ->
+                    onCancelAttempt(connection, frame.getCancelAttempt().getNumber());
             default ->
                     throw new MalformedFrameException(
                             "a target takes relays, probes and cancels, not "
@@ -326,235 +308,45 @@
     }
 
     @Override
-    public synchronized void onClosed(PeerConnection peer, String why) {
-        peers.remove(peer);
+    public synchronized void onClosed(PeerConnection connection, String reason) {
+        connections.remove(connection);
     }
 
-    private void relay(PeerConnection peer, Attempt relay) {
-        Outcome atOnce;
+    private void onAttempt(PeerConnection connection, Attempt attempt) {
+        Outcome immediate;
         synchronized (this) {
-            atOnce = take(peer, relay);
-        }
-        if (atOnce != null) {
-            reply(peer, relay, atOnce);
-        }
-    }
-
-    /**
-     * The outcome where it is known at once; else null, and the access waits, runs, or is never
-     * heard of again.
-     */
-    private Outcome take(PeerConnection peer, Attempt relay) {
-        long now = environment.monotonicMicros();
-        press(now, relay.getUnits());
-        if (hangs || fallen || !up) {
-            return null;
-        }
-        if (relay.hasShard() && relay.getShard() != shard) {
-            return Outcome.NOT_STARTED;
-        }
-        if (errorFraction > 0 && random.nextDouble() < errorFraction) {
-            if (random.nextBoolean()) {
-                effect(relay, now);
-            }
-            return Outcome.ERROR;
-        }
-        if (droppedReplyFraction > 0 && random.nextDouble() < droppedReplyFraction) {
-            if (random.nextBoolean()) {
-                effect(relay, now);
-            }
-            return null;
-        }
-        Job job = new Job(peer, relay, now, incarnation);
-        if (running.size() < behavior.cores()) {
-            begin(job, now);
-        } else if (queue.size() < behavior.queueCapacity()) {
-            queue.add(job);
-        } else {
-            return Outcome.OVERLOADED;
-        }
-        return null;
-    }
-
-    /**
-     * A cold target that is sent more than it bears, for as long as that takes, falls over and
-     * stays down.
-     */
-    private void press(long now, double units) {
-        if (!isWarmingUp || now > startedAt + behavior.warmUpMicros()) {
-            return;
-        }
-        warmUpArrivals.addLast(new long[] {now, Double.doubleToLongBits(units)});
-        warmUpUnits += units;
-        while (warmUpArrivals.peekFirst()[0] <= now - behavior.overloadWindowMicros()) {
-            warmUpUnits -= Double.longBitsToDouble(warmUpArrivals.removeFirst()[1]);
-        }
-        double bears =
-                behavior.overloadFactor()
-                        * behavior.unitsPerSecond()
-                        * warmth(now)
-                        * behavior.overloadWindowMicros()
-                        / 1e6;
-        warmUpBudgetUsed =
-                behavior.overloadWindowMicros() > 0
-                        ? Math.max(warmUpBudgetUsed, warmUpUnits / bears)
-                        : 0;
-        if (behavior.overloadWindowMicros() > 0 && warmUpUnits > bears && !fallen) {
-            fallen = true;
-            executionListener.note(id, Note.Kind.OVERLOAD_COLLAPSE, "", warmUpUnits / bears);
-        }
-    }
-
-    private double warmth(long now) {
-        double age =
-                behavior.warmUpMicros() == 0
-                        ? 1
-                        : Math.min(1, (now - startedAt) / (double) behavior.warmUpMicros());
-        age =
-                behavior.warmUpUnits() > 0
-                        ? Math.min(1, Math.max(age, completedUnits / behavior.warmUpUnits()))
-                        : age;
-        return isWarmingUp
-                ? behavior.initialCapacityFraction()
-                        + (1 - behavior.initialCapacityFraction()) * age
-                : 1;
-    }
-
-    private void begin(Job job, long now) {
-        Attempt r = job.relay();
-        if (now > job.came() + r.getTimeLeftMicros()) {
-            executor.execute(
-                    () ->
-                            reply(
-                                    job.peer(),
-                                    r,
-                                    Outcome.NOT_STARTED)); // its time is up: it is not begun
-            return;
-        }
-        running.add(job);
-        if (!effect(r, now)) {
-            executor.schedule(() -> finish(job), 200, TimeUnit.MICROSECONDS);
-            return;
+            immediate = processor.admit(connection, attempt);
         }
-        double work =
-                r.getUnits()
-                        * behavior.unitMicros()
-                        * behavior.workDistribution().factor(random.nextDouble())
-                        * (1 + behavior.queueingPenalty() * queue.size());
-        if (!r.getExtent().isEmpty() && r.getAttemptNumber() == 0 && remembers(r.getExtent())) {
-            work *= 1 - behavior.rememberedExtentSaving();
+        if (immediate != null) {
+            processor.reply(connection, attempt, immediate);
         }
-        if (r.getWrite()) {
-            deferredWorkMicros += work * behavior.deferredWriteFraction();
-            work *= 1 - behavior.deferredWriteFraction();
-        }
-        long takes = (long) (work * slowdownFactor / behavior.speed() / warmth(now));
-        executor.schedule(
-                () -> finish(job),
-                Math.max(takes, stalledUntilMicros - now + takes),
-                TimeUnit.MICROSECONDS);
     }
 
-    private boolean remembers(String extent) {
-        boolean known = recentExtents.remove(extent);
-        recentExtents.addLast(extent);
-        if (recentExtents.size() > behavior.rememberedExtents()) {
-            recentExtents.removeFirst();
+    private synchronized void onCancelAttempt(PeerConnection connection, long number) {
+        if (behavior.dropsCancelled()) {
+            processor.dropQueued(connection, number);
         }
-        return known;
-    }
-
-    /** Has the access's effect; false for a repeat that its mark gives away. */
-    private boolean effect(Attempt r, long now) {
-        DeduplicationCache marks = deduplicationCacheOf.apply(r.getRequestClass());
-        boolean first = marks == null || marks.recordExecution(r.getIdempotencyKey(), now);
-        executionListener.note(
-                id,
-                first ? Note.Kind.EXECUTED : Note.Kind.DEDUPLICATED,
-                r.getIdempotencyKey() + " " + r.getRequestClass(),
-                r.getAttemptNumber());
-        return first;
     }
 
-    private void finish(Job job) {
+    private void onProbe(PeerConnection connection, long number) {
+        Load load;
+        long delayMicros;
         synchronized (this) {
-            long now = environment.monotonicMicros();
-            if (job.life() != incarnation || hangs || fallen) {
+            if (!processor.isResponsive()) {
                 return;
             }
-            if (now < stalledUntilMicros) {
-                executor.schedule(
-                        () -> finish(job), stalledUntilMicros - now, TimeUnit.MICROSECONDS);
-                return;
-            }
-            if (!running.remove(job)) {
-                return;
-            }
-            completedUnits += job.relay().getUnits();
-            while (running.size() < behavior.cores() && !queue.isEmpty()) {
-                begin(queue.removeFirst(), now);
-            }
+            load = processor.load();
+            delayMicros = processor.stallLeftMicros();
         }
-        reply(job.peer(), job.relay(), Outcome.SUCCEEDED);
-    }
-
-    private void cancel(PeerConnection peer, long number) {
-        if (behavior.dropsCancelled()) {
-            synchronized (this) {
-                queue.removeIf(j -> j.peer() == peer && j.relay().getNumber() == number);
-            }
-        }
-    }
-
-    private void probe(PeerConnection peer, long number) {
-        if (!hangs && !fallen && up) {
-            Load load;
-            long in;
-            synchronized (this) {
-                load = load();
-                in = Math.max(0, stalledUntilMicros - environment.monotonicMicros());
-            }
-            Frame answer =
-                    Frame.newBuilder()
-                            .setProbeReply(ProbeReply.newBuilder().setNumber(number).setLoad(load))
-                            .build();
-            executor.schedule(() -> peer.send(answer), in, TimeUnit.MICROSECONDS);
-        }
-    }
-
-    private Load load() {
-        return behavior.reportsLoad()
-                ? Load.newBuilder()
-                        .setQueueLength(queue.size())
-                        .setBusy(running.size() / (double) behavior.cores())
-                        .build()
-                : Load.getDefaultInstance();
-    }
-
-    private void reply(PeerConnection peer, Attempt relay, Outcome outcome) {
-        AttemptReply.Builder reply =
-                AttemptReply.newBuilder().setNumber(relay.getNumber()).setOutcome(outcome);
-        synchronized (this) {
-            reply.setLoad(load());
-        }
-        if (outcome == Outcome.SUCCEEDED && !relay.getWrite()) {
-            reply.setPayload(
-                    ByteString.copyFrom(new byte[(int) Math.min(4096, 64 * relay.getUnits())]));
-        }
-        peer.send(Frame.newBuilder().setAttemptReply(reply).build());
+        Frame reply = TargetReplies.probeReply(number, load);
+        tasks.schedule(() -> connection.send(reply), delayMicros);
     }
 
     /**
-     * The largest part of what a cold start bears that was ever sent to it within the fall time;
-     * over 1 it fell over.
+     * The largest part of the warm-up budget that was ever sent to it within the overload window;
+     * over 1 it collapsed.
      */
     public synchronized double warmUpBudgetUsed() {
-        return warmUpBudgetUsed;
-    }
-
-    /** What is there, for a look from outside. */
-    public synchronized Map<String, Integer> stateCounts() {
-        return Map.of(
-                "waiting", queue.size(), "running", running.size(), "connections", peers.size());
+        return processor.warmUpBudgetUsed();
     }
 }
--- a/standins/src/main/java/milletyoke/standins/TargetBehavior.java
+++ b/standins/src/main/java/milletyoke/standins/TargetBehavior.java
@@ -1,33 +1,31 @@
 package milletyoke.standins;
 
 /**
- * What a target stand-in is like. Times are microseconds.
+ * What a target stand-in is like. Immutable; times are microseconds, work is in units.
  *
- * @param cores accesses run at once
- * @param speed of a core, 1 for the yardstick
- * @param unitMicros work of one unit at speed 1
- * @param queueCapacity accesses that may wait beside those that run; what is beyond is told to be
- *     full
- * @param maxConnections most that it accepts
- * @param rememberedExtents the last so many pieces of data are remembered: an access to one of them
- *     costs less
- * @param rememberedExtentSaving by this part
- * @param deferredWriteFraction this part of a write's work is done later, in one go
- * @param deferredWorkPeriodMicros every so long
- * @param pausePeriodMicros it stands still about so often, 0 for never
- * @param pauseMicros for so long
- * @param initialCapacityFraction the part of its capacity with which it starts
- * @param warmUpMicros after this it has all of it
- * @param overloadFactor sent more than this multiple of what it can do at the moment
- * @param overloadWindowMicros for so long, it falls over
- * @param reportsLoad its waiting accesses in answers and on probes
- * @param dropsCancelled a cancel takes a waiting access away
- * @param queueingPenalty each access that waits adds this part to the work of one that begins
- * @param connectionSetupMicros all its cores are held for so long by each new connection
- *     (microseconds)
+ * @param cores attempts executed at once
+ * @param speed of a core; 1 is the reference
+ * @param unitMicros the work of one unit at speed 1
+ * @param queueCapacity attempts that may wait beside those that run; more are answered as
+ *     overloaded
+ * @param maxConnections most connections that it accepts
+ * @param rememberedExtents so many extents that were accessed last are in its cache
+ * @param rememberedExtentSaving the fraction of its work that an attempt in the cache is spared
+ * @param deferredWriteFraction the fraction of a write's work that is done later, in one go
+ * @param deferredWorkPeriodMicros how often that is
+ * @param pausePeriodMicros about how often it stalls, 0 for never
+ * @param pauseMicros for how long it stalls then
+ * @param initialCapacityFraction the part of its capacity that it has after a cold start
+ * @param warmUpMicros how long after a cold start it has all of its capacity
+ * @param overloadFactor more than this multiple of what it can do at the moment overloads it
+ * @param overloadWindowMicros over this time, while it warms up; it then collapses. 0 for never
+ * @param reportsLoad whether replies carry its queue length
+ * @param dropsCancelled whether a cancel removes a queued attempt
+ * @param queueingPenalty each queued attempt adds this fraction to the work of one that begins
+ * @param connectionSetupMicros all its cores stall for so long at each new connection
  * @param warmUpUnits it is warm once it has done so many units, if that is before its time; 0 for
  *     by time alone
- * @param workDistribution how the work of one access varies round its mean
+ * @param workDistribution how the work of one attempt varies round its mean
  */
 public record TargetBehavior(
         int cores,
@@ -52,8 +50,11 @@
         double warmUpUnits,
         WorkDistribution workDistribution) {
 
+    private static final double MICROS_PER_SECOND = 1e6;
+
     /**
-     * One that loses nothing in a crowd, takes connections for nothing and warms up by time alone.
+     * A target without a queueing penalty and without cost of a connection, which warms up by time
+     * alone and whose work is spread evenly.
      */
     public TargetBehavior(
             int cores,
@@ -97,8 +98,8 @@
                 WorkDistribution.EVEN);
     }
 
-    /** Units a second when warm and undisturbed. */
+    /** Its capacity when it is warm and undisturbed. */
     public double unitsPerSecond() {
-        return cores * speed * 1e6 / unitMicros;
+        return cores * speed * MICROS_PER_SECOND / unitMicros;
     }
 }
--- a/standins/src/main/java/milletyoke/standins/WorkDistribution.java
+++ b/standins/src/main/java/milletyoke/standins/WorkDistribution.java
@@ -8,14 +8,16 @@
 import org.apache.commons.statistics.distribution.LogNormalDistribution;
 import org.apache.commons.statistics.distribution.UniformContinuousDistribution;
 
-/** How the work of single accesses varies round a mean of 1. Immutable; any thread may ask. */
+/** How the work of single attempts varies round a mean of 1. Immutable and thread-safe. */
 public final class WorkDistribution {
-    /** Even over 0.5 to 1.5. */
+    /** Uniform from 0.5 to 1.5. */
     public static final WorkDistribution EVEN =
             new WorkDistribution(UniformContinuousDistribution.of(0.5, 1.5));
 
     private static final Pattern SYNTAX =
             Pattern.compile("(even|exponential)|(gamma|lognormal):([0-9]+(?:\\.[0-9]+)?)");
+    private static final double MIN_PARAMETER = 0.01;
+    private static final double MAX_PARAMETER = 100;
 
     private final ContinuousDistribution distribution;
 
@@ -29,30 +31,39 @@
      * @throws IllegalArgumentException for anything else, with what is expected
      */
     public static WorkDistribution of(String text) {
-        Matcher m = SYNTAX.matcher(text);
-        double figure = m.matches() && m.group(3) != null ? Double.parseDouble(m.group(3)) : 1;
-        if (!m.matches() || !(figure >= 0.01 && figure <= 100)) {
-            throw new IllegalArgumentException(
-                    "even, exponential, gamma:SHAPE or lognormal:SIGMA is expected, with a figure of"
-                            + " 0.01 to 100, not \""
-                            + text
-                            + "\"");
+        Matcher matcher = SYNTAX.matcher(text);
+        if (!matcher.matches()) {
+            throw unexpected(text);
         }
-        if (m.group(2) == null) {
-            return m.group(1).equals("even")
+        if (matcher.group(2) == null) {
+            return matcher.group(1).equals("even")
                     ? EVEN
                     : new WorkDistribution(ExponentialDistribution.of(1));
         }
+        double parameter = Double.parseDouble(matcher.group(3));
+        if (!(parameter >= MIN_PARAMETER && parameter <= MAX_PARAMETER)) {
+            throw unexpected(text);
+        }
         return new WorkDistribution(
-                m.group(2).equals("gamma")
-                        ? GammaDistribution.of(figure, 1 / figure)
-                        : LogNormalDistribution.of(-figure * figure / 2, figure));
+                matcher.group(2).equals("gamma")
+                        ? GammaDistribution.of(parameter, 1 / parameter)
+                        : LogNormalDistribution.of(-parameter * parameter / 2, parameter));
+    }
+
+    private static IllegalArgumentException unexpected(String text) {
+        return new IllegalArgumentException(
+                "even, exponential, gamma:SHAPE or lognormal:SIGMA is expected, with a figure of"
+                        + " 0.01 to 100, not \""
+                        + text
+                        + "\"");
     }
 
     /**
-     * @param chance of 0 to 1, evenly drawn
+     * The factor of one attempt's work.
+     *
+     * @param quantile of 0 to 1, drawn evenly
      */
-    public double factor(double chance) {
-        return distribution.inverseCumulativeProbability(chance);
+    public double factor(double quantile) {
+        return distribution.inverseCumulativeProbability(quantile);
     }
 }
--- a/standins/src/main/java/milletyoke/standins/http/ScriptedHttpServer.java
+++ b/standins/src/main/java/milletyoke/standins/http/ScriptedHttpServer.java
@@ -12,62 +12,74 @@
 import milletyoke.http.HttpTransport;
 
 /**
- * Something on loopback that is asked over HTTP: it keeps what it was asked, and a script says what
- * it answers, if at all.
+ * An HTTP server on loopback that keeps the requests it gets; a script decides what it replies, if
+ * anything. Thread-safe.
  */
 public final class ScriptedHttpServer implements AutoCloseable {
-    /** What becomes of one request; called on the sockets' thread. */
+    private static final String HOST = "127.0.0.1";
+
+    /** Handles one request. */
     public interface Script {
-        void onRequest(HttpConnection conn, HttpMessage request);
+        /** Called on the transport's thread when a request has arrived completely. */
+        void onRequest(HttpConnection connection, HttpMessage request);
     }
 
-    private final HttpTransport net;
+    private final HttpTransport transport;
     private final HttpTransport.Listener listener;
     private final List<HttpMessage> requests = new CopyOnWriteArrayList<>();
     private final List<HttpConnection> open = new CopyOnWriteArrayList<>();
     private volatile Script script;
 
+    /**
+     * Starts a server at a free port.
+     *
+     * @param name of its threads
+     * @throws IOException if it cannot listen
+     */
     public ScriptedHttpServer(String name, Script script) throws IOException {
         this.script = script;
-        net = new HttpTransport(name);
-        listener = net.listen("127.0.0.1", 0, RequestHandler::new);
+        transport = new HttpTransport(name);
+        listener = transport.listen(HOST, 0, RequestHandler::new);
     }
 
+    /** The port it listens at. */
     public int port() {
         return listener.port();
     }
 
+    /** Replaces the script. */
     public void script(Script next) {
         script = next;
     }
 
-    /** Every request that came whole, in the order of their ends. */
+    /** Every complete request so far, in the order in which they were completed; live. */
     public List<HttpMessage> requests() {
         return requests;
     }
 
-    /** Connections that are open now. */
+    /** The connections that are open now; live. */
     public List<HttpConnection> open() {
         return open;
     }
 
-    public static void answer(HttpConnection conn, int status, byte[] body) {
-        conn.write(
+    /** Writes a response with a body. */
+    public static void answer(HttpConnection connection, int status, byte[] body) {
+        connection.write(
                 HeaderWriter.response(status).contentLength(body.length).toBuffer(),
                 ByteBuffer.wrap(body),
                 () -> {});
     }
 
-    /** Bytes as they are, sense or none. */
-    public static void raw(HttpConnection conn, byte[] bytes) {
-        conn.write(ByteBuffer.wrap(bytes), () -> {});
+    /** Writes bytes as they are, whether or not they are HTTP. */
+    public static void raw(HttpConnection connection, byte[] bytes) {
+        connection.write(ByteBuffer.wrap(bytes), () -> {});
     }
 
     @Override
     public void close() {
         listener.stop();
-        open.forEach(c -> c.close("the stand-in ends"));
-        net.close();
+        open.forEach(connection -> connection.close("the stand-in ends"));
+        transport.close();
     }
 
     private final class RequestHandler implements HttpTransport.Handler {
@@ -76,25 +88,27 @@
                         HttpMessageDecoder.Side.REQUESTS, HttpMessageDecoder.Limits.DEFAULT);
 
         @Override
-        public void opened(HttpConnection conn) {
-            open.add(conn);
+        public void opened(HttpConnection connection) {
+            open.add(connection);
         }
 
         @Override
-        public void read(HttpConnection conn, ByteBuffer in) {
+        public void read(HttpConnection connection, ByteBuffer in) {
             try {
-                for (HttpMessage m = decoder.decode(in); m != null; m = decoder.decode(in)) {
-                    requests.add(m);
-                    script.onRequest(conn, m);
+                HttpMessage request = decoder.decode(in);
+                while (request != null) {
+                    requests.add(request);
+                    script.onRequest(connection, request);
+                    request = decoder.decode(in);
                 }
-            } catch (HttpParseException bad) {
-                conn.close("cannot be read: " + bad.getMessage());
+            } catch (HttpParseException malformed) {
+                connection.close("cannot be read: " + malformed.getMessage());
             }
         }
 
         @Override
-        public void closed(HttpConnection conn, String why) {
-            open.remove(conn);
+        public void closed(HttpConnection connection, String reason) {
+            open.remove(connection);
         }
     }
 }
