--- a/scenario/src/main/java/milletyoke/scenario/script/ScenarioParser.java
+++ b/scenario/src/main/java/milletyoke/scenario/script/ScenarioParser.java
@@ -9,7 +9,6 @@
 import java.util.Map;
 import milletyoke.scenario.script.Scenario.Fault;
 import milletyoke.scenario.script.Scenario.FaultType;
-import milletyoke.scenario.script.Scenario.Selection;
 import milletyoke.scheduler.api.Keyword;
 import milletyoke.scheduler.api.SchedulerSettings.Capabilities;
 import milletyoke.scheduler.api.SchedulerSettings.DeduplicationScope;
@@ -98,7 +97,7 @@
             case "plan" -> plans.add(tokens);
             case "at" ->
                     faults.add(
-                            parseFault(
+                            FaultParser.parse(
                                     tokens,
                                     tokens.time("at", tokens.next("the time"), true),
                                     line));
@@ -112,7 +111,7 @@
                 if (under <= 0) {
                     throw tokens.error("under must be over 0%");
                 }
-                faults.add(parseFault(tokens, from, line).belowServiceLevel(under));
+                faults.add(FaultParser.parse(tokens, from, line).belowServiceLevel(under));
             }
             case "then" -> {
                 if (faults.isEmpty()) {
@@ -120,7 +119,8 @@
                 }
                 long after = tokens.time("then", tokens.next("how long after"), true);
                 faults.add(
-                        parseFault(tokens, faults.get(faults.size() - 1).atMicros() + after, line));
+                        FaultParser.parse(
+                                tokens, faults.get(faults.size() - 1).atMicros() + after, line));
             }
             default ->
                     throw tokens.error(
@@ -412,161 +412,4 @@
         tokens.expectEnd();
         return load;
     }
-
-    // ---- What goes wrong ----
-
-    private static Fault parseFault(Tokenizer tokens, long at, int line)
-            throws ScenarioFormatException {
-        String verb = tokens.next("what happens");
-        Selection whom = new Selection(0, 0);
-        long span = 0, every = 0, down = 0;
-        long[] range = {0, 0};
-        double figure = 0;
-        int count = 0;
-        String name = "";
-        FaultType type;
-        switch (verb) {
-            case "hang", "unreachable" -> {
-                type = verb.equals("hang") ? FaultType.HANG : FaultType.UNREACHABLE;
-                whom = parseSelection(tokens);
-                span = tokens.time("for", null);
-            }
-            case "slow" -> {
-                type = FaultType.SLOW;
-                whom = parseSelection(tokens);
-                figure = tokens.number("by", null);
-                span = tokens.time("for", null);
-            }
-            case "pauses" -> {
-                type = FaultType.PAUSES;
-                whom = parseSelection(tokens);
-                range = tokens.timeRange("of", null);
-                every = tokens.time("every", "2s");
-                span = tokens.time("for", null);
-            }
-            case "errors", "lost" -> {
-                type = verb.equals("errors") ? FaultType.ERRORS : FaultType.LOST;
-                whom = parseSelection(tokens);
-                figure = tokens.fraction("part", "60%");
-                span = tokens.time("for", null);
-            }
-            case "resets" -> {
-                type = FaultType.RESETS;
-                whom = parseSelection(tokens);
-                every = tokens.time("every", "200ms");
-                span = tokens.time("for", null);
-            }
-            case "restart" -> {
-                type = FaultType.RESTART;
-                whom = parseSelection(tokens);
-                range = tokens.timeRange("down", "500ms");
-            }
-            case "roll" -> {
-                type = FaultType.ROLL;
-                whom = parseSelection(tokens);
-                span = tokens.time("over", null);
-                down = tokens.time("down", "300ms");
-            }
-            case "drain" -> {
-                type = FaultType.DRAIN;
-                whom = parseSelection(tokens);
-                span = tokens.time("for", null);
-            }
-            case "age" -> {
-                type = FaultType.AGE;
-                whom = parseSelection(tokens);
-                figure = tokens.number("to", "6");
-                span = tokens.time("over", null);
-                down = tokens.time("down", "500ms");
-            }
-            case "list" -> {
-                String how = tokens.next("late, partial or unavailable");
-                type =
-                        switch (how) {
-                            case "late" -> FaultType.LIST_LATE;
-                            case "partial" -> FaultType.LIST_PARTIAL;
-                            case "unavailable" -> FaultType.LIST_UNAVAILABLE;
-                            case "flap" -> FaultType.LIST_FLAP;
-                            default ->
-                                    throw tokens.error(
-                                            "a list is late, partial, unavailable or flaps, not \""
-                                                    + how
-                                                    + "\"");
-                        };
-                if (type == FaultType.LIST_LATE) {
-                    range = tokens.timeRange("by", null);
-                } else if (type == FaultType.LIST_PARTIAL || type == FaultType.LIST_FLAP) {
-                    whom = parseSelection(tokens);
-                    every = type == FaultType.LIST_FLAP ? tokens.time("every", "200ms") : 0;
-                }
-                span = tokens.time("for", null);
-            }
-            case "kill", "leave" -> {
-                type = verb.equals("kill") ? FaultType.KILL : FaultType.LEAVE;
-                whom = parseSelection(tokens);
-                range = tokens.timeRange("down", "1s");
-            }
-            case "still" -> {
-                type = FaultType.STILL;
-                whom = parseSelection(tokens);
-                span = tokens.time("for", null);
-            }
-            case "surge" -> {
-                type = FaultType.SURGE;
-                count = Math.max(1, tokens.wholeNumber("volumes", "3"));
-                figure = tokens.fraction("by", tokens.text("by", "50%"), 20);
-                span = tokens.time("for", null);
-            }
-            case "hotkey" -> {
-                type = FaultType.HOTKEY;
-                figure = tokens.fraction("part", "30%");
-                span = tokens.time("for", null);
-            }
-            case "partition" -> {
-                type = FaultType.PARTITION;
-                whom = parseSelection(tokens);
-                Selection there = selection(tokens, tokens.text("targets", null));
-                figure = there.part();
-                count = there.number();
-                every =
-                        (tokens.flag("oneway") ? Scenario.ONE_WAY : 0)
-                                + (tokens.flag("grey") ? Scenario.GREY : 0);
-                span = tokens.time("for", null);
-            }
-            case "clock" -> {
-                type = FaultType.CLOCK;
-                span = tokens.time("ahead", "0") - tokens.time("back", "0");
-            }
-            case "reconnect" -> type = FaultType.RECONNECT;
-            case "limit" -> {
-                type = FaultType.LIMIT;
-                name = tokens.next("the plan");
-                figure = tokens.number("rate", null);
-                range =
-                        new long[] {
-                            tokens.wholeNumber("depth", null), tokens.wholeNumber("slack", "0")
-                        };
-            }
-            default -> throw tokens.error("\"" + verb + "\" is no trouble that can be played");
-        }
-        tokens.expectEnd();
-        return new Fault(at, line, type, whom, span, figure, range, every, count, down, name);
-    }
-
-    /** A part as 40%, or a number as 2. */
-    private static Selection parseSelection(Tokenizer tokens) throws ScenarioFormatException {
-        return selection(tokens, tokens.next("whom it strikes, as 40% or a number from 1"));
-    }
-
-    private static Selection selection(Tokenizer tokens, String text)
-            throws ScenarioFormatException {
-        if (text.endsWith("%")) {
-            return new Selection(tokens.fraction("whom", text, 1), 0);
-        }
-        int number = (int) tokens.number("whom", text, "");
-        if (number < 1) {
-            throw tokens.error("they are numbered from 1");
-        }
-        return new Selection(0, number);
-    }
 }
