--- a/simulation/src/main/java/milletyoke/simulation/experiment/ExperimentRunner.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/ExperimentRunner.java
@@ -76,27 +76,27 @@
                 arm.variant().isEmpty()
                         ? arm.scheduler().decisions()
                         : variants.get(arm.variant().replace("{x}", run.value()));
-        SimulationRun.Came came =
-                SimulationRun.of(experiment.dayOf(run), null, arm.straight(), decisions);
-        ServiceLevelRecorder s = came.service();
+        SimulationRun.SimulationResult result =
+                SimulationRun.run(experiment.dayOf(run), null, arm.straight(), decisions);
+        ServiceLevelRecorder s = result.serviceLevels();
         Map<String, Double> categories = new LinkedHashMap<>();
-        s.requestClasses().forEach((name, line) -> categories.put(name, line.service()));
+        s.requestClasses().forEach((name, line) -> categories.put(name, line.serviceLevel()));
         return new ResultRow(
                 arm.name(),
                 run.value(),
                 run.seed(),
-                s.overall(),
+                s.overallServiceLevel(),
                 categories,
                 s.inTimeByPlan(),
-                came.seconds(),
-                s.times().getValueAtPercentile(50) / 1e3,
-                s.times().getValueAtPercentile(99) / 1e3,
-                s.evenness(),
-                came.coldUsed(),
+                result.serviceLevelBySecond(),
+                s.latencies().getValueAtPercentile(50) / 1e3,
+                s.latencies().getValueAtPercentile(99) / 1e3,
+                s.fairnessIndex(),
+                result.warmUpBudgetUsed(),
                 s.totalRequests(),
-                came.unfinished(),
-                String.format("%016x", came.digest()),
-                came.events(),
-                came.wall());
+                result.unfinished(),
+                String.format("%016x", result.digest()),
+                result.eventCount(),
+                result.elapsedMicros());
     }
 }
--- a/simulation/src/test/java/milletyoke/simulation/ExperimentTest.java
+++ b/simulation/src/test/java/milletyoke/simulation/ExperimentTest.java
@@ -31,7 +31,7 @@
 import milletyoke.simulation.policy.SchedulerVariant;
 import milletyoke.simulation.report.Report;
 import milletyoke.simulation.run.SimulationRun;
-import milletyoke.standins.Work;
+import milletyoke.standins.WorkDistribution;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -155,16 +155,16 @@
 
     @Test
     void aVariantWithTheSameFiguresPlaysTheSameAndAnotherDoesNot() throws Exception {
-        Scenario day = ScenarioParser.read(DAY);
-        long own = SimulationRun.of(day, null).digest();
+        Scenario scenario = ScenarioParser.read(DAY);
+        long own = SimulationRun.run(scenario, null).digest();
         assertEquals(
                 own,
-                SimulationRun.of(day, null, false, SchedulerVariant.of("MARGIN_STEPS = 1.5"))
+                SimulationRun.run(scenario, null, false, SchedulerVariant.of("MARGIN_STEPS = 1.5"))
                         .digest());
         assertNotEquals(
                 own,
-                SimulationRun.of(
-                                day,
+                SimulationRun.run(
+                                scenario,
                                 null,
                                 false,
                                 SchedulerVariant.of("FIRST_WINDOW = 1; WINDOW_CEILING = 2"))
@@ -213,13 +213,13 @@
     @Test
     void aStormShrinksToWhatMakesItBad() throws Exception {
         Scenario base = ScenarioParser.read(DAY);
-        Scenario day = null;
-        for (long seed = 1; day == null; seed++) { // one with a kill among others
-            Scenario drawn = FaultGenerator.over(base, seed, FaultGenerator.Ranges.usual(8));
-            day =
+        Scenario scenario = null;
+        for (long seed = 1; scenario == null; seed++) { // one with a kill among others
+            Scenario drawn = FaultGenerator.generate(base, seed, FaultGenerator.Ranges.defaults(8));
+            scenario =
                     drawn.faults().size() > 4
                                     && drawn.faults().stream()
-                                            .anyMatch(t -> t.type() == FaultType.KILL)
+                                            .anyMatch(fault -> fault.type() == FaultType.KILL)
                             ? drawn
                             : null;
         }
@@ -229,9 +229,9 @@
                                 d -> {
                                     seen.add(d.faults().size());
                                     return d.faults().stream()
-                                            .anyMatch(t -> t.type() == FaultType.KILL);
+                                            .anyMatch(fault -> fault.type() == FaultType.KILL);
                                 })
-                        .smallest(day);
+                        .smallest(scenario);
         assertEquals(1, small.faults().size());
         assertEquals(FaultType.KILL, small.faults().get(0).type());
         assertTrue(seen.size() < 100);
@@ -243,14 +243,14 @@
                 new FaultGenerator.Ranges(
                         List.of(FaultType.HANG, FaultType.SLOW), 3, 0.2, 0.4, 0.25);
         for (long seed = 0; seed < 200; seed++) {
-            for (var t : FaultGenerator.over(ScenarioParser.read(DAY), seed, in).faults()) {
+            for (var fault : FaultGenerator.generate(ScenarioParser.read(DAY), seed, in).faults()) {
                 assertTrue(
-                        in.sorts().contains(t.type())
-                                && t.selection().part() >= 0.2
-                                && t.selection().part() <= 0.4
-                                && t.durationMicros()
+                        in.faultTypes().contains(fault.type())
+                                && fault.selection().part() >= 0.2
+                                && fault.selection().part() <= 0.4
+                                && fault.durationMicros()
                                         <= 500_000 + ScenarioParser.read(DAY).durationMicros() / 4,
-                        "" + t);
+                        "" + fault);
             }
         }
         assertThrows(
@@ -266,7 +266,7 @@
     void workVariesRoundItsMean() {
         double last = 0;
         for (String text : List.of("even", "gamma:4", "exponential", "lognormal:1.2")) {
-            Work work = Work.of(text);
+            WorkDistribution work = WorkDistribution.of(text);
             double sum = 0;
             double squares = 0;
             int n = 200_000;
@@ -281,7 +281,7 @@
             last = spread;
         }
         for (String bad : List.of("", "odd", "gamma", "gamma:0", "lognormal:x", "even:2")) {
-            assertThrows(IllegalArgumentException.class, () -> Work.of(bad), bad);
+            assertThrows(IllegalArgumentException.class, () -> WorkDistribution.of(bad), bad);
         }
     }
 
@@ -294,15 +294,17 @@
         String text = Files.readString(DAY);
         Set<FaultType> met = new HashSet<>();
         for (long seed = 1; seed <= 40; seed++) {
-            Scenario day = FaultGenerator.over(base, seed, FaultGenerator.Ranges.usual(6));
-            day.faults().forEach(t -> met.add(t.type()));
-            String script = FaultSearch.script(text, new FaultSearch.Failure(day, 0.5, false, ""));
-            Scenario again = ScenarioParser.read("found.day", day.name(), script);
-            assertEquals(day.faults().size(), again.faults().size(), script);
+            Scenario scenario =
+                    FaultGenerator.generate(base, seed, FaultGenerator.Ranges.defaults(6));
+            scenario.faults().forEach(fault -> met.add(fault.type()));
+            String script =
+                    FaultSearch.script(text, new FaultSearch.Failure(scenario, 0.5, false, ""));
+            Scenario again = ScenarioParser.read("found.day", scenario.name(), script);
+            assertEquals(scenario.faults().size(), again.faults().size(), script);
             if (seed <= 4) {
                 assertEquals(
-                        SimulationRun.of(day, null).digest(),
-                        SimulationRun.of(again, null).digest(),
+                        SimulationRun.run(scenario, null).digest(),
+                        SimulationRun.run(again, null).digest(),
                         script);
             }
         }
@@ -312,17 +314,17 @@
     @Test
     void aHuntFindsTheSameOnAnyNumberOfThreads() throws Exception {
         FaultSearch one =
-                new FaultSearch(ScenarioParser.read(DAY), FaultGenerator.Ranges.usual(3), 1);
+                new FaultSearch(ScenarioParser.read(DAY), FaultGenerator.Ranges.defaults(3), 1);
         FaultSearch four =
-                new FaultSearch(ScenarioParser.read(DAY), FaultGenerator.Ranges.usual(3), 4);
+                new FaultSearch(ScenarioParser.read(DAY), FaultGenerator.Ranges.defaults(3), 4);
         List<FaultSearch.Failure> first = one.run(100, 6, FaultSearch.SearchGoal.RULES);
         assertEquals(
-                first.stream().map(c -> c.day().name() + c.service()).toList(),
+                first.stream().map(c -> c.scenario().name() + c.serviceLevel()).toList(),
                 four.run(100, 6, FaultSearch.SearchGoal.RULES).stream()
-                        .map(c -> c.day().name() + c.service())
+                        .map(c -> c.scenario().name() + c.serviceLevel())
                         .toList());
         assertTrue(
-                first.stream().noneMatch(FaultSearch.Failure::broken),
+                first.stream().noneMatch(FaultSearch.Failure::isBroken),
                 () -> "a storm broke a rule: " + first);
     }
 
