--- a/gateway/src/main/java/milletyoke/gateway/Initiator.java
+++ b/gateway/src/main/java/milletyoke/gateway/Initiator.java
@@ -104,7 +104,7 @@
                                 setup.folder(),
                                 setup.fleet().fleet(),
                                 setup.fleet().files(),
-                                this::follow);
+                                this::watchEndpoints);
         if (setup.fleet() != null) {
             ingress.configure(setup.fleet().fleet());
         }
@@ -183,7 +183,7 @@
      * A version that holds from now on: the decisions know its plans before any access can name
      * one.
      */
-    private void follow(Fleet fleet) {
+    private void watchEndpoints(Fleet fleet) {
         eventLoop.post(new LoopMessage.ApplySettings(FleetConverter.deployment(fleet).scheduler()));
         eventLoop.post(new LoopMessage.RunTask(() -> ingress.configure(fleet)));
     }
@@ -323,7 +323,7 @@
 
     /** Holds the loop, as a long pause of this process would hold it; for rehearsals. */
     public void stall(long millis, Runnable afterwards) {
-        eventLoop.standStill(millis * 1000, afterwards);
+        eventLoop.stall(millis * 1000, afterwards);
     }
 
     // ---- What the loop needs ----
@@ -342,34 +342,34 @@
     }
 
     @Override
-    public void follow(long version) {
+    public void watchEndpoints(long version) {
         subscription.follow(version);
     }
 
     @Override
-    public void listHeld(EndpointList whole) {
+    public void endpointListChanged(EndpointList whole) {
         if (lastList != null && lastList.note(whole)) {
             side.execute(lastList::save);
         }
     }
 
     @Override
-    public void provisioned(milletyoke.scheduler.api.SchedulerSettings provisioning) {
+    public void settingsApplied(milletyoke.scheduler.api.SchedulerSettings provisioning) {
         ingress.provision(provisioning);
     }
 
     @Override
-    public void freePlace(Connection client, Request access, long stay) {
+    public void releaseSlot(Connection client, Request access, long stay) {
         gate.release(client, access, stay);
     }
 
     @Override
-    public double roomUsed() {
+    public double utilization() {
         return gate.utilization();
     }
 
     @Override
-    public int placesTaken() {
+    public int slotsInUse() {
         return gate.acquired();
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/ingress/ClientListener.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/ClientListener.java
@@ -93,7 +93,7 @@
      */
     public void leave() {
         leaving = true;
-        door.release();
+        door.stopAdmitting();
         clients.forEach(c -> c.announceShutdown("this initiator leaves"));
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/ingress/ConcurrentAdmission.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/ConcurrentAdmission.java
@@ -38,7 +38,7 @@
      * A volume counts as named by what gets its place alone: what is turned away costs nothing
      * behind the door.
      */
-    public synchronized Admission.Verdict ask(Connection client, Request access, long now) {
+    public synchronized Admission.Verdict tryAcquire(Connection client, Request access, long now) {
         if (!volumes.admits(access.getVolume(), now)) {
             return new Admission.Verdict(Admission.CapacityBound.NAMES, 0);
         }
--- a/gateway/src/main/java/milletyoke/gateway/ingress/RequestAdmission.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/RequestAdmission.java
@@ -52,7 +52,7 @@
     }
 
     /** From now on nothing new is taken. */
-    public void release() {
+    public void stopAdmitting() {
         leaving = true;
     }
 
@@ -86,7 +86,7 @@
         if (!condition.admits()) {
             return new Rejection(reason(condition), Counter.REJECTED_STATE, 0);
         }
-        Admission.Verdict verdict = gate.ask(client, a, at);
+        Admission.Verdict verdict = gate.tryAcquire(client, a, at);
         if (!verdict.admitted()) {
             boolean mayAdvise =
                     setup.deployment().scheduler().capabilities().canSuggestRetryAfter();
--- a/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
@@ -61,22 +61,22 @@
     /** What the loop needs of the rest of the initiator. */
     public interface LoopEnvironment extends Connector {
         /** Ask discovery to tell every change from this version on. */
-        void follow(long version);
+        void watchEndpoints(long version);
 
         /** The list changed; to be kept where a folder lasts, off the loop's thread. */
-        void listHeld(EndpointList whole);
+        void endpointListChanged(EndpointList whole);
 
         /** An access no longer takes a place. */
-        void freePlace(Connection client, Request access, long stay);
+        void releaseSlot(Connection client, Request access, long stay);
 
         /** New plans and categories are known to the decisions and may be asked for. */
-        void provisioned(milletyoke.scheduler.api.SchedulerSettings provisioning);
+        void settingsApplied(milletyoke.scheduler.api.SchedulerSettings provisioning);
 
         /** The part of room that is taken, 0 to 1. */
-        double roomUsed();
+        double utilization();
 
         /** Places taken. */
-        int placesTaken();
+        int slotsInUse();
 
         /**
          * Whether anybody may look at pictures and rows; where nobody can, none are made and
@@ -171,7 +171,7 @@
                         setup.name() + "." + clock.getAsLong() + ".",
                         setup.deployment().answerSlackMicros(),
                         counts,
-                        around::freePlace,
+                        around::releaseSlot,
                         accounts,
                         clock,
                         outbox);
@@ -228,7 +228,7 @@
 
         @Override
         public void follow() {
-            around.follow(roster.version());
+            around.watchEndpoints(roster.version());
         }
     }
 
@@ -279,7 +279,7 @@
         for (LoopMessage told = queue.poll(); told != null; told = queue.poll()) {
             if (told instanceof LoopMessage.RequestReceived t) {
                 counts.increment(Counter.REJECTED_STATE);
-                around.freePlace(t.client(), t.request(), 0);
+                around.releaseSlot(t.client(), t.request(), 0);
                 t.client()
                         .send(
                                 Frame.newBuilder()
@@ -344,7 +344,7 @@
     }
 
     /** Holds the loop, as a long pause of this process would. @param micros how long */
-    public void standStill(long micros, Runnable afterwards) {
+    public void stall(long micros, Runnable afterwards) {
         post(
                 new LoopMessage.RunTask(
                         () -> {
@@ -520,7 +520,7 @@
                             + t.list().getTargetCount(),
                     null);
             fact(new LifecycleEvent.EndpointListReceived(roster.usable(), false));
-            around.listHeld(roster.whole());
+            around.endpointListChanged(roster.whole());
         } else if (told instanceof LoopMessage.DiscoveryUnavailable t) {
             counts.increment(Counter.DISCOVERY_UNAVAILABLE);
             ledger.happened(new Event.EndpointListReceived(Event.ListScope.UNAVAILABLE, List.of()));
@@ -533,7 +533,7 @@
             accounts.provision(t.settings());
             ledger.happened(new Event.SettingsChanged(t.settings()));
             painter.happened(now, "configuration", "a new version holds", null);
-            around.provisioned(t.settings());
+            around.settingsApplied(t.settings());
         } else if (told instanceof LoopMessage.DrainInitiator t) {
             fact(
                     t.drained()
@@ -569,7 +569,7 @@
     private void paint(long now) {
         long began = System.nanoTime();
         paintAt = now + PAINT_EVERY;
-        fact(new LifecycleEvent.UtilizationMeasured(around.roomUsed()));
+        fact(new LifecycleEvent.UtilizationMeasured(around.utilization()));
         fact(new LifecycleEvent.Tick());
         if (snapshot != null && (drive != null || !around.isWatched())) {
             return; // nobody looks in a lab, and a picture costs what the targets and volumes are
@@ -580,10 +580,10 @@
                         now,
                         new SnapshotBuilder.Loop(
                                 lifecycle,
-                                around.placesTaken(),
+                                around.slotsInUse(),
                                 ledger.held(),
                                 links.out(),
-                                around.roomUsed(),
+                                around.utilization(),
                                 roster.version(),
                                 recent,
                                 paintCosts,
