--- a/gateway/src/main/java/milletyoke/gateway/dispatch/AttemptDispatcher.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/AttemptDispatcher.java
@@ -38,7 +38,7 @@
      * when nothing is owed, and ends it. Seen 1 to 5 ms late; twice that. Could hold a relay back
      * for that long where no other connection is free.
      */
-    static final long REST = 10_000;
+    static final long REUSE_DELAY_MICROS = 10_000;
 
     private final WriteBatch outbox;
     private final Transport transport;
@@ -49,7 +49,7 @@
     private final Map<Connection, Conn> conns = new HashMap<>();
     private final Map<String, OutboundAttempt> relays = new HashMap<>();
     private final PriorityQueue<OutboundAttempt> byDue =
-            new PriorityQueue<>(Comparator.comparingLong(OutboundAttempt::due));
+            new PriorityQueue<>(Comparator.comparingLong(OutboundAttempt::nextDueMicros));
     private long now;
     private long nextNumber = 1;
     private long nextDial = 1;
@@ -103,7 +103,7 @@
     // ---- The list ----
 
     /** A target as listed; under a new address its old connections are left to finish. */
-    public void listed(String target, Address address) {
+    public void targetListed(String target, Address address) {
         Link link = links.computeIfAbsent(target, Link::new);
         link.address = address;
         link.listed = true;
@@ -112,11 +112,11 @@
     /**
      * A target that is no longer listed keeps what is out there, and is forgotten once nothing is.
      */
-    public void unlisted(long time, String target) {
+    public void targetUnlisted(long time, String target) {
         Link link = links.get(target);
         if (link != null) {
             link.listed = false;
-            takesNothingNew(time, target);
+            targetDraining(time, target);
         }
     }
 
@@ -125,7 +125,7 @@
      * Guards rule 3 where a connection may take longer to come up than the grace lasts. Could do no
      * harm: nothing of it has been sent.
      */
-    public void takesNothingNew(long time, String target) {
+    public void targetDraining(long time, String target) {
         now = time;
         Link link = links.get(target);
         if (link != null) {
@@ -137,7 +137,7 @@
 
     // ---- Orders ----
 
-    public void relay(
+    public void sendAttempt(
             long time,
             String target,
             String id,
@@ -148,13 +148,13 @@
         OutboundAttempt out =
                 new OutboundAttempt(
                         target, id, attempt, now, giveUpAt, now + transport.connectTimeoutMicros());
-        out.number = nextNumber++;
-        out.frame = Frame.newBuilder().setAttempt(relay.setNumber(out.number)).build();
+        out.frameNumber = nextNumber++;
+        out.frame = Frame.newBuilder().setAttempt(relay.setNumber(out.frameNumber)).build();
         relays.put(key(id, attempt), out);
         order(out);
     }
 
-    public void probe(long time, String target) {
+    public void sendProbe(long time, String target) {
         now = time;
         OutboundAttempt out =
                 new OutboundAttempt(
@@ -164,24 +164,26 @@
                         now,
                         now + transport.probeTime(),
                         now + transport.connectTimeoutMicros());
-        out.number = nextNumber++;
-        out.frame = Frame.newBuilder().setProbe(Probe.newBuilder().setNumber(out.number)).build();
+        out.frameNumber = nextNumber++;
+        out.frame =
+                Frame.newBuilder().setProbe(Probe.newBuilder().setNumber(out.frameNumber)).build();
         order(out);
     }
 
     /** Stops waiting for a relay; what was never handed over is MOOT, the rest CANCELLED. */
-    public void cancel(long time, String id, int attempt) {
+    public void cancelAttempt(long time, String id, int attempt) {
         now = time;
         OutboundAttempt out = relays.get(key(id, attempt));
         if (out == null) {
             return;
         }
-        if (out.sent()) {
+        if (out.isSent()) {
             if (!exclusive()) {
-                outbox.post(
-                        out.conn.line,
+                outbox.enqueue(
+                        out.connection.line,
                         Frame.newBuilder()
-                                .setCancelAttempt(CancelAttempt.newBuilder().setNumber(out.number))
+                                .setCancelAttempt(
+                                        CancelAttempt.newBuilder().setNumber(out.frameNumber))
                                 .build());
             }
             end(out, Outcome.CANCELLED, null, null);
@@ -198,7 +200,7 @@
     public void dropUnsent(long time, String id, int attempt) {
         now = time;
         OutboundAttempt out = relays.get(key(id, attempt));
-        if (out != null && !out.sent()) {
+        if (out != null && !out.isSent()) {
             end(out, Outcome.NOT_STARTED, null, null);
         }
     }
@@ -248,19 +250,19 @@
                             || exclusive() && c.lastUse < least.lastUse;
             least = room && better ? c : least;
         }
-        if (least == null || !outbox.post(least.line, out.frameAt(now))) {
+        if (least == null || !outbox.enqueue(least.line, out.frameAt(now))) {
             return false;
         }
-        out.conn = least;
+        out.connection = least;
         out.frame = null;
-        least.outs.put(out.number, out);
+        least.outs.put(out.frameNumber, out);
         least.lastUse = now;
         return true;
     }
 
     /** From when on a connection may be used; 0 where it need not rest. */
     private long rested(Conn c) {
-        return exclusive() && c.heard ? c.lastUse + REST : 0;
+        return exclusive() && c.heard ? c.lastUse + REUSE_DELAY_MICROS : 0;
     }
 
     /** Connections that only rest: what waits for them needs no new ones. */
@@ -304,7 +306,7 @@
 
     // ---- What connections tell ----
 
-    public void dialled(long time, String target, long dial, Connection line) {
+    public void connectSucceeded(long time, String target, long dial, Connection line) {
         now = time;
         Link link = links.get(target);
         if (link == null || link.dialling.remove(dial) == null) {
@@ -321,20 +323,20 @@
     private void serveWaiting(Link link) {
         while (!link.waiting.isEmpty()) {
             OutboundAttempt out = link.waiting.peekFirst();
-            boolean late =
-                    now >= out.due(); // the look at the clock that ends it comes later in this turn
-            if (!out.over && !late && !transmit(link, out)) {
+            boolean late = now >= out.nextDueMicros(); // the look at the clock that ends it comes
+            // later in this turn
+            if (!out.isEnded && !late && !transmit(link, out)) {
                 return;
             }
             link.waiting.removeFirst();
-            if (!out.over && !late) {
+            if (!out.isEnded && !late) {
                 byDue.remove(out); // its due time is another now
                 byDue.add(out);
             }
         }
     }
 
-    public void dialFailed(long time, String target, long dial, String why) {
+    public void connectFailed(long time, String target, long dial, String why) {
         now = time;
         Link link = links.get(target);
         if (link != null && link.dialling.remove(dial) != null) {
@@ -360,7 +362,8 @@
      *     so that is not believed.
      * @param unwritten the relay whose last byte never left this machine; 0 for none
      */
-    public void lost(long time, String target, Connection line, boolean refused, long unwritten) {
+    public void connectionLost(
+            long time, String target, Connection line, boolean refused, long unwritten) {
         now = time;
         Conn conn = conns.remove(line);
         if (conn == null) {
@@ -377,7 +380,9 @@
                         out ->
                                 end(
                                         out,
-                                        out.number == unwritten ? Outcome.NO_CONNECTION : became,
+                                        out.frameNumber == unwritten
+                                                ? Outcome.NO_CONNECTION
+                                                : became,
                                         null,
                                         null));
         if (!link.waiting.isEmpty() && !hasOpen(link)) {
@@ -386,7 +391,7 @@
     }
 
     /** Drops a reply to what is no longer out: given up, cancelled, or answered already. */
-    public void replied(long time, long at, Connection line, AttemptReply reply) {
+    public void attemptReplied(long time, long at, Connection line, AttemptReply reply) {
         now = time;
         Conn conn = conns.get(line);
         OutboundAttempt out = conn == null ? null : conn.outs.get(reply.getNumber());
@@ -398,7 +403,7 @@
             return;
         }
         conn.lastUse = now;
-        out.endedAt = at;
+        out.repliedAtMicros = at;
         end(out, outcome(reply), reply.hasLoad() ? reply.getLoad() : null, reply.getPayload());
     }
 
@@ -427,24 +432,26 @@
             return;
         }
         conn.lastUse = now;
-        out.endedAt = at;
+        out.repliedAtMicros = at;
         end(out, Outcome.SUCCEEDED, load, null);
     }
 
     // ---- Time ----
 
-    /** When {@link #look} has something to do next; Long.MAX_VALUE for never. */
-    public long nextDue() {
-        while (!byDue.isEmpty() && byDue.peek().over) {
+    /** When {@link #handleTimeouts} has something to do next; Long.MAX_VALUE for never. */
+    public long nextDueMicros() {
+        while (!byDue.isEmpty() && byDue.peek().isEnded) {
             byDue.poll();
         }
         return Math.min(
-                Math.min(nextRested(), byDue.isEmpty() ? Long.MAX_VALUE : byDue.peek().due()),
+                Math.min(
+                        nextRested(),
+                        byDue.isEmpty() ? Long.MAX_VALUE : byDue.peek().nextDueMicros()),
                 links.isEmpty() ? Long.MAX_VALUE : sweepAt);
     }
 
     /** Ends what is past its time, gives up dials, closes idle connections. */
-    public void look(long time) {
+    public void handleTimeouts(long time) {
         now = time;
         if (exclusive() && nextRested() <= now) {
             links.values().stream().filter(l -> !l.waiting.isEmpty()).forEach(this::serveWaiting);
@@ -453,8 +460,9 @@
             OutboundAttempt out = byDue.poll();
             // Not sent by its time to give up: moot. Not sent by the time to connect: no
             // connection.
-            Outcome unsent = now >= out.connectBy ? Outcome.NO_CONNECTION : Outcome.NOT_STARTED;
-            end(out, out.sent() ? Outcome.TIMED_OUT : unsent, null, null);
+            Outcome unsent =
+                    now >= out.connectDeadlineMicros ? Outcome.NO_CONNECTION : Outcome.NOT_STARTED;
+            end(out, out.isSent() ? Outcome.TIMED_OUT : unsent, null, null);
         }
         if (now >= sweepAt) {
             sweepAt = now + Math.max(1_000, Math.min(transport.connectTimeoutMicros(), 250_000));
@@ -464,14 +472,14 @@
     }
 
     private OutboundAttempt nextOver() {
-        while (!byDue.isEmpty() && byDue.peek().over) {
+        while (!byDue.isEmpty() && byDue.peek().isEnded) {
             byDue.poll();
         }
-        return !byDue.isEmpty() && byDue.peek().due() <= now ? byDue.peek() : null;
+        return !byDue.isEmpty() && byDue.peek().nextDueMicros() <= now ? byDue.peek() : null;
     }
 
     private void sweep(Link link) {
-        link.waiting.removeIf(out -> out.over);
+        link.waiting.removeIf(out -> out.isEnded);
         boolean gaveUp =
                 link.dialling
                         .values()
@@ -497,23 +505,27 @@
     }
 
     private void end(OutboundAttempt out, Outcome outcome, Load load, ByteString payload) {
-        if (out.over) {
+        if (out.isEnded) {
             return;
         }
-        out.over = true;
+        out.isEnded = true;
         out.frame = null;
-        if (out.sent()) {
-            out.conn.outs.remove(out.number);
+        if (out.isSent()) {
+            out.connection.outs.remove(out.frameNumber);
         }
-        long lag = Math.max(0, (out.endedAt > 0 ? out.endedAt : now) - out.orderedAt);
+        long lag =
+                Math.max(
+                        0,
+                        (out.repliedAtMicros > 0 ? out.repliedAtMicros : now)
+                                - out.orderedAtMicros);
         if (out.isProbe()) {
             double waiting = load != null && load.hasQueueLength() ? load.getQueueLength() : -1;
             outcomes.onProbeEnded(out.target, outcome, lag, waiting);
         } else {
-            relays.remove(key(out.id, out.attempt));
-            outcomes.onAttemptEnded(out.id, out.attempt, outcome, lag, load, payload);
+            relays.remove(key(out.requestId, out.attemptNumber));
+            outcomes.onAttemptEnded(out.requestId, out.attemptNumber, outcome, lag, load, payload);
         }
-        if (exclusive() && out.sent()) {
+        if (exclusive() && out.isSent()) {
             freed(out, outcome);
         }
     }
@@ -524,7 +536,7 @@
      */
     private void freed(OutboundAttempt out, Outcome outcome) {
         if (outcome == Outcome.CANCELLED || outcome == Outcome.TIMED_OUT) {
-            out.conn.line.close("what was sent there was given up");
+            out.connection.line.close("what was sent there was given up");
         }
     }
 
@@ -533,7 +545,7 @@
     }
 
     /** Relays and probes with no outcome yet. */
-    public int out() {
+    public int outstandingCount() {
         return (int) conns.values().stream().mapToLong(c -> c.outs.size()).sum()
                 + links.values().stream().mapToInt(l -> l.waiting.size()).sum();
     }
--- a/gateway/src/main/java/milletyoke/gateway/dispatch/OutboundAttempt.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/OutboundAttempt.java
@@ -7,31 +7,31 @@
     final String target;
 
     /** The access and its relay; null for a probe. */
-    final String id;
+    final String requestId;
 
-    final int attempt;
-    final long orderedAt;
-    final long giveUpAt;
+    final int attemptNumber;
+    final long orderedAtMicros;
+    final long deadlineMicros;
 
     /** When waiting for a connection ends. */
-    final long connectBy;
+    final long connectDeadlineMicros;
 
     Frame frame;
-    AttemptDispatcher.Conn conn;
-    long number;
-    boolean over;
+    AttemptDispatcher.Conn connection;
+    long frameNumber;
+    boolean isEnded;
 
     /** When its reply came, on the loop's clock; 0 where none did. */
-    long endedAt;
+    long repliedAtMicros;
 
     OutboundAttempt(
             String target, String id, int attempt, long orderedAt, long giveUpAt, long connectBy) {
         this.target = target;
-        this.id = id;
-        this.attempt = attempt;
-        this.orderedAt = orderedAt;
-        this.giveUpAt = giveUpAt;
-        this.connectBy = connectBy;
+        this.requestId = id;
+        this.attemptNumber = attempt;
+        this.orderedAtMicros = orderedAt;
+        this.deadlineMicros = giveUpAt;
+        this.connectDeadlineMicros = connectBy;
     }
 
     /**
@@ -39,26 +39,26 @@
      * what was.
      */
     Frame frameAt(long now) {
-        if (isProbe() || now == orderedAt) {
+        if (isProbe() || now == orderedAtMicros) {
             return frame;
         }
         return frame.toBuilder()
                 .setAttempt(
                         frame.getAttempt().toBuilder()
-                                .setTimeLeftMicros(Math.max(0, giveUpAt - now)))
+                                .setTimeLeftMicros(Math.max(0, deadlineMicros - now)))
                 .build();
     }
 
     boolean isProbe() {
-        return id == null;
+        return requestId == null;
     }
 
-    boolean sent() {
-        return conn != null;
+    boolean isSent() {
+        return connection != null;
     }
 
     /** When the loop must look at it next. */
-    long due() {
-        return sent() ? giveUpAt : Math.min(giveUpAt, connectBy);
+    long nextDueMicros() {
+        return isSent() ? deadlineMicros : Math.min(deadlineMicros, connectDeadlineMicros);
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/dispatch/WriteBatch.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/WriteBatch.java
@@ -12,7 +12,7 @@
     private final Set<Connection> lines = new LinkedHashSet<>();
 
     /** As {@link Connection#enqueue}; it leaves at the turn's end. */
-    public boolean post(Connection line, Frame frame) {
+    public boolean enqueue(Connection line, Frame frame) {
         boolean taken = line.enqueue(frame);
         if (taken) {
             lines.add(line);
--- a/gateway/src/main/java/milletyoke/gateway/loop/Counters.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/Counters.java
@@ -6,26 +6,26 @@
 
 /** One initiator's counts since its start; any thread may add and read. */
 public final class Counters {
-    private final Map<Counter, LongAdder> all = new EnumMap<>(Counter.class);
+    private final Map<Counter, LongAdder> adders = new EnumMap<>(Counter.class);
 
     public Counters() {
         for (Counter count : Counter.values()) {
-            all.put(count, new LongAdder());
+            adders.put(count, new LongAdder());
         }
     }
 
     public void increment(Counter count) {
-        all.get(count).increment();
+        adders.get(count).increment();
     }
 
     public long get(Counter count) {
-        return all.get(count).sum();
+        return adders.get(count).sum();
     }
 
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder();
-        all.forEach(
+        adders.forEach(
                 (count, adder) -> {
                     if (adder.sum() > 0) {
                         text.append(text.isEmpty() ? "" : " ")
--- a/gateway/src/main/java/milletyoke/gateway/loop/EndpointRegistry.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/EndpointRegistry.java
@@ -20,67 +20,67 @@
  */
 final class EndpointRegistry {
     /** More targets than any list of one frame can hold are not remembered. */
-    private static final int MOST_STARTS = 1 << 17;
+    private static final int MAX_START_TIMES = 1 << 17;
 
     /** What becomes of addresses. */
-    interface Addresses {
-        void listed(String target, Address address);
+    interface TargetListener {
+        void onListed(String target, Address address);
 
         /** It finishes what it has. */
-        void draining(String target);
+        void onDraining(String target);
 
-        void unlisted(String target);
+        void onUnlisted(String target);
     }
 
-    private record Start(long told, long local) {}
+    private record StartTime(long discoveryMicros, long localMicros) {}
 
-    private final Addresses addresses;
-    private final Map<String, Target> held = new LinkedHashMap<>();
-    private final Map<String, Start> starts = new LinkedHashMap<>();
+    private final TargetListener listener;
+    private final Map<String, Target> targetsById = new LinkedHashMap<>();
+    private final Map<String, StartTime> startTimes = new LinkedHashMap<>();
 
     /**
      * Targets that an operator took out of service here; they stay so over new lists until put
      * back.
      */
-    private final Set<String> drainedHere = new TreeSet<>();
+    private final Set<String> drainedByOperator = new TreeSet<>();
 
-    private long version;
-    private long toldNow;
+    private long revision;
+    private long discoveryNowMicros;
 
-    EndpointRegistry(Addresses addresses) {
-        this.addresses = addresses;
+    EndpointRegistry(TargetListener addresses) {
+        this.listener = addresses;
     }
 
     /** The version held, to be told to discovery. */
-    long version() {
-        return version;
+    long revision() {
+        return revision;
     }
 
     /**
      * @param now when the list came, on this initiator's clock
      */
-    Event.EndpointListReceived listed(long now, EndpointList list, boolean restored) {
+    Event.EndpointListReceived apply(long now, EndpointList list, boolean restored) {
         Set<String> leftOut =
-                new TreeSet<>(list.getScope() == Scope.UPDATE ? Set.of() : held.keySet());
+                new TreeSet<>(list.getScope() == Scope.UPDATE ? Set.of() : targetsById.keySet());
         List<Event.Target> targets = new ArrayList<>();
         for (Target t : list.getTargetList()) {
             leftOut.remove(t.getId());
-            take(t);
-            boolean here = drainedHere.contains(t.getId()) && t.getHealth() == Health.ACTIVE;
+            applyTarget(t);
+            boolean here = drainedByOperator.contains(t.getId()) && t.getHealth() == Health.ACTIVE;
             targets.add(
                     new Event.Target(
                             t.getShard(),
                             t.getId(),
                             t.getZone(),
                             here ? Event.Health.DRAINING : health(t),
-                            start(now, t, list)));
+                            startTimeMicros(now, t, list)));
         }
         if (list.getScope() != Scope.UPDATE) {
-            leftOut.forEach(this::leave);
-            starts.keySet().retainAll(held.keySet());
+            leftOut.forEach(this::remove);
+            startTimes.keySet().retainAll(targetsById.keySet());
         }
-        version = list.getRevision();
-        toldNow = list.getNow();
+        revision = list.getRevision();
+        discoveryNowMicros = list.getNow();
         Event.ListScope scope =
                 restored
                         ? Event.ListScope.RESTORED
@@ -90,64 +90,64 @@
         return new Event.EndpointListReceived(scope, List.copyOf(targets));
     }
 
-    private void take(Target t) {
+    private void applyTarget(Target t) {
         if (t.getHealth() == Health.REMOVED) {
-            leave(t.getId());
+            remove(t.getId());
             return;
         }
-        held.put(t.getId(), t);
-        addresses.listed(t.getId(), new Address(t.getHost(), t.getPort()));
+        targetsById.put(t.getId(), t);
+        listener.onListed(t.getId(), new Address(t.getHost(), t.getPort()));
         if (t.getHealth() != Health.ACTIVE) {
-            addresses.draining(t.getId());
+            listener.onDraining(t.getId());
         }
     }
 
-    private void leave(String target) {
-        held.remove(target);
-        addresses.unlisted(target);
+    private void remove(String target) {
+        targetsById.remove(target);
+        listener.onUnlisted(target);
     }
 
     /** Null where the target is not listed; else a change as if discovery had told it. */
-    Event.EndpointListReceived drain(long now, String target, boolean on) {
+    Event.EndpointListReceived setDrained(long now, String target, boolean on) {
         if (on
-                ? drainedHere.size() >= MOST_STARTS || !drainedHere.add(target)
-                : !drainedHere.remove(target)) {
+                ? drainedByOperator.size() >= MAX_START_TIMES || !drainedByOperator.add(target)
+                : !drainedByOperator.remove(target)) {
             return null;
         }
-        Target t = held.get(target);
+        Target t = targetsById.get(target);
         if (t == null) {
             return null;
         }
         Event.Health health =
                 on && t.getHealth() == Health.ACTIVE ? Event.Health.DRAINING : health(t);
-        long launched = starts.containsKey(target) ? starts.get(target).local() : 0;
+        long launched = startTimes.containsKey(target) ? startTimes.get(target).localMicros() : 0;
         return new Event.EndpointListReceived(
                 Event.ListScope.UPDATE,
                 List.of(new Event.Target(t.getShard(), target, t.getZone(), health, launched)));
     }
 
-    boolean isDrainedHere(String target) {
-        return drainedHere.contains(target);
+    boolean isDrainedByOperator(String target) {
+        return drainedByOperator.contains(target);
     }
 
     boolean isListed(String target) {
-        return held.containsKey(target);
+        return targetsById.containsKey(target);
     }
 
     /** In a word how discovery has it; null where it is not listed. */
-    String listedAs(String target) {
-        Target t = held.get(target);
+    String healthLabel(String target) {
+        Target t = targetsById.get(target);
         return t == null ? null : t.getHealth() == Health.ACTIVE ? "on" : "draining";
     }
 
     /** Targets that may be sent to. */
-    int usable() {
+    int usableCount() {
         return (int)
-                held.values().stream()
+                targetsById.values().stream()
                         .filter(
                                 t ->
                                         t.getHealth() == Health.ACTIVE
-                                                && !drainedHere.contains(t.getId()))
+                                                && !drainedByOperator.contains(t.getId()))
                         .count();
     }
 
@@ -162,32 +162,32 @@
         };
     }
 
-    private long start(long now, Target t, EndpointList list) {
+    private long startTimeMicros(long now, Target t, EndpointList list) {
         if (t.getStartedAtMicros() == 0) {
             return 0;
         }
-        Start known = starts.get(t.getId());
-        if (known == null || known.told() != t.getStartedAtMicros()) {
+        StartTime known = startTimes.get(t.getId());
+        if (known == null || known.discoveryMicros() != t.getStartedAtMicros()) {
             long local = Math.max(1, now - Math.max(0, list.getNow() - t.getStartedAtMicros()));
-            known = new Start(t.getStartedAtMicros(), local);
-            if (starts.size() < MOST_STARTS) {
-                starts.put(t.getId(), known);
+            known = new StartTime(t.getStartedAtMicros(), local);
+            if (startTimes.size() < MAX_START_TIMES) {
+                startTimes.put(t.getId(), known);
             }
         }
-        return known.local();
+        return known.localMicros();
     }
 
     /** The whole list as held, to be kept over a restart. */
-    EndpointList whole() {
+    EndpointList snapshot() {
         return EndpointList.newBuilder()
-                .setRevision(version)
+                .setRevision(revision)
                 .setScope(Scope.REPLACE)
-                .setNow(toldNow)
-                .addAllTarget(held.values())
+                .setNow(discoveryNowMicros)
+                .addAllTarget(targetsById.values())
                 .build();
     }
 
     int size() {
-        return held.size();
+        return targetsById.size();
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
@@ -178,37 +178,37 @@
         links = new AttemptDispatcher(setup.transport(), around, ledger, counts, outbox);
         roster =
                 new EndpointRegistry(
-                        new EndpointRegistry.Addresses() {
+                        new EndpointRegistry.TargetListener() {
                             @Override
-                            public void listed(String target, Address address) {
-                                links.listed(target, address);
+                            public void onListed(String target, Address address) {
+                                links.targetListed(target, address);
                             }
 
                             @Override
-                            public void draining(String target) {
-                                links.takesNothingNew(clock.getAsLong(), target);
+                            public void onDraining(String target) {
+                                links.targetDraining(clock.getAsLong(), target);
                             }
 
                             @Override
-                            public void unlisted(String target) {
-                                links.unlisted(clock.getAsLong(), target);
+                            public void onUnlisted(String target) {
+                                links.targetUnlisted(clock.getAsLong(), target);
                             }
                         });
-        ledger.connect(new Outlets());
+        ledger.setAttemptSender(new Outlets());
         thread = drive == null ? new Thread(this::run, setup.name() + "-loop") : null;
     }
 
     /** What is decided, on its way out. */
     private final class Outlets implements RequestTracker.AttemptSender {
         @Override
-        public void relay(
+        public void sendAttempt(
                 String target, String id, int attempt, long giveUpAt, Attempt.Builder relay) {
-            links.relay(clock.getAsLong(), target, id, attempt, giveUpAt, relay);
+            links.sendAttempt(clock.getAsLong(), target, id, attempt, giveUpAt, relay);
         }
 
         @Override
-        public void cancel(String id, int attempt) {
-            links.cancel(clock.getAsLong(), id, attempt);
+        public void cancelAttempt(String id, int attempt) {
+            links.cancelAttempt(clock.getAsLong(), id, attempt);
         }
 
         @Override
@@ -217,18 +217,18 @@
         }
 
         @Override
-        public void probe(String target) {
-            links.probe(clock.getAsLong(), target);
+        public void sendProbe(String target) {
+            links.sendProbe(clock.getAsLong(), target);
         }
 
         @Override
-        public void wake(long in) {
+        public void scheduleWakeUp(long in) {
             alarms.add(turnAt + in);
         }
 
         @Override
-        public void follow() {
-            around.watchEndpoints(roster.version());
+        public void watchEndpoints() {
+            around.watchEndpoints(roster.revision());
         }
     }
 
@@ -238,11 +238,11 @@
      * @param restored the list as last held, null for none
      */
     public void start(long seed, EndpointList restored) {
-        ledger.happened(new Event.Started(seed, setup.deployment().scheduler()));
+        ledger.addEvent(new Event.Started(seed, setup.deployment().scheduler()));
         EndpointList known = restored == null ? EndpointList.getDefaultInstance() : restored;
-        ledger.happened(roster.listed(clock.getAsLong(), known, true));
+        ledger.addEvent(roster.apply(clock.getAsLong(), known, true));
         if (restored != null) {
-            fact(new LifecycleEvent.EndpointListReceived(roster.usable(), true));
+            fact(new LifecycleEvent.EndpointListReceived(roster.usableCount(), true));
         }
         paint(clock.getAsLong());
         if (drive == null) {
@@ -395,13 +395,13 @@
     }
 
     private boolean isOver() {
-        return killed || leaving && ledger.unanswered() == 0 && !ledger.hasEvents();
+        return killed || leaving && ledger.unansweredCount() == 0 && !ledger.hasEvents();
     }
 
     private void failed(Throwable thrown) {
         fault = thrown;
         LOG.error("the loop failed; everything held is broken off", thrown);
-        ledger.breakOffAll();
+        ledger.failAll();
         outbox.flush();
     }
 
@@ -431,10 +431,10 @@
             }
         }
         long now = clock.getAsLong();
-        links.look(now);
+        links.handleTimeouts(now);
         if (now >= overdueAt) {
             overdueAt = now + LONGEST_SLEEP;
-            ledger.endOverdue(now);
+            ledger.closeOverdue(now);
         }
         if (now >= paintAt) {
             paint(now);
@@ -443,7 +443,7 @@
             while (nextAlarm() <= now) {
                 alarms.poll();
             }
-            ledger.happened(new Event.WakeUp());
+            ledger.addEvent(new Event.WakeUp());
         }
         if (ledger.hasEvents()) {
             decide(now);
@@ -464,8 +464,8 @@
     private void decide(long now) {
         counts.increment(Counter.TURNS);
         turnAt = now;
-        List<Action> actions = decisions.decide(now, ledger.drain());
-        ledger.carryOut(now, actions);
+        List<Action> actions = decisions.decide(now, ledger.drainEvents());
+        ledger.execute(now, actions);
         long took = Math.min(60_000_000, clock.getAsLong() - now);
         turnTimes.recordValue(took);
         recent.recordValue(took);
@@ -484,31 +484,31 @@
         return stillUntil > 0
                 ? stillUntil
                 : Math.min(
-                        Math.min(nextAlarm(), Math.min(paintAt, links.nextDue())),
+                        Math.min(nextAlarm(), Math.min(paintAt, links.nextDueMicros())),
                         now + LONGEST_SLEEP);
     }
 
     private void learn(LoopMessage told) {
         long now = clock.getAsLong();
         if (told instanceof LoopMessage.RequestReceived t) {
-            ledger.taken(now, t.receivedAtMicros(), t.client(), t.request());
+            ledger.receive(now, t.receivedAtMicros(), t.client(), t.request());
         } else if (told instanceof LoopMessage.RequestCancelled t) {
-            ledger.left(t.client(), t.number());
+            ledger.requestCancelled(t.client(), t.number());
         } else if (told instanceof LoopMessage.ClientDisconnected t) {
-            ledger.clientGone(t.client());
+            ledger.clientDisconnected(t.client());
         } else if (told instanceof LoopMessage.ConnectSucceeded t) {
-            links.dialled(now, t.target(), t.connectNumber(), t.connection());
+            links.connectSucceeded(now, t.target(), t.connectNumber(), t.connection());
         } else if (told instanceof LoopMessage.ConnectFailed t) {
-            links.dialFailed(now, t.target(), t.connectNumber(), t.reason());
+            links.connectFailed(now, t.target(), t.connectNumber(), t.reason());
         } else if (told instanceof LoopMessage.ConnectionLost t) {
-            links.lost(now, t.target(), t.connection(), t.refused(), t.unwritten());
+            links.connectionLost(now, t.target(), t.connection(), t.refused(), t.unwritten());
         } else if (told instanceof LoopMessage.AttemptReplied t) {
-            links.replied(now, t.receivedAtMicros(), t.connection(), t.reply());
+            links.attemptReplied(now, t.receivedAtMicros(), t.connection(), t.reply());
         } else if (told instanceof LoopMessage.ProbeReplied t) {
             links.probeReplied(now, t.receivedAtMicros(), t.connection(), t.number(), t.load());
         } else if (told instanceof LoopMessage.EndpointListReceived t) {
             counts.increment(Counter.ENDPOINT_LISTS);
-            ledger.happened(roster.listed(now, t.list(), false));
+            ledger.addEvent(roster.apply(now, t.list(), false));
             painter.happened(
                     now,
                     "list",
@@ -519,11 +519,11 @@
                             + " of "
                             + t.list().getTargetCount(),
                     null);
-            fact(new LifecycleEvent.EndpointListReceived(roster.usable(), false));
-            around.endpointListChanged(roster.whole());
+            fact(new LifecycleEvent.EndpointListReceived(roster.usableCount(), false));
+            around.endpointListChanged(roster.snapshot());
         } else if (told instanceof LoopMessage.DiscoveryUnavailable t) {
             counts.increment(Counter.DISCOVERY_UNAVAILABLE);
-            ledger.happened(new Event.EndpointListReceived(Event.ListScope.UNAVAILABLE, List.of()));
+            ledger.addEvent(new Event.EndpointListReceived(Event.ListScope.UNAVAILABLE, List.of()));
             painter.happened(now, "list", "unavailable: " + t.reason(), null);
             fact(new LifecycleEvent.DiscoveryUnavailable());
         } else if (told instanceof LoopMessage.BeginShutdown) {
@@ -531,7 +531,7 @@
             fact(new LifecycleEvent.ShutdownRequested());
         } else if (told instanceof LoopMessage.ApplySettings t) {
             accounts.provision(t.settings());
-            ledger.happened(new Event.SettingsChanged(t.settings()));
+            ledger.addEvent(new Event.SettingsChanged(t.settings()));
             painter.happened(now, "configuration", "a new version holds", null);
             around.settingsApplied(t.settings());
         } else if (told instanceof LoopMessage.DrainInitiator t) {
@@ -547,9 +547,9 @@
     }
 
     private void drainTarget(long now, LoopMessage.DrainTarget t) {
-        Event.EndpointListReceived change = roster.drain(now, t.target(), t.drained());
+        Event.EndpointListReceived change = roster.setDrained(now, t.target(), t.drained());
         if (change != null) {
-            ledger.happened(change);
+            ledger.addEvent(change);
             painter.happened(
                     now,
                     "operator",
@@ -557,7 +557,7 @@
                             + (t.drained() ? " drained here by " : " put back by ")
                             + t.operator(),
                     null);
-            fact(new LifecycleEvent.EndpointListReceived(roster.usable(), false));
+            fact(new LifecycleEvent.EndpointListReceived(roster.usableCount(), false));
         }
     }
 
@@ -581,15 +581,15 @@
                         new SnapshotBuilder.Loop(
                                 lifecycle,
                                 around.slotsInUse(),
-                                ledger.held(),
-                                links.out(),
+                                ledger.trackedCount(),
+                                links.outstandingCount(),
                                 around.utilization(),
-                                roster.version(),
+                                roster.revision(),
                                 recent,
                                 paintCosts,
-                                ledger.latest(),
-                                roster::listedAs,
-                                roster::isDrainedHere));
+                                ledger.latestDecisions(),
+                                roster::healthLabel,
+                                roster::isDrainedByOperator));
         paintNanos += System.nanoTime() - began;
         if (now - paintSince >= 5_000_000) {
             paintCosts = paintSince == 0 ? 0 : paintNanos / 1e3 / (now - paintSince);
@@ -626,11 +626,11 @@
                         () ->
                                 reader.accept(
                                         new Figures(
-                                                ledger.held(),
-                                                ledger.unanswered(),
-                                                links.out(),
+                                                ledger.trackedCount(),
+                                                ledger.unansweredCount(),
+                                                links.outstandingCount(),
                                                 roster.size(),
-                                                roster.version(),
+                                                roster.revision(),
                                                 turnTimes.copy()))));
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/loop/RequestTracker.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/RequestTracker.java
@@ -36,18 +36,19 @@
 
     /** How relays, cancels and probes leave. */
     interface AttemptSender {
-        void relay(String target, String id, int attempt, long giveUpAt, Attempt.Builder relay);
+        void sendAttempt(
+                String target, String id, int attempt, long giveUpAt, Attempt.Builder relay);
 
-        void cancel(String id, int attempt);
+        void cancelAttempt(String id, int attempt);
 
         /** Its access is over: what has not been sent is not sent any more. */
         void dropUnsent(String id, int attempt);
 
-        void probe(String target);
+        void sendProbe(String target);
 
-        void wake(long in);
+        void scheduleWakeUp(long in);
 
-        void follow();
+        void watchEndpoints();
     }
 
     /** Told when an access no longer takes a place. */
@@ -55,35 +56,37 @@
         /**
          * @param stay microseconds since the access came in
          */
-        void free(Connection client, Request access, long stay);
+        void onSlotReleased(Connection client, Request access, long stay);
     }
 
-    private final String mark;
-    private final long answerSlack;
-    private final Counters counts;
-    private final SlotListener places;
-    private final ServiceStatistics accounts;
-    private final LongSupplier time;
-    private final WriteBatch outbox;
-    private AttemptSender outlet;
-    private final Map<String, TrackedRequest> entries = new LinkedHashMap<>();
-    private final Map<Connection, Map<Long, TrackedRequest>> byClient = new LinkedHashMap<>();
+    private final String idempotencyKeyPrefix;
+    private final long answerSlackMicros;
+    private final Counters counters;
+    private final SlotListener slotListener;
+    private final ServiceStatistics statistics;
+    private final LongSupplier clock;
+    private final WriteBatch writeBatch;
+    private AttemptSender attemptSender;
+    private final Map<String, TrackedRequest> requestsById = new LinkedHashMap<>();
+    private final Map<Connection, Map<Long, TrackedRequest>> requestsByClient =
+            new LinkedHashMap<>();
 
     /**
      * Entries in the order of their last calls, as near as arrivals give it; looked at from the
      * front.
      */
-    private final java.util.PriorityQueue<TrackedRequest> byLastCall =
-            new java.util.PriorityQueue<>(java.util.Comparator.comparingLong(e -> e.lastCall));
+    private final java.util.PriorityQueue<TrackedRequest> requestsByExpiry =
+            new java.util.PriorityQueue<>(
+                    java.util.Comparator.comparingLong(tracked -> tracked.expiresAtMicros));
 
     private List<Event> events = new ArrayList<>();
-    private final DecisionRecord[] latest = new DecisionRecord[64];
+    private final DecisionRecord[] latestDecisions = new DecisionRecord[64];
     private long noted;
-    private int unanswered;
+    private int unansweredCount;
 
     /**
-     * @param mark what makes marks of this life unlike any other's, for accesses whose client gave
-     *     none
+     * @param idempotencyKeyPrefix what makes marks of this life unlike any other's, for accesses
+     *     whose client gave none
      */
     RequestTracker(
             String mark,
@@ -93,22 +96,22 @@
             ServiceStatistics accounts,
             LongSupplier time,
             WriteBatch outbox) {
-        this.outbox = outbox;
-        this.accounts = accounts;
-        this.time = time;
-        this.mark = mark;
-        this.answerSlack = answerSlack;
-        this.counts = counts;
-        this.places = places;
+        this.writeBatch = outbox;
+        this.statistics = accounts;
+        this.clock = time;
+        this.idempotencyKeyPrefix = mark;
+        this.answerSlackMicros = answerSlack;
+        this.counters = counts;
+        this.slotListener = places;
     }
 
-    void connect(AttemptSender to) {
-        outlet = to;
+    void setAttemptSender(AttemptSender to) {
+        attemptSender = to;
     }
 
     // ---- What happens ----
 
-    void happened(Event event) {
+    void addEvent(Event event) {
         events.add(event);
     }
 
@@ -119,17 +122,17 @@
      *
      * @param at when the access came in
      */
-    void taken(long now, long at, Connection client, Request a) {
+    void receive(long now, long at, Connection client, Request a) {
         if (!client.isOpen()) {
-            places.free(
+            slotListener.onSlotReleased(
                     client, a,
                     now - at); // gone while it waited in the queue: nobody is owed an answer
             return;
         }
         if (now >= at + a.getTimeLeftMicros()) {
-            places.free(client, a, now - at);
-            counts.increment(Counter.EXPIRED);
-            outbox.post(
+            slotListener.onSlotReleased(client, a, now - at);
+            counters.increment(Counter.EXPIRED);
+            writeBatch.enqueue(
                     client,
                     Frame.newBuilder()
                             .setResponse(
@@ -141,20 +144,23 @@
             return;
         }
         String id = client.id() + "-" + a.getNumber();
-        if (entries.containsKey(id)) {
-            places.free(client, a, now - at);
-            outbox.flush(); // answers of this turn go before the farewell
+        if (requestsById.containsKey(id)) {
+            slotListener.onSlotReleased(client, a, now - at);
+            writeBatch.flush(); // answers of this turn go before the farewell
             client.closeWithReason("access number " + a.getNumber() + " is used twice");
             return;
         }
-        TrackedRequest e =
-                new TrackedRequest(id, client, a, at, at + a.getTimeLeftMicros() + answerSlack);
-        entries.put(id, e);
-        byClient.computeIfAbsent(client, c -> new LinkedHashMap<>()).put(a.getNumber(), e);
-        byLastCall.add(e);
-        unanswered++;
-        counts.increment(Counter.REQUESTS);
-        accounts.asked(now, a.getRequestClass(), a.getPlan(), a.getVolume());
+        TrackedRequest tracked =
+                new TrackedRequest(
+                        id, client, a, at, at + a.getTimeLeftMicros() + answerSlackMicros);
+        requestsById.put(id, tracked);
+        requestsByClient
+                .computeIfAbsent(client, c -> new LinkedHashMap<>())
+                .put(a.getNumber(), tracked);
+        requestsByExpiry.add(tracked);
+        unansweredCount++;
+        counters.increment(Counter.REQUESTS);
+        statistics.asked(now, a.getRequestClass(), a.getPlan(), a.getVolume());
         long timeLeft = a.getTimeLeftMicros() - (now - at);
         events.add(
                 new Event.RequestReceived(
@@ -169,67 +175,72 @@
                         a.getUnits()));
     }
 
-    void left(Connection client, long number) {
-        Map<Long, TrackedRequest> own = byClient.get(client);
-        TrackedRequest e = own == null ? null : own.get(number);
-        if (e != null && !e.answered) {
-            counts.increment(Counter.CANCELLED_BY_CLIENT);
-            over(e);
+    void requestCancelled(Connection client, long number) {
+        Map<Long, TrackedRequest> own = requestsByClient.get(client);
+        TrackedRequest tracked = own == null ? null : own.get(number);
+        if (tracked != null && !tracked.isAnswered) {
+            counters.increment(Counter.CANCELLED_BY_CLIENT);
+            closeRequest(tracked);
         }
     }
 
-    void clientGone(Connection client) {
-        Map<Long, TrackedRequest> own = byClient.get(client);
+    void clientDisconnected(Connection client) {
+        Map<Long, TrackedRequest> own = requestsByClient.get(client);
         if (own != null) {
-            List.copyOf(own.values()).stream().filter(e -> !e.answered).forEach(this::over);
-            counts.increment(Counter.CANCELLED_BY_CLIENT);
+            List.copyOf(own.values()).stream()
+                    .filter(tracked -> !tracked.isAnswered)
+                    .forEach(this::closeRequest);
+            counters.increment(Counter.CANCELLED_BY_CLIENT);
         }
     }
 
-    private void over(TrackedRequest e) {
-        events.add(new Event.RequestClosed(e.id));
-        answered(e, ServiceStatistics.End.LEFT);
-        if (e.out) {
-            outlet.dropUnsent(e.id, e.relays - 1);
+    private void closeRequest(TrackedRequest tracked) {
+        events.add(new Event.RequestClosed(tracked.id));
+        markAnswered(tracked, ServiceStatistics.End.LEFT);
+        if (tracked.hasAttemptInFlight) {
+            attemptSender.dropUnsent(tracked.id, tracked.attemptCount - 1);
         }
     }
 
-    private void answered(TrackedRequest e, ServiceStatistics.End how) {
-        long now = time.getAsLong();
-        accounts.ended(
+    private void markAnswered(TrackedRequest tracked, ServiceStatistics.End how) {
+        long now = clock.getAsLong();
+        statistics.ended(
                 now,
-                e.access.getRequestClass(),
-                e.access.getPlan(),
-                e.access.getVolume(),
+                tracked.request.getRequestClass(),
+                tracked.request.getPlan(),
+                tracked.request.getVolume(),
                 how,
-                now - e.cameAt);
-        e.answered = true;
-        unanswered--;
-        forgetIfDone(e);
+                now - tracked.receivedAtMicros);
+        tracked.isAnswered = true;
+        unansweredCount--;
+        removeIfComplete(tracked);
     }
 
-    private void forgetIfDone(TrackedRequest e) {
-        if (e.answered && !e.out && entries.remove(e.id) != null) {
-            Map<Long, TrackedRequest> own = byClient.get(e.client);
-            own.remove(e.access.getNumber());
+    private void removeIfComplete(TrackedRequest tracked) {
+        if (tracked.isAnswered
+                && !tracked.hasAttemptInFlight
+                && requestsById.remove(tracked.id) != null) {
+            Map<Long, TrackedRequest> own = requestsByClient.get(tracked.client);
+            own.remove(tracked.request.getNumber());
             if (own.isEmpty()) {
-                byClient.remove(e.client);
+                requestsByClient.remove(tracked.client);
             }
-            places.free(e.client, e.access, time.getAsLong() - e.cameAt);
+            slotListener.onSlotReleased(
+                    tracked.client, tracked.request, clock.getAsLong() - tracked.receivedAtMicros);
         }
     }
 
     @Override
     public void onAttemptEnded(
             String id, int attempt, Outcome outcome, long lag, Load load, ByteString payload) {
-        TrackedRequest e = entries.get(id);
-        if (e == null || !e.out || e.relays - 1 != attempt) {
+        TrackedRequest tracked = requestsById.get(id);
+        if (tracked == null || !tracked.hasAttemptInFlight || tracked.attemptCount - 1 != attempt) {
             return; // its access is over and forgotten
         }
-        e.out = false;
-        accounts.relayEnded(
-                time.getAsLong(),
-                e.target,
+        tracked.hasAttemptInFlight = false;
+        statistics.relayEnded(
+                clock.getAsLong(),
+                tracked.target,
                 outcome == Outcome.SUCCEEDED
                         ? ServiceStatistics.End.ANSWERED
                         : outcome == Outcome.OVERLOADED
@@ -238,12 +249,12 @@
                                 ? ServiceStatistics.End.REJECTED
                                 : ServiceStatistics.End.BROKEN_OFF,
                 lag);
-        if (outcome == Outcome.SUCCEEDED && !e.answered) {
-            answer(e, ResponseStatus.ANSWERED, 0, payload);
-            counts.increment(Counter.ANSWERED);
+        if (outcome == Outcome.SUCCEEDED && !tracked.isAnswered) {
+            answer(tracked, ResponseStatus.ANSWERED, 0, payload);
+            counters.increment(Counter.ANSWERED);
         }
-        events.add(new Event.AttemptEnded(id, attempt, e.answered, outcome, lag));
-        forgetIfDone(e);
+        events.add(new Event.AttemptEnded(id, attempt, tracked.isAnswered, outcome, lag));
+        removeIfComplete(tracked);
     }
 
     @Override
@@ -256,19 +267,20 @@
      * decided; that would be a fault of the decisions, so it is counted. Could do no harm: its
      * client has given up.
      */
-    void endOverdue(long now) {
-        while (!byLastCall.isEmpty()
-                && (byLastCall.peek().answered || byLastCall.peek().lastCall < now)) {
-            TrackedRequest e = byLastCall.poll();
-            if (!e.answered) {
-                counts.increment(Counter.OVERDUE);
+    void closeOverdue(long now) {
+        while (!requestsByExpiry.isEmpty()
+                && (requestsByExpiry.peek().isAnswered
+                        || requestsByExpiry.peek().expiresAtMicros < now)) {
+            TrackedRequest tracked = requestsByExpiry.poll();
+            if (!tracked.isAnswered) {
+                counters.increment(Counter.OVERDUE);
                 LOG.error(
                         "no answer was decided for access {} of {} in its time: {} relays, {}",
-                        e.id,
-                        e.access.getVolume(),
-                        e.relays,
-                        e.out ? "one out" : "none out");
-                over(e);
+                        tracked.id,
+                        tracked.request.getVolume(),
+                        tracked.attemptCount,
+                        tracked.hasAttemptInFlight ? "one out" : "none out");
+                closeRequest(tracked);
             }
         }
     }
@@ -279,31 +291,31 @@
         return !events.isEmpty();
     }
 
-    List<Event> drain() {
+    List<Event> drainEvents() {
         List<Event> all = events;
         events = new ArrayList<>();
         return all;
     }
 
-    void carryOut(long now, List<Action> actions) {
+    void execute(long now, List<Action> actions) {
         for (Action action : actions) {
-            note(now, action);
+            recordDecision(now, action);
             if (action instanceof Action.SendAttempt a) {
-                relay(now, a);
+                sendAttempt(now, a);
             } else if (action instanceof Action.Reject a) {
-                close(a.id(), ResponseStatus.REJECTED, a.retryAfterMicros(), Counter.REJECTED);
+                finish(a.id(), ResponseStatus.REJECTED, a.retryAfterMicros(), Counter.REJECTED);
             } else if (action instanceof Action.Fail a) {
-                close(a.id(), ResponseStatus.FAILED, 0, Counter.FAILED);
+                finish(a.id(), ResponseStatus.FAILED, 0, Counter.FAILED);
             } else if (action instanceof Action.CancelAttempt a) {
-                counts.increment(Counter.CANCELS);
-                outlet.cancel(a.id(), a.attemptNumber());
+                counters.increment(Counter.CANCELS);
+                attemptSender.cancelAttempt(a.id(), a.attemptNumber());
             } else if (action instanceof Action.SendProbe a) {
-                counts.increment(Counter.PROBES);
-                outlet.probe(a.target());
+                counters.increment(Counter.PROBES);
+                attemptSender.sendProbe(a.target());
             } else if (action instanceof Action.ScheduleWakeUp a) {
-                outlet.wake(a.delayMicros());
+                attemptSender.scheduleWakeUp(a.delayMicros());
             } else if (action instanceof Action.WatchEndpoints) {
-                outlet.follow();
+                attemptSender.watchEndpoints();
             }
         }
     }
@@ -312,7 +324,7 @@
      * Wake-ups and askings for the list are no news; of the rest the latest are kept, as they were
      * decided.
      */
-    private void note(long now, Action action) {
+    private void recordDecision(long now, Action action) {
         String id =
                 action instanceof Action.SendAttempt a
                         ? a.id()
@@ -322,36 +334,37 @@
                                         ? a.id()
                                         : action instanceof Action.CancelAttempt a ? a.id() : null;
         if (id != null || action instanceof Action.SendProbe) {
-            TrackedRequest e = id == null ? null : entries.get(id);
-            latest[(int) (noted++ % latest.length)] =
-                    new DecisionRecord(now, action, e == null ? null : e.access.getVolume());
+            TrackedRequest tracked = id == null ? null : requestsById.get(id);
+            latestDecisions[(int) (noted++ % latestDecisions.length)] =
+                    new DecisionRecord(
+                            now, action, tracked == null ? null : tracked.request.getVolume());
         }
     }
 
     /** The latest decisions, the newest first. */
-    List<DecisionRecord> latest() {
+    List<DecisionRecord> latestDecisions() {
         List<DecisionRecord> all = new ArrayList<>();
-        for (long i = noted - 1; i >= Math.max(0, noted - latest.length); i--) {
-            all.add(latest[(int) (i % latest.length)]);
+        for (long i = noted - 1; i >= Math.max(0, noted - latestDecisions.length); i--) {
+            all.add(latestDecisions[(int) (i % latestDecisions.length)]);
         }
         return all;
     }
 
-    private void relay(long now, Action.SendAttempt a) {
-        TrackedRequest e = entries.get(a.id());
-        if (e == null || e.answered) {
+    private void sendAttempt(long now, Action.SendAttempt a) {
+        TrackedRequest tracked = requestsById.get(a.id());
+        if (tracked == null || tracked.isAnswered) {
             throw new IllegalStateException(
                     "a relay was decided for " + a.id() + ", which is over");
         }
-        Request x = e.access;
-        int attempt = e.relays++;
-        e.out = true;
-        e.target = a.target();
-        accounts.relayed(now, a.target());
-        counts.increment(attempt == 0 ? Counter.ATTEMPTS : Counter.RETRIES);
+        Request x = tracked.request;
+        int attempt = tracked.attemptCount++;
+        tracked.hasAttemptInFlight = true;
+        tracked.target = a.target();
+        statistics.relayed(now, a.target());
+        counters.increment(attempt == 0 ? Counter.ATTEMPTS : Counter.RETRIES);
         Attempt.Builder relay =
                 Attempt.newBuilder()
-                        .setRequestId(e.id)
+                        .setRequestId(tracked.id)
                         .setAttemptNumber(attempt)
                         .setExtent(x.getExtent())
                         .setVolume(x.getVolume())
@@ -362,35 +375,36 @@
                         .setPayload(x.getPayload())
                         .setIdempotencyKey(
                                 x.getIdempotencyKey().isEmpty()
-                                        ? mark + e.id
+                                        ? idempotencyKeyPrefix + tracked.id
                                         : x.getIdempotencyKey());
         if (x.hasShard()) {
             relay.setShard(x.getShard());
         }
-        outlet.relay(a.target(), e.id, attempt, a.deadlineMicros(), relay);
+        attemptSender.sendAttempt(a.target(), tracked.id, attempt, a.deadlineMicros(), relay);
     }
 
-    private void close(String id, ResponseStatus how, long retryIn, Counter count) {
-        TrackedRequest e = entries.get(id);
-        if (e != null && !e.answered) {
-            counts.increment(count);
-            answer(e, how, retryIn, null);
+    private void finish(String id, ResponseStatus how, long retryIn, Counter count) {
+        TrackedRequest tracked = requestsById.get(id);
+        if (tracked != null && !tracked.isAnswered) {
+            counters.increment(count);
+            answer(tracked, how, retryIn, null);
         }
     }
 
-    private void answer(TrackedRequest e, ResponseStatus how, long retryIn, ByteString payload) {
+    private void answer(
+            TrackedRequest tracked, ResponseStatus how, long retryIn, ByteString payload) {
         Response.Builder answer =
                 Response.newBuilder()
-                        .setNumber(e.access.getNumber())
+                        .setNumber(tracked.request.getNumber())
                         .setStatus(how)
                         .setRetryAfterMicros(retryIn)
                         .setReason(Reason.SCHEDULER);
         if (payload != null) {
             answer.setPayload(payload);
         }
-        outbox.post(e.client, Frame.newBuilder().setResponse(answer).build());
-        answered(
-                e,
+        writeBatch.enqueue(tracked.client, Frame.newBuilder().setResponse(answer).build());
+        markAnswered(
+                tracked,
                 how == ResponseStatus.ANSWERED
                         ? ServiceStatistics.End.ANSWERED
                         : how == ResponseStatus.REJECTED
@@ -399,18 +413,18 @@
     }
 
     /** For a fault of the decisions: everything held is broken off, which promises nothing. */
-    void breakOffAll() {
-        for (TrackedRequest e : List.copyOf(entries.values())) {
-            close(e.id, ResponseStatus.FAILED, 0, Counter.FAILED);
+    void failAll() {
+        for (TrackedRequest tracked : List.copyOf(requestsById.values())) {
+            finish(tracked.id, ResponseStatus.FAILED, 0, Counter.FAILED);
         }
     }
 
     /** Accesses that are owed an answer. */
-    int unanswered() {
-        return unanswered;
+    int unansweredCount() {
+        return unansweredCount;
     }
 
-    int held() {
-        return entries.size();
+    int trackedCount() {
+        return requestsById.size();
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/loop/TrackedRequest.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/TrackedRequest.java
@@ -7,27 +7,27 @@
 final class TrackedRequest {
     final String id;
     final Connection client;
-    final Request access;
+    final Request request;
 
     /** When it came in (microseconds). */
-    final long cameAt;
+    final long receivedAtMicros;
 
     /** After this nothing can be of use to the client any more (microseconds). */
-    final long lastCall;
+    final long expiresAtMicros;
 
-    int relays;
+    int attemptCount;
 
     /** Where its latest relay went. */
     String target;
 
-    boolean out;
-    boolean answered;
+    boolean hasAttemptInFlight;
+    boolean isAnswered;
 
     TrackedRequest(String id, Connection client, Request access, long cameAt, long lastCall) {
         this.id = id;
         this.client = client;
-        this.access = access;
-        this.cameAt = cameAt;
-        this.lastCall = lastCall;
+        this.request = access;
+        this.receivedAtMicros = cameAt;
+        this.expiresAtMicros = lastCall;
     }
 }
--- a/gateway/src/test/java/milletyoke/gateway/dispatch/AttemptDispatcherTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/dispatch/AttemptDispatcherTest.java
@@ -32,9 +32,9 @@
 
     private final Map<String, Outcome> ended = new LinkedHashMap<>();
     private final List<String> probes = new ArrayList<>();
-    private final Map<Long, String> dials = new LinkedHashMap<>();
-    private final List<Fake> lines = new ArrayList<>();
-    private final AttemptDispatcher links =
+    private final Map<Long, String> pendingConnects = new LinkedHashMap<>();
+    private final List<FakeConnection> connections = new ArrayList<>();
+    private final AttemptDispatcher dispatcher =
             new AttemptDispatcher(
                     new Transport(CONNECT, IDLE, 2, 3, PROBE, 1 << 20, 1 << 20, 1, 1),
                     this,
@@ -43,14 +43,14 @@
                     new WriteBatch());
 
     /** A connection that keeps what was sent on it. */
-    private static final class Fake implements Connection {
+    private static final class FakeConnection implements Connection {
         final int id;
         final String target;
         final List<Frame> sent = new ArrayList<>();
         boolean open = true;
         boolean refuses;
 
-        Fake(int id, String target) {
+        FakeConnection(int id, String target) {
             this.id = id;
             this.target = target;
         }
@@ -86,7 +86,7 @@
 
     @Override
     public PendingConnect connect(String target, Address address, long dial) {
-        dials.put(dial, target);
+        pendingConnects.put(dial, target);
         return () -> {};
     }
 
@@ -102,28 +102,31 @@
         probes.add(target + " " + outcome + " " + waiting);
     }
 
-    private Fake up(long now, long dial) {
-        Fake line = new Fake(lines.size(), dials.remove(dial));
-        lines.add(line);
-        links.dialled(now, line.target, dial, line);
-        return line;
+    private FakeConnection establish(long now, long dial) {
+        FakeConnection connection =
+                new FakeConnection(connections.size(), pendingConnects.remove(dial));
+        connections.add(connection);
+        dispatcher.connectSucceeded(now, connection.target, dial, connection);
+        return connection;
     }
 
     private long lastDial() {
-        return dials.keySet().stream().reduce((a, b) -> b).orElseThrow();
+        return pendingConnects.keySet().stream().reduce((a, b) -> b).orElseThrow();
     }
 
     private void relay(long now, String id) {
-        links.relay(now, "a", id, 0, now + 10_000, Attempt.newBuilder().setRequestId(id));
+        dispatcher.sendAttempt(
+                now, "a", id, 0, now + 10_000, Attempt.newBuilder().setRequestId(id));
     }
 
-    private void reply(long now, Fake line, int sent, milletyoke.wire.proto.Outcome outcome) {
-        links.replied(
+    private void reply(
+            long now, FakeConnection connection, int sent, milletyoke.wire.proto.Outcome outcome) {
+        dispatcher.attemptReplied(
                 now,
                 now,
-                line,
+                connection,
                 AttemptReply.newBuilder()
-                        .setNumber(line.sent.get(sent).getAttempt().getNumber())
+                        .setNumber(connection.sent.get(sent).getAttempt().getNumber())
                         .setOutcome(outcome)
                         .build());
     }
@@ -136,65 +139,65 @@
 
     @Test
     void whatWaitsForAConnectionIsSentOnceThereIsOne() {
-        links.listed("a", new Address("h", 1));
+        dispatcher.targetListed("a", new Address("h", 1));
         relay(0, "r");
-        Fake line = up(10, lastDial());
-        reply(20, line, 0, milletyoke.wire.proto.Outcome.SUCCEEDED);
+        FakeConnection connection = establish(10, lastDial());
+        reply(20, connection, 0, milletyoke.wire.proto.Outcome.SUCCEEDED);
         assertEquals(Map.of("r", Outcome.SUCCEEDED), ended);
     }
 
     @Test
     void connectTimeOutIsNoConnectionAndALateConnectionIsClosed() {
-        links.listed("a", new Address("h", 1));
+        dispatcher.targetListed("a", new Address("h", 1));
         relay(0, "r");
         long dial = lastDial();
-        links.look(CONNECT - 1);
+        dispatcher.handleTimeouts(CONNECT - 1);
         assertEquals(Map.of(), ended);
-        links.look(CONNECT);
+        dispatcher.handleTimeouts(CONNECT);
         assertEquals(Map.of("r", Outcome.NO_CONNECTION), ended);
-        links.look(CONNECT * 300);
-        assertTrue(!up(CONNECT * 300, dial).open, "it came too late");
+        dispatcher.handleTimeouts(CONNECT * 300);
+        assertTrue(!establish(CONNECT * 300, dial).open, "it came too late");
     }
 
     @Test
     void timeUpBeforeItCouldBeSentIsMootAndAfterwardsTimedOut() {
-        links.listed("a", new Address("h", 1));
-        links.relay(0, "a", "moot", 0, 500, Attempt.newBuilder());
-        links.look(500);
+        dispatcher.targetListed("a", new Address("h", 1));
+        dispatcher.sendAttempt(0, "a", "moot", 0, 500, Attempt.newBuilder());
+        dispatcher.handleTimeouts(500);
         relay(600, "late");
-        Fake line = up(700, lastDial());
-        links.look(10_600);
-        reply(10_700, line, 0, milletyoke.wire.proto.Outcome.SUCCEEDED);
+        FakeConnection connection = establish(700, lastDial());
+        dispatcher.handleTimeouts(10_600);
+        reply(10_700, connection, 0, milletyoke.wire.proto.Outcome.SUCCEEDED);
         assertEquals(Map.of("moot", Outcome.NOT_STARTED, "late", Outcome.TIMED_OUT), ended);
     }
 
     @Test
     void cancelIsMootBeforeSendingAndCancelledAfter() {
-        links.listed("a", new Address("h", 1));
+        dispatcher.targetListed("a", new Address("h", 1));
         relay(0, "unsent");
-        links.cancel(1, "unsent", 0);
+        dispatcher.cancelAttempt(1, "unsent", 0);
         relay(2, "sent");
-        Fake line = up(10, lastDial());
-        links.cancel(20, "sent", 0);
+        FakeConnection connection = establish(10, lastDial());
+        dispatcher.cancelAttempt(20, "sent", 0);
         assertEquals(Map.of("unsent", Outcome.NOT_STARTED, "sent", Outcome.CANCELLED), ended);
-        assertTrue(line.sent.get(1).hasCancelAttempt());
+        assertTrue(connection.sent.get(1).hasCancelAttempt());
         assertEquals(
                 1,
-                line.sent.stream().filter(Frame::hasAttempt).count(),
+                connection.sent.stream().filter(Frame::hasAttempt).count(),
                 "what was cancelled is never sent");
     }
 
     @Test
     void closedConnectionResetsWhatWasSentAndOnlyThat() {
-        links.listed("a", new Address("h", 1));
+        dispatcher.targetListed("a", new Address("h", 1));
         relay(0, "sent");
-        Fake line = up(10, lastDial());
-        line.refuses = true; // known to be closed, though nobody was told yet
+        FakeConnection connection = establish(10, lastDial());
+        connection.refuses = true; // known to be closed, though nobody was told yet
         relay(11, "unsent");
-        links.lost(20, "a", line, false, 0);
+        dispatcher.connectionLost(20, "a", connection, false, 0);
         assertEquals(Map.of("sent", Outcome.RESET), ended);
-        up(30, lastDial());
-        assertEquals("unsent", lines.get(1).sent.get(0).getAttempt().getRequestId());
+        establish(30, lastDial());
+        assertEquals("unsent", connections.get(1).sent.get(0).getAttempt().getRequestId());
     }
 
     /**
@@ -203,16 +206,16 @@
      */
     @Test
     void refusedConnectionNeverRanWhatWasSentUnlessItHadAnswered() {
-        links.listed("a", new Address("h", 1));
+        dispatcher.targetListed("a", new Address("h", 1));
         relay(0, "never ran");
-        Fake line = up(10, lastDial());
-        links.lost(20, "a", line, true, 0);
+        FakeConnection connection = establish(10, lastDial());
+        dispatcher.connectionLost(20, "a", connection, true, 0);
         assertEquals(Map.of("never ran", Outcome.NO_CONNECTION), ended);
         ended.clear();
         relay(30, "answered");
         relay(31, "unsure");
-        Fake other = up(40, lastDial());
-        links.replied(
+        FakeConnection other = establish(40, lastDial());
+        dispatcher.attemptReplied(
                 50,
                 50,
                 other,
@@ -220,55 +223,55 @@
                         .setNumber(other.sent.get(0).getAttempt().getNumber())
                         .setOutcome(milletyoke.wire.proto.Outcome.SUCCEEDED)
                         .build());
-        links.lost(60, "a", other, true, 0);
+        dispatcher.connectionLost(60, "a", other, true, 0);
         assertEquals(Map.of("answered", Outcome.SUCCEEDED, "unsure", Outcome.RESET), ended);
     }
 
     @Test
     void connectionsAndStreamsAreBounded() {
-        links.listed("a", new Address("h", 1));
+        dispatcher.targetListed("a", new Address("h", 1));
         for (int i = 0; i < 3; i++) {
             relay(0, "r" + i);
         }
-        Fake first = up(1, 1);
-        Fake second = up(1, 2);
+        FakeConnection first = establish(1, 1);
+        FakeConnection second = establish(1, 2);
         for (int i = 3; i < 8; i++) {
             relay(2, "r" + i);
         }
         assertEquals(3, first.sent.size());
         assertEquals(3, second.sent.size());
         assertEquals(Map.of("r6", Outcome.NO_CONNECTION, "r7", Outcome.NO_CONNECTION), ended);
-        assertEquals(0, dials.size(), "two connections are the most");
+        assertEquals(0, pendingConnects.size(), "two connections are the most");
     }
 
     @Test
     void idleConnectionsAreClosedAndBusyOnesAreNot() {
-        links.listed("a", new Address("h", 1));
+        dispatcher.targetListed("a", new Address("h", 1));
         relay(0, "r");
-        Fake line = up(1, lastDial());
-        links.relay(2, "a", "long", 0, 10 * IDLE, Attempt.newBuilder());
-        reply(3, line, 0, milletyoke.wire.proto.Outcome.SUCCEEDED);
-        links.look(2 * IDLE);
-        assertTrue(line.open);
-        reply(2 * IDLE + 1, line, 1, milletyoke.wire.proto.Outcome.SUCCEEDED);
-        links.look(5 * IDLE);
-        assertTrue(!line.open);
+        FakeConnection connection = establish(1, lastDial());
+        dispatcher.sendAttempt(2, "a", "long", 0, 10 * IDLE, Attempt.newBuilder());
+        reply(3, connection, 0, milletyoke.wire.proto.Outcome.SUCCEEDED);
+        dispatcher.handleTimeouts(2 * IDLE);
+        assertTrue(connection.open);
+        reply(2 * IDLE + 1, connection, 1, milletyoke.wire.proto.Outcome.SUCCEEDED);
+        dispatcher.handleTimeouts(5 * IDLE);
+        assertTrue(!connection.open);
     }
 
     @Test
     void probesEndWithWhatTheyFound() {
-        links.listed("a", new Address("h", 1));
-        links.probe(0, "a");
-        Fake line = up(1, lastDial());
-        links.probeReplied(
+        dispatcher.targetListed("a", new Address("h", 1));
+        dispatcher.sendProbe(0, "a");
+        FakeConnection connection = establish(1, lastDial());
+        dispatcher.probeReplied(
                 5,
                 5,
-                line,
-                line.sent.get(0).getProbe().getNumber(),
+                connection,
+                connection.sent.get(0).getProbe().getNumber(),
                 Load.newBuilder().setQueueLength(7).build());
-        links.probe(10, "a");
-        links.look(10 + PROBE);
-        links.probe(20_000, "b");
+        dispatcher.sendProbe(10, "a");
+        dispatcher.handleTimeouts(10 + PROBE);
+        dispatcher.sendProbe(20_000, "b");
         assertEquals(
                 List.of("a SUCCEEDED 7.0", "a TIMED_OUT -1.0", "b NO_CONNECTION -1.0"), probes);
     }
@@ -283,19 +286,21 @@
         SplittableRandom chance = new SplittableRandom(seed);
         Map<String, Integer> ordered = new HashMap<>();
         long now = 0;
-        links.listed("a", new Address("h", 1));
+        dispatcher.targetListed("a", new Address("h", 1));
         for (int step = 0; step < 20_000; step++) {
             now += chance.nextInt(200);
-            Fake line =
-                    lines.isEmpty()
+            FakeConnection connection =
+                    connections.isEmpty()
                             ? null
-                            : lines.get(
-                                    lines.size() - 1 - chance.nextInt(Math.min(3, lines.size())));
+                            : connections.get(
+                                    connections.size()
+                                            - 1
+                                            - chance.nextInt(Math.min(3, connections.size())));
             switch (chance.nextInt(9)) {
                 case 0, 1, 2 -> {
                     String id = "r" + step;
                     ordered.put(id, step);
-                    links.relay(
+                    dispatcher.sendAttempt(
                             now,
                             "a",
                             id,
@@ -304,27 +309,29 @@
                             Attempt.newBuilder().setRequestId(id));
                 }
                 case 3 -> {
-                    if (!dials.isEmpty()) {
-                        up(now, lastDial());
+                    if (!pendingConnects.isEmpty()) {
+                        establish(now, lastDial());
                     }
                 }
                 case 4 -> {
-                    if (!dials.isEmpty()) {
+                    if (!pendingConnects.isEmpty()) {
                         long dial = lastDial();
-                        links.dialFailed(now, dials.remove(dial), dial, "refused");
+                        dispatcher.connectFailed(
+                                now, pendingConnects.remove(dial), dial, "refused");
                     }
                 }
                 case 5, 6 -> {
-                    if (line != null && line.open && !line.sent.isEmpty()) {
+                    if (connection != null && connection.open && !connection.sent.isEmpty()) {
                         Frame frame =
-                                line.sent.get(
-                                        line.sent.size()
+                                connection.sent.get(
+                                        connection.sent.size()
                                                 - 1
-                                                - chance.nextInt(Math.min(4, line.sent.size())));
-                        links.replied(
+                                                - chance.nextInt(
+                                                        Math.min(4, connection.sent.size())));
+                        dispatcher.attemptReplied(
                                 now,
                                 now,
-                                line,
+                                connection,
                                 AttemptReply.newBuilder()
                                         .setNumber(frame.getAttempt().getNumber())
                                         .setOutcomeValue(1 + chance.nextInt(8))
@@ -332,21 +339,21 @@
                     }
                 }
                 case 7 -> {
-                    if (line != null && chance.nextInt(4) == 0) {
-                        line.open = false;
-                        links.lost(now, "a", line, false, 0);
+                    if (connection != null && chance.nextInt(4) == 0) {
+                        connection.open = false;
+                        dispatcher.connectionLost(now, "a", connection, false, 0);
                     }
                 }
-                default -> links.look(now);
+                default -> dispatcher.handleTimeouts(now);
             }
             assertTrue(
-                    lines.stream().filter(l -> l.open).count() <= 2,
+                    connections.stream().filter(l -> l.open).count() <= 2,
                     "two connections are the most");
         }
-        links.look(now + 1_000_000);
+        dispatcher.handleTimeouts(now + 1_000_000);
         assertEquals(ordered.keySet(), ended.keySet());
-        for (Fake line : lines) {
-            for (Frame frame : line.sent) {
+        for (FakeConnection connection : connections) {
+            for (Frame frame : connection.sent) {
                 Outcome told =
                         frame.hasAttempt() ? ended.get(frame.getAttempt().getRequestId()) : null;
                 assertTrue(told != Outcome.NO_CONNECTION, "it was on a line");
@@ -364,48 +371,49 @@
                     new Counters(),
                     new WriteBatch());
 
-    private Fake upSingle(long now, long dial) {
-        Fake line = new Fake(100 + lines.size(), dials.remove(dial));
-        lines.add(line);
-        single.dialled(now, line.target, dial, line);
-        return line;
+    private FakeConnection upSingle(long now, long dial) {
+        FakeConnection connection =
+                new FakeConnection(100 + connections.size(), pendingConnects.remove(dial));
+        connections.add(connection);
+        single.connectSucceeded(now, connection.target, dial, connection);
+        return connection;
     }
 
     private void relaySingle(long now, String id, long giveUpAt) {
-        single.relay(now, "a", id, 0, giveUpAt, Attempt.newBuilder().setRequestId(id));
+        single.sendAttempt(now, "a", id, 0, giveUpAt, Attempt.newBuilder().setRequestId(id));
     }
 
     /** As many connections as there may be, a relay on each. */
-    private Fake[] twoBusy() {
-        single.listed("a", new Address("127.0.0.1", 1));
+    private FakeConnection[] twoBusy() {
+        single.targetListed("a", new Address("127.0.0.1", 1));
         relaySingle(0, "x", 50_000);
         relaySingle(0, "y", 50_000);
-        List<Long> both = List.copyOf(dials.keySet());
-        return new Fake[] {upSingle(1, both.get(0)), upSingle(1, both.get(1))};
+        List<Long> both = List.copyOf(pendingConnects.keySet());
+        return new FakeConnection[] {upSingle(1, both.get(0)), upSingle(1, both.get(1))};
     }
 
-    private void replySingle(long now, Fake line, int sent) {
-        single.replied(
+    private void replySingle(long now, FakeConnection connection, int sent) {
+        single.attemptReplied(
                 now,
                 now,
-                line,
+                connection,
                 AttemptReply.newBuilder()
-                        .setNumber(line.sent.get(sent).getAttempt().getNumber())
+                        .setNumber(connection.sent.get(sent).getAttempt().getNumber())
                         .setOutcome(milletyoke.wire.proto.Outcome.SUCCEEDED)
                         .build());
     }
 
     @Test
     void aRelayGivenUpEndsItsConnection() {
-        single.listed("a", new Address("127.0.0.1", 1));
+        single.targetListed("a", new Address("127.0.0.1", 1));
         relaySingle(0, "x", 500);
-        Fake line = upSingle(1, lastDial());
-        single.look(500);
+        FakeConnection connection = upSingle(1, lastDial());
+        single.handleTimeouts(500);
         assertEquals(Outcome.TIMED_OUT, ended.get("x"));
-        assertEquals(false, line.open);
+        assertEquals(false, connection.open);
         relaySingle(600, "y", 50_000);
-        Fake other = upSingle(601, lastDial());
-        single.cancel(700, "y", 0);
+        FakeConnection other = upSingle(601, lastDial());
+        single.cancelAttempt(700, "y", 0);
         assertEquals(Outcome.CANCELLED, ended.get("y"));
         assertEquals(false, other.open);
         assertEquals(1, other.sent.size());
@@ -417,20 +425,20 @@
      */
     @Test
     void whatFindsNoConnectionFreeTakesTheNextOne() {
-        Fake[] both = twoBusy();
-        Fake one = both[0], two = both[1];
+        FakeConnection[] both = twoBusy();
+        FakeConnection one = both[0], two = both[1];
         relaySingle(10, "z", 90_000);
         relaySingle(10, "late", 90_000);
-        assertTrue(dials.isEmpty());
+        assertTrue(pendingConnects.isEmpty());
         replySingle(20, two, 0);
         assertEquals(1, two.sent.size(), "a second copy of that reply may be right behind it");
-        single.look(21);
+        single.handleTimeouts(21);
         assertEquals(1, two.sent.size());
-        assertEquals(20 + AttemptDispatcher.REST, single.nextDue());
-        single.look(20 + AttemptDispatcher.REST);
+        assertEquals(20 + AttemptDispatcher.REUSE_DELAY_MICROS, single.nextDueMicros());
+        single.handleTimeouts(20 + AttemptDispatcher.REUSE_DELAY_MICROS);
         assertEquals(2, two.sent.size());
         assertEquals("z", two.sent.get(1).getAttempt().getRequestId());
-        single.look(10 + 30 * CONNECT);
+        single.handleTimeouts(10 + 30 * CONNECT);
         assertEquals(Outcome.NO_CONNECTION, ended.get("late"));
         assertEquals(1, one.sent.size());
     }
@@ -441,27 +449,27 @@
      */
     @Test
     void theConnectionThatRestedLongestGoesFirst() {
-        Fake[] both = twoBusy();
-        Fake one = both[0], two = both[1];
+        FakeConnection[] both = twoBusy();
+        FakeConnection one = both[0], two = both[1];
         replySingle(20, two, 0);
         replySingle(30, one, 0);
-        relaySingle(30 + AttemptDispatcher.REST, "z", 90_000);
+        relaySingle(30 + AttemptDispatcher.REUSE_DELAY_MICROS, "z", 90_000);
         assertEquals(2, two.sent.size());
     }
 
     /** What comes while the only connection rests waits for it, and no new one is made. */
     @Test
     void aRestIsNoReasonForANewConnection() {
-        single.listed("a", new Address("127.0.0.1", 1));
+        single.targetListed("a", new Address("127.0.0.1", 1));
         relaySingle(0, "x", 50_000);
-        Fake line = upSingle(1, lastDial());
-        replySingle(20, line, 0);
+        FakeConnection connection = upSingle(1, lastDial());
+        replySingle(20, connection, 0);
         relaySingle(30, "y", 90_000);
-        assertTrue(dials.isEmpty());
+        assertTrue(pendingConnects.isEmpty());
         relaySingle(31, "z", 90_000);
-        assertEquals(1, dials.size(), "the second finds none that rests for it");
-        single.look(20 + AttemptDispatcher.REST);
-        assertEquals("y", line.sent.get(1).getAttempt().getRequestId());
+        assertEquals(1, pendingConnects.size(), "the second finds none that rests for it");
+        single.handleTimeouts(20 + AttemptDispatcher.REUSE_DELAY_MICROS);
+        assertEquals("y", connection.sent.get(1).getAttempt().getRequestId());
     }
 
     /**
@@ -470,13 +478,13 @@
      */
     @Test
     void whatWaitsWhenItsAccessEndsIsNeverSent() {
-        single.listed("a", new Address("127.0.0.1", 1));
+        single.targetListed("a", new Address("127.0.0.1", 1));
         relaySingle(0, "x", 50_000);
         long dial = lastDial();
         single.dropUnsent(10, "x", 0);
         assertEquals(Outcome.NOT_STARTED, ended.get("x"));
-        Fake line = upSingle(20, dial);
-        assertEquals(List.of(), line.sent);
+        FakeConnection connection = upSingle(20, dial);
+        assertEquals(List.of(), connection.sent);
         relaySingle(30, "y", 50_000);
         single.dropUnsent(40, "y", 0);
         assertEquals(null, ended.get("y"), "what was sent goes on");
@@ -484,8 +492,8 @@
 
     @Test
     void whatWaitedTellsWhatIsLeftOfItsTime() {
-        single.listed("a", new Address("127.0.0.1", 1));
-        single.relay(
+        single.targetListed("a", new Address("127.0.0.1", 1));
+        single.sendAttempt(
                 0,
                 "a",
                 "x",
@@ -497,14 +505,15 @@
 
     @Test
     void onlyWhatNeverLeftIsNoConnection() {
-        single.listed("a", new Address("127.0.0.1", 1));
+        single.targetListed("a", new Address("127.0.0.1", 1));
         relaySingle(0, "x", 50_000);
-        Fake line = upSingle(1, lastDial());
-        single.lost(10, "a", line, false, line.sent.get(0).getAttempt().getNumber());
+        FakeConnection connection = upSingle(1, lastDial());
+        single.connectionLost(
+                10, "a", connection, false, connection.sent.get(0).getAttempt().getNumber());
         assertEquals(Outcome.NO_CONNECTION, ended.get("x"));
         relaySingle(20, "y", 50_000);
-        Fake other = upSingle(21, lastDial());
-        single.lost(30, "a", other, false, 0);
+        FakeConnection other = upSingle(21, lastDial());
+        single.connectionLost(30, "a", other, false, 0);
         assertEquals(Outcome.RESET, ended.get("y"));
     }
 
@@ -536,16 +545,16 @@
                         },
                         new Counters(),
                         new WriteBatch());
-        timed.listed("a", new Address("127.0.0.1", 1));
-        timed.relay(0, "a", "x", 0, 50_000, Attempt.newBuilder().setRequestId("x"));
-        Fake line = new Fake(1, "a");
-        timed.dialled(10, "a", lastDial(), line);
-        timed.replied(
+        timed.targetListed("a", new Address("127.0.0.1", 1));
+        timed.sendAttempt(0, "a", "x", 0, 50_000, Attempt.newBuilder().setRequestId("x"));
+        FakeConnection connection = new FakeConnection(1, "a");
+        timed.connectSucceeded(10, "a", lastDial(), connection);
+        timed.attemptReplied(
                 40_000,
                 700,
-                line,
+                connection,
                 AttemptReply.newBuilder()
-                        .setNumber(line.sent.get(0).getAttempt().getNumber())
+                        .setNumber(connection.sent.get(0).getAttempt().getNumber())
                         .setOutcome(milletyoke.wire.proto.Outcome.SUCCEEDED)
                         .build());
         assertEquals(List.of(700L), lags);
@@ -561,17 +570,17 @@
     void whatWaitsForATargetThatDrainsOrGoesNeverRuns() {
         for (boolean gone : new boolean[] {false, true}) {
             ended.clear();
-            links.listed("a", new Address("127.0.0.1", 1));
+            dispatcher.targetListed("a", new Address("127.0.0.1", 1));
             relay(0, "x");
             if (gone) {
-                links.unlisted(1, "a");
+                dispatcher.targetUnlisted(1, "a");
             } else {
-                links.takesNothingNew(1, "a");
+                dispatcher.targetDraining(1, "a");
             }
             assertEquals(Map.of("x", Outcome.NO_CONNECTION), ended);
-            Fake late = up(2, lastDial());
+            FakeConnection late = establish(2, lastDial());
             assertEquals(List.of(), late.sent);
-            links.lost(3, "a", late, false, 0);
+            dispatcher.connectionLost(3, "a", late, false, 0);
         }
     }
 
@@ -581,10 +590,10 @@
      */
     @Test
     void aConnectionThatComesWithTheEndOfItsRelayCarriesNothing() {
-        links.listed("a", new Address("127.0.0.1", 1));
+        dispatcher.targetListed("a", new Address("127.0.0.1", 1));
         relay(0, "x");
-        Fake late = up(CONNECT, lastDial());
-        links.look(CONNECT);
+        FakeConnection late = establish(CONNECT, lastDial());
+        dispatcher.handleTimeouts(CONNECT);
         assertEquals(List.of(), late.sent);
         assertEquals(Map.of("x", Outcome.NO_CONNECTION), ended);
     }
@@ -592,11 +601,11 @@
     /** One whose time is over does not keep those behind it from the connection that came. */
     @Test
     void whoseTimeIsOverDoesNotHoldUpTheOthers() {
-        links.listed("a", new Address("127.0.0.1", 1));
+        dispatcher.targetListed("a", new Address("127.0.0.1", 1));
         relay(0, "x");
         relay(500, "y");
-        Fake late = up(CONNECT, dials.keySet().iterator().next());
-        links.look(CONNECT);
+        FakeConnection late = establish(CONNECT, pendingConnects.keySet().iterator().next());
+        dispatcher.handleTimeouts(CONNECT);
         assertEquals(
                 List.of("y"), late.sent.stream().map(f -> f.getAttempt().getRequestId()).toList());
         assertEquals(Map.of("x", Outcome.NO_CONNECTION), ended);
--- a/gateway/src/test/java/milletyoke/gateway/loop/EndpointRegistryTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/loop/EndpointRegistryTest.java
@@ -15,23 +15,23 @@
  * What a list tells of addresses: who drains or is left out takes nothing new, who stays is not
  * disturbed.
  */
-class EndpointRegistryTest implements EndpointRegistry.Addresses {
-    private final List<String> told = new ArrayList<>();
-    private final EndpointRegistry roster = new EndpointRegistry(this);
+class EndpointRegistryTest implements EndpointRegistry.TargetListener {
+    private final List<String> calls = new ArrayList<>();
+    private final EndpointRegistry registry = new EndpointRegistry(this);
 
     @Override
-    public void listed(String target, Address address) {
-        told.add("listed " + target);
+    public void onListed(String target, Address address) {
+        calls.add("listed " + target);
     }
 
     @Override
-    public void draining(String target) {
-        told.add("draining " + target);
+    public void onDraining(String target) {
+        calls.add("draining " + target);
     }
 
     @Override
-    public void unlisted(String target) {
-        told.add("unlisted " + target);
+    public void onUnlisted(String target) {
+        calls.add("unlisted " + target);
     }
 
     private void list(Scope scope, String... targets) {
@@ -45,20 +45,20 @@
                             .setPort(1)
                             .setHealth(Health.valueOf(parts[1])));
         }
-        told.clear();
-        roster.listed(0, list.build(), false);
+        calls.clear();
+        registry.apply(0, list.build(), false);
     }
 
     @Test
     void onlyWhoDrainsOrIsLeftOutTakesNothingNew() {
-        list(Scope.REPLACE, "a ON", "b ON", "c ON");
-        assertEquals(List.of("listed a", "listed b", "listed c"), told);
-        list(Scope.REPLACE, "a ON", "b DRAINING");
-        assertEquals(List.of("listed a", "listed b", "draining b", "unlisted c"), told);
-        list(Scope.UPDATE, "a GONE");
-        assertEquals(List.of("unlisted a"), told);
+        list(Scope.REPLACE, "a ACTIVE", "b ACTIVE", "c ACTIVE");
+        assertEquals(List.of("listed a", "listed b", "listed c"), calls);
+        list(Scope.REPLACE, "a ACTIVE", "b DRAINING");
+        assertEquals(List.of("listed a", "listed b", "draining b", "unlisted c"), calls);
+        list(Scope.UPDATE, "a REMOVED");
+        assertEquals(List.of("unlisted a"), calls);
         list(Scope.REPLACE);
-        assertEquals(List.of("unlisted b"), told);
-        assertEquals(0, roster.size());
+        assertEquals(List.of("unlisted b"), calls);
+        assertEquals(0, registry.size());
     }
 }
--- a/gateway/src/test/java/milletyoke/gateway/loop/RequestTrackerTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/loop/RequestTrackerTest.java
@@ -17,9 +17,9 @@
 
 /** What the ledger tells when a client leaves; no sockets and no clock. */
 class RequestTrackerTest implements RequestTracker.AttemptSender {
-    private final List<String> told = new ArrayList<>();
+    private final List<String> calls = new ArrayList<>();
     private int freed;
-    private final RequestTracker ledger =
+    private final RequestTracker tracker =
             new RequestTracker(
                     "m",
                     50_000,
@@ -56,19 +56,20 @@
             };
 
     @Override
-    public void relay(String target, String id, int attempt, long giveUpAt, Attempt.Builder relay) {
-        told.add("relay " + id + "/" + attempt);
+    public void sendAttempt(
+            String target, String id, int attempt, long giveUpAt, Attempt.Builder relay) {
+        calls.add("relay " + id + "/" + attempt);
     }
 
     @Override
-    public void cancel(String id, int attempt) {
-        told.add("cancel " + id + "/" + attempt);
+    public void cancelAttempt(String id, int attempt) {
+        calls.add("cancel " + id + "/" + attempt);
     }
 
     @Override
     public void dropUnsent(String id, int attempt) {
-        told.add("drop " + id + "/" + attempt);
-        ledger.onAttemptEnded(
+        calls.add("drop " + id + "/" + attempt);
+        tracker.onAttemptEnded(
                 id,
                 attempt,
                 Outcome.NOT_STARTED,
@@ -78,13 +79,13 @@
     }
 
     @Override
-    public void probe(String target) {}
+    public void sendProbe(String target) {}
 
     @Override
-    public void wake(long in) {}
+    public void scheduleWakeUp(long in) {}
 
     @Override
-    public void follow() {}
+    public void watchEndpoints() {}
 
     /**
      * Guards targets against a relay that waits for its connection when its client leaves: it was
@@ -92,21 +93,21 @@
      */
     @Test
     void whatIsOutForAClientThatLeftIsDroppedWhereUnsent() {
-        ledger.connect(this);
-        ledger.taken(
+        tracker.setAttemptSender(this);
+        tracker.receive(
                 0,
                 0,
                 client,
                 Request.newBuilder().setNumber(1).setTimeLeftMicros(1_000_000).build());
-        ledger.taken(
+        tracker.receive(
                 0,
                 0,
                 client,
                 Request.newBuilder().setNumber(2).setTimeLeftMicros(1_000_000).build());
-        ledger.carryOut(0, List.of(new Action.SendAttempt("7-1", 1_000_000, "t")));
-        ledger.clientGone(client);
-        assertEquals(List.of("relay 7-1/0", "drop 7-1/0"), told);
+        tracker.execute(0, List.of(new Action.SendAttempt("7-1", 1_000_000, "t")));
+        tracker.clientDisconnected(client);
+        assertEquals(List.of("relay 7-1/0", "drop 7-1/0"), calls);
         assertEquals(2, freed);
-        assertEquals(0, ledger.held());
+        assertEquals(0, tracker.trackedCount());
     }
 }
