--- a/gateway/src/main/java/milletyoke/gateway/loop/Counters.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/Counters.java
@@ -1,35 +1,40 @@
 package milletyoke.gateway.loop;
 
 import java.util.EnumMap;
+import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
 
-/** One initiator's counts since its start; any thread may add and read. */
+/** One initiator's counters since its start. Any thread may increment and read them. */
 public final class Counters {
     private final Map<Counter, LongAdder> adders = new EnumMap<>(Counter.class);
 
+    /** Creates counters that are all zero. */
     public Counters() {
-        for (Counter count : Counter.values()) {
-            adders.put(count, new LongAdder());
+        for (Counter counter : Counter.values()) {
+            adders.put(counter, new LongAdder());
         }
     }
 
-    public void increment(Counter count) {
-        adders.get(count).increment();
+    /** Adds one. */
+    public void increment(Counter counter) {
+        adders.get(counter).increment();
     }
 
-    public long get(Counter count) {
-        return adders.get(count).sum();
+    /** The count since the start. */
+    public long get(Counter counter) {
+        return adders.get(counter).sum();
     }
 
+    /** The counters that are not zero, as {@code name=value} separated by blanks. */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder();
         adders.forEach(
-                (count, adder) -> {
+                (counter, adder) -> {
                     if (adder.sum() > 0) {
                         text.append(text.isEmpty() ? "" : " ")
-                                .append(count.name().toLowerCase())
+                                .append(counter.name().toLowerCase(Locale.ROOT))
                                 .append('=')
                                 .append(adder.sum());
                     }
--- a/gateway/src/main/java/milletyoke/gateway/loop/EndpointRegistry.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/EndpointRegistry.java
@@ -14,21 +14,23 @@
 import milletyoke.wire.proto.Target;
 
 /**
- * The list of targets as discovery told it, on this initiator's clock. A target's start is set
- * against discovery's clock once and then kept: a start that moved a little with each list would
- * read as a restart.
+ * The targets as discovery listed them, with times on this initiator's clock, and those that an
+ * operator drained here. A target's start time is converted from discovery's clock once and then
+ * kept: one that moved a little with each list would be read as a restart. Owned by the event loop.
  */
 final class EndpointRegistry {
-    /** More targets than any list of one frame can hold are not remembered. */
+    /** Bounds what is remembered; more targets than an endpoint list of one frame can hold. */
     private static final int MAX_START_TIMES = 1 << 17;
 
-    /** What becomes of addresses. */
+    /** Is notified of targets whose address or health changes. */
     interface TargetListener {
+        /** The target is in the list, at this address. */
         void onListed(String target, Address address);
 
-        /** It finishes what it has. */
+        /** The target is to be sent nothing new; it finishes what it has. */
         void onDraining(String target);
 
+        /** The target is no longer in the list. */
         void onUnlisted(String target);
     }
 
@@ -38,146 +40,158 @@
     private final Map<String, Target> targetsById = new LinkedHashMap<>();
     private final Map<String, StartTime> startTimes = new LinkedHashMap<>();
 
-    /**
-     * Targets that an operator took out of service here; they stay so over new lists until put
-     * back.
-     */
+    /** Targets that an operator drained here; they stay so over new lists until put back. */
     private final Set<String> drainedByOperator = new TreeSet<>();
 
     private long revision;
     private long discoveryNowMicros;
 
-    EndpointRegistry(TargetListener addresses) {
-        this.listener = addresses;
+    EndpointRegistry(TargetListener listener) {
+        this.listener = listener;
     }
 
-    /** The version held, to be told to discovery. */
+    /** The revision of the list that is in force. */
     long revision() {
         return revision;
     }
 
     /**
-     * @param now when the list came, on this initiator's clock
+     * Applies a list or an update of it.
+     *
+     * @param nowMicros when the list came, on this initiator's clock
+     * @param isRestored the list was saved before a restart
+     * @return the event for the scheduler
      */
-    Event.EndpointListReceived apply(long now, EndpointList list, boolean restored) {
-        Set<String> leftOut =
-                new TreeSet<>(list.getScope() == Scope.UPDATE ? Set.of() : targetsById.keySet());
+    Event.EndpointListReceived apply(long nowMicros, EndpointList list, boolean isRestored) {
+        boolean isUpdate = list.getScope() == Scope.UPDATE;
+        Set<String> missing = new TreeSet<>(isUpdate ? Set.of() : targetsById.keySet());
         List<Event.Target> targets = new ArrayList<>();
-        for (Target t : list.getTargetList()) {
-            leftOut.remove(t.getId());
-            applyTarget(t);
-            boolean here = drainedByOperator.contains(t.getId()) && t.getHealth() == Health.ACTIVE;
+        for (Target target : list.getTargetList()) {
+            missing.remove(target.getId());
+            applyTarget(target);
             targets.add(
                     new Event.Target(
-                            t.getShard(),
-                            t.getId(),
-                            t.getZone(),
-                            here ? Event.Health.DRAINING : health(t),
-                            startTimeMicros(now, t, list)));
+                            target.getShard(),
+                            target.getId(),
+                            target.getZone(),
+                            health(target, drainedByOperator.contains(target.getId())),
+                            startTimeMicros(nowMicros, target, list)));
         }
-        if (list.getScope() != Scope.UPDATE) {
-            leftOut.forEach(this::remove);
+        if (!isUpdate) {
+            missing.forEach(this::remove);
             startTimes.keySet().retainAll(targetsById.keySet());
         }
         revision = list.getRevision();
         discoveryNowMicros = list.getNow();
-        Event.ListScope scope =
-                restored
-                        ? Event.ListScope.RESTORED
-                        : list.getScope() == Scope.UPDATE
-                                ? Event.ListScope.UPDATE
-                                : Event.ListScope.REPLACE;
-        return new Event.EndpointListReceived(scope, List.copyOf(targets));
-    }
-
-    private void applyTarget(Target t) {
-        if (t.getHealth() == Health.REMOVED) {
-            remove(t.getId());
+        return new Event.EndpointListReceived(scope(isUpdate, isRestored), List.copyOf(targets));
+    }
+
+    private static Event.ListScope scope(boolean isUpdate, boolean isRestored) {
+        if (isRestored) {
+            return Event.ListScope.RESTORED;
+        }
+        return isUpdate ? Event.ListScope.UPDATE : Event.ListScope.REPLACE;
+    }
+
+    private void applyTarget(Target target) {
+        if (target.getHealth() == Health.REMOVED) {
+            remove(target.getId());
             return;
         }
-        targetsById.put(t.getId(), t);
-        listener.onListed(t.getId(), new Address(t.getHost(), t.getPort()));
-        if (t.getHealth() != Health.ACTIVE) {
-            listener.onDraining(t.getId());
+        targetsById.put(target.getId(), target);
+        listener.onListed(target.getId(), new Address(target.getHost(), target.getPort()));
+        if (target.getHealth() != Health.ACTIVE) {
+            listener.onDraining(target.getId());
         }
     }
 
-    private void remove(String target) {
-        targetsById.remove(target);
-        listener.onUnlisted(target);
+    private void remove(String targetId) {
+        targetsById.remove(targetId);
+        listener.onUnlisted(targetId);
     }
 
-    /** Null where the target is not listed; else a change as if discovery had told it. */
-    Event.EndpointListReceived setDrained(long now, String target, boolean on) {
-        if (on
-                ? drainedByOperator.size() >= MAX_START_TIMES || !drainedByOperator.add(target)
-                : !drainedByOperator.remove(target)) {
-            return null;
-        }
-        Target t = targetsById.get(target);
-        if (t == null) {
+    /**
+     * Drains a target for this initiator alone, or puts it back.
+     *
+     * @return the event for the scheduler, as if discovery had sent the change; null where nothing
+     *     changes or the target is not listed
+     */
+    Event.EndpointListReceived setDrained(long nowMicros, String targetId, boolean isDrained) {
+        boolean isChanged =
+                isDrained
+                        ? drainedByOperator.size() < MAX_START_TIMES
+                                && drainedByOperator.add(targetId)
+                        : drainedByOperator.remove(targetId);
+        Target target = targetsById.get(targetId);
+        if (!isChanged || target == null) {
             return null;
         }
-        Event.Health health =
-                on && t.getHealth() == Health.ACTIVE ? Event.Health.DRAINING : health(t);
-        long launched = startTimes.containsKey(target) ? startTimes.get(target).localMicros() : 0;
-        return new Event.EndpointListReceived(
-                Event.ListScope.UPDATE,
-                List.of(new Event.Target(t.getShard(), target, t.getZone(), health, launched)));
+        StartTime startTime = startTimes.get(targetId);
+        Event.Target change =
+                new Event.Target(
+                        target.getShard(),
+                        targetId,
+                        target.getZone(),
+                        health(target, isDrained),
+                        startTime == null ? 0 : startTime.localMicros());
+        return new Event.EndpointListReceived(Event.ListScope.UPDATE, List.of(change));
     }
 
-    boolean isDrainedByOperator(String target) {
-        return drainedByOperator.contains(target);
+    boolean isDrainedByOperator(String targetId) {
+        return drainedByOperator.contains(targetId);
     }
 
-    boolean isListed(String target) {
-        return targetsById.containsKey(target);
+    boolean isListed(String targetId) {
+        return targetsById.containsKey(targetId);
     }
 
-    /** In a word how discovery has it; null where it is not listed. */
-    String healthLabel(String target) {
-        Target t = targetsById.get(target);
-        return t == null ? null : t.getHealth() == Health.ACTIVE ? "on" : "draining";
+    /** The console's word for the health that discovery lists; null where it is not listed. */
+    String healthLabel(String targetId) {
+        Target target = targetsById.get(targetId);
+        if (target == null) {
+            return null;
+        }
+        return target.getHealth() == Health.ACTIVE ? "on" : "draining";
     }
 
-    /** Targets that may be sent to. */
+    /** How many targets may be sent to. */
     int usableCount() {
-        return (int)
-                targetsById.values().stream()
-                        .filter(
-                                t ->
-                                        t.getHealth() == Health.ACTIVE
-                                                && !drainedByOperator.contains(t.getId()))
-                        .count();
-    }
-
-    private static Event.Health health(Target t) {
-        return switch (t.getHealth()) {
-            case ACTIVE -> Event.Health.ACTIVE;
+        int usableCount = 0;
+        for (Target target : targetsById.values()) {
+            if (target.getHealth() == Health.ACTIVE
+                    && !drainedByOperator.contains(target.getId())) {
+                usableCount++;
+            }
+        }
+        return usableCount;
+    }
+
+    /** A health that this version does not know counts as draining: then no rule can be broken. */
+    private static Event.Health health(Target target, boolean isDrainedByOperator) {
+        return switch (target.getHealth()) {
+            case ACTIVE -> isDrainedByOperator ? Event.Health.DRAINING : Event.Health.ACTIVE;
             case REMOVED -> Event.Health.REMOVED;
-            default ->
-                    Event.Health
-                            .DRAINING; // of a state not known here: the side on which no rule can
-                // break
+            default -> Event.Health.DRAINING;
         };
     }
 
-    private long startTimeMicros(long now, Target t, EndpointList list) {
-        if (t.getStartedAtMicros() == 0) {
+    private long startTimeMicros(long nowMicros, Target target, EndpointList list) {
+        if (target.getStartedAtMicros() == 0) {
             return 0;
         }
-        StartTime known = startTimes.get(t.getId());
-        if (known == null || known.discoveryMicros() != t.getStartedAtMicros()) {
-            long local = Math.max(1, now - Math.max(0, list.getNow() - t.getStartedAtMicros()));
-            known = new StartTime(t.getStartedAtMicros(), local);
-            if (startTimes.size() < MAX_START_TIMES) {
-                startTimes.put(t.getId(), known);
-            }
+        StartTime known = startTimes.get(target.getId());
+        if (known != null && known.discoveryMicros() == target.getStartedAtMicros()) {
+            return known.localMicros();
+        }
+        long ageMicros = Math.max(0, list.getNow() - target.getStartedAtMicros());
+        long localMicros = Math.max(1, nowMicros - ageMicros);
+        if (startTimes.size() < MAX_START_TIMES) {
+            startTimes.put(target.getId(), new StartTime(target.getStartedAtMicros(), localMicros));
         }
-        return known.localMicros();
+        return localMicros;
     }
 
-    /** The whole list as held, to be kept over a restart. */
+    /** The whole list as it is in force, to be saved for a restart. */
     EndpointList snapshot() {
         return EndpointList.newBuilder()
                 .setRevision(revision)
--- a/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
@@ -1,85 +1,88 @@
 package milletyoke.gateway.loop;
 
 import java.util.List;
-import java.util.PriorityQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
+import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import milletyoke.gateway.config.Address;
 import milletyoke.gateway.config.InitiatorConfig;
-import milletyoke.gateway.dispatch.AttemptDispatcher;
 import milletyoke.gateway.dispatch.Connector;
-import milletyoke.gateway.dispatch.WriteBatch;
 import milletyoke.gateway.status.ServiceStatistics;
-import milletyoke.gateway.status.SnapshotBuilder;
 import milletyoke.gateway.status.StatusSnapshot;
-import milletyoke.lifecycle.Lifecycle;
 import milletyoke.lifecycle.LifecycleEvent;
 import milletyoke.lifecycle.LifecycleState;
 import milletyoke.scheduler.RequestScheduler;
-import milletyoke.scheduler.api.Action;
 import milletyoke.scheduler.api.Event;
 import milletyoke.scheduler.api.Scheduler;
+import milletyoke.scheduler.api.SchedulerSettings;
 import milletyoke.wire.Connection;
 import milletyoke.wire.ExecutionEnvironment;
-import milletyoke.wire.proto.Attempt;
 import milletyoke.wire.proto.EndpointList;
-import milletyoke.wire.proto.Frame;
-import milletyoke.wire.proto.Reason;
 import milletyoke.wire.proto.Request;
-import milletyoke.wire.proto.Response;
-import milletyoke.wire.proto.ResponseStatus;
 import org.HdrHistogram.Histogram;
-import org.jctools.queues.MpscArrayQueue;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread that owns {@link RequestScheduler} and all that it decides on. Others tell it what
- * happened through a bounded queue without locks; it never waits for a socket or a disk.
+ * The one thread that owns the {@link RequestScheduler} and all state that it decides on. Other
+ * threads reach it through a bounded queue without locks; it never waits for a socket or a disk.
+ *
+ * <p>A turn handles the queued messages, ends what has timed out, publishes a status snapshot where
+ * one is due, lets the scheduler decide on the events collected, executes its actions, and flushes
+ * the frames written.
+ *
+ * <p>Shutdown, in this order:
+ *
+ * <ol>
+ *   <li>{@link LoopMessage.BeginShutdown} moves the lifecycle to its last state, in which nothing
+ *       is admitted;
+ *   <li>turns go on until every tracked request has its response and no event is left;
+ *   <li>the loop ends, which {@link #awaitEnd} reports;
+ *   <li>requests that are in the queue by then or are offered later are rejected.
+ * </ol>
+ *
+ * <p>{@link #kill} ends the loop after the turn in progress and answers nothing.
  */
 public final class EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
-    /**
-     * Taken from the queue in one turn at most, so that a flood does not keep answers from leaving.
-     */
-    private static final int MOST_A_TURN = 1024;
+    /** How long a thread waits before it tries again to post to a full queue. */
+    private static final long POST_RETRY_NANOS = 20_000;
 
-    /**
-     * Microseconds: the longest that the loop sleeps, and how often it looks for what is past all
-     * use.
-     */
-    private static final long LONGEST_SLEEP = 50_000;
+    private static final long MICROS_PER_MILLI = 1_000;
 
-    /** How often a picture is made (microseconds). */
-    private static final long PAINT_EVERY = 250_000;
+    /** How often {@link #awaitEnd} looks whether a loop in virtual time has ended. */
+    private static final long END_POLL_MICROS = 1_000;
 
-    /** What the loop needs of the rest of the initiator. */
+    /** What the loop needs of the process around it; called on the loop's thread. */
     public interface LoopEnvironment extends Connector {
-        /** Ask discovery to tell every change from this version on. */
-        void watchEndpoints(long version);
+        /** Asks discovery for every change after this revision. */
+        void watchEndpoints(long revision);
 
-        /** The list changed; to be kept where a folder lasts, off the loop's thread. */
-        void endpointListChanged(EndpointList whole);
+        /** The endpoint list changed; it is to be saved by another thread, if at all. */
+        void endpointListChanged(EndpointList list);
 
-        /** An access no longer takes a place. */
-        void releaseSlot(Connection client, Request access, long stay);
+        /**
+         * A request no longer occupies an admission slot.
+         *
+         * @param stayMicros since the request was received
+         */
+        void releaseSlot(Connection client, Request request, long stayMicros);
 
-        /** New plans and categories are known to the decisions and may be asked for. */
-        void settingsApplied(milletyoke.scheduler.api.SchedulerSettings provisioning);
+        /** The scheduler knows new request classes and plans; requests may name them now. */
+        void settingsApplied(SchedulerSettings settings);
 
-        /** The part of room that is taken, 0 to 1. */
+        /** The part of the capacity that is in use, 0 to 1. */
         double utilization();
 
-        /** Places taken. */
+        /** Admission slots in use. */
         int slotsInUse();
 
         /**
-         * Whether anybody may look at pictures and rows; where nobody can, none are made and
+         * Whether anybody can read snapshots and statistics; where nobody can, none are made and
          * nothing is kept for them.
          */
         default boolean isWatched() {
@@ -87,557 +90,263 @@
         }
     }
 
-    private final InitiatorConfig setup;
-    private final LoopEnvironment around;
-    private final ExecutionEnvironment world;
+    private final InitiatorConfig config;
+    private final ExecutionEnvironment execution;
     private final LongSupplier clock;
-
-    /** Runs the turns where there is no thread; null in service. */
-    private final ExecutionEnvironment.LoopDriver drive;
-
-    private final Counters counts;
-    private final MpscArrayQueue<LoopMessage> queue;
-    private final int roomForAccesses;
-    private final RequestScheduler decide = new RequestScheduler();
-    private final Scheduler decisions;
-    private final Lifecycle lifecycle;
-    private final ServiceStatistics accounts;
-    private final SnapshotBuilder painter;
-    private final RequestTracker ledger;
-    private final AttemptDispatcher links;
-    private final WriteBatch outbox = new WriteBatch();
-    private final EndpointRegistry roster;
-    private final Histogram turnTimes = new Histogram(60_000_000, 3);
-    private final Histogram recent = new Histogram(60_000_000, 2);
-    private final Thread thread;
+    private final MessageQueue queue;
+    private final LateRequestRejector lateRequestRejector;
+    private final LoopThread thread;
+    private final LoopComponents components;
+    private final RequestTracker tracker;
+    private final TurnRunner turns;
+    private final StatusPublisher status;
+    private final BooleanSupplier mayPark = this::mayPark;
     private final CountDownLatch ended = new CountDownLatch(1);
-    private final java.util.ArrayDeque<LoopMessage> own = new java.util.ArrayDeque<>();
-    private volatile boolean parked;
-    private volatile boolean killed;
+    private volatile boolean isKilled;
     private volatile Throwable fault;
-    private volatile LifecycleState lifecycleState = LifecycleState.STARTING;
-    private volatile StatusSnapshot snapshot;
-    private boolean leaving;
 
     /**
-     * Every wake-up that was asked for and has not come. Guards against losing one: the decisions
-     * may ask for a later one while an earlier is still due, and would not ask again. One kept time
-     * let accesses wait for ever once traffic ended.
-     */
-    private final PriorityQueue<Long> alarms = new PriorityQueue<>();
-
-    private long overdueAt;
-    private long paintAt;
-    private long paintNanos;
-    private long paintSince;
-    private double paintCosts;
-    private long turnAt;
-
-    /** Until when this loop stands still, and what is told then; 0 where it does not. */
-    private long stillUntil;
-
-    private Runnable afterStill;
-
-    /**
-     * @param world whose clock it goes by, and who may run its turns
-     * @param instead of {@link RequestScheduler}, in a lab; null in service
+     * Creates a loop that is not started.
+     *
+     * @param execution its clock, and what runs its turns where time is virtual
+     * @param schedulerFactory makes the scheduler to use in place of {@link RequestScheduler}; null
+     *     in service
      */
     public EventLoop(
-            InitiatorConfig setup,
-            LoopEnvironment around,
-            ExecutionEnvironment world,
-            Counters counts,
-            Supplier<Scheduler> instead) {
-        decisions = instead == null ? decide::decide : instead.get();
-        this.world = world;
-        clock = world::monotonicMicros;
-        drive = world.newLoopDriver(this::advance);
-        this.setup = setup;
-        this.around = around;
-        this.counts = counts;
-        queue = new MpscArrayQueue<>(setup.capacity().queue());
-        roomForAccesses = queue.capacity() - queue.capacity() / 4;
-        lifecycle =
-                new Lifecycle(
-                        new Lifecycle.Thresholds(
-                                setup.capacity().listAge(),
-                                setup.capacity().full(),
-                                setup.capacity().eased(),
-                                1_000_000));
-        accounts = new ServiceStatistics(setup.deployment().scheduler(), around.isWatched());
-        painter = new SnapshotBuilder(setup.name(), decide, accounts);
-        ledger =
-                new RequestTracker(
-                        setup.name() + "." + clock.getAsLong() + ".",
-                        setup.deployment().answerSlackMicros(),
-                        counts,
-                        around::releaseSlot,
-                        accounts,
-                        clock,
-                        outbox);
-        links = new AttemptDispatcher(setup.transport(), around, ledger, counts, outbox);
-        roster =
-                new EndpointRegistry(
-                        new EndpointRegistry.TargetListener() {
-                            @Override
-                            public void onListed(String target, Address address) {
-                                links.targetListed(target, address);
-                            }
-
-                            @Override
-                            public void onDraining(String target) {
-                                links.targetDraining(clock.getAsLong(), target);
-                            }
-
-                            @Override
-                            public void onUnlisted(String target) {
-                                links.targetUnlisted(clock.getAsLong(), target);
-                            }
-                        });
-        ledger.setAttemptSender(new Outlets());
-        thread = drive == null ? new Thread(this::run, setup.name() + "-loop") : null;
-    }
-
-    /** What is decided, on its way out. */
-    private final class Outlets implements RequestTracker.AttemptSender {
-        @Override
-        public void sendAttempt(
-                String target, String id, int attempt, long giveUpAt, Attempt.Builder relay) {
-            links.sendAttempt(clock.getAsLong(), target, id, attempt, giveUpAt, relay);
-        }
-
-        @Override
-        public void cancelAttempt(String id, int attempt) {
-            links.cancelAttempt(clock.getAsLong(), id, attempt);
-        }
-
-        @Override
-        public void dropUnsent(String id, int attempt) {
-            links.dropUnsent(clock.getAsLong(), id, attempt);
-        }
-
-        @Override
-        public void sendProbe(String target) {
-            links.sendProbe(clock.getAsLong(), target);
-        }
-
-        @Override
-        public void scheduleWakeUp(long in) {
-            alarms.add(turnAt + in);
-        }
-
-        @Override
-        public void watchEndpoints() {
-            around.watchEndpoints(roster.revision());
-        }
+            InitiatorConfig config,
+            LoopEnvironment environment,
+            ExecutionEnvironment execution,
+            Counters counters,
+            Supplier<Scheduler> schedulerFactory) {
+        this.config = config;
+        this.execution = execution;
+        clock = execution::monotonicMicros;
+        RequestScheduler requestScheduler = new RequestScheduler();
+        Scheduler scheduler =
+                schedulerFactory == null ? requestScheduler::decide : schedulerFactory.get();
+        queue = new MessageQueue(config.capacity().queue());
+        lateRequestRejector = new LateRequestRejector(queue, environment, counters);
+        ExecutionEnvironment.LoopDriver driver = execution.newLoopDriver(this::runWhileBusy);
+        thread = new LoopThread(driver, this::run, config.name() + "-loop");
+        components =
+                new LoopComponents(
+                        config, environment, clock, counters, requestScheduler, thread.isDriven());
+        tracker = components.tracker;
+        status = components.status;
+        turns = new TurnRunner(clock, counters, queue, scheduler, components);
     }
 
     /**
-     * Starts the life of the initiator.
+     * Starts the loop.
      *
-     * @param restored the list as last held, null for none
+     * @param seed of the scheduler's random choices
+     * @param restored the endpoint list as last saved, null for none
      */
     public void start(long seed, EndpointList restored) {
-        ledger.addEvent(new Event.Started(seed, setup.deployment().scheduler()));
+        tracker.addEvent(new Event.Started(seed, config.deployment().scheduler()));
         EndpointList known = restored == null ? EndpointList.getDefaultInstance() : restored;
-        ledger.addEvent(roster.apply(clock.getAsLong(), known, true));
+        tracker.addEvent(components.registry.apply(clock.getAsLong(), known, true));
         if (restored != null) {
-            fact(new LifecycleEvent.EndpointListReceived(roster.usableCount(), true));
-        }
-        paint(clock.getAsLong());
-        if (drive == null) {
-            thread.setDaemon(true);
-            thread.start();
-        } else {
-            drive.wakeUp();
+            status.apply(
+                    new LifecycleEvent.EndpointListReceived(
+                            components.registry.usableCount(), true));
         }
+        status.publish(clock.getAsLong());
+        thread.start();
     }
 
-    // ---- Other threads ----
+    // ---- Any thread ----
 
-    /** Offers an access; false where the queue has no room for it, and then it was not taken. */
-    public boolean offer(LoopMessage.RequestReceived access) {
-        if (queue.size() > roomForAccesses || !queue.offer(access)) {
+    /** Offers a request; false where the queue has no room for it, and nothing was done. */
+    public boolean offer(LoopMessage.RequestReceived request) {
+        if (!queue.offerRequest(request)) {
             return false;
         }
-        wakeUp();
+        thread.wakeUp();
         if (hasEnded()) {
-            turnAway(); // the loop may have looked for the last time before this one was there
+            rejectQueuedRequests(); // the loop may have polled for the last time before
         }
         return true;
     }
 
-    /**
-     * Rejects what came too late for a loop that has ended. Guards an access that its socket's
-     * thread hands over just as the loop ends, or after the loop failed: nobody would take it, and
-     * its client would have no answer.
-     */
-    private synchronized void turnAway() {
-        if (killed) {
-            return;
-        }
-        for (LoopMessage told = queue.poll(); told != null; told = queue.poll()) {
-            if (told instanceof LoopMessage.RequestReceived t) {
-                counts.increment(Counter.REJECTED_STATE);
-                around.releaseSlot(t.client(), t.request(), 0);
-                t.client()
-                        .send(
-                                Frame.newBuilder()
-                                        .setResponse(
-                                                Response.newBuilder()
-                                                        .setNumber(t.request().getNumber())
-                                                        .setStatus(ResponseStatus.REJECTED)
-                                                        .setReason(Reason.SHUTTING_DOWN))
-                                        .build());
-            }
+    private synchronized void rejectQueuedRequests() {
+        if (!isKilled) {
+            lateRequestRejector.rejectQueued();
         }
     }
 
     /**
-     * Tells what must not be lost. Where the queue is full the caller waits until the loop has
-     * taken some, and so its peer is held back by its connection; the last quarter is kept free of
-     * accesses for this.
+     * Posts a message that must not be lost. Where the queue is full the caller waits until the
+     * loop has handled some, which applies back pressure to its peer; the last quarter of the queue
+     * is kept free of requests for this.
      */
-    public void post(LoopMessage told) {
-        if (drive != null || Thread.currentThread() == thread) {
-            own.add(told); // the loop cannot wait for itself
-            wakeUp();
+    public void post(LoopMessage message) {
+        if (thread.isCurrent()) {
+            queue.addLocal(message); // the loop cannot wait for itself
+            thread.wakeUp();
             return;
         }
-        while (!queue.offer(told)) {
-            if (ended.getCount() == 0 || killed) {
+        while (!queue.offer(message)) {
+            if (hasEnded() || isKilled) {
                 return;
             }
-            wakeUp();
-            LockSupport.parkNanos(20_000);
-        }
-        wakeUp();
-    }
-
-    private void wakeUp() {
-        if (drive != null) {
-            drive.wakeUp();
-        } else if (parked) {
-            LockSupport.unpark(thread);
+            thread.wakeUp();
+            LockSupport.parkNanos(POST_RETRY_NANOS);
         }
+        thread.wakeUp();
     }
 
-    /** Stops at once, as a kill would: nothing held is answered. */
+    /** Stops at once, as a kill of the process would: no tracked request is answered. */
     public void kill() {
-        killed = true;
-        LockSupport.unpark(thread);
+        isKilled = true;
+        thread.unpark();
     }
 
-    /** Waits for the loop's end. */
+    /** Waits for the loop's end; false where it has not ended by then. */
     public boolean awaitEnd(long millis) throws InterruptedException {
-        for (long until = clock.getAsLong() + millis * 1000; drive != null && !hasEnded(); ) {
-            if (clock.getAsLong() >= until) {
+        long untilMicros = clock.getAsLong() + millis * MICROS_PER_MILLI;
+        while (thread.isDriven() && !hasEnded()) {
+            if (clock.getAsLong() >= untilMicros) {
                 return false;
             }
-            world.sleep(1_000);
+            execution.sleep(END_POLL_MICROS);
         }
         return ended.await(millis, TimeUnit.MILLISECONDS);
     }
 
+    /** Whether the loop has ended, for whatever reason. */
     public boolean hasEnded() {
         return ended.getCount() == 0;
     }
 
-    /** Holds the loop, as a long pause of this process would. @param micros how long */
+    /**
+     * Stalls the loop, as a long pause of the process would.
+     *
+     * @param afterwards is run on the loop's thread when the stall ends
+     */
     public void stall(long micros, Runnable afterwards) {
         post(
                 new LoopMessage.RunTask(
-                        () -> {
-                            stillUntil = clock.getAsLong() + micros;
-                            afterStill = afterwards;
-                        }));
+                        () -> turns.beginStall(clock.getAsLong() + micros, afterwards)));
     }
 
-    /** What ended the loop though nobody asked for it; null where nothing did. */
+    /** What made the loop fail; null where it did not. */
     public Throwable fault() {
         return fault;
     }
 
+    /** The initiator's current lifecycle state. */
+    public LifecycleState lifecycleState() {
+        return status.lifecycleState();
+    }
+
+    /** The latest status snapshot; reading it does not disturb the loop. */
+    public StatusSnapshot snapshot() {
+        return status.snapshot();
+    }
+
+    /** Statistics of the last seconds, oldest first. */
+    public List<ServiceStatistics.Row> rows(int seconds) {
+        return components.statistics.rows(clock.getAsLong(), seconds);
+    }
+
+    /** Whether the endpoint list has such a target, as of the latest snapshot. */
+    public boolean knows(String target) {
+        return snapshot().targets().stream().anyMatch(t -> t.look().id().equals(target));
+    }
+
+    /** Passes the loop's figures to a reader, on the loop's thread. */
+    public void show(Consumer<Figures> reader) {
+        post(new LoopMessage.RunTask(() -> reader.accept(figures())));
+    }
+
+    private Figures figures() {
+        return new Figures(
+                tracker.trackedCount(),
+                tracker.unansweredCount(),
+                components.dispatcher.outstandingCount(),
+                components.registry.size(),
+                components.registry.revision(),
+                components.timings.copySinceStart());
+    }
+
     // ---- The loop's own thread ----
 
     private void run() {
         try {
             while (!isOver()) {
-                if (turn()) {
+                if (turns.runTurn()) {
                     sleep(clock.getAsLong());
                 }
             }
         } catch (RuntimeException | Error thrown) {
-            failed(thrown);
+            fail(thrown);
         } finally {
             end();
         }
     }
 
-    /** As {@link #run}, for a drive: goes on until there is nothing to do now. */
-    private long advance() {
-        if (hasEnded() || killed) {
+    /**
+     * As {@link #run}, for a driver: runs turns until there is nothing to do now.
+     *
+     * @return when to run again (microseconds); Long.MAX_VALUE for never
+     */
+    private long runWhileBusy() {
+        if (hasEnded() || isKilled) {
             return Long.MAX_VALUE;
         }
         try {
-            boolean idle = false;
-            while (!isOver() && !idle) {
-                idle = turn();
+            boolean isIdle = false;
+            while (!isOver() && !isIdle) {
+                isIdle = turns.runTurn();
             }
             if (!isOver()) {
-                return Math.max(clock.getAsLong() + 1, nextDue(clock.getAsLong()));
+                return Math.max(clock.getAsLong() + 1, turns.nextDueMicros(clock.getAsLong()));
             }
         } catch (RuntimeException | Error thrown) {
-            failed(thrown);
+            fail(thrown);
         }
         end();
         return Long.MAX_VALUE;
     }
 
     private boolean isOver() {
-        return killed || leaving && ledger.unansweredCount() == 0 && !ledger.hasEvents();
+        return isKilled || (components.handler.isShutdownRequested() && hasAnsweredAll());
     }
 
-    private void failed(Throwable thrown) {
+    private boolean hasAnsweredAll() {
+        return tracker.unansweredCount() == 0 && !tracker.hasEvents();
+    }
+
+    private void fail(Throwable thrown) {
         fault = thrown;
-        LOG.error("the loop failed; everything held is broken off", thrown);
-        ledger.failAll();
-        outbox.flush();
+        LOG.error("the loop failed; every unanswered request is failed", thrown);
+        tracker.failAll();
+        components.writeBatch.flush();
     }
 
     private void end() {
         ended.countDown();
-        turnAway();
-    }
-
-    /** One turn; true where there is nothing more to do before something happens or comes due. */
-    private boolean turn() {
-        if (stillUntil > 0) {
-            if (clock.getAsLong() < stillUntil) {
-                return true;
-            }
-            stillUntil = 0;
-            afterStill.run();
-        }
-        int took = 0;
-        // Guards what lies beyond one turn's part: a loop that took the next one before it looked
-        // at the count dropped it,
-        // so that under a flood one thing told in a thousand was lost, an access or a reply among
-        // them.
-        for (LoopMessage told; took < MOST_A_TURN && (told = next()) != null; took++) {
-            learn(told);
-            if (stillUntil > 0) {
-                return false;
-            }
-        }
-        long now = clock.getAsLong();
-        links.handleTimeouts(now);
-        if (now >= overdueAt) {
-            overdueAt = now + LONGEST_SLEEP;
-            ledger.closeOverdue(now);
-        }
-        if (now >= paintAt) {
-            paint(now);
-        }
-        if (nextAlarm() <= now) {
-            while (nextAlarm() <= now) {
-                alarms.poll();
-            }
-            ledger.addEvent(new Event.WakeUp());
-        }
-        if (ledger.hasEvents()) {
-            decide(now);
-        }
-        outbox.flush();
-        return took == 0 && !ledger.hasEvents();
-    }
-
-    private long nextAlarm() {
-        return alarms.isEmpty() ? Long.MAX_VALUE : alarms.peek();
-    }
-
-    private LoopMessage next() {
-        LoopMessage told = own.poll();
-        return told != null ? told : queue.poll();
-    }
-
-    private void decide(long now) {
-        counts.increment(Counter.TURNS);
-        turnAt = now;
-        List<Action> actions = decisions.decide(now, ledger.drainEvents());
-        ledger.execute(now, actions);
-        long took = Math.min(60_000_000, clock.getAsLong() - now);
-        turnTimes.recordValue(took);
-        recent.recordValue(took);
-    }
-
-    private void sleep(long now) {
-        long until = nextDue(now);
-        parked = true;
-        if ((queue.isEmpty() && own.isEmpty() || stillUntil > 0) && !killed && until > now) {
-            LockSupport.parkNanos(this, (until - now) * 1000);
-        }
-        parked = false;
+        rejectQueuedRequests();
     }
 
-    private long nextDue(long now) {
-        return stillUntil > 0
-                ? stillUntil
-                : Math.min(
-                        Math.min(nextAlarm(), Math.min(paintAt, links.nextDueMicros())),
-                        now + LONGEST_SLEEP);
+    private void sleep(long nowMicros) {
+        thread.parkIf(mayPark, turns.nextDueMicros(nowMicros) - nowMicros);
     }
 
-    private void learn(LoopMessage told) {
-        long now = clock.getAsLong();
-        if (told instanceof LoopMessage.RequestReceived t) {
-            ledger.receive(now, t.receivedAtMicros(), t.client(), t.request());
-        } else if (told instanceof LoopMessage.RequestCancelled t) {
-            ledger.requestCancelled(t.client(), t.number());
-        } else if (told instanceof LoopMessage.ClientDisconnected t) {
-            ledger.clientDisconnected(t.client());
-        } else if (told instanceof LoopMessage.ConnectSucceeded t) {
-            links.connectSucceeded(now, t.target(), t.connectNumber(), t.connection());
-        } else if (told instanceof LoopMessage.ConnectFailed t) {
-            links.connectFailed(now, t.target(), t.connectNumber(), t.reason());
-        } else if (told instanceof LoopMessage.ConnectionLost t) {
-            links.connectionLost(now, t.target(), t.connection(), t.refused(), t.unwritten());
-        } else if (told instanceof LoopMessage.AttemptReplied t) {
-            links.attemptReplied(now, t.receivedAtMicros(), t.connection(), t.reply());
-        } else if (told instanceof LoopMessage.ProbeReplied t) {
-            links.probeReplied(now, t.receivedAtMicros(), t.connection(), t.number(), t.load());
-        } else if (told instanceof LoopMessage.EndpointListReceived t) {
-            counts.increment(Counter.ENDPOINT_LISTS);
-            ledger.addEvent(roster.apply(now, t.list(), false));
-            painter.happened(
-                    now,
-                    "list",
-                    "version "
-                            + t.list().getRevision()
-                            + ", "
-                            + t.list().getScope().name().toLowerCase()
-                            + " of "
-                            + t.list().getTargetCount(),
-                    null);
-            fact(new LifecycleEvent.EndpointListReceived(roster.usableCount(), false));
-            around.endpointListChanged(roster.snapshot());
-        } else if (told instanceof LoopMessage.DiscoveryUnavailable t) {
-            counts.increment(Counter.DISCOVERY_UNAVAILABLE);
-            ledger.addEvent(new Event.EndpointListReceived(Event.ListScope.UNAVAILABLE, List.of()));
-            painter.happened(now, "list", "unavailable: " + t.reason(), null);
-            fact(new LifecycleEvent.DiscoveryUnavailable());
-        } else if (told instanceof LoopMessage.BeginShutdown) {
-            leaving = true;
-            fact(new LifecycleEvent.ShutdownRequested());
-        } else if (told instanceof LoopMessage.ApplySettings t) {
-            accounts.provision(t.settings());
-            ledger.addEvent(new Event.SettingsChanged(t.settings()));
-            painter.happened(now, "configuration", "a new version holds", null);
-            around.settingsApplied(t.settings());
-        } else if (told instanceof LoopMessage.DrainInitiator t) {
-            fact(
-                    t.drained()
-                            ? new LifecycleEvent.DrainRequested(t.operator())
-                            : new LifecycleEvent.DrainCancelled(t.operator()));
-        } else if (told instanceof LoopMessage.DrainTarget t) {
-            drainTarget(now, t);
-        } else if (told instanceof LoopMessage.RunTask t) {
-            t.task().run();
-        }
-    }
-
-    private void drainTarget(long now, LoopMessage.DrainTarget t) {
-        Event.EndpointListReceived change = roster.setDrained(now, t.target(), t.drained());
-        if (change != null) {
-            ledger.addEvent(change);
-            painter.happened(
-                    now,
-                    "operator",
-                    t.target()
-                            + (t.drained() ? " drained here by " : " put back by ")
-                            + t.operator(),
-                    null);
-            fact(new LifecycleEvent.EndpointListReceived(roster.usableCount(), false));
-        }
-    }
-
-    private void fact(LifecycleEvent fact) {
-        lifecycleState = lifecycle.apply(clock.getAsLong(), fact);
-    }
-
-    /** Makes the picture that everybody else reads; what it cost is in the next one. */
-    private void paint(long now) {
-        long began = System.nanoTime();
-        paintAt = now + PAINT_EVERY;
-        fact(new LifecycleEvent.UtilizationMeasured(around.utilization()));
-        fact(new LifecycleEvent.Tick());
-        if (snapshot != null && (drive != null || !around.isWatched())) {
-            return; // nobody looks in a lab, and a picture costs what the targets and volumes are
-            // many
-        }
-        snapshot =
-                painter.paint(
-                        now,
-                        new SnapshotBuilder.Loop(
-                                lifecycle,
-                                around.slotsInUse(),
-                                ledger.trackedCount(),
-                                links.outstandingCount(),
-                                around.utilization(),
-                                roster.revision(),
-                                recent,
-                                paintCosts,
-                                ledger.latestDecisions(),
-                                roster::healthLabel,
-                                roster::isDrainedByOperator));
-        paintNanos += System.nanoTime() - began;
-        if (now - paintSince >= 5_000_000) {
-            paintCosts = paintSince == 0 ? 0 : paintNanos / 1e3 / (now - paintSince);
-            paintNanos = 0;
-            paintSince = now;
-            recent.reset();
-        }
-    }
-
-    /** What this daemon is now; any thread may ask. */
-    public LifecycleState lifecycleState() {
-        return lifecycleState;
-    }
-
-    /** The latest picture; any thread may ask, and the loop is not disturbed by it. */
-    public StatusSnapshot snapshot() {
-        return snapshot;
-    }
-
-    /** Rows of the last seconds, oldest first; any thread may ask. */
-    public List<ServiceStatistics.Row> rows(int seconds) {
-        return accounts.rows(clock.getAsLong(), seconds);
-    }
-
-    /** Whether the list, as of the latest picture, has such a target. */
-    public boolean knows(String target) {
-        return snapshot.targets().stream().anyMatch(t -> t.look().id().equals(target));
-    }
-
-    /** Shows figures of the loop to a reader, on the loop's thread. */
-    public void show(Consumer<Figures> reader) {
-        post(
-                new LoopMessage.RunTask(
-                        () ->
-                                reader.accept(
-                                        new Figures(
-                                                ledger.trackedCount(),
-                                                ledger.unansweredCount(),
-                                                links.outstandingCount(),
-                                                roster.size(),
-                                                roster.revision(),
-                                                turnTimes.copy()))));
+    private boolean mayPark() {
+        return (queue.isEmpty() || turns.isStalled()) && !isKilled;
     }
 
     /**
      * The loop at one moment.
      *
-     * @param turnTimes microseconds of each turn's decisions and what was done on them
+     * @param pendingRequests requests that are tracked
+     * @param unanswered those of them without a response
+     * @param out attempts and probes without an outcome
+     * @param targets targets in the endpoint list
+     * @param version revision of the endpoint list
+     * @param turnTimes microseconds that each turn's decisions and their execution took
      */
     public record Figures(
             int pendingRequests,
--- /dev/null
+++ b/gateway/src/main/java/milletyoke/gateway/loop/LoopComponents.java
@@ -0,0 +1,119 @@
+package milletyoke.gateway.loop;
+
+import java.util.function.LongSupplier;
+import milletyoke.gateway.config.Address;
+import milletyoke.gateway.config.InitiatorConfig;
+import milletyoke.gateway.dispatch.AttemptDispatcher;
+import milletyoke.gateway.dispatch.WriteBatch;
+import milletyoke.gateway.status.ServiceStatistics;
+import milletyoke.gateway.status.SnapshotBuilder;
+import milletyoke.lifecycle.Lifecycle;
+import milletyoke.scheduler.RequestScheduler;
+
+/** Creates the parts of one event loop and connects them. All of them are owned by the loop. */
+final class LoopComponents {
+    /** How long the initiator stays saturated at least. */
+    private static final long MIN_SATURATED_MICROS = 1_000_000;
+
+    final WriteBatch writeBatch = new WriteBatch();
+    final TurnTimings timings = new TurnTimings();
+    final WakeUpTimers wakeUpTimers = new WakeUpTimers();
+    final ServiceStatistics statistics;
+    final RequestTracker tracker;
+    final AttemptDispatcher dispatcher;
+    final EndpointRegistry registry;
+    final StatusPublisher status;
+    final MessageHandler handler;
+
+    private final InitiatorConfig config;
+    private final EventLoop.LoopEnvironment environment;
+    private final LongSupplier clock;
+    private final Counters counters;
+
+    /**
+     * Creates the parts.
+     *
+     * @param requestScheduler what the status snapshots show
+     * @param isVirtual time is virtual
+     */
+    LoopComponents(
+            InitiatorConfig config,
+            EventLoop.LoopEnvironment environment,
+            LongSupplier clock,
+            Counters counters,
+            RequestScheduler requestScheduler,
+            boolean isVirtual) {
+        this.config = config;
+        this.environment = environment;
+        this.clock = clock;
+        this.counters = counters;
+        statistics =
+                new ServiceStatistics(config.deployment().scheduler(), environment.isWatched());
+        tracker = newTracker();
+        dispatcher =
+                new AttemptDispatcher(
+                        config.transport(), environment, tracker, counters, writeBatch);
+        registry = new EndpointRegistry(new DispatcherUpdates());
+        tracker.setActionSink(
+                new LoopActionSink(environment, clock, dispatcher, registry, wakeUpTimers));
+        status = newStatusPublisher(requestScheduler, isVirtual);
+        handler = newMessageHandler();
+    }
+
+    private RequestTracker newTracker() {
+        return new RequestTracker(
+                config.name() + "." + clock.getAsLong() + ".",
+                config.deployment().answerSlackMicros(),
+                counters,
+                environment::releaseSlot,
+                statistics,
+                clock,
+                writeBatch);
+    }
+
+    private StatusPublisher newStatusPublisher(
+            RequestScheduler requestScheduler, boolean isVirtual) {
+        return new StatusPublisher(
+                environment,
+                clock,
+                isVirtual,
+                newLifecycle(config.capacity()),
+                new SnapshotBuilder(config.name(), requestScheduler, statistics),
+                tracker,
+                dispatcher,
+                registry,
+                timings);
+    }
+
+    private static Lifecycle newLifecycle(InitiatorConfig.CapacityLimits capacity) {
+        return new Lifecycle(
+                new Lifecycle.Thresholds(
+                        capacity.listAge(),
+                        capacity.full(),
+                        capacity.eased(),
+                        MIN_SATURATED_MICROS));
+    }
+
+    private MessageHandler newMessageHandler() {
+        return new MessageHandler(
+                environment, clock, counters, tracker, dispatcher, registry, statistics, status);
+    }
+
+    /** Passes changes of the endpoint list on to the dispatcher. */
+    private final class DispatcherUpdates implements EndpointRegistry.TargetListener {
+        @Override
+        public void onListed(String target, Address address) {
+            dispatcher.targetListed(target, address);
+        }
+
+        @Override
+        public void onDraining(String target) {
+            dispatcher.targetDraining(clock.getAsLong(), target);
+        }
+
+        @Override
+        public void onUnlisted(String target) {
+            dispatcher.targetUnlisted(clock.getAsLong(), target);
+        }
+    }
+}
--- a/gateway/src/main/java/milletyoke/gateway/loop/LoopMessage.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/LoopMessage.java
@@ -1,70 +1,210 @@
 package milletyoke.gateway.loop;
 
+import milletyoke.scheduler.api.SchedulerSettings;
 import milletyoke.wire.Connection;
 import milletyoke.wire.proto.AttemptReply;
 import milletyoke.wire.proto.EndpointList;
 import milletyoke.wire.proto.Load;
 import milletyoke.wire.proto.Request;
 
-/** What other threads tell the loop, in the order in which each of them tells it. */
+/**
+ * A message from another thread to the event loop. Messages of one thread are handled in the order
+ * in which that thread posted them. Times are microseconds on the loop's clock.
+ */
 public sealed interface LoopMessage {
-    /**
-     * @param receivedAtMicros when it came in, on the loop's clock: its time runs from then,
-     *     however long it waits for the loop
-     */
-    record RequestReceived(Connection client, Request request, long receivedAtMicros)
-            implements LoopMessage {}
+    /** Calls the visitor's method for this kind of message. */
+    void accept(Visitor visitor);
 
-    /** The client no longer waits for one access. */
-    record RequestCancelled(Connection client, long number) implements LoopMessage {}
+    /** One method for each kind of message; called on the loop's thread. */
+    interface Visitor {
+        /** Handles a request of a client. */
+        void onRequestReceived(RequestReceived message);
 
-    /** The client's connection is gone. */
-    record ClientDisconnected(Connection client) implements LoopMessage {}
+        /** Handles a client's cancellation of one request. */
+        void onRequestCancelled(RequestCancelled message);
 
-    record ConnectSucceeded(String target, long connectNumber, Connection connection)
-            implements LoopMessage {}
+        /** Handles the end of a client's connection. */
+        void onClientDisconnected(ClientDisconnected message);
+
+        /** Handles a connection to a target that is ready. */
+        void onConnectSucceeded(ConnectSucceeded message);
+
+        /** Handles a failed try to connect to a target. */
+        void onConnectFailed(ConnectFailed message);
+
+        /** Handles the end of a connection to a target. */
+        void onConnectionLost(ConnectionLost message);
+
+        /** Handles a target's reply to an attempt. */
+        void onAttemptReplied(AttemptReplied message);
+
+        /** Handles a target's reply to a probe. */
+        void onProbeReplied(ProbeReplied message);
+
+        /** Handles an endpoint list or an update of it. */
+        void onEndpointListReceived(EndpointListReceived message);
+
+        /** Handles the loss of discovery. */
+        void onDiscoveryUnavailable(DiscoveryUnavailable message);
+
+        /** Handles the request to shut down. */
+        void onBeginShutdown(BeginShutdown message);
+
+        /** Handles an operator's drain of this initiator. */
+        void onDrainInitiator(DrainInitiator message);
+
+        /** Handles an operator's drain of one target. */
+        void onDrainTarget(DrainTarget message);
 
-    record ConnectFailed(String target, long connectNumber, String reason) implements LoopMessage {}
+        /** Handles new settings. */
+        void onApplySettings(ApplySettings message);
+
+        /** Handles a task for the loop's thread. */
+        void onRunTask(RunTask message);
+    }
 
     /**
-     * @param refused the target said that it took nothing of what was sent there
-     * @param unwritten the relay or probe whose last byte provably never left this machine; 0 for
-     *     none
+     * A client sent a request.
+     *
+     * @param receivedAtMicros when it arrived; its deadline counts from then, however long it waits
+     *     for the loop
+     */
+    record RequestReceived(Connection client, Request request, long receivedAtMicros)
+            implements LoopMessage {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.onRequestReceived(this);
+        }
+    }
+
+    /** The client no longer waits for one request. */
+    record RequestCancelled(Connection client, long number) implements LoopMessage {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.onRequestCancelled(this);
+        }
+    }
+
+    /** The client's connection is closed. */
+    record ClientDisconnected(Connection client) implements LoopMessage {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.onClientDisconnected(this);
+        }
+    }
+
+    /** A connection to a target is ready; {@code connectNumber} is the one it was ordered with. */
+    record ConnectSucceeded(String target, long connectNumber, Connection connection)
+            implements LoopMessage {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.onConnectSucceeded(this);
+        }
+    }
+
+    /** A connection to a target could not be established. */
+    record ConnectFailed(String target, long connectNumber, String reason) implements LoopMessage {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.onConnectFailed(this);
+        }
+    }
+
+    /**
+     * A connection to a target ended.
+     *
+     * @param refused the target stated that it processed nothing of what was sent there
+     * @param unwritten frame number of the attempt or probe whose last byte provably never left
+     *     this machine; 0 for none
      */
     record ConnectionLost(
             String target, Connection connection, String reason, boolean refused, long unwritten)
-            implements LoopMessage {}
+            implements LoopMessage {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.onConnectionLost(this);
+        }
+    }
 
     /**
-     * @param receivedAtMicros when its last byte was read, on the loop's clock: the loop may get to
-     *     it later
+     * A target replied to an attempt.
+     *
+     * @param receivedAtMicros when the reply's last byte was read; the loop may handle it later
      */
     record AttemptReplied(Connection connection, AttemptReply reply, long receivedAtMicros)
-            implements LoopMessage {}
+            implements LoopMessage {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.onAttemptReplied(this);
+        }
+    }
 
     /**
-     * @param receivedAtMicros as for a reply
+     * A target replied to a probe.
+     *
+     * @param receivedAtMicros when the reply's last byte was read; the loop may handle it later
      */
     record ProbeReplied(Connection connection, long number, Load load, long receivedAtMicros)
-            implements LoopMessage {}
-
-    record EndpointListReceived(EndpointList list) implements LoopMessage {}
-
-    record DiscoveryUnavailable(String reason) implements LoopMessage {}
-
-    /** Take nothing new; the loop ends once every access held has its answer. */
-    record BeginShutdown() implements LoopMessage {}
-
-    /** An operator takes this initiator out of service, or puts it back. */
-    record DrainInitiator(boolean drained, String operator) implements LoopMessage {}
-
-    /** An operator takes a target out of service for this initiator alone, or puts it back. */
-    record DrainTarget(String target, boolean drained, String operator) implements LoopMessage {}
-
-    /** A new version of the configuration holds from now on. */
-    record ApplySettings(milletyoke.scheduler.api.SchedulerSettings settings)
-            implements LoopMessage {}
-
-    /** Anything else that must happen on the loop's thread. */
-    record RunTask(Runnable task) implements LoopMessage {}
+            implements LoopMessage {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.onProbeReplied(this);
+        }
+    }
+
+    /** Discovery sent an endpoint list or an update of it. */
+    record EndpointListReceived(EndpointList list) implements LoopMessage {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.onEndpointListReceived(this);
+        }
+    }
+
+    /** Discovery cannot be reached, or has no list. */
+    record DiscoveryUnavailable(String reason) implements LoopMessage {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.onDiscoveryUnavailable(this);
+        }
+    }
+
+    /** Admit nothing new; the loop ends once every tracked request has its response. */
+    record BeginShutdown() implements LoopMessage {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.onBeginShutdown(this);
+        }
+    }
+
+    /** An operator drains this initiator, or puts it back into service. */
+    record DrainInitiator(boolean drained, String operator) implements LoopMessage {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.onDrainInitiator(this);
+        }
+    }
+
+    /** An operator drains a target for this initiator alone, or puts it back into service. */
+    record DrainTarget(String target, boolean drained, String operator) implements LoopMessage {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.onDrainTarget(this);
+        }
+    }
+
+    /** New settings are in force from now on. */
+    record ApplySettings(SchedulerSettings settings) implements LoopMessage {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.onApplySettings(this);
+        }
+    }
+
+    /** Runs a task on the loop's thread. */
+    record RunTask(Runnable task) implements LoopMessage {
+        @Override
+        public void accept(Visitor visitor) {
+            visitor.onRunTask(this);
+        }
+    }
 }
--- a/gateway/src/main/java/milletyoke/gateway/loop/RequestTracker.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/RequestTracker.java
@@ -2,9 +2,7 @@
 
 import com.google.protobuf.ByteString;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.function.LongSupplier;
 import milletyoke.gateway.dispatch.AttemptListener;
 import milletyoke.gateway.dispatch.WriteBatch;
@@ -14,7 +12,6 @@
 import milletyoke.scheduler.api.Event;
 import milletyoke.scheduler.api.Outcome;
 import milletyoke.wire.Connection;
-import milletyoke.wire.proto.Attempt;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Load;
 import milletyoke.wire.proto.Reason;
@@ -25,38 +22,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The accesses held, between the sockets and the decisions: what happens becomes an event, an
- * action becomes a frame. It decides nothing on accesses. What it sees to is that each access gets
- * at most one final answer, and that each relay that was decided gets exactly one outcome.
+ * The admitted requests, between the sockets and the scheduler: what happens to one becomes an
+ * event, an action becomes a frame. It decides nothing. It ensures that each request gets at most
+ * one response, and that each attempt that the scheduler ordered gets exactly one outcome.
  *
- * <p>Owned by the loop; free of sockets and clocks.
+ * <p>Owned by the event loop; free of sockets and clocks.
  */
 final class RequestTracker implements AttemptListener {
     private static final Logger LOG = LoggerFactory.getLogger(RequestTracker.class);
 
-    /** How relays, cancels and probes leave. */
-    interface AttemptSender {
-        void sendAttempt(
-                String target, String id, int attempt, long giveUpAt, Attempt.Builder relay);
-
-        void cancelAttempt(String id, int attempt);
-
-        /** Its access is over: what has not been sent is not sent any more. */
-        void dropUnsent(String id, int attempt);
-
-        void sendProbe(String target);
-
-        void scheduleWakeUp(long in);
-
-        void watchEndpoints();
-    }
-
-    /** Told when an access no longer takes a place. */
+    /** Is notified when a request no longer occupies an admission slot. */
     interface SlotListener {
-        /**
-         * @param stay microseconds since the access came in
-         */
-        void onSlotReleased(Connection client, Request access, long stay);
+        /** Releases the slot; {@code stayMicros} is the time since the request was received. */
+        void onSlotReleased(Connection client, Request request, long stayMicros);
     }
 
     private final String idempotencyKeyPrefix;
@@ -66,365 +44,354 @@
     private final ServiceStatistics statistics;
     private final LongSupplier clock;
     private final WriteBatch writeBatch;
-    private AttemptSender attemptSender;
-    private final Map<String, TrackedRequest> requestsById = new LinkedHashMap<>();
-    private final Map<Connection, Map<Long, TrackedRequest>> requestsByClient =
-            new LinkedHashMap<>();
-
-    /**
-     * Entries in the order of their last calls, as near as arrivals give it; looked at from the
-     * front.
-     */
-    private final java.util.PriorityQueue<TrackedRequest> requestsByExpiry =
-            new java.util.PriorityQueue<>(
-                    java.util.Comparator.comparingLong(tracked -> tracked.expiresAtMicros));
-
+    private final RequestIndex requests = new RequestIndex();
+    private final DecisionLog decisionLog = new DecisionLog();
+    private ActionSink actionSink;
     private List<Event> events = new ArrayList<>();
-    private final DecisionRecord[] latestDecisions = new DecisionRecord[64];
-    private long noted;
     private int unansweredCount;
 
     /**
-     * @param idempotencyKeyPrefix what makes marks of this life unlike any other's, for accesses
+     * Creates a tracker without requests.
+     *
+     * @param idempotencyKeyPrefix makes this incarnation's idempotency keys unique, for requests
      *     whose client gave none
+     * @param answerSlackMicros how long past its deadline a request is kept for its response
      */
     RequestTracker(
-            String mark,
-            long answerSlack,
-            Counters counts,
-            SlotListener places,
-            ServiceStatistics accounts,
-            LongSupplier time,
-            WriteBatch outbox) {
-        this.writeBatch = outbox;
-        this.statistics = accounts;
-        this.clock = time;
-        this.idempotencyKeyPrefix = mark;
-        this.answerSlackMicros = answerSlack;
-        this.counters = counts;
-        this.slotListener = places;
+            String idempotencyKeyPrefix,
+            long answerSlackMicros,
+            Counters counters,
+            SlotListener slotListener,
+            ServiceStatistics statistics,
+            LongSupplier clock,
+            WriteBatch writeBatch) {
+        this.idempotencyKeyPrefix = idempotencyKeyPrefix;
+        this.answerSlackMicros = answerSlackMicros;
+        this.counters = counters;
+        this.slotListener = slotListener;
+        this.statistics = statistics;
+        this.clock = clock;
+        this.writeBatch = writeBatch;
     }
 
-    void setAttemptSender(AttemptSender to) {
-        attemptSender = to;
+    void setActionSink(ActionSink sink) {
+        actionSink = sink;
     }
 
-    // ---- What happens ----
+    // ---- Events for the scheduler ----
 
     void addEvent(Event event) {
         events.add(event);
     }
 
+    boolean hasEvents() {
+        return !events.isEmpty();
+    }
+
+    /** Returns the events collected and starts a new list. */
+    List<Event> drainEvents() {
+        List<Event> drained = events;
+        events = new ArrayList<>();
+        return drained;
+    }
+
+    // ---- Clients ----
+
     /**
-     * Guards the client's time against a loop that was held up: what waited in the queue has that
-     * much less left, and what has none left is told at once that it never ran. Without it,
-     * accesses that came during a standstill were answered late by its length. Could do no harm.
-     *
-     * @param at when the access came in
+     * Starts to track a request. The time that it waited for the loop counts against its deadline,
+     * and one that has none left is rejected at once as never run; without that, requests that came
+     * during a stall were answered late by the stall's length.
      */
-    void receive(long now, long at, Connection client, Request a) {
+    void receive(long nowMicros, long receivedAtMicros, Connection client, Request request) {
         if (!client.isOpen()) {
-            slotListener.onSlotReleased(
-                    client, a,
-                    now - at); // gone while it waited in the queue: nobody is owed an answer
+            // Disconnected while the request was queued: nobody waits for the response.
+            slotListener.onSlotReleased(client, request, nowMicros - receivedAtMicros);
             return;
         }
-        if (now >= at + a.getTimeLeftMicros()) {
-            slotListener.onSlotReleased(client, a, now - at);
-            counters.increment(Counter.EXPIRED);
-            writeBatch.enqueue(
-                    client,
-                    Frame.newBuilder()
-                            .setResponse(
-                                    Response.newBuilder()
-                                            .setNumber(a.getNumber())
-                                            .setStatus(ResponseStatus.REJECTED)
-                                            .setReason(Reason.EXPIRED))
-                            .build());
+        long deadlineMicros = receivedAtMicros + request.getTimeLeftMicros();
+        if (nowMicros >= deadlineMicros) {
+            rejectExpired(client, request, nowMicros - receivedAtMicros);
             return;
         }
-        String id = client.id() + "-" + a.getNumber();
-        if (requestsById.containsKey(id)) {
-            slotListener.onSlotReleased(client, a, now - at);
-            writeBatch.flush(); // answers of this turn go before the farewell
-            client.closeWithReason("access number " + a.getNumber() + " is used twice");
+        String id = client.id() + "-" + request.getNumber();
+        if (requests.contains(id)) {
+            closeForDuplicateNumber(client, request, nowMicros - receivedAtMicros);
             return;
         }
         TrackedRequest tracked =
                 new TrackedRequest(
-                        id, client, a, at, at + a.getTimeLeftMicros() + answerSlackMicros);
-        requestsById.put(id, tracked);
-        requestsByClient
-                .computeIfAbsent(client, c -> new LinkedHashMap<>())
-                .put(a.getNumber(), tracked);
-        requestsByExpiry.add(tracked);
+                        id, client, request, receivedAtMicros, deadlineMicros + answerSlackMicros);
+        requests.add(tracked);
         unansweredCount++;
         counters.increment(Counter.REQUESTS);
-        statistics.asked(now, a.getRequestClass(), a.getPlan(), a.getVolume());
-        long timeLeft = a.getTimeLeftMicros() - (now - at);
-        events.add(
-                new Event.RequestReceived(
-                        id,
-                        a.hasShard() ? a.getShard() : -1,
-                        a.getExtent().isEmpty() ? null : a.getExtent(),
-                        a.getVolume(),
-                        timeLeft,
-                        a.getPlan(),
-                        a.getRequestClass(),
-                        Math.max(1, a.getInitiatorCount()),
-                        a.getUnits()));
+        statistics.asked(
+                nowMicros, request.getRequestClass(), request.getPlan(), request.getVolume());
+        events.add(tracked.receivedEvent(deadlineMicros - nowMicros));
+    }
+
+    private void rejectExpired(Connection client, Request request, long stayMicros) {
+        slotListener.onSlotReleased(client, request, stayMicros);
+        counters.increment(Counter.EXPIRED);
+        writeBatch.enqueue(client, ResponseFrames.rejected(request.getNumber(), Reason.EXPIRED, 0));
+    }
+
+    private void closeForDuplicateNumber(Connection client, Request request, long stayMicros) {
+        slotListener.onSlotReleased(client, request, stayMicros);
+        writeBatch.flush(); // responses of this turn go before the reason for the close
+        client.closeWithReason("access number " + request.getNumber() + " is used twice");
     }
 
+    /** The client cancelled one request. */
     void requestCancelled(Connection client, long number) {
-        Map<Long, TrackedRequest> own = requestsByClient.get(client);
-        TrackedRequest tracked = own == null ? null : own.get(number);
+        TrackedRequest tracked = requests.find(client, number);
         if (tracked != null && !tracked.isAnswered) {
             counters.increment(Counter.CANCELLED_BY_CLIENT);
             closeRequest(tracked);
         }
     }
 
+    /** The client's connection closed: all its requests are cancelled. */
     void clientDisconnected(Connection client) {
-        Map<Long, TrackedRequest> own = requestsByClient.get(client);
-        if (own != null) {
-            List.copyOf(own.values()).stream()
-                    .filter(tracked -> !tracked.isAnswered)
-                    .forEach(this::closeRequest);
-            counters.increment(Counter.CANCELLED_BY_CLIENT);
+        List<TrackedRequest> cancelled = requests.copyOfClient(client);
+        if (cancelled.isEmpty()) {
+            return;
+        }
+        for (TrackedRequest tracked : cancelled) {
+            if (!tracked.isAnswered) {
+                closeRequest(tracked);
+            }
         }
+        counters.increment(Counter.CANCELLED_BY_CLIENT);
     }
 
-    private void closeRequest(TrackedRequest tracked) {
-        events.add(new Event.RequestClosed(tracked.id));
-        markAnswered(tracked, ServiceStatistics.End.LEFT);
-        if (tracked.hasAttemptInFlight) {
-            attemptSender.dropUnsent(tracked.id, tracked.attemptCount - 1);
+    /**
+     * Closes requests past their deadline for which the scheduler decided no response. That would
+     * be a fault of the scheduler, so it is counted; closing them bounds the memory.
+     */
+    void closeOverdue(long nowMicros) {
+        TrackedRequest tracked = requests.pollAnsweredOrExpired(nowMicros);
+        while (tracked != null) {
+            if (!tracked.isAnswered) {
+                closeOverdue(tracked);
+            }
+            tracked = requests.pollAnsweredOrExpired(nowMicros);
         }
     }
 
-    private void markAnswered(TrackedRequest tracked, ServiceStatistics.End how) {
-        long now = clock.getAsLong();
-        statistics.ended(
-                now,
-                tracked.request.getRequestClass(),
-                tracked.request.getPlan(),
+    private void closeOverdue(TrackedRequest tracked) {
+        counters.increment(Counter.OVERDUE);
+        LOG.error(
+                "no answer was decided in time request={} volume={} attempts={} inFlight={}",
+                tracked.id,
                 tracked.request.getVolume(),
-                how,
-                now - tracked.receivedAtMicros);
-        tracked.isAnswered = true;
-        unansweredCount--;
-        removeIfComplete(tracked);
+                tracked.attemptCount,
+                tracked.hasAttemptInFlight);
+        closeRequest(tracked);
     }
 
-    private void removeIfComplete(TrackedRequest tracked) {
-        if (tracked.isAnswered
-                && !tracked.hasAttemptInFlight
-                && requestsById.remove(tracked.id) != null) {
-            Map<Long, TrackedRequest> own = requestsByClient.get(tracked.client);
-            own.remove(tracked.request.getNumber());
-            if (own.isEmpty()) {
-                requestsByClient.remove(tracked.client);
-            }
-            slotListener.onSlotReleased(
-                    tracked.client, tracked.request, clock.getAsLong() - tracked.receivedAtMicros);
+    /** Ends a request without a response. */
+    private void closeRequest(TrackedRequest tracked) {
+        events.add(new Event.RequestClosed(tracked.id));
+        markAnswered(tracked, ServiceStatistics.End.LEFT);
+        if (tracked.hasAttemptInFlight) {
+            actionSink.dropUnsent(tracked.id, tracked.latestAttemptNumber());
         }
     }
 
+    // ---- Outcomes of attempts and probes ----
+
     @Override
     public void onAttemptEnded(
-            String id, int attempt, Outcome outcome, long lag, Load load, ByteString payload) {
-        TrackedRequest tracked = requestsById.get(id);
-        if (tracked == null || !tracked.hasAttemptInFlight || tracked.attemptCount - 1 != attempt) {
-            return; // its access is over and forgotten
+            String requestId,
+            int attemptNumber,
+            Outcome outcome,
+            long latencyMicros,
+            Load load,
+            ByteString payload) {
+        TrackedRequest tracked = requests.find(requestId);
+        if (tracked == null
+                || !tracked.hasAttemptInFlight
+                || tracked.latestAttemptNumber() != attemptNumber) {
+            return; // its request is over and no longer tracked
         }
         tracked.hasAttemptInFlight = false;
         statistics.relayEnded(
-                clock.getAsLong(),
-                tracked.target,
-                outcome == Outcome.SUCCEEDED
-                        ? ServiceStatistics.End.ANSWERED
-                        : outcome == Outcome.OVERLOADED
-                                        || outcome == Outcome.NOT_STARTED
-                                        || outcome == Outcome.NO_CONNECTION
-                                ? ServiceStatistics.End.REJECTED
-                                : ServiceStatistics.End.BROKEN_OFF,
-                lag);
+                clock.getAsLong(), tracked.target, attemptEnd(outcome), latencyMicros);
         if (outcome == Outcome.SUCCEEDED && !tracked.isAnswered) {
-            answer(tracked, ResponseStatus.ANSWERED, 0, payload);
+            respond(tracked, ResponseStatus.ANSWERED, 0, payload);
             counters.increment(Counter.ANSWERED);
         }
-        events.add(new Event.AttemptEnded(id, attempt, tracked.isAnswered, outcome, lag));
+        events.add(
+                new Event.AttemptEnded(
+                        requestId, attemptNumber, tracked.isAnswered, outcome, latencyMicros));
         removeIfComplete(tracked);
     }
 
-    @Override
-    public void onProbeEnded(String target, Outcome outcome, long lag, double waiting) {
-        events.add(new Event.ProbeEnded(target, outcome, lag, waiting));
+    private static ServiceStatistics.End attemptEnd(Outcome outcome) {
+        return switch (outcome) {
+            case SUCCEEDED -> ServiceStatistics.End.ANSWERED;
+            case OVERLOADED, NOT_STARTED, NO_CONNECTION -> ServiceStatistics.End.REJECTED;
+            default -> ServiceStatistics.End.BROKEN_OFF;
+        };
     }
 
-    /**
-     * Ends what is past all use. Guards the memory against an access for which no answer was ever
-     * decided; that would be a fault of the decisions, so it is counted. Could do no harm: its
-     * client has given up.
-     */
-    void closeOverdue(long now) {
-        while (!requestsByExpiry.isEmpty()
-                && (requestsByExpiry.peek().isAnswered
-                        || requestsByExpiry.peek().expiresAtMicros < now)) {
-            TrackedRequest tracked = requestsByExpiry.poll();
-            if (!tracked.isAnswered) {
-                counters.increment(Counter.OVERDUE);
-                LOG.error(
-                        "no answer was decided for access {} of {} in its time: {} relays, {}",
-                        tracked.id,
-                        tracked.request.getVolume(),
-                        tracked.attemptCount,
-                        tracked.hasAttemptInFlight ? "one out" : "none out");
-                closeRequest(tracked);
-            }
-        }
+    @Override
+    public void onProbeEnded(
+            String target, Outcome outcome, long latencyMicros, double queueLength) {
+        events.add(new Event.ProbeEnded(target, outcome, latencyMicros, queueLength));
     }
 
-    // ---- What is decided ----
+    // ---- Actions of the scheduler ----
 
-    boolean hasEvents() {
-        return !events.isEmpty();
+    void execute(long nowMicros, List<Action> actions) {
+        for (Action action : actions) {
+            recordDecision(nowMicros, action);
+            execute(nowMicros, action);
+        }
     }
 
-    List<Event> drainEvents() {
-        List<Event> all = events;
-        events = new ArrayList<>();
-        return all;
+    private void execute(long nowMicros, Action action) {
+        if (action instanceof Action.SendAttempt send) {
+            sendAttempt(nowMicros, send);
+        } else if (action instanceof Action.Reject reject) {
+            finish(
+                    reject.id(),
+                    ResponseStatus.REJECTED,
+                    reject.retryAfterMicros(),
+                    Counter.REJECTED);
+        } else if (action instanceof Action.Fail fail) {
+            finish(fail.id(), ResponseStatus.FAILED, 0, Counter.FAILED);
+        } else if (action instanceof Action.CancelAttempt cancel) {
+            counters.increment(Counter.CANCELS);
+            actionSink.cancelAttempt(cancel.id(), cancel.attemptNumber());
+        } else if (action instanceof Action.SendProbe probe) {
+            counters.increment(Counter.PROBES);
+            actionSink.sendProbe(probe.target());
+        } else if (action instanceof Action.ScheduleWakeUp wakeUp) {
+            actionSink.scheduleWakeUp(wakeUp.delayMicros());
+        } else if (action instanceof Action.WatchEndpoints) {
+            actionSink.watchEndpoints();
+        }
     }
 
-    void execute(long now, List<Action> actions) {
-        for (Action action : actions) {
-            recordDecision(now, action);
-            if (action instanceof Action.SendAttempt a) {
-                sendAttempt(now, a);
-            } else if (action instanceof Action.Reject a) {
-                finish(a.id(), ResponseStatus.REJECTED, a.retryAfterMicros(), Counter.REJECTED);
-            } else if (action instanceof Action.Fail a) {
-                finish(a.id(), ResponseStatus.FAILED, 0, Counter.FAILED);
-            } else if (action instanceof Action.CancelAttempt a) {
-                counters.increment(Counter.CANCELS);
-                attemptSender.cancelAttempt(a.id(), a.attemptNumber());
-            } else if (action instanceof Action.SendProbe a) {
-                counters.increment(Counter.PROBES);
-                attemptSender.sendProbe(a.target());
-            } else if (action instanceof Action.ScheduleWakeUp a) {
-                attemptSender.scheduleWakeUp(a.delayMicros());
-            } else if (action instanceof Action.WatchEndpoints) {
-                attemptSender.watchEndpoints();
-            }
+    /** Records the action for the console, unless it concerns neither a request nor a target. */
+    private void recordDecision(long nowMicros, Action action) {
+        String requestId = requestIdOf(action);
+        if (requestId == null && !(action instanceof Action.SendProbe)) {
+            return;
         }
+        TrackedRequest tracked = requestId == null ? null : requests.find(requestId);
+        String volume = tracked == null ? null : tracked.request.getVolume();
+        decisionLog.add(new DecisionRecord(nowMicros, action, volume));
     }
 
-    /**
-     * Wake-ups and askings for the list are no news; of the rest the latest are kept, as they were
-     * decided.
-     */
-    private void recordDecision(long now, Action action) {
-        String id =
-                action instanceof Action.SendAttempt a
-                        ? a.id()
-                        : action instanceof Action.Reject a
-                                ? a.id()
-                                : action instanceof Action.Fail a
-                                        ? a.id()
-                                        : action instanceof Action.CancelAttempt a ? a.id() : null;
-        if (id != null || action instanceof Action.SendProbe) {
-            TrackedRequest tracked = id == null ? null : requestsById.get(id);
-            latestDecisions[(int) (noted++ % latestDecisions.length)] =
-                    new DecisionRecord(
-                            now, action, tracked == null ? null : tracked.request.getVolume());
+    private static String requestIdOf(Action action) {
+        if (action instanceof Action.SendAttempt send) {
+            return send.id();
         }
+        if (action instanceof Action.Reject reject) {
+            return reject.id();
+        }
+        if (action instanceof Action.Fail fail) {
+            return fail.id();
+        }
+        return action instanceof Action.CancelAttempt cancel ? cancel.id() : null;
     }
 
     /** The latest decisions, the newest first. */
     List<DecisionRecord> latestDecisions() {
-        List<DecisionRecord> all = new ArrayList<>();
-        for (long i = noted - 1; i >= Math.max(0, noted - latestDecisions.length); i--) {
-            all.add(latestDecisions[(int) (i % latestDecisions.length)]);
-        }
-        return all;
+        return decisionLog.newestFirst();
     }
 
-    private void sendAttempt(long now, Action.SendAttempt a) {
-        TrackedRequest tracked = requestsById.get(a.id());
+    private void sendAttempt(long nowMicros, Action.SendAttempt send) {
+        TrackedRequest tracked = requests.find(send.id());
         if (tracked == null || tracked.isAnswered) {
             throw new IllegalStateException(
-                    "a relay was decided for " + a.id() + ", which is over");
+                    "an attempt was decided for request " + send.id() + ", which is over");
         }
-        Request x = tracked.request;
-        int attempt = tracked.attemptCount++;
-        tracked.hasAttemptInFlight = true;
-        tracked.target = a.target();
-        statistics.relayed(now, a.target());
-        counters.increment(attempt == 0 ? Counter.ATTEMPTS : Counter.RETRIES);
-        Attempt.Builder relay =
-                Attempt.newBuilder()
-                        .setRequestId(tracked.id)
-                        .setAttemptNumber(attempt)
-                        .setExtent(x.getExtent())
-                        .setVolume(x.getVolume())
-                        .setRequestClass(x.getRequestClass())
-                        .setUnits(x.getUnits())
-                        .setTimeLeftMicros(Math.max(0, a.deadlineMicros() - now))
-                        .setWrite(x.getWrite())
-                        .setPayload(x.getPayload())
-                        .setIdempotencyKey(
-                                x.getIdempotencyKey().isEmpty()
-                                        ? idempotencyKeyPrefix + tracked.id
-                                        : x.getIdempotencyKey());
-        if (x.hasShard()) {
-            relay.setShard(x.getShard());
-        }
-        attemptSender.sendAttempt(a.target(), tracked.id, attempt, a.deadlineMicros(), relay);
+        int attemptNumber = tracked.beginAttempt(send.target());
+        statistics.relayed(nowMicros, send.target());
+        counters.increment(attemptNumber == 0 ? Counter.ATTEMPTS : Counter.RETRIES);
+        long timeLeftMicros = Math.max(0, send.deadlineMicros() - nowMicros);
+        actionSink.sendAttempt(
+                send.target(),
+                tracked.id,
+                attemptNumber,
+                send.deadlineMicros(),
+                tracked.attemptFrame(attemptNumber, timeLeftMicros, idempotencyKeyPrefix));
     }
 
-    private void finish(String id, ResponseStatus how, long retryIn, Counter count) {
-        TrackedRequest tracked = requestsById.get(id);
+    /** Responds to a request that is still unanswered. */
+    private void finish(String id, ResponseStatus status, long retryAfterMicros, Counter counter) {
+        TrackedRequest tracked = requests.find(id);
         if (tracked != null && !tracked.isAnswered) {
-            counters.increment(count);
-            answer(tracked, how, retryIn, null);
+            counters.increment(counter);
+            respond(tracked, status, retryAfterMicros, null);
         }
     }
 
-    private void answer(
-            TrackedRequest tracked, ResponseStatus how, long retryIn, ByteString payload) {
-        Response.Builder answer =
+    private void respond(
+            TrackedRequest tracked,
+            ResponseStatus status,
+            long retryAfterMicros,
+            ByteString payload) {
+        Response.Builder response =
                 Response.newBuilder()
                         .setNumber(tracked.request.getNumber())
-                        .setStatus(how)
-                        .setRetryAfterMicros(retryIn)
+                        .setStatus(status)
+                        .setRetryAfterMicros(retryAfterMicros)
                         .setReason(Reason.SCHEDULER);
         if (payload != null) {
-            answer.setPayload(payload);
+            response.setPayload(payload);
+        }
+        writeBatch.enqueue(tracked.client, Frame.newBuilder().setResponse(response).build());
+        markAnswered(tracked, requestEnd(status));
+    }
+
+    private static ServiceStatistics.End requestEnd(ResponseStatus status) {
+        return switch (status) {
+            case ANSWERED -> ServiceStatistics.End.ANSWERED;
+            case REJECTED -> ServiceStatistics.End.REJECTED;
+            default -> ServiceStatistics.End.BROKEN_OFF;
+        };
+    }
+
+    private void markAnswered(TrackedRequest tracked, ServiceStatistics.End end) {
+        long nowMicros = clock.getAsLong();
+        statistics.ended(
+                nowMicros,
+                tracked.request.getRequestClass(),
+                tracked.request.getPlan(),
+                tracked.request.getVolume(),
+                end,
+                nowMicros - tracked.receivedAtMicros);
+        tracked.isAnswered = true;
+        unansweredCount--;
+        removeIfComplete(tracked);
+    }
+
+    private void removeIfComplete(TrackedRequest tracked) {
+        if (!tracked.isComplete() || !requests.remove(tracked)) {
+            return;
         }
-        writeBatch.enqueue(tracked.client, Frame.newBuilder().setResponse(answer).build());
-        markAnswered(
-                tracked,
-                how == ResponseStatus.ANSWERED
-                        ? ServiceStatistics.End.ANSWERED
-                        : how == ResponseStatus.REJECTED
-                                ? ServiceStatistics.End.REJECTED
-                                : ServiceStatistics.End.BROKEN_OFF);
+        slotListener.onSlotReleased(
+                tracked.client, tracked.request, clock.getAsLong() - tracked.receivedAtMicros);
     }
 
-    /** For a fault of the decisions: everything held is broken off, which promises nothing. */
+    /** Fails every unanswered request, for the scheduler failed; that promises nothing. */
     void failAll() {
-        for (TrackedRequest tracked : List.copyOf(requestsById.values())) {
+        for (TrackedRequest tracked : requests.copyOfAll()) {
             finish(tracked.id, ResponseStatus.FAILED, 0, Counter.FAILED);
         }
     }
 
-    /** Accesses that are owed an answer. */
+    /** Requests without a response. */
     int unansweredCount() {
         return unansweredCount;
     }
 
+    /** Requests without a response or with an attempt in flight. */
     int trackedCount() {
-        return requestsById.size();
+        return requests.size();
     }
 }
--- /dev/null
+++ b/gateway/src/main/java/milletyoke/gateway/loop/ResponseFrames.java
@@ -0,0 +1,28 @@
+package milletyoke.gateway.loop;
+
+import milletyoke.wire.proto.Frame;
+import milletyoke.wire.proto.Reason;
+import milletyoke.wire.proto.Response;
+import milletyoke.wire.proto.ResponseStatus;
+
+/** Builds the responses to requests that never reach the scheduler. */
+public final class ResponseFrames {
+    private ResponseFrames() {}
+
+    /**
+     * Builds a rejection.
+     *
+     * @param requestNumber the client's number of the request
+     * @param retryAfterMicros 0 where no time is suggested
+     */
+    public static Frame rejected(long requestNumber, Reason reason, long retryAfterMicros) {
+        return Frame.newBuilder()
+                .setResponse(
+                        Response.newBuilder()
+                                .setNumber(requestNumber)
+                                .setStatus(ResponseStatus.REJECTED)
+                                .setReason(reason)
+                                .setRetryAfterMicros(retryAfterMicros))
+                .build();
+    }
+}
--- /dev/null
+++ b/gateway/src/main/java/milletyoke/gateway/loop/StatusPublisher.java
@@ -0,0 +1,105 @@
+package milletyoke.gateway.loop;
+
+import java.util.function.LongSupplier;
+import milletyoke.gateway.dispatch.AttemptDispatcher;
+import milletyoke.gateway.status.SnapshotBuilder;
+import milletyoke.gateway.status.StatusSnapshot;
+import milletyoke.lifecycle.Lifecycle;
+import milletyoke.lifecycle.LifecycleEvent;
+import milletyoke.lifecycle.LifecycleState;
+
+/**
+ * Keeps the initiator's lifecycle state and publishes status snapshots. Updated on the loop's
+ * thread; the published values may be read by any thread.
+ */
+final class StatusPublisher {
+    private static final long SNAPSHOT_INTERVAL_MICROS = 250_000;
+
+    private final EventLoop.LoopEnvironment environment;
+    private final LongSupplier clock;
+    private final boolean isVirtual;
+    private final Lifecycle lifecycle;
+    private final SnapshotBuilder snapshotBuilder;
+    private final RequestTracker tracker;
+    private final AttemptDispatcher dispatcher;
+    private final EndpointRegistry registry;
+    private final TurnTimings timings;
+    private volatile LifecycleState lifecycleState = LifecycleState.STARTING;
+    private volatile StatusSnapshot snapshot;
+    private long nextSnapshotMicros;
+
+    /**
+     * Creates a publisher of what the given parts of the loop hold.
+     *
+     * @param isVirtual time is virtual: one snapshot is made at the start and none later
+     */
+    StatusPublisher(
+            EventLoop.LoopEnvironment environment,
+            LongSupplier clock,
+            boolean isVirtual,
+            Lifecycle lifecycle,
+            SnapshotBuilder snapshotBuilder,
+            RequestTracker tracker,
+            AttemptDispatcher dispatcher,
+            EndpointRegistry registry,
+            TurnTimings timings) {
+        this.environment = environment;
+        this.clock = clock;
+        this.isVirtual = isVirtual;
+        this.lifecycle = lifecycle;
+        this.snapshotBuilder = snapshotBuilder;
+        this.tracker = tracker;
+        this.dispatcher = dispatcher;
+        this.registry = registry;
+        this.timings = timings;
+    }
+
+    void apply(LifecycleEvent event) {
+        lifecycleState = lifecycle.apply(clock.getAsLong(), event);
+    }
+
+    /** Adds an event to the console's list of events. */
+    void recordEvent(long nowMicros, String kind, String description) {
+        snapshotBuilder.happened(nowMicros, kind, description, null);
+    }
+
+    long nextSnapshotMicros() {
+        return nextSnapshotMicros;
+    }
+
+    /** Updates the lifecycle and publishes a snapshot; its cost is shown by the next one. */
+    void publish(long nowMicros) {
+        long startNanos = System.nanoTime();
+        nextSnapshotMicros = nowMicros + SNAPSHOT_INTERVAL_MICROS;
+        apply(new LifecycleEvent.UtilizationMeasured(environment.utilization()));
+        apply(new LifecycleEvent.Tick());
+        if (snapshot != null && (isVirtual || !environment.isWatched())) {
+            return; // nobody reads it, and its cost grows with the targets and volumes
+        }
+        snapshot = snapshotBuilder.paint(nowMicros, loopState());
+        timings.recordSnapshot(nowMicros, System.nanoTime() - startNanos);
+    }
+
+    private SnapshotBuilder.Loop loopState() {
+        return new SnapshotBuilder.Loop(
+                lifecycle,
+                environment.slotsInUse(),
+                tracker.trackedCount(),
+                dispatcher.outstandingCount(),
+                environment.utilization(),
+                registry.revision(),
+                timings.recent(),
+                timings.snapshotCost(),
+                tracker.latestDecisions(),
+                registry::healthLabel,
+                registry::isDrainedByOperator);
+    }
+
+    LifecycleState lifecycleState() {
+        return lifecycleState;
+    }
+
+    StatusSnapshot snapshot() {
+        return snapshot;
+    }
+}
--- a/gateway/src/test/java/milletyoke/gateway/loop/RequestTrackerTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/loop/RequestTrackerTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What the ledger tells when a client leaves; no sockets and no clock. */
-class RequestTrackerTest implements RequestTracker.AttemptSender {
+class RequestTrackerTest implements ActionSink {
     private final List<String> calls = new ArrayList<>();
     private int freed;
     private final RequestTracker tracker =
@@ -93,7 +93,7 @@
      */
     @Test
     void whatIsOutForAClientThatLeftIsDroppedWhereUnsent() {
-        tracker.setAttemptSender(this);
+        tracker.setActionSink(this);
         tracker.receive(
                 0,
                 0,
