--- a/lifecycle/src/main/java/milletyoke/admission/Admission.java
+++ b/lifecycle/src/main/java/milletyoke/admission/Admission.java
@@ -4,180 +4,223 @@
 import java.util.Map;
 
 /**
- * Decides which accesses get a place. Places and bytes are bounded for the whole daemon and for
- * each connection, and for each volume by a bound that moves: a volume may hold at most {@code
- * greed} times what is free (the dynamic threshold of Choudhury and Hahne, IEEE/ACM Transactions on
- * Networking 6(2), 1998). So one volume's flood takes at most greed/(1+greed) of the places, n
- * floods together leave 1/(1+n·greed) free, and whoever holds little finds a place whenever there
- * is one. Knows no clock and no I/O; one owner at a time may call it.
+ * Decides which requests get an admission slot. Slots and payload bytes are bounded for the whole
+ * process and for each connection, and for each volume by a bound that moves: a volume may hold at
+ * most {@code volumeShareFactor} times what is free (the dynamic threshold of Choudhury and Hahne,
+ * IEEE/ACM Transactions on Networking 6(2), 1998). With factor f, one volume's flood takes at most
+ * f/(1+f) of the slots, n floods together leave 1/(1+n·f) free, and a volume that holds little
+ * finds a slot whenever there is one.
+ *
+ * <p>Knows no clock and no I/O. Not thread-safe: the caller serializes the calls.
  */
 public final class Admission {
-    /** How fast the mean stay follows. */
-    private static final double SMOOTHING = 1.0 / 64;
+    /** Weight of the newest stay in the moving average. */
+    private static final double MEAN_STAY_SMOOTHING = 1.0 / 64;
+
+    private static final long MIN_RETRY_AFTER_MICROS = 1_000;
 
     /**
-     * What there is room for.
+     * The capacity to be shared.
      *
-     * @param acquired accesses held at once
-     * @param bytes of their payloads
-     * @param connectionPart of both, for one connection
-     * @param greed how many times the free room one volume may hold
-     * @param longestAdvice microseconds
+     * @param slots requests admitted at once, from 1
+     * @param bytes of their payloads, from 1
+     * @param connectionShare of both for one connection, over 0 to 1
+     * @param volumeShareFactor how many times the free capacity one volume may hold, from 1
+     * @param maxRetryAfterMicros the longest time that a rejection suggests
      */
     public record CapacityLimits(
-            int places, long bytes, double connectionPart, double greed, long longestAdvice) {
+            int slots,
+            long bytes,
+            double connectionShare,
+            double volumeShareFactor,
+            long maxRetryAfterMicros) {
+        /** Checks the limits. */
         public CapacityLimits {
-            if (places < 1
+            if (slots < 1
                     || bytes < 1
-                    || !(connectionPart > 0 && connectionPart <= 1)
-                    || !(greed >= 1)
-                    || longestAdvice < 0) {
+                    || !(connectionShare > 0 && connectionShare <= 1)
+                    || !(volumeShareFactor >= 1)
+                    || maxRetryAfterMicros < 0) {
                 throw new IllegalArgumentException(
-                        "places and bytes from 1, a part of 0 to 1, greed from 1 and advice"
-                                + " from 0 are expected, not "
-                                + places
+                        "expected slots and bytes from 1, a connection share over 0 to 1, a volume"
+                                + " share factor from 1 and a retry time from 0, not "
+                                + slots
                                 + ", "
                                 + bytes
                                 + ", "
-                                + connectionPart
+                                + connectionShare
                                 + ", "
-                                + greed
+                                + volumeShareFactor
                                 + ", "
-                                + longestAdvice);
+                                + maxRetryAfterMicros);
             }
         }
     }
 
-    /** Why there was no place. */
+    /** Which bound left no slot. */
     public enum CapacityBound {
+        /** None: the request is admitted. */
         NONE,
+        /** The slots of the process. */
         DAEMON_PLACES,
+        /** The payload bytes of the process. */
         DAEMON_BYTES,
+        /** The connection's share. */
         CONNECTION,
+        /** The volume's share. */
         VOLUME,
+        /** The number of volumes in use. */
         NAMES
     }
 
     /**
-     * The answer to one asking.
+     * The answer to one request.
      *
-     * @param bound NONE where it got its place
-     * @param retryAfterMicros microseconds after which a place is likely, 0 where there is a place
+     * @param bound NONE where it is admitted
+     * @param retryAfterMicros after which a slot is likely, 0 where it is admitted
      */
     public record Verdict(CapacityBound bound, long retryAfterMicros) {
         private static final Verdict ADMITTED = new Verdict(CapacityBound.NONE, 0);
 
+        /** Whether the request has its slot. */
         public boolean admitted() {
             return bound == CapacityBound.NONE;
         }
     }
 
-    private static final class Held {
-        int places;
-        long bytes;
+    /** What one holder has acquired. */
+    private static final class Usage {
+        private int slots;
+        private long bytes;
+
+        private void add(int addedSlots, long addedBytes) {
+            slots += addedSlots;
+            bytes += addedBytes;
+        }
     }
 
-    private final CapacityLimits room;
-    private final Held all = new Held();
-    private final Map<Integer, Held> byConnection = new HashMap<>();
-    private final Map<String, Held> byVolume = new HashMap<>();
-    private double meanStay;
+    private final CapacityLimits limits;
+    private final Usage total = new Usage();
+    private final Map<Integer, Usage> usageByConnection = new HashMap<>();
+    private final Map<String, Usage> usageByVolume = new HashMap<>();
+    private double meanStayMicros;
 
-    public Admission(CapacityLimits room) {
-        this.room = room;
+    /** Creates an admission with all its capacity free. */
+    public Admission(CapacityLimits limits) {
+        this.limits = limits;
     }
 
-    /** Takes a place where there is one. */
+    /** Acquires a slot where there is one. */
     public Verdict tryAcquire(int connection, String volume, long bytes) {
-        CapacityBound bound = bound(connection, volume, bytes);
+        CapacityBound bound = exceededBound(connection, volume, bytes);
         if (bound != CapacityBound.NONE) {
-            return new Verdict(bound, advice());
+            return new Verdict(bound, retryAfterMicros());
         }
-        add(all, 1, bytes);
-        add(byConnection.computeIfAbsent(connection, c -> new Held()), 1, bytes);
-        add(byVolume.computeIfAbsent(volume, v -> new Held()), 1, bytes);
+        total.add(1, bytes);
+        usageByConnection.computeIfAbsent(connection, c -> new Usage()).add(1, bytes);
+        usageByVolume.computeIfAbsent(volume, v -> new Usage()).add(1, bytes);
         return Verdict.ADMITTED;
     }
 
-    private CapacityBound bound(int connection, String volume, long bytes) {
-        if (all.places >= room.places()) {
+    private CapacityBound exceededBound(int connection, String volume, long bytes) {
+        if (total.slots >= limits.slots()) {
             return CapacityBound.DAEMON_PLACES;
         }
-        if (all.bytes + bytes > room.bytes()) {
+        if (total.bytes + bytes > limits.bytes()) {
             return CapacityBound.DAEMON_BYTES;
         }
-        Held c = byConnection.get(connection);
-        if (c != null
-                && (c.places >= Math.max(1, room.connectionPart() * room.places())
-                        || c.bytes + bytes > room.connectionPart() * room.bytes())) {
+        if (exceedsConnectionShare(usageByConnection.get(connection), bytes)) {
             return CapacityBound.CONNECTION;
         }
-        Held v = byVolume.get(volume);
-        if (v != null
-                && (v.places >= room.greed() * (room.places() - all.places)
-                        || v.bytes + bytes > room.greed() * (room.bytes() - all.bytes))) {
+        if (exceedsVolumeShare(usageByVolume.get(volume), bytes)) {
             return CapacityBound.VOLUME;
         }
         return CapacityBound.NONE;
     }
 
-    private static void add(Held held, int places, long bytes) {
-        held.places += places;
-        held.bytes += bytes;
+    private boolean exceedsConnectionShare(Usage usage, long bytes) {
+        if (usage == null) {
+            return false;
+        }
+        double maxSlots = Math.max(1, limits.connectionShare() * limits.slots());
+        double maxBytes = limits.connectionShare() * limits.bytes();
+        return usage.slots >= maxSlots || usage.bytes + bytes > maxBytes;
+    }
+
+    private boolean exceedsVolumeShare(Usage usage, long bytes) {
+        if (usage == null) {
+            return false;
+        }
+        double maxSlots = limits.volumeShareFactor() * (limits.slots() - total.slots);
+        double maxBytes = limits.volumeShareFactor() * (limits.bytes() - total.bytes);
+        return usage.slots >= maxSlots || usage.bytes + bytes > maxBytes;
     }
 
     /**
-     * Gives a place back.
+     * Releases a slot.
      *
-     * @param stay for how long it was held (microseconds)
-     * @throws IllegalStateException where no such place is held: a place given back twice would let
-     *     in too many
+     * @param stayMicros for how long it was held
+     * @throws IllegalStateException where no such slot is held: one that is released twice would
+     *     admit too many
      */
-    public void release(int connection, String volume, long bytes, long stay) {
-        Held c = byConnection.get(connection);
-        Held v = byVolume.get(volume);
-        if (c == null || v == null || v.bytes < bytes || c.bytes < bytes) {
+    public void release(int connection, String volume, long bytes, long stayMicros) {
+        Usage ofConnection = usageByConnection.get(connection);
+        Usage ofVolume = usageByVolume.get(volume);
+        if (ofConnection == null
+                || ofVolume == null
+                || ofVolume.bytes < bytes
+                || ofConnection.bytes < bytes) {
             throw new IllegalStateException(
-                    "no place of connection " + connection + " and volume " + volume + " is held");
+                    "no slot of connection " + connection + " and volume " + volume + " is held");
         }
-        add(all, -1, -bytes);
-        add(c, -1, -bytes);
-        add(v, -1, -bytes);
-        if (c.places == 0) {
-            byConnection.remove(connection);
+        total.add(-1, -bytes);
+        ofConnection.add(-1, -bytes);
+        ofVolume.add(-1, -bytes);
+        if (ofConnection.slots == 0) {
+            usageByConnection.remove(connection);
         }
-        if (v.places == 0) {
-            byVolume.remove(volume);
+        if (ofVolume.slots == 0) {
+            usageByVolume.remove(volume);
         }
-        meanStay += (stay - meanStay) * (meanStay == 0 ? 1 : SMOOTHING);
+        updateMeanStay(stayMicros);
+    }
+
+    private void updateMeanStay(long stayMicros) {
+        double weight = meanStayMicros == 0 ? 1 : MEAN_STAY_SMOOTHING;
+        meanStayMicros += (stayMicros - meanStayMicros) * weight;
     }
 
-    /** Places come free one mean stay apart each; half of that is when a place is likely. */
-    private long advice() {
-        return Math.min(room.longestAdvice(), Math.max(1_000, (long) meanStay / 2));
+    /** Half the mean stay: slots become free one mean stay apart each. */
+    private long retryAfterMicros() {
+        long likelyMicros = Math.max(MIN_RETRY_AFTER_MICROS, (long) meanStayMicros / 2);
+        return Math.min(limits.maxRetryAfterMicros(), likelyMicros);
     }
 
+    /** Slots in use. */
     public int acquired() {
-        return all.places;
+        return total.slots;
     }
 
+    /** Payload bytes of the requests that hold a slot. */
     public long bytes() {
-        return all.bytes;
+        return total.bytes;
     }
 
-    /** Places that one volume holds. */
+    /** Slots that one volume holds. */
     public int acquired(String volume) {
-        Held v = byVolume.get(volume);
-        return v == null ? 0 : v.places;
+        Usage usage = usageByVolume.get(volume);
+        return usage == null ? 0 : usage.slots;
     }
 
-    /** Connections and volumes that hold anything: what is remembered beside the sums. */
+    /** Connections and volumes that hold a slot: what memory is kept for. */
     public int remembered() {
-        return byConnection.size() + byVolume.size();
+        return usageByConnection.size() + usageByVolume.size();
     }
 
-    /** The part of places or bytes taken, whichever is more. */
+    /** The part of the slots or bytes in use, whichever is more, 0 to 1. */
     public double utilization() {
-        return Math.max(all.places / (double) room.places(), all.bytes / (double) room.bytes());
+        double slotsInUse = total.slots / (double) limits.slots();
+        double bytesInUse = total.bytes / (double) limits.bytes();
+        return Math.max(slotsInUse, bytesInUse);
     }
 }
--- a/lifecycle/src/main/java/milletyoke/admission/NameTable.java
+++ b/lifecycle/src/main/java/milletyoke/admission/NameTable.java
@@ -3,60 +3,71 @@
 import java.util.LinkedHashMap;
 
 /**
- * Decides whether an access may bring a name that is not in use. A name costs memory behind the
- * door for some time after its last use, whoever made it up, so the names in use are bounded: a new
- * one gets in only while there is room, or once the one longest unused has been so for {@code
- * kept}. Guards the memory of a daemon against peers that never use a name twice. Could harm a
- * deployment of more volumes than the bound, which must be set over them; and a peer that fills it
- * keeps names out that were not used lately. Knows no clock; one owner at a time may call it.
+ * Bounds the names in use. A name costs memory for some time after its last use, whoever made it
+ * up, so a new one is admitted only while the table has room, or once the one longest unused has
+ * been so for the retention time. That protects the memory against peers that never use a name
+ * twice. The bound must be set over the number of volumes of a deployment; a peer that fills the
+ * table keeps out names that were not used lately.
+ *
+ * <p>Knows no clock. Not thread-safe: the caller serializes the calls.
  */
 public final class NameTable {
-    private final int most;
-    private final long kept;
+    private static final int INITIAL_CAPACITY = 16;
+    private static final float LOAD_FACTOR = 0.75f;
 
-    /** When each was last used, those longest unused first. */
-    private final LinkedHashMap<String, Long> lastUse = new LinkedHashMap<>(16, 0.75f, true);
+    private final int maxNames;
+    private final long retentionMicros;
+
+    /** When each name was last used, the one longest unused first. */
+    private final LinkedHashMap<String, Long> lastUses =
+            new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
     /**
-     * @param most names in use at once
-     * @param kept microseconds for which something is remembered of a name after its last use
+     * Creates an empty table.
+     *
+     * @param maxNames names in use at once, from 1
+     * @param retentionMicros how long state of a name is kept after its last use, from 0
      */
-    public NameTable(int most, long kept) {
-        if (most < 1 || kept < 0) {
+    public NameTable(int maxNames, long retentionMicros) {
+        if (maxNames < 1 || retentionMicros < 0) {
             throw new IllegalArgumentException(
-                    "at least one name, kept for 0 or more, is expected, not "
-                            + most
+                    "expected at least one name and a retention from 0, not "
+                            + maxNames
                             + ", "
-                            + kept);
+                            + retentionMicros);
         }
-        this.most = most;
-        this.kept = kept;
+        this.maxNames = maxNames;
+        this.retentionMicros = retentionMicros;
     }
 
     /**
-     * Whether a name may be used: it is in use, or there is room for one more. @param now
-     * microseconds, never going back
+     * Whether a name may be used: it is in use, or there is room for one more.
+     *
+     * @param nowMicros never less than in an earlier call
      */
-    public boolean admits(String name, long now) {
-        return lastUse.containsKey(name)
-                || lastUse.size() < most
-                || now - lastUse.values().iterator().next() >= kept;
+    public boolean admits(String name, long nowMicros) {
+        return lastUses.containsKey(name)
+                || lastUses.size() < maxNames
+                || nowMicros - lastUses.values().iterator().next() >= retentionMicros;
     }
 
     /**
+     * Uses a name.
+     *
      * @throws IllegalStateException where the name is not admitted
      */
-    public void acquire(String name, long now) {
-        if (!admits(name, now)) {
+    public void acquire(String name, long nowMicros) {
+        if (!admits(name, nowMicros)) {
             throw new IllegalStateException("there is no room for the name " + name);
         }
-        if (!lastUse.containsKey(name) && lastUse.size() >= most) {
-            lastUse.remove(lastUse.keySet().iterator().next());
+        if (!lastUses.containsKey(name) && lastUses.size() >= maxNames) {
+            lastUses.remove(lastUses.keySet().iterator().next());
         }
-        lastUse.put(name, now);
+        lastUses.put(name, nowMicros);
     }
 
+    /** Names in use. */
     public int inUse() {
-        return lastUse.size();
+        return lastUses.size();
     }
 }
--- a/lifecycle/src/main/java/milletyoke/lifecycle/Lifecycle.java
+++ b/lifecycle/src/main/java/milletyoke/lifecycle/Lifecycle.java
@@ -5,69 +5,86 @@
 import java.util.List;
 
 /**
- * Decides a daemon's condition from facts. It knows no clock: each fact comes with its time
- * (microseconds). It never says what becomes of an access that was taken; that is decided
- * elsewhere.
+ * Determines a process's lifecycle state from events. It says whether new requests are admitted and
+ * never what becomes of one that was.
+ *
+ * <p>Knows no clock: each event comes with its time in microseconds. Not thread-safe.
  */
 public final class Lifecycle {
-    /** Transitions remembered. */
-    private static final int REMEMBERED = 64;
+    private static final int MAX_TRANSITIONS = 64;
+
+    /** Stands for the time of something that has not happened. */
+    private static final long NEVER = -1;
 
     /**
-     * What is borne.
+     * When a state is entered and left.
      *
-     * @param listAge without a word from discovery for so long the list counts as lost
-     *     (microseconds)
-     * @param full from this part of room used on, the daemon is saturated
-     * @param eased and below this part no more; a gap keeps it from flapping
-     * @param settled a daemon stays saturated for at least so long (microseconds)
+     * @param listTimeoutMicros without discovery for so long, the endpoint list counts as lost
+     * @param saturatedFrom utilization from which the process is saturated, up to 1
+     * @param relievedBelow utilization below which it no longer is; less than {@code saturatedFrom}
+     *     so that the state does not flap
+     * @param minSaturatedMicros how long it stays saturated at least
      */
-    public record Thresholds(long listAge, double full, double eased, long settled) {
-        public static final Thresholds USUAL = new Thresholds(10_000_000, 0.9, 0.7, 1_000_000);
+    public record Thresholds(
+            long listTimeoutMicros,
+            double saturatedFrom,
+            double relievedBelow,
+            long minSaturatedMicros) {
+        /** Defaults. */
+        public static final Thresholds DEFAULT = new Thresholds(10_000_000, 0.9, 0.7, 1_000_000);
 
+        /** Checks the thresholds. */
         public Thresholds {
-            if (!(full > eased && eased >= 0 && full <= 1)) {
+            if (!(saturatedFrom > relievedBelow && relievedBelow >= 0 && saturatedFrom <= 1)) {
                 throw new IllegalArgumentException(
-                        "full must be over eased, both within 0 and 1, not " + full + ", " + eased);
+                        "expected saturatedFrom over relievedBelow, both from 0 to 1, not "
+                                + saturatedFrom
+                                + ", "
+                                + relievedBelow);
             }
         }
     }
 
-    /** One change of condition; {@code reason} is in words. */
+    /** One change of state; {@code reason} is for people. */
     public record Transition(
             long atMicros, LifecycleState from, LifecycleState to, String reason) {}
 
-    private final Thresholds marks;
+    private final Thresholds thresholds;
     private final ArrayDeque<Transition> transitions = new ArrayDeque<>();
     private LifecycleState state = LifecycleState.STARTING;
-    private boolean heardList;
-    private int usable;
-    private long listLostAt = -1;
-    private boolean saturated;
-    private long saturatedAt;
+    private boolean hasList;
+    private int usableTargets;
+    private long listLostAtMicros = NEVER;
+    private boolean isSaturated;
+    private long saturatedAtMicros;
+
+    /** The operator who drained the process; null where it is not drained. */
     private String drainedBy;
-    private boolean leaving;
 
-    public Lifecycle(Thresholds marks) {
-        this.marks = marks;
+    private boolean isShuttingDown;
+
+    /** Creates the lifecycle of a process that is starting. */
+    public Lifecycle(Thresholds thresholds) {
+        this.thresholds = thresholds;
     }
 
+    /** The current state. */
     public LifecycleState state() {
         return state;
     }
 
-    /** The latest transitions, oldest first. */
+    /** A copy of the latest transitions, oldest first. */
     public List<Transition> transitions() {
         return new ArrayList<>(transitions);
     }
 
-    /** Takes a fact and returns the condition after it. */
-    public LifecycleState apply(long now, LifecycleEvent fact) {
-        String why = learn(now, fact);
-        LifecycleState next = judge(now);
+    /** Applies an event and returns the state after it. */
+    public LifecycleState apply(long nowMicros, LifecycleEvent event) {
+        String reason = handle(nowMicros, event);
+        LifecycleState next = nextState(nowMicros);
         if (next != state) {
-            transitions.addLast(new Transition(now, state, next, why));
-            if (transitions.size() > REMEMBERED) {
+            transitions.addLast(new Transition(nowMicros, state, next, reason));
+            if (transitions.size() > MAX_TRANSITIONS) {
                 transitions.removeFirst();
             }
             state = next;
@@ -75,63 +92,75 @@
         return state;
     }
 
-    private String learn(long now, LifecycleEvent fact) {
-        if (fact instanceof LifecycleEvent.EndpointListReceived f) {
-            heardList |= !f.restored() || f.usable() > 0;
-            usable = f.usable();
-            listLostAt =
-                    f.restored() ? now : -1; // what was restored is old until discovery confirms it
-            return f.usable()
-                    + " targets may be sent to"
-                    + (f.restored() ? ", as known before the start" : "");
-        } else if (fact instanceof LifecycleEvent.DiscoveryUnavailable) {
-            listLostAt = listLostAt < 0 ? now : listLostAt;
+    /** Updates the fields and returns what happened, as the reason of a transition. */
+    private String handle(long nowMicros, LifecycleEvent event) {
+        if (event instanceof LifecycleEvent.EndpointListReceived list) {
+            return handleList(nowMicros, list);
+        }
+        if (event instanceof LifecycleEvent.DiscoveryUnavailable) {
+            listLostAtMicros = listLostAtMicros < 0 ? nowMicros : listLostAtMicros;
             return "discovery is lost";
-        } else if (fact instanceof LifecycleEvent.UtilizationMeasured f) {
-            return used(now, f.utilization());
-        } else if (fact instanceof LifecycleEvent.DrainRequested f) {
-            drainedBy = f.who();
-            return "drained by " + f.who();
-        } else if (fact instanceof LifecycleEvent.DrainCancelled f) {
+        }
+        if (event instanceof LifecycleEvent.UtilizationMeasured measured) {
+            return handleUtilization(nowMicros, measured.utilization());
+        }
+        if (event instanceof LifecycleEvent.DrainRequested requested) {
+            drainedBy = requested.who();
+            return "drained by " + requested.who();
+        }
+        if (event instanceof LifecycleEvent.DrainCancelled cancelled) {
             drainedBy = null;
-            return "put back by " + f.who();
-        } else if (fact instanceof LifecycleEvent.ShutdownRequested) {
-            leaving = true;
+            return "put back by " + cancelled.who();
+        }
+        if (event instanceof LifecycleEvent.ShutdownRequested) {
+            isShuttingDown = true;
             return "asked to end";
         }
         return "time passed";
     }
 
-    private String used(long now, double part) {
-        if (!saturated && part >= marks.full()) {
-            saturated = true;
-            saturatedAt = now;
-        } else if (saturated && part < marks.eased() && now - saturatedAt >= marks.settled()) {
-            saturated = false;
+    private String handleList(long nowMicros, LifecycleEvent.EndpointListReceived list) {
+        hasList |= !list.restored() || list.usable() > 0;
+        usableTargets = list.usable();
+        // A restored list counts as old until discovery confirms it.
+        listLostAtMicros = list.restored() ? nowMicros : NEVER;
+        String origin = list.restored() ? ", as known before the start" : "";
+        return list.usable() + " targets may be sent to" + origin;
+    }
+
+    private String handleUtilization(long nowMicros, double utilization) {
+        if (!isSaturated && utilization >= thresholds.saturatedFrom()) {
+            isSaturated = true;
+            saturatedAtMicros = nowMicros;
+        } else if (isSaturated
+                && utilization < thresholds.relievedBelow()
+                && nowMicros - saturatedAtMicros >= thresholds.minSaturatedMicros()) {
+            isSaturated = false;
         }
-        return Math.round(100 * part) + "% of the room is used";
+        return Math.round(100 * utilization) + "% of the room is used";
     }
 
-    private LifecycleState judge(long now) {
-        if (leaving) {
+    private LifecycleState nextState(long nowMicros) {
+        if (isShuttingDown) {
             return LifecycleState.LEAVING;
         }
         if (drainedBy != null) {
             return LifecycleState.DRAINING;
         }
-        if (!heardList) {
-            return listLostAt >= 0 && now - listLostAt >= marks.listAge()
-                    ? LifecycleState.WITHOUT_LIST
-                    : LifecycleState.STARTING;
+        if (!hasList) {
+            return isListLost(nowMicros) ? LifecycleState.WITHOUT_LIST : LifecycleState.STARTING;
         }
-        if (usable == 0) {
+        if (usableTargets == 0) {
             return LifecycleState.WITHOUT_LIST;
         }
-        if (saturated) {
+        if (isSaturated) {
             return LifecycleState.SATURATED;
         }
-        return listLostAt >= 0 && now - listLostAt >= marks.listAge()
-                ? LifecycleState.LIST_LOST
-                : LifecycleState.READY;
+        return isListLost(nowMicros) ? LifecycleState.LIST_LOST : LifecycleState.READY;
+    }
+
+    private boolean isListLost(long nowMicros) {
+        return listLostAtMicros >= 0
+                && nowMicros - listLostAtMicros >= thresholds.listTimeoutMicros();
     }
 }
--- a/lifecycle/src/main/java/milletyoke/lifecycle/LifecycleEvent.java
+++ b/lifecycle/src/main/java/milletyoke/lifecycle/LifecycleEvent.java
@@ -1,21 +1,23 @@
 package milletyoke.lifecycle;
 
-/** What bears on a daemon's condition. */
+/** What can change a process's lifecycle state. */
 public sealed interface LifecycleEvent {
-    /** The list came, or was restored from before; {@code usable} targets in it may be sent to. */
+    /** The endpoint list came, or was restored; {@code usable} targets in it may be sent to. */
     record EndpointListReceived(int usable, boolean restored) implements LifecycleEvent {}
 
-    /** Discovery cannot be reached, or refuses. */
+    /** Discovery cannot be reached, or has no list. */
     record DiscoveryUnavailable() implements LifecycleEvent {}
 
-    /** The part of places or bytes taken, whichever is more, 0 to 1. */
+    /** The part of the capacity in use, 0 to 1. */
     record UtilizationMeasured(double utilization) implements LifecycleEvent {}
 
+    /** An operator took the process out of service. */
     record DrainRequested(String who) implements LifecycleEvent {}
 
+    /** An operator put the process back into service. */
     record DrainCancelled(String who) implements LifecycleEvent {}
 
-    /** The process was asked to end. */
+    /** The process was asked to shut down. */
     record ShutdownRequested() implements LifecycleEvent {}
 
     /** Time passed. */
--- a/lifecycle/src/main/java/milletyoke/lifecycle/LifecycleState.java
+++ b/lifecycle/src/main/java/milletyoke/lifecycle/LifecycleState.java
@@ -1,49 +1,47 @@
 package milletyoke.lifecycle;
 
 /**
- * What a daemon is at one moment, in the order in which one outweighs the other: a later one hides
- * an earlier one.
+ * The state of a process, the least severe first: where several apply, the process is in the last
+ * of them. The names and texts are shown by the console.
  */
 public enum LifecycleState {
-    /** Knows its targets and has room. */
+    /** Knows its targets and has capacity. */
     READY(true, true, "takes accesses"),
-    /**
-     * Knows targets, but discovery has told nothing for longer than is borne: the list may be old.
-     */
+    /** Knows targets, but discovery has been away for so long that the list may be out of date. */
     LIST_LOST(true, true, "takes accesses by a list that may be old"),
-    /** Little room is left; what is beyond is rejected at once. */
+    /** Little capacity is left; what exceeds it is rejected at once. */
     SATURATED(true, true, "takes accesses as far as there is room"),
-    /** Began, and has heard nothing of targets yet. */
+    /** Started, and has no endpoint list yet. */
     STARTING(false, false, "waits for its first list"),
-    /** Knows no target that it may send to: whatever it took it could not answer. */
+    /** Knows no target that it may send to, so it could not answer a request. */
     WITHOUT_LIST(false, false, "knows no target"),
-    /** An operator took it out of service; what is held is finished. */
+    /** An operator drained it; requests that were admitted are finished. */
     DRAINING(false, false, "takes nothing new, finishes what it holds"),
-    /** It ends once what is held is finished; there is no way back. */
+    /** Shutting down: ends once the requests that were admitted are finished. Final. */
     LEAVING(false, false, "takes nothing new and ends");
 
     private final boolean admits;
-    private final boolean fit;
-    private final String tells;
+    private final boolean isFit;
+    private final String description;
 
-    LifecycleState(boolean admits, boolean fit, String tells) {
+    LifecycleState(boolean admits, boolean isFit, String description) {
         this.admits = admits;
-        this.fit = fit;
-        this.tells = tells;
+        this.isFit = isFit;
+        this.description = description;
     }
 
-    /** Whether new accesses are taken, as far as there is room. */
+    /** Whether new requests are admitted, as far as there is capacity. */
     public boolean admits() {
         return admits;
     }
 
-    /** Whether others should send new accesses here. */
+    /** Whether load balancers should send new requests here. */
     public boolean isFit() {
-        return fit;
+        return isFit;
     }
 
-    /** In words, for people. */
+    /** A description for people, as the console shows it. */
     public String tells() {
-        return tells;
+        return description;
     }
 }
--- a/lifecycle/src/test/java/milletyoke/admission/AdmissionTest.java
+++ b/lifecycle/src/test/java/milletyoke/admission/AdmissionTest.java
@@ -63,29 +63,22 @@
     private static final class Ask implements Action.Independent<Both> {
         @Override
         public Arbitrary<Transformer<Both>> transformer() {
-            return Arbitraries.integers()
-                    .between(0, 3)
-                    .flatMap(
-                            c ->
-                                    Arbitraries.of("a", "b", "c", "d", "e")
-                                            .flatMap(
-                                                    v ->
-                                                            Arbitraries.longs()
-                                                                    .between(0, 400)
-                                                                    .map(
-                                                                            bytes ->
-                                                                                    Transformer
-                                                                                            .mutate(
-                                                                                                    "ask "
-                                                                                                            + c
-                                                                                                            + v
-                                                                                                            + bytes,
-                                                                                                    both ->
-                                                                                                            ask(
-                                                                                                                    both,
-                                                                                                                    c,
-                                                                                                                    v,
-                                                                                                                    bytes)))));
+            return Arbitraries.integers().between(0, 3).flatMap(Ask::ofConnection);
+        }
+
+        private static Arbitrary<Transformer<Both>> ofConnection(int connection) {
+            return Arbitraries.of("a", "b", "c", "d", "e")
+                    .flatMap(volume -> ofVolume(connection, volume));
+        }
+
+        private static Arbitrary<Transformer<Both>> ofVolume(int connection, String volume) {
+            return Arbitraries.longs()
+                    .between(0, 400)
+                    .map(
+                            bytes ->
+                                    Transformer.mutate(
+                                            "ask " + connection + volume + bytes,
+                                            both -> ask(both, connection, volume, bytes)));
         }
 
         private static void ask(Both both, int c, String v, long bytes) {
--- a/lifecycle/src/test/java/milletyoke/lifecycle/LifecycleTest.java
+++ b/lifecycle/src/test/java/milletyoke/lifecycle/LifecycleTest.java
@@ -14,7 +14,7 @@
 /** What a daemon is after any order of facts. */
 class LifecycleTest {
     private static final long SECOND = 1_000_000;
-    private final Lifecycle life = new Lifecycle(Lifecycle.Thresholds.USUAL);
+    private final Lifecycle life = new Lifecycle(Lifecycle.Thresholds.DEFAULT);
     private long now = 100 * SECOND;
 
     private LifecycleState after(long seconds, LifecycleEvent fact) {
@@ -109,7 +109,7 @@
      */
     @Property(tries = 500, seed = "20261201")
     void whatAlwaysHolds(@ForAll("facts") List<LifecycleEvent> facts) {
-        Lifecycle any = new Lifecycle(Lifecycle.Thresholds.USUAL);
+        Lifecycle any = new Lifecycle(Lifecycle.Thresholds.DEFAULT);
         int usable = 0;
         boolean left = false;
         LifecycleState before = any.state();
