--- a/gateway/src/main/java/milletyoke/gateway/dispatch/AttemptListener.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/AttemptListener.java
@@ -4,16 +4,28 @@
 import milletyoke.scheduler.api.Outcome;
 import milletyoke.wire.proto.Load;
 
-/** Who learns how relays and probes ended. Each one that was ordered is told of exactly once. */
+/** Is notified once, on the loop's thread, of how each attempt and each probe ended. */
 public interface AttemptListener {
     /**
-     * @param lag microseconds since the relay was ordered
+     * An attempt ended.
+     *
+     * @param latencyMicros since the attempt was ordered
+     * @param load what the target reported of its load; null where it did not
+     * @param payload of the reply; null where there was none
      */
     void onAttemptEnded(
-            String id, int attempt, Outcome outcome, long lag, Load load, ByteString payload);
+            String requestId,
+            int attemptNumber,
+            Outcome outcome,
+            long latencyMicros,
+            Load load,
+            ByteString payload);
 
     /**
-     * @param waiting accesses said to wait at the target, -1 where it does not tell
+     * A probe ended.
+     *
+     * @param latencyMicros since the probe was ordered
+     * @param queueLength requests that the target reports as queued, -1 where it does not
      */
-    void onProbeEnded(String target, Outcome outcome, long lag, double waiting);
+    void onProbeEnded(String target, Outcome outcome, long latencyMicros, double queueLength);
 }
--- a/gateway/src/main/java/milletyoke/gateway/dispatch/Connector.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/Connector.java
@@ -2,12 +2,17 @@
 
 import milletyoke.gateway.config.Address;
 
-/** Opens connections to targets; what comes of one is told to the loop with the dial's number. */
+/**
+ * Opens connections to targets. The result is posted to the event loop with the connect's number,
+ * as {@code ConnectSucceeded} or {@code ConnectFailed}.
+ */
 public interface Connector {
-    PendingConnect connect(String target, Address address, long dial);
+    /** Starts to connect and returns at once; called on the loop's thread. */
+    PendingConnect connect(String target, Address address, long connectNumber);
 
-    /** A connection in the making. */
+    /** A connection that is not established yet. */
     interface PendingConnect {
+        /** Gives up; a result that is posted all the same is ignored by the loop. */
         void cancel();
     }
 }
--- /dev/null
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/OutstandingAttempts.java
@@ -0,0 +1,122 @@
+package milletyoke.gateway.dispatch;
+
+import com.google.protobuf.ByteString;
+import java.util.HashMap;
+import java.util.Map;
+import milletyoke.scheduler.api.Outcome;
+import milletyoke.wire.proto.AttemptReply;
+import milletyoke.wire.proto.Load;
+
+/**
+ * The attempts without an outcome, by request and attempt number. Ends each attempt and probe once
+ * and reports its outcome. Owned by the event loop.
+ */
+final class OutstandingAttempts {
+    private static final double UNKNOWN_QUEUE_LENGTH = -1;
+
+    private final AttemptListener listener;
+    private final boolean isExclusive;
+    private final Map<String, OutboundAttempt> attemptsByKey = new HashMap<>();
+
+    /**
+     * Creates an empty collection.
+     *
+     * @param isExclusive a connection carries one attempt at a time
+     */
+    OutstandingAttempts(AttemptListener listener, boolean isExclusive) {
+        this.listener = listener;
+        this.isExclusive = isExclusive;
+    }
+
+    void add(OutboundAttempt attempt) {
+        attemptsByKey.put(key(attempt.requestId, attempt.attemptNumber), attempt);
+    }
+
+    /** Null where there is none. */
+    OutboundAttempt find(String requestId, int attemptNumber) {
+        return attemptsByKey.get(key(requestId, attemptNumber));
+    }
+
+    /** Ends an attempt or probe to which there was no reply; does nothing if it has ended. */
+    void end(long nowMicros, OutboundAttempt attempt, Outcome outcome) {
+        end(nowMicros, attempt, outcome, null, null);
+    }
+
+    /** Ends an attempt with its target's reply; does nothing if it has ended. */
+    void endReplied(long nowMicros, OutboundAttempt attempt, AttemptReply reply) {
+        Load load = reply.hasLoad() ? reply.getLoad() : null;
+        end(nowMicros, attempt, outcome(reply), load, reply.getPayload());
+    }
+
+    /** An outcome that only this end can determine is an error when a target claims it. */
+    private static Outcome outcome(AttemptReply reply) {
+        return switch (reply.getOutcome()) {
+            case SUCCEEDED -> Outcome.SUCCEEDED;
+            case OVERLOADED -> Outcome.OVERLOADED;
+            case NOT_STARTED -> Outcome.NOT_STARTED;
+            default -> Outcome.ERROR;
+        };
+    }
+
+    /**
+     * Ends an attempt or probe; does nothing if it has ended.
+     *
+     * @param load null where the target reported none
+     * @param payload null where there was no reply to an attempt
+     */
+    void end(
+            long nowMicros,
+            OutboundAttempt attempt,
+            Outcome outcome,
+            Load load,
+            ByteString payload) {
+        if (attempt.isEnded) {
+            return;
+        }
+        attempt.markEnded();
+        if (attempt.isSent()) {
+            attempt.connection.inFlight.remove(attempt.frameNumber);
+        }
+        if (attempt.isProbe()) {
+            reportProbe(nowMicros, attempt, outcome, load);
+        } else {
+            reportAttempt(nowMicros, attempt, outcome, load, payload);
+        }
+        if (isExclusive && attempt.isSent()) {
+            closeIfGivenUp(attempt, outcome);
+        }
+    }
+
+    private void reportProbe(long nowMicros, OutboundAttempt probe, Outcome outcome, Load load) {
+        boolean hasQueueLength = load != null && load.hasQueueLength();
+        double queueLength = hasQueueLength ? load.getQueueLength() : UNKNOWN_QUEUE_LENGTH;
+        listener.onProbeEnded(probe.target, outcome, probe.latencyMicros(nowMicros), queueLength);
+    }
+
+    private void reportAttempt(
+            long nowMicros,
+            OutboundAttempt attempt,
+            Outcome outcome,
+            Load load,
+            ByteString payload) {
+        attemptsByKey.remove(key(attempt.requestId, attempt.attemptNumber));
+        listener.onAttemptEnded(
+                attempt.requestId,
+                attempt.attemptNumber,
+                outcome,
+                attempt.latencyMicros(nowMicros),
+                load,
+                payload);
+    }
+
+    /** Closes the connection of an attempt that was given up, for its reply may yet come. */
+    private static void closeIfGivenUp(OutboundAttempt attempt, Outcome outcome) {
+        if (outcome == Outcome.CANCELLED || outcome == Outcome.TIMED_OUT) {
+            attempt.connection.connection.close("what was sent there was given up");
+        }
+    }
+
+    private static String key(String requestId, int attemptNumber) {
+        return requestId + "/" + attemptNumber;
+    }
+}
--- a/gateway/src/main/java/milletyoke/gateway/dispatch/WriteBatch.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/WriteBatch.java
@@ -6,25 +6,30 @@
 import milletyoke.wire.proto.Frame;
 
 /**
- * What the loop sends in one turn: frames for one connection leave in one write. Owned by the loop.
+ * The frames of one turn of the event loop: those for one connection are sent with one write. Owned
+ * by the event loop.
  */
 public final class WriteBatch {
-    private final Set<Connection> lines = new LinkedHashSet<>();
+    private final Set<Connection> connections = new LinkedHashSet<>();
 
-    /** As {@link Connection#enqueue}; it leaves at the turn's end. */
-    public boolean enqueue(Connection line, Frame frame) {
-        boolean taken = line.enqueue(frame);
-        if (taken) {
-            lines.add(line);
+    /**
+     * Adds a frame that {@link #flush} will send.
+     *
+     * @return false where the connection takes no frame, as {@link Connection#enqueue}
+     */
+    public boolean enqueue(Connection connection, Frame frame) {
+        boolean isEnqueued = connection.enqueue(frame);
+        if (isEnqueued) {
+            connections.add(connection);
         }
-        return taken;
+        return isEnqueued;
     }
 
-    /** Lets everything go, in the order in which connections were first written to. */
+    /** Sends all frames, in the order in which their connections were first written to. */
     public void flush() {
-        if (!lines.isEmpty()) {
-            lines.forEach(Connection::flush);
-            lines.clear();
+        if (!connections.isEmpty()) {
+            connections.forEach(Connection::flush);
+            connections.clear();
         }
     }
 }
--- a/gateway/src/test/java/milletyoke/gateway/dispatch/AttemptDispatcherTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/dispatch/AttemptDispatcherTest.java
@@ -24,14 +24,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Each relay gets the one outcome that is true of it, whatever the connections do; no sockets and
- * no clock.
+ * Each attempt gets the one outcome that is true of it, whatever the connections do; without
+ * sockets and without a clock.
  */
 class AttemptDispatcherTest implements AttemptListener, Connector {
-    private static final long CONNECT = 1000, IDLE = 100_000, PROBE = 5000;
+    private static final long CONNECT = 1000;
+    private static final long IDLE = 100_000;
+    private static final long PROBE = 5000;
 
-    private final Map<String, Outcome> ended = new LinkedHashMap<>();
-    private final List<String> probes = new ArrayList<>();
+    private final Map<String, Outcome> outcomes = new LinkedHashMap<>();
+    private final List<String> probeResults = new ArrayList<>();
     private final Map<Long, String> pendingConnects = new LinkedHashMap<>();
     private final List<FakeConnection> connections = new ArrayList<>();
     private final AttemptDispatcher dispatcher =
@@ -85,36 +87,42 @@
     }
 
     @Override
-    public PendingConnect connect(String target, Address address, long dial) {
-        pendingConnects.put(dial, target);
+    public PendingConnect connect(String target, Address address, long connectNumber) {
+        pendingConnects.put(connectNumber, target);
         return () -> {};
     }
 
     @Override
     public void onAttemptEnded(
-            String id, int attempt, Outcome outcome, long lag, Load load, ByteString payload) {
-        Outcome before = ended.put(id, outcome);
+            String id,
+            int attempt,
+            Outcome outcome,
+            long latencyMicros,
+            Load load,
+            ByteString payload) {
+        Outcome before = outcomes.put(id, outcome);
         assertEquals(null, before, id + " ended twice");
     }
 
     @Override
-    public void onProbeEnded(String target, Outcome outcome, long lag, double waiting) {
-        probes.add(target + " " + outcome + " " + waiting);
+    public void onProbeEnded(
+            String target, Outcome outcome, long latencyMicros, double queueLength) {
+        probeResults.add(target + " " + outcome + " " + queueLength);
     }
 
-    private FakeConnection establish(long now, long dial) {
+    private FakeConnection establish(long now, long connectNumber) {
         FakeConnection connection =
-                new FakeConnection(connections.size(), pendingConnects.remove(dial));
+                new FakeConnection(connections.size(), pendingConnects.remove(connectNumber));
         connections.add(connection);
-        dispatcher.connectSucceeded(now, connection.target, dial, connection);
+        dispatcher.connectSucceeded(now, connection.target, connectNumber, connection);
         return connection;
     }
 
-    private long lastDial() {
+    private long lastConnectNumber() {
         return pendingConnects.keySet().stream().reduce((a, b) -> b).orElseThrow();
     }
 
-    private void relay(long now, String id) {
+    private void sendAttempt(long now, String id) {
         dispatcher.sendAttempt(
                 now, "a", id, 0, now + 10_000, Attempt.newBuilder().setRequestId(id));
     }
@@ -132,54 +140,55 @@
     }
 
     @Test
-    void toATargetThatWasNeverListedNothingCanBeSent() {
-        relay(0, "r");
-        assertEquals(Map.of("r", Outcome.NO_CONNECTION), ended);
+    void attemptToUnlistedTargetEndsAsNoConnection() {
+        sendAttempt(0, "r");
+        assertEquals(Map.of("r", Outcome.NO_CONNECTION), outcomes);
     }
 
     @Test
-    void whatWaitsForAConnectionIsSentOnceThereIsOne() {
+    void waitingAttemptIsSentOnceConnected() {
         dispatcher.targetListed("a", new Address("h", 1));
-        relay(0, "r");
-        FakeConnection connection = establish(10, lastDial());
+        sendAttempt(0, "r");
+        FakeConnection connection = establish(10, lastConnectNumber());
         reply(20, connection, 0, milletyoke.wire.proto.Outcome.SUCCEEDED);
-        assertEquals(Map.of("r", Outcome.SUCCEEDED), ended);
+        assertEquals(Map.of("r", Outcome.SUCCEEDED), outcomes);
     }
 
     @Test
-    void connectTimeOutIsNoConnectionAndALateConnectionIsClosed() {
+    void connectTimeoutEndsAsNoConnectionAndLateConnectionIsClosed() {
         dispatcher.targetListed("a", new Address("h", 1));
-        relay(0, "r");
-        long dial = lastDial();
+        sendAttempt(0, "r");
+        long connectNumber = lastConnectNumber();
         dispatcher.handleTimeouts(CONNECT - 1);
-        assertEquals(Map.of(), ended);
+        assertEquals(Map.of(), outcomes);
         dispatcher.handleTimeouts(CONNECT);
-        assertEquals(Map.of("r", Outcome.NO_CONNECTION), ended);
+        assertEquals(Map.of("r", Outcome.NO_CONNECTION), outcomes);
         dispatcher.handleTimeouts(CONNECT * 300);
-        assertTrue(!establish(CONNECT * 300, dial).open, "it came too late");
+        assertTrue(
+                !establish(CONNECT * 300, connectNumber).open, "its connect was given up before");
     }
 
     @Test
-    void timeUpBeforeItCouldBeSentIsMootAndAfterwardsTimedOut() {
+    void deadlineEndsUnsentAsNotStartedAndSentAsTimedOut() {
         dispatcher.targetListed("a", new Address("h", 1));
-        dispatcher.sendAttempt(0, "a", "moot", 0, 500, Attempt.newBuilder());
+        dispatcher.sendAttempt(0, "a", "expired", 0, 500, Attempt.newBuilder());
         dispatcher.handleTimeouts(500);
-        relay(600, "late");
-        FakeConnection connection = establish(700, lastDial());
+        sendAttempt(600, "late");
+        FakeConnection connection = establish(700, lastConnectNumber());
         dispatcher.handleTimeouts(10_600);
         reply(10_700, connection, 0, milletyoke.wire.proto.Outcome.SUCCEEDED);
-        assertEquals(Map.of("moot", Outcome.NOT_STARTED, "late", Outcome.TIMED_OUT), ended);
+        assertEquals(Map.of("expired", Outcome.NOT_STARTED, "late", Outcome.TIMED_OUT), outcomes);
     }
 
     @Test
-    void cancelIsMootBeforeSendingAndCancelledAfter() {
+    void cancelEndsUnsentAsNotStartedAndSentAsCancelled() {
         dispatcher.targetListed("a", new Address("h", 1));
-        relay(0, "unsent");
+        sendAttempt(0, "unsent");
         dispatcher.cancelAttempt(1, "unsent", 0);
-        relay(2, "sent");
-        FakeConnection connection = establish(10, lastDial());
+        sendAttempt(2, "sent");
+        FakeConnection connection = establish(10, lastConnectNumber());
         dispatcher.cancelAttempt(20, "sent", 0);
-        assertEquals(Map.of("unsent", Outcome.NOT_STARTED, "sent", Outcome.CANCELLED), ended);
+        assertEquals(Map.of("unsent", Outcome.NOT_STARTED, "sent", Outcome.CANCELLED), outcomes);
         assertTrue(connection.sent.get(1).hasCancelAttempt());
         assertEquals(
                 1,
@@ -188,33 +197,32 @@
     }
 
     @Test
-    void closedConnectionResetsWhatWasSentAndOnlyThat() {
+    void lostConnectionResetsOnlyWhatWasSent() {
         dispatcher.targetListed("a", new Address("h", 1));
-        relay(0, "sent");
-        FakeConnection connection = establish(10, lastDial());
+        sendAttempt(0, "sent");
+        FakeConnection connection = establish(10, lastConnectNumber());
         connection.refuses = true; // known to be closed, though nobody was told yet
-        relay(11, "unsent");
+        sendAttempt(11, "unsent");
         dispatcher.connectionLost(20, "a", connection, false, 0);
-        assertEquals(Map.of("sent", Outcome.RESET), ended);
-        establish(30, lastDial());
+        assertEquals(Map.of("sent", Outcome.RESET), outcomes);
+        establish(30, lastConnectNumber());
         assertEquals("unsent", connections.get(1).sent.get(0).getAttempt().getRequestId());
     }
 
     /**
-     * A target over its bound of connections refuses one as it comes: what was handed to it never
-     * ran.
+     * A target over its connection limit refuses a new connection: what was sent on it never ran.
      */
     @Test
-    void refusedConnectionNeverRanWhatWasSentUnlessItHadAnswered() {
+    void refusedConnectionEndsAsNoConnectionUnlessItHadReplied() {
         dispatcher.targetListed("a", new Address("h", 1));
-        relay(0, "never ran");
-        FakeConnection connection = establish(10, lastDial());
+        sendAttempt(0, "never ran");
+        FakeConnection connection = establish(10, lastConnectNumber());
         dispatcher.connectionLost(20, "a", connection, true, 0);
-        assertEquals(Map.of("never ran", Outcome.NO_CONNECTION), ended);
-        ended.clear();
-        relay(30, "answered");
-        relay(31, "unsure");
-        FakeConnection other = establish(40, lastDial());
+        assertEquals(Map.of("never ran", Outcome.NO_CONNECTION), outcomes);
+        outcomes.clear();
+        sendAttempt(30, "answered");
+        sendAttempt(31, "unsure");
+        FakeConnection other = establish(40, lastConnectNumber());
         dispatcher.attemptReplied(
                 50,
                 50,
@@ -224,31 +232,31 @@
                         .setOutcome(milletyoke.wire.proto.Outcome.SUCCEEDED)
                         .build());
         dispatcher.connectionLost(60, "a", other, true, 0);
-        assertEquals(Map.of("answered", Outcome.SUCCEEDED, "unsure", Outcome.RESET), ended);
+        assertEquals(Map.of("answered", Outcome.SUCCEEDED, "unsure", Outcome.RESET), outcomes);
     }
 
     @Test
-    void connectionsAndStreamsAreBounded() {
+    void connectionsAndStreamsAreLimited() {
         dispatcher.targetListed("a", new Address("h", 1));
         for (int i = 0; i < 3; i++) {
-            relay(0, "r" + i);
+            sendAttempt(0, "r" + i);
         }
         FakeConnection first = establish(1, 1);
         FakeConnection second = establish(1, 2);
         for (int i = 3; i < 8; i++) {
-            relay(2, "r" + i);
+            sendAttempt(2, "r" + i);
         }
         assertEquals(3, first.sent.size());
         assertEquals(3, second.sent.size());
-        assertEquals(Map.of("r6", Outcome.NO_CONNECTION, "r7", Outcome.NO_CONNECTION), ended);
-        assertEquals(0, pendingConnects.size(), "two connections are the most");
+        assertEquals(Map.of("r6", Outcome.NO_CONNECTION, "r7", Outcome.NO_CONNECTION), outcomes);
+        assertEquals(0, pendingConnects.size(), "at most two connections are open");
     }
 
     @Test
     void idleConnectionsAreClosedAndBusyOnesAreNot() {
         dispatcher.targetListed("a", new Address("h", 1));
-        relay(0, "r");
-        FakeConnection connection = establish(1, lastDial());
+        sendAttempt(0, "r");
+        FakeConnection connection = establish(1, lastConnectNumber());
         dispatcher.sendAttempt(2, "a", "long", 0, 10 * IDLE, Attempt.newBuilder());
         reply(3, connection, 0, milletyoke.wire.proto.Outcome.SUCCEEDED);
         dispatcher.handleTimeouts(2 * IDLE);
@@ -259,10 +267,10 @@
     }
 
     @Test
-    void probesEndWithWhatTheyFound() {
+    void probesReportQueueLengthOrOutcome() {
         dispatcher.targetListed("a", new Address("h", 1));
         dispatcher.sendProbe(0, "a");
-        FakeConnection connection = establish(1, lastDial());
+        FakeConnection connection = establish(1, lastConnectNumber());
         dispatcher.probeReplied(
                 5,
                 5,
@@ -273,30 +281,31 @@
         dispatcher.handleTimeouts(10 + PROBE);
         dispatcher.sendProbe(20_000, "b");
         assertEquals(
-                List.of("a SUCCEEDED 7.0", "a TIMED_OUT -1.0", "b NO_CONNECTION -1.0"), probes);
+                List.of("a SUCCEEDED 7.0", "a TIMED_OUT -1.0", "b NO_CONNECTION -1.0"),
+                probeResults);
     }
 
     /**
-     * Random orders of everything: each relay ends once, and what was never on a line is never told
-     * to have been.
+     * In random orders of all calls each attempt ends once, and none that was sent is reported as
+     * NO_CONNECTION.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8})
-    void everyRelayEndsOnce(int seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
+    void everyAttemptEndsExactlyOnce(int seed) {
+        SplittableRandom random = new SplittableRandom(seed);
         Map<String, Integer> ordered = new HashMap<>();
         long now = 0;
         dispatcher.targetListed("a", new Address("h", 1));
         for (int step = 0; step < 20_000; step++) {
-            now += chance.nextInt(200);
+            now += random.nextInt(200);
             FakeConnection connection =
                     connections.isEmpty()
                             ? null
                             : connections.get(
                                     connections.size()
                                             - 1
-                                            - chance.nextInt(Math.min(3, connections.size())));
-            switch (chance.nextInt(9)) {
+                                            - random.nextInt(Math.min(3, connections.size())));
+            switch (random.nextInt(9)) {
                 case 0, 1, 2 -> {
                     String id = "r" + step;
                     ordered.put(id, step);
@@ -305,19 +314,22 @@
                             "a",
                             id,
                             0,
-                            now + 1 + chance.nextInt(4000),
+                            now + 1 + random.nextInt(4000),
                             Attempt.newBuilder().setRequestId(id));
                 }
                 case 3 -> {
                     if (!pendingConnects.isEmpty()) {
-                        establish(now, lastDial());
+                        establish(now, lastConnectNumber());
                     }
                 }
                 case 4 -> {
                     if (!pendingConnects.isEmpty()) {
-                        long dial = lastDial();
+                        long connectNumber = lastConnectNumber();
                         dispatcher.connectFailed(
-                                now, pendingConnects.remove(dial), dial, "refused");
+                                now,
+                                pendingConnects.remove(connectNumber),
+                                connectNumber,
+                                "refused");
                     }
                 }
                 case 5, 6 -> {
@@ -326,7 +338,7 @@
                                 connection.sent.get(
                                         connection.sent.size()
                                                 - 1
-                                                - chance.nextInt(
+                                                - random.nextInt(
                                                         Math.min(4, connection.sent.size())));
                         dispatcher.attemptReplied(
                                 now,
@@ -334,12 +346,12 @@
                                 connection,
                                 AttemptReply.newBuilder()
                                         .setNumber(frame.getAttempt().getNumber())
-                                        .setOutcomeValue(1 + chance.nextInt(8))
+                                        .setOutcomeValue(1 + random.nextInt(8))
                                         .build());
                     }
                 }
                 case 7 -> {
-                    if (connection != null && chance.nextInt(4) == 0) {
+                    if (connection != null && random.nextInt(4) == 0) {
                         connection.open = false;
                         dispatcher.connectionLost(now, "a", connection, false, 0);
                     }
@@ -348,22 +360,22 @@
             }
             assertTrue(
                     connections.stream().filter(l -> l.open).count() <= 2,
-                    "two connections are the most");
+                    "at most two connections are open");
         }
         dispatcher.handleTimeouts(now + 1_000_000);
-        assertEquals(ordered.keySet(), ended.keySet());
+        assertEquals(ordered.keySet(), outcomes.keySet());
         for (FakeConnection connection : connections) {
             for (Frame frame : connection.sent) {
-                Outcome told =
-                        frame.hasAttempt() ? ended.get(frame.getAttempt().getRequestId()) : null;
-                assertTrue(told != Outcome.NO_CONNECTION, "it was on a line");
+                Outcome reported =
+                        frame.hasAttempt() ? outcomes.get(frame.getAttempt().getRequestId()) : null;
+                assertTrue(reported != Outcome.NO_CONNECTION, "it was sent on a connection");
             }
         }
     }
 
-    // ---- One relay at a time on a connection ----
+    // ---- One attempt at a time on a connection ----
 
-    private final AttemptDispatcher single =
+    private final AttemptDispatcher exclusiveDispatcher =
             new AttemptDispatcher(
                     new Transport(30 * CONNECT, IDLE, 2, 1, PROBE, 1 << 20, 1 << 20, 1, 1),
                     this,
@@ -371,29 +383,32 @@
                     new Counters(),
                     new WriteBatch());
 
-    private FakeConnection upSingle(long now, long dial) {
+    private FakeConnection establishExclusive(long now, long connectNumber) {
         FakeConnection connection =
-                new FakeConnection(100 + connections.size(), pendingConnects.remove(dial));
+                new FakeConnection(100 + connections.size(), pendingConnects.remove(connectNumber));
         connections.add(connection);
-        single.connectSucceeded(now, connection.target, dial, connection);
+        exclusiveDispatcher.connectSucceeded(now, connection.target, connectNumber, connection);
         return connection;
     }
 
-    private void relaySingle(long now, String id, long giveUpAt) {
-        single.sendAttempt(now, "a", id, 0, giveUpAt, Attempt.newBuilder().setRequestId(id));
+    private void sendExclusive(long now, String id, long deadlineMicros) {
+        exclusiveDispatcher.sendAttempt(
+                now, "a", id, 0, deadlineMicros, Attempt.newBuilder().setRequestId(id));
     }
 
-    /** As many connections as there may be, a relay on each. */
-    private FakeConnection[] twoBusy() {
-        single.targetListed("a", new Address("127.0.0.1", 1));
-        relaySingle(0, "x", 50_000);
-        relaySingle(0, "y", 50_000);
+    /** Establishes the most connections allowed, with an attempt in flight on each. */
+    private FakeConnection[] establishTwoBusy() {
+        exclusiveDispatcher.targetListed("a", new Address("127.0.0.1", 1));
+        sendExclusive(0, "x", 50_000);
+        sendExclusive(0, "y", 50_000);
         List<Long> both = List.copyOf(pendingConnects.keySet());
-        return new FakeConnection[] {upSingle(1, both.get(0)), upSingle(1, both.get(1))};
+        return new FakeConnection[] {
+            establishExclusive(1, both.get(0)), establishExclusive(1, both.get(1))
+        };
     }
 
-    private void replySingle(long now, FakeConnection connection, int sent) {
-        single.attemptReplied(
+    private void replyExclusive(long now, FakeConnection connection, int sent) {
+        exclusiveDispatcher.attemptReplied(
                 now,
                 now,
                 connection,
@@ -404,125 +419,130 @@
     }
 
     @Test
-    void aRelayGivenUpEndsItsConnection() {
-        single.targetListed("a", new Address("127.0.0.1", 1));
-        relaySingle(0, "x", 500);
-        FakeConnection connection = upSingle(1, lastDial());
-        single.handleTimeouts(500);
-        assertEquals(Outcome.TIMED_OUT, ended.get("x"));
+    void givenUpAttemptClosesExclusiveConnection() {
+        exclusiveDispatcher.targetListed("a", new Address("127.0.0.1", 1));
+        sendExclusive(0, "x", 500);
+        FakeConnection connection = establishExclusive(1, lastConnectNumber());
+        exclusiveDispatcher.handleTimeouts(500);
+        assertEquals(Outcome.TIMED_OUT, outcomes.get("x"));
         assertEquals(false, connection.open);
-        relaySingle(600, "y", 50_000);
-        FakeConnection other = upSingle(601, lastDial());
-        single.cancelAttempt(700, "y", 0);
-        assertEquals(Outcome.CANCELLED, ended.get("y"));
+        sendExclusive(600, "y", 50_000);
+        FakeConnection other = establishExclusive(601, lastConnectNumber());
+        exclusiveDispatcher.cancelAttempt(700, "y", 0);
+        assertEquals(Outcome.CANCELLED, outcomes.get("y"));
         assertEquals(false, other.open);
         assertEquals(1, other.sent.size());
     }
 
     /**
-     * With as many connections as there may be, a relay waits for one to come free, and no longer
+     * With the most connections allowed, an attempt waits for one to become free, and no longer
      * than for a new one.
      */
     @Test
-    void whatFindsNoConnectionFreeTakesTheNextOne() {
-        FakeConnection[] both = twoBusy();
-        FakeConnection one = both[0], two = both[1];
-        relaySingle(10, "z", 90_000);
-        relaySingle(10, "late", 90_000);
+    void attemptWaitsForNextFreeExclusiveConnection() {
+        FakeConnection[] both = establishTwoBusy();
+        FakeConnection one = both[0];
+        FakeConnection two = both[1];
+        sendExclusive(10, "z", 90_000);
+        sendExclusive(10, "late", 90_000);
         assertTrue(pendingConnects.isEmpty());
-        replySingle(20, two, 0);
+        replyExclusive(20, two, 0);
         assertEquals(1, two.sent.size(), "a second copy of that reply may be right behind it");
-        single.handleTimeouts(21);
+        exclusiveDispatcher.handleTimeouts(21);
         assertEquals(1, two.sent.size());
-        assertEquals(20 + AttemptDispatcher.REUSE_DELAY_MICROS, single.nextDueMicros());
-        single.handleTimeouts(20 + AttemptDispatcher.REUSE_DELAY_MICROS);
+        assertEquals(20 + ConnectionPool.REUSE_DELAY_MICROS, exclusiveDispatcher.nextDueMicros());
+        exclusiveDispatcher.handleTimeouts(20 + ConnectionPool.REUSE_DELAY_MICROS);
         assertEquals(2, two.sent.size());
         assertEquals("z", two.sent.get(1).getAttempt().getRequestId());
-        single.handleTimeouts(10 + 30 * CONNECT);
-        assertEquals(Outcome.NO_CONNECTION, ended.get("late"));
+        exclusiveDispatcher.handleTimeouts(10 + 30 * CONNECT);
+        assertEquals(Outcome.NO_CONNECTION, outcomes.get("late"));
         assertEquals(1, one.sent.size());
     }
 
     /**
-     * The one that rested longest goes first: what a target sends beyond its answer shows there
-     * before the next is asked.
+     * The least recently used connection is preferred: a surplus reply of the target arrives there
+     * before the next attempt is sent.
      */
     @Test
-    void theConnectionThatRestedLongestGoesFirst() {
-        FakeConnection[] both = twoBusy();
-        FakeConnection one = both[0], two = both[1];
-        replySingle(20, two, 0);
-        replySingle(30, one, 0);
-        relaySingle(30 + AttemptDispatcher.REUSE_DELAY_MICROS, "z", 90_000);
+    void leastRecentlyUsedConnectionIsPreferred() {
+        FakeConnection[] both = establishTwoBusy();
+        FakeConnection one = both[0];
+        FakeConnection two = both[1];
+        replyExclusive(20, two, 0);
+        replyExclusive(30, one, 0);
+        sendExclusive(30 + ConnectionPool.REUSE_DELAY_MICROS, "z", 90_000);
         assertEquals(2, two.sent.size());
     }
 
-    /** What comes while the only connection rests waits for it, and no new one is made. */
+    /** An attempt waits for a connection in its reuse delay; no new one is opened for it. */
     @Test
-    void aRestIsNoReasonForANewConnection() {
-        single.targetListed("a", new Address("127.0.0.1", 1));
-        relaySingle(0, "x", 50_000);
-        FakeConnection connection = upSingle(1, lastDial());
-        replySingle(20, connection, 0);
-        relaySingle(30, "y", 90_000);
+    void reuseDelayOpensNoNewConnection() {
+        exclusiveDispatcher.targetListed("a", new Address("127.0.0.1", 1));
+        sendExclusive(0, "x", 50_000);
+        FakeConnection connection = establishExclusive(1, lastConnectNumber());
+        replyExclusive(20, connection, 0);
+        sendExclusive(30, "y", 90_000);
         assertTrue(pendingConnects.isEmpty());
-        relaySingle(31, "z", 90_000);
-        assertEquals(1, pendingConnects.size(), "the second finds none that rests for it");
-        single.handleTimeouts(20 + AttemptDispatcher.REUSE_DELAY_MICROS);
+        sendExclusive(31, "z", 90_000);
+        assertEquals(1, pendingConnects.size(), "the second attempt needs a connection of its own");
+        exclusiveDispatcher.handleTimeouts(20 + ConnectionPool.REUSE_DELAY_MICROS);
         assertEquals("y", connection.sent.get(1).getAttempt().getRequestId());
     }
 
     /**
-     * The client of one that waits for a connection has left: it never ran, and is not sent when
-     * one comes.
+     * The client left while the attempt waits for a connection: it is not sent when there is one.
      */
     @Test
-    void whatWaitsWhenItsAccessEndsIsNeverSent() {
-        single.targetListed("a", new Address("127.0.0.1", 1));
-        relaySingle(0, "x", 50_000);
-        long dial = lastDial();
-        single.dropUnsent(10, "x", 0);
-        assertEquals(Outcome.NOT_STARTED, ended.get("x"));
-        FakeConnection connection = upSingle(20, dial);
+    void droppedWaitingAttemptIsNeverSent() {
+        exclusiveDispatcher.targetListed("a", new Address("127.0.0.1", 1));
+        sendExclusive(0, "x", 50_000);
+        long connectNumber = lastConnectNumber();
+        exclusiveDispatcher.dropUnsent(10, "x", 0);
+        assertEquals(Outcome.NOT_STARTED, outcomes.get("x"));
+        FakeConnection connection = establishExclusive(20, connectNumber);
         assertEquals(List.of(), connection.sent);
-        relaySingle(30, "y", 50_000);
-        single.dropUnsent(40, "y", 0);
-        assertEquals(null, ended.get("y"), "what was sent goes on");
+        sendExclusive(30, "y", 50_000);
+        exclusiveDispatcher.dropUnsent(40, "y", 0);
+        assertEquals(null, outcomes.get("y"), "what was sent goes on");
     }
 
     @Test
-    void whatWaitedTellsWhatIsLeftOfItsTime() {
-        single.targetListed("a", new Address("127.0.0.1", 1));
-        single.sendAttempt(
+    void waitingAttemptIsSentWithRemainingTime() {
+        exclusiveDispatcher.targetListed("a", new Address("127.0.0.1", 1));
+        exclusiveDispatcher.sendAttempt(
                 0,
                 "a",
                 "x",
                 0,
                 5_000,
                 Attempt.newBuilder().setRequestId("x").setTimeLeftMicros(50_000));
-        assertEquals(4_300, upSingle(700, lastDial()).sent.get(0).getAttempt().getTimeLeftMicros());
+        assertEquals(
+                4_300,
+                establishExclusive(700, lastConnectNumber())
+                        .sent
+                        .get(0)
+                        .getAttempt()
+                        .getTimeLeftMicros());
     }
 
     @Test
-    void onlyWhatNeverLeftIsNoConnection() {
-        single.targetListed("a", new Address("127.0.0.1", 1));
-        relaySingle(0, "x", 50_000);
-        FakeConnection connection = upSingle(1, lastDial());
-        single.connectionLost(
+    void onlyUnwrittenAttemptEndsAsNoConnection() {
+        exclusiveDispatcher.targetListed("a", new Address("127.0.0.1", 1));
+        sendExclusive(0, "x", 50_000);
+        FakeConnection connection = establishExclusive(1, lastConnectNumber());
+        exclusiveDispatcher.connectionLost(
                 10, "a", connection, false, connection.sent.get(0).getAttempt().getNumber());
-        assertEquals(Outcome.NO_CONNECTION, ended.get("x"));
-        relaySingle(20, "y", 50_000);
-        FakeConnection other = upSingle(21, lastDial());
-        single.connectionLost(30, "a", other, false, 0);
-        assertEquals(Outcome.RESET, ended.get("y"));
+        assertEquals(Outcome.NO_CONNECTION, outcomes.get("x"));
+        sendExclusive(20, "y", 50_000);
+        FakeConnection other = establishExclusive(21, lastConnectNumber());
+        exclusiveDispatcher.connectionLost(30, "a", other, false, 0);
+        assertEquals(Outcome.RESET, outcomes.get("y"));
     }
 
-    /**
-     * The loop may get to a reply long after it was read: the lag is the target's, not the loop's.
-     */
+    /** The loop may handle a reply long after it was read: the latency is the target's alone. */
     @Test
-    void theLagIsUpToWhenTheReplyWasRead() {
-        List<Long> lags = new ArrayList<>();
+    void latencyEndsWhenReplyWasRead() {
+        List<Long> latencies = new ArrayList<>();
         AttemptDispatcher timed =
                 new AttemptDispatcher(
                         new Transport(CONNECT, IDLE, 2, 1, PROBE, 1 << 20, 1 << 20, 1, 1),
@@ -533,22 +553,25 @@
                                     String id,
                                     int attempt,
                                     Outcome outcome,
-                                    long lag,
+                                    long latencyMicros,
                                     Load load,
                                     ByteString payload) {
-                                lags.add(lag);
+                                latencies.add(latencyMicros);
                             }
 
                             @Override
                             public void onProbeEnded(
-                                    String target, Outcome outcome, long lag, double waiting) {}
+                                    String target,
+                                    Outcome outcome,
+                                    long latencyMicros,
+                                    double queueLength) {}
                         },
                         new Counters(),
                         new WriteBatch());
         timed.targetListed("a", new Address("127.0.0.1", 1));
         timed.sendAttempt(0, "a", "x", 0, 50_000, Attempt.newBuilder().setRequestId("x"));
         FakeConnection connection = new FakeConnection(1, "a");
-        timed.connectSucceeded(10, "a", lastDial(), connection);
+        timed.connectSucceeded(10, "a", lastConnectNumber(), connection);
         timed.attemptReplied(
                 40_000,
                 700,
@@ -557,57 +580,54 @@
                         .setNumber(connection.sent.get(0).getAttempt().getNumber())
                         .setOutcome(milletyoke.wire.proto.Outcome.SUCCEEDED)
                         .build());
-        assertEquals(List.of(700L), lags);
+        assertEquals(List.of(700L), latencies);
     }
 
-    // ---- What ends while a relay waits for its connection ----
+    // ---- Attempts that end while they wait for a connection ----
 
-    /**
-     * The connection comes up after its target was told to drain, or gone: nothing is sent, and
-     * nothing ran.
-     */
+    /** The connection is established after its target drains or left the list: nothing is sent. */
     @Test
-    void whatWaitsForATargetThatDrainsOrGoesNeverRuns() {
+    void waitingAttemptOfDrainingOrUnlistedTargetIsNeverSent() {
         for (boolean gone : new boolean[] {false, true}) {
-            ended.clear();
+            outcomes.clear();
             dispatcher.targetListed("a", new Address("127.0.0.1", 1));
-            relay(0, "x");
+            sendAttempt(0, "x");
             if (gone) {
                 dispatcher.targetUnlisted(1, "a");
             } else {
                 dispatcher.targetDraining(1, "a");
             }
-            assertEquals(Map.of("x", Outcome.NO_CONNECTION), ended);
-            FakeConnection late = establish(2, lastDial());
+            assertEquals(Map.of("x", Outcome.NO_CONNECTION), outcomes);
+            FakeConnection late = establish(2, lastConnectNumber());
             assertEquals(List.of(), late.sent);
             dispatcher.connectionLost(3, "a", late, false, 0);
         }
     }
 
     /**
-     * The connection comes up in the very turn in which its relay's time is over, before the clock
-     * was looked at.
+     * The connection is established in the turn in which the attempt's time is over, before the
+     * timeouts are handled.
      */
     @Test
-    void aConnectionThatComesWithTheEndOfItsRelayCarriesNothing() {
+    void connectionAtTheDeadlineCarriesNothing() {
         dispatcher.targetListed("a", new Address("127.0.0.1", 1));
-        relay(0, "x");
-        FakeConnection late = establish(CONNECT, lastDial());
+        sendAttempt(0, "x");
+        FakeConnection late = establish(CONNECT, lastConnectNumber());
         dispatcher.handleTimeouts(CONNECT);
         assertEquals(List.of(), late.sent);
-        assertEquals(Map.of("x", Outcome.NO_CONNECTION), ended);
+        assertEquals(Map.of("x", Outcome.NO_CONNECTION), outcomes);
     }
 
-    /** One whose time is over does not keep those behind it from the connection that came. */
+    /** An attempt whose time is over does not keep those behind it from a new connection. */
     @Test
-    void whoseTimeIsOverDoesNotHoldUpTheOthers() {
+    void expiredWaitingAttemptDoesNotBlockOthers() {
         dispatcher.targetListed("a", new Address("127.0.0.1", 1));
-        relay(0, "x");
-        relay(500, "y");
+        sendAttempt(0, "x");
+        sendAttempt(500, "y");
         FakeConnection late = establish(CONNECT, pendingConnects.keySet().iterator().next());
         dispatcher.handleTimeouts(CONNECT);
         assertEquals(
                 List.of("y"), late.sent.stream().map(f -> f.getAttempt().getRequestId()).toList());
-        assertEquals(Map.of("x", Outcome.NO_CONNECTION), ended);
+        assertEquals(Map.of("x", Outcome.NO_CONNECTION), outcomes);
     }
 }
--- a/gateway/src/test/java/milletyoke/gateway/loop/EndpointRegistryTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/loop/EndpointRegistryTest.java
@@ -11,10 +11,7 @@
 import milletyoke.wire.proto.Target;
 import org.junit.jupiter.api.Test;
 
-/**
- * What a list tells of addresses: who drains or is left out takes nothing new, who stays is not
- * disturbed.
- */
+/** Which targets the listener is notified of when a list is applied. */
 class EndpointRegistryTest implements EndpointRegistry.TargetListener {
     private final List<String> calls = new ArrayList<>();
     private final EndpointRegistry registry = new EndpointRegistry(this);
@@ -36,8 +33,8 @@
 
     private void list(Scope scope, String... targets) {
         EndpointList.Builder list = EndpointList.newBuilder().setScope(scope);
-        for (String t : targets) {
-            String[] parts = t.split(" ");
+        for (String target : targets) {
+            String[] parts = target.split(" ", 2);
             list.addTarget(
                     Target.newBuilder()
                             .setId(parts[0])
@@ -50,7 +47,7 @@
     }
 
     @Test
-    void onlyWhoDrainsOrIsLeftOutTakesNothingNew() {
+    void listenerIsNotifiedOfDrainingAndMissingTargets() {
         list(Scope.REPLACE, "a ACTIVE", "b ACTIVE", "c ACTIVE");
         assertEquals(List.of("listed a", "listed b", "listed c"), calls);
         list(Scope.REPLACE, "a ACTIVE", "b DRAINING");
--- a/gateway/src/test/java/milletyoke/gateway/loop/RequestTrackerTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/loop/RequestTrackerTest.java
@@ -15,16 +15,16 @@
 import milletyoke.wire.proto.Request;
 import org.junit.jupiter.api.Test;
 
-/** What the ledger tells when a client leaves; no sockets and no clock. */
+/** What the tracker does when a client disconnects; without sockets and without a clock. */
 class RequestTrackerTest implements ActionSink {
     private final List<String> calls = new ArrayList<>();
-    private int freed;
+    private int releasedSlots;
     private final RequestTracker tracker =
             new RequestTracker(
                     "m",
                     50_000,
                     new Counters(),
-                    (client, access, stay) -> freed++,
+                    (client, access, stay) -> releasedSlots++,
                     new ServiceStatistics(
                             new SchedulerSettings(1, List.of(), List.of(), null, null, false),
                             false),
@@ -57,8 +57,12 @@
 
     @Override
     public void sendAttempt(
-            String target, String id, int attempt, long giveUpAt, Attempt.Builder relay) {
-        calls.add("relay " + id + "/" + attempt);
+            String target,
+            String requestId,
+            int attemptNumber,
+            long deadlineMicros,
+            Attempt.Builder attempt) {
+        calls.add("send " + requestId + "/" + attemptNumber);
     }
 
     @Override
@@ -75,7 +79,7 @@
                 Outcome.NOT_STARTED,
                 0,
                 null,
-                null); // as Links does where it had not been sent
+                null); // as the dispatcher does with an unsent attempt
     }
 
     @Override
@@ -87,12 +91,9 @@
     @Override
     public void watchEndpoints() {}
 
-    /**
-     * Guards targets against a relay that waits for its connection when its client leaves: it was
-     * sent all the same.
-     */
+    /** An attempt that waits for its connection when its client disconnects must not be sent. */
     @Test
-    void whatIsOutForAClientThatLeftIsDroppedWhereUnsent() {
+    void disconnectDropsUnsentAttemptsAndReleasesSlots() {
         tracker.setActionSink(this);
         tracker.receive(
                 0,
@@ -106,8 +107,8 @@
                 Request.newBuilder().setNumber(2).setTimeLeftMicros(1_000_000).build());
         tracker.execute(0, List.of(new Action.SendAttempt("7-1", 1_000_000, "t")));
         tracker.clientDisconnected(client);
-        assertEquals(List.of("relay 7-1/0", "drop 7-1/0"), calls);
-        assertEquals(2, freed);
+        assertEquals(List.of("send 7-1/0", "drop 7-1/0"), calls);
+        assertEquals(2, releasedSlots);
         assertEquals(0, tracker.trackedCount());
     }
 }
