--- a/gateway/src/main/java/milletyoke/gateway/Initiator.java
+++ b/gateway/src/main/java/milletyoke/gateway/Initiator.java
@@ -23,402 +23,378 @@
 import milletyoke.gateway.loop.LoopMessage;
 import milletyoke.gateway.reload.ConfigWatcher;
 import milletyoke.scheduler.api.Scheduler;
+import milletyoke.scheduler.api.SchedulerSettings;
 import milletyoke.wire.Connection;
 import milletyoke.wire.ExecutionEnvironment;
 import milletyoke.wire.FrameLimits;
 import milletyoke.wire.FrameObserver;
-import milletyoke.wire.MalformedFrameException;
 import milletyoke.wire.Network;
-import milletyoke.wire.PeerConnection;
-import milletyoke.wire.PeerListener;
 import milletyoke.wire.SocketEnvironment;
-import milletyoke.wire.capture.CaptureWriter;
 import milletyoke.wire.proto.EndpointList;
-import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Request;
 import milletyoke.wire.proto.Role;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One initiator on its sockets: puts the parts together, starts them and ends them. */
+/**
+ * One initiator on its sockets: creates the parts, starts them and stops them.
+ *
+ * <p>Shutdown, in this order: clients are asked to close and nothing is admitted; the listening
+ * socket closes; the event loop answers what it has and ends; clients get a moment to close; then
+ * the capture, discovery, the console and the network are closed.
+ */
 public final class Initiator implements EventLoop.LoopEnvironment {
     private static final Logger LOG = LoggerFactory.getLogger(Initiator.class);
 
-    /** Milliseconds that clients have to close after their last answer. */
-    private static final long LONGEST_GOODBYE = 1_000;
+    /** How long clients have to close after their last response. */
+    private static final long CLIENT_CLOSE_TIMEOUT_MILLIS = 1_000;
 
-    private final InitiatorConfig setup;
-    private final Counters counts = new Counters();
-    private final ConcurrentAdmission gate;
-    private final ExecutionEnvironment world;
-    private final Network wire;
+    private static final long SHUTDOWN_POLL_MILLIS = 5;
+    private static final long CONFIG_CHECK_INTERVAL_MILLIS = 500;
+    private static final long MICROS_PER_MILLI = 1_000;
+
+    private final InitiatorConfig config;
+    private final Counters counters = new Counters();
+    private final ConcurrentAdmission admission;
+    private final ExecutionEnvironment execution;
+    private final Network network;
     private final EventLoop eventLoop;
-    private final ProtocolViolationLog faults;
-    private final ClientListener ingress;
+    private final ProtocolViolationLog violationLog;
+    private final ClientListener clientListener;
     private final Network.Listener listener;
-    private final EndpointListCache lastList;
-    private final DiscoveryWatch subscription;
-    private final ScheduledExecutorService side;
-    private final FrameLimits toTargets;
-    private final ConfigWatcher following;
+    private final DiscoveryWatch discoveryWatch;
+    private final ScheduledExecutorService sideExecutor;
+    private final FrameLimits frameLimits;
+    private final TrafficCapture capture;
+
+    /** Null where the list is not saved. */
+    private final EndpointListCache endpointListCache;
+
+    /** Null where there is no configuration to watch. */
+    private final ConfigWatcher configWatcher;
+
+    /** Null where there is none. */
     private Console console;
-    private CaptureWriter captureTo;
 
     private Initiator(
-            InitiatorConfig setup,
-            FrameObserver tap,
-            ExecutionEnvironment world,
+            InitiatorConfig config,
+            FrameObserver frameObserver,
+            ExecutionEnvironment execution,
             long seed,
-            Supplier<Scheduler> instead)
+            Supplier<Scheduler> schedulerFactory)
             throws IOException {
-        this.setup = setup;
-        this.world = world;
-        InitiatorConfig.CapacityLimits r = setup.capacity();
-        gate =
-                new ConcurrentAdmission(
-                        new Admission.CapacityLimits(
-                                r.requests(),
-                                r.bytes(),
-                                r.connectionShare(),
-                                r.volumeShare(),
-                                setup.deployment()
-                                        .scheduler()
-                                        .capabilities()
-                                        .maxRetryAfterMicros()));
-        lastList =
-                setup.folder() == null
+        this.config = config;
+        this.execution = execution;
+        admission = new ConcurrentAdmission(capacityLimits(config));
+        endpointListCache =
+                config.folder() == null
                         ? null
-                        : new EndpointListCache(setup.folder(), !world.isVirtual());
-        InitiatorConfig.Transport t = setup.transport();
-        toTargets = new FrameLimits(t.frameBytes(), t.waitingBytes(), t.partialTime(), 0);
-        wire = world.openNetwork(setup.name(), t.threads(), tap);
-        side = world.newTimerExecutor(setup.name() + "-side", 1);
-        eventLoop = new EventLoop(setup, this, world, counts, instead);
-        faults = new ProtocolViolationLog(counts, world::monotonicMicros);
-        ingress = new ClientListener(setup, world, eventLoop, counts, gate, faults);
-        following =
-                setup.fleet() == null
-                        ? null
-                        : new ConfigWatcher(
-                                setup.fleet().file(),
-                                setup.folder(),
-                                setup.fleet().fleet(),
-                                setup.fleet().files(),
-                                this::watchEndpoints);
-        if (setup.fleet() != null) {
-            ingress.configure(setup.fleet().fleet());
-        }
-        subscription = new DiscoveryWatch(setup, wire, eventLoop, side, ~seed);
+                        : new EndpointListCache(config.folder(), !execution.isVirtual());
+        InitiatorConfig.Transport transport = config.transport();
+        frameLimits =
+                new FrameLimits(
+                        transport.frameBytes(),
+                        transport.waitingBytes(),
+                        transport.partialTime(),
+                        0);
+        network = execution.openNetwork(config.name(), transport.threads(), frameObserver);
+        sideExecutor = execution.newTimerExecutor(config.name() + "-side", 1);
+        eventLoop = new EventLoop(config, this, execution, counters, schedulerFactory);
+        violationLog = new ProtocolViolationLog(counters, execution::monotonicMicros);
+        clientListener =
+                new ClientListener(config, execution, eventLoop, counters, admission, violationLog);
+        capture = new TrafficCapture(clientListener, sideExecutor);
+        configWatcher = config.fleet() == null ? null : watchConfig(config);
+        discoveryWatch = new DiscoveryWatch(config, network, eventLoop, sideExecutor, ~seed);
+        listener = listen(config.listen());
+    }
+
+    private static Admission.CapacityLimits capacityLimits(InitiatorConfig config) {
+        InitiatorConfig.CapacityLimits limits = config.capacity();
+        return new Admission.CapacityLimits(
+                limits.requests(),
+                limits.bytes(),
+                limits.connectionShare(),
+                limits.volumeShare(),
+                config.deployment().scheduler().capabilities().maxRetryAfterMicros());
+    }
+
+    private ConfigWatcher watchConfig(InitiatorConfig initial) {
+        ConfigWatcher watcher =
+                new ConfigWatcher(
+                        initial.fleet().file(),
+                        initial.folder(),
+                        initial.fleet().fleet(),
+                        initial.fleet().files(),
+                        this::applyConfig);
+        clientListener.configure(initial.fleet().fleet());
+        return watcher;
+    }
+
+    private Network.Listener listen(Address address) throws IOException {
         try {
-            listener =
-                    wire.listen(
-                            setup.listen().host(),
-                            setup.listen().port(),
-                            Role.INITIATOR,
-                            ingress,
-                            new FrameLimits(t.frameBytes(), t.waitingBytes(), t.partialTime(), 0));
-        } catch (IOException taken) {
-            wire.close();
-            side.shutdownNow();
-            throw taken;
+            return network.listen(
+                    address.host(), address.port(), Role.INITIATOR, clientListener, frameLimits);
+        } catch (IOException unavailable) {
+            network.close();
+            sideExecutor.shutdownNow();
+            throw unavailable;
         }
     }
 
     /**
-     * Starts one.
+     * Starts an initiator.
      *
-     * @throws IOException where an address or its folder cannot be had; nothing is left running
-     * @throws SetupError where the console's tokens cannot be used; nothing is left running
+     * @throws IOException where an address or its folder is not available; nothing is left running
+     * @throws ConfigException where the console's tokens cannot be used; nothing is left running
      */
-    public static Initiator start(InitiatorConfig setup, FrameObserver tap)
+    public static Initiator start(InitiatorConfig config, FrameObserver frameObserver)
             throws IOException, ConfigException {
         return start(
-                setup, tap, new SocketEnvironment(), ThreadLocalRandom.current().nextLong(), null);
+                config,
+                frameObserver,
+                new SocketEnvironment(),
+                ThreadLocalRandom.current().nextLong(),
+                null);
     }
 
     /**
-     * Starts one in a world.
+     * Starts an initiator in an execution environment.
      *
-     * @param seed of all its chance: of the decisions, and of waits before it connects again
-     * @param instead of the product's decisions, in a lab; null in service
+     * @param seed of all its random choices: the scheduler's, and the backoff of reconnects
+     * @param schedulerFactory makes the scheduler to use in place of the product's; null in service
+     * @throws IOException where an address or its folder is not available; nothing is left running
+     * @throws ConfigException where the console's tokens cannot be used; nothing is left running
      */
     public static Initiator start(
-            InitiatorConfig setup,
-            FrameObserver tap,
-            ExecutionEnvironment world,
+            InitiatorConfig config,
+            FrameObserver frameObserver,
+            ExecutionEnvironment execution,
             long seed,
-            Supplier<Scheduler> instead)
+            Supplier<Scheduler> schedulerFactory)
             throws IOException, ConfigException {
-        Initiator made = new Initiator(setup, tap, world, seed, instead);
-        EndpointList restored = made.lastList == null ? null : made.lastList.load();
-        made.eventLoop.start(seed, restored);
-        if (setup.console() != null) {
-            try {
-                made.console =
-                        new Console(
-                                setup.console(),
-                                setup,
-                                made.eventLoop,
-                                made.counts,
-                                made.following);
-            } catch (IOException | ConfigException unusable) {
-                made.kill();
-                throw unusable;
-            }
+        Initiator initiator =
+                new Initiator(config, frameObserver, execution, seed, schedulerFactory);
+        initiator.start(seed);
+        return initiator;
+    }
+
+    private void start(long seed) throws IOException, ConfigException {
+        EndpointList restored = endpointListCache == null ? null : endpointListCache.load();
+        eventLoop.start(seed, restored);
+        if (config.console() != null) {
+            startConsole();
         }
-        if (made.following != null) {
-            made.side.scheduleWithFixedDelay(made.following::look, 500, 500, TimeUnit.MILLISECONDS);
+        if (configWatcher != null) {
+            var unused =
+                    sideExecutor.scheduleWithFixedDelay(
+                            configWatcher::checkForChanges,
+                            CONFIG_CHECK_INTERVAL_MILLIS,
+                            CONFIG_CHECK_INTERVAL_MILLIS,
+                            TimeUnit.MILLISECONDS);
         }
-        made.subscription.connect();
+        discoveryWatch.connect();
         LOG.info(
                 "{} takes accesses at {}:{}, {} targets known from before",
-                setup.name(),
-                setup.listen().host(),
-                made.port(),
+                config.name(),
+                config.listen().host(),
+                port(),
                 restored == null ? 0 : restored.getTargetCount());
-        return made;
     }
 
-    /**
-     * A version that holds from now on: the decisions know its plans before any access can name
-     * one.
-     */
-    private void watchEndpoints(Fleet fleet) {
-        eventLoop.post(new LoopMessage.ApplySettings(FleetConverter.deployment(fleet).scheduler()));
-        eventLoop.post(new LoopMessage.RunTask(() -> ingress.configure(fleet)));
+    private void startConsole() throws IOException, ConfigException {
+        try {
+            console = new Console(config.console(), config, eventLoop, counters, configWatcher);
+        } catch (IOException | ConfigException unusable) {
+            kill();
+            throw unusable;
+        }
     }
 
+    /** Applies a new version; the scheduler knows its plans before a request can name one. */
+    private void applyConfig(Fleet fleet) {
+        SchedulerSettings settings = FleetConverter.deployment(fleet).scheduler();
+        eventLoop.post(new LoopMessage.ApplySettings(settings));
+        eventLoop.post(new LoopMessage.RunTask(() -> clientListener.configure(fleet)));
+    }
+
+    /** The initiator's name. */
     public String name() {
-        return setup.name();
+        return config.name();
     }
 
+    /** The port where clients connect. */
     public int port() {
         return listener.port();
     }
 
-    /**
-     * Keeps what comes in from now on and could be taken, for replay. The daemon is not held up by
-     * it: what a slow disk cannot take is left out and counted in the file.
-     *
-     * @throws IOException where the file cannot be made, or is there already
-     */
-    public synchronized void captureTo(Path file) throws IOException {
-        CaptureWriter writer = new CaptureWriter(file, setup.name(), world.monotonicMicros());
-        captureTo = writer;
-        ingress.capture(writer);
-        side.scheduleWithFixedDelay(() -> flush(writer), 500, 500, TimeUnit.MILLISECONDS);
-    }
-
-    private void flush(CaptureWriter writer) {
-        try {
-            writer.flush();
-        } catch (IOException failed) {
-            LOG.warn("the capture of traffic ends here: {}", failed.toString());
-            ingress.capture(null);
-        }
-    }
-
-    private synchronized void endCapture() {
-        if (captureTo != null) {
-            ingress.capture(null);
-            try {
-                captureTo.close();
-            } catch (IOException failed) {
-                LOG.warn(
-                        "the last of the captured traffic could not be written: {}",
-                        failed.toString());
-            }
-            captureTo = null;
-        }
-    }
-
-    /** Where the console listens; 0 where there is none. */
+    /** The port where the console listens; 0 where there is none. */
     public int consolePort() {
         return console == null ? 0 : console.port();
     }
 
+    /** The counters since the start. */
     public Counters counts() {
-        return counts;
+        return counters;
     }
 
+    /** The event loop. */
     public EventLoop eventLoop() {
         return eventLoop;
     }
 
     /**
-     * Takes nothing new, answers what is held, then ends.
+     * Records the valid requests that are received from now on, for replay. It delays nothing: what
+     * a slow disk cannot take is left out and counted in the file.
      *
-     * @param millis the longest to wait for that; every access held has its answer before its own
-     *     time is up
-     * @return whether all was answered
+     * @throws IOException where the file cannot be created, or exists already
+     */
+    public void captureTo(Path file) throws IOException {
+        capture.start(file, config.name(), execution.monotonicMicros());
+    }
+
+    // ---- Shutdown ----
+
+    /**
+     * Shuts down gracefully and waits for that.
+     *
+     * @param millis the longest to wait for the responses; each request has its own by its deadline
+     * @return whether every request had its response and the loop did not fail
      */
     public boolean shutDown(long millis) throws InterruptedException {
-        beginLeaving();
-        boolean clean = eventLoop.awaitEnd(millis);
-        ingress.awaitGoodbyes(LONGEST_GOODBYE);
-        return end(clean);
+        stopAdmitting();
+        boolean isClean = eventLoop.awaitEnd(millis);
+        clientListener.awaitClientsClosed(CLIENT_CLOSE_TIMEOUT_MILLIS);
+        return close(isClean);
     }
 
-    private void beginLeaving() {
-        ingress.leave();
+    private void stopAdmitting() {
+        clientListener.beginShutdown();
         listener.stop();
         eventLoop.post(new LoopMessage.BeginShutdown());
     }
 
     /**
-     * As {@link #shutDown}, for those who cannot wait: looks every few milliseconds whether all is
-     * answered.
+     * As {@link #shutDown}, but returns at once and polls on the side thread.
      *
-     * @param then is run when it has ended
+     * @param afterwards is run when the initiator has ended
      */
-    public void beginShutdown(long millis, Runnable then) {
-        beginLeaving();
-        look(world.monotonicMicros() + millis * 1000, then);
+    public void beginShutdown(long millis, Runnable afterwards) {
+        stopAdmitting();
+        pollLoopEnd(execution.monotonicMicros() + millis * MICROS_PER_MILLI, afterwards);
     }
 
-    private void look(long until, Runnable then) {
-        if (!eventLoop.hasEnded() && world.monotonicMicros() < until) {
-            side.schedule(() -> look(until, then), 5, TimeUnit.MILLISECONDS);
+    private void pollLoopEnd(long untilMicros, Runnable afterwards) {
+        if (!eventLoop.hasEnded() && execution.monotonicMicros() < untilMicros) {
+            pollAgain(() -> pollLoopEnd(untilMicros, afterwards));
         } else {
-            lookForGoodbyes(world.monotonicMicros() + LONGEST_GOODBYE * 1000, then);
+            long closeTimeoutMicros = CLIENT_CLOSE_TIMEOUT_MILLIS * MICROS_PER_MILLI;
+            pollClientsClosed(execution.monotonicMicros() + closeTimeoutMicros, afterwards);
         }
     }
 
-    private void lookForGoodbyes(long until, Runnable then) {
-        if (ingress.owesGoodbyes() && world.monotonicMicros() < until) {
-            side.schedule(() -> lookForGoodbyes(until, then), 5, TimeUnit.MILLISECONDS);
+    private void pollClientsClosed(long untilMicros, Runnable afterwards) {
+        if (clientListener.hasClientsToClose() && execution.monotonicMicros() < untilMicros) {
+            pollAgain(() -> pollClientsClosed(untilMicros, afterwards));
         } else {
-            end(eventLoop.hasEnded());
-            then.run();
+            close(eventLoop.hasEnded());
+            afterwards.run();
         }
     }
 
-    private boolean end(boolean clean) {
-        endCapture();
+    private void pollAgain(Runnable poll) {
+        var unused = sideExecutor.schedule(poll, SHUTDOWN_POLL_MILLIS, TimeUnit.MILLISECONDS);
+    }
+
+    private boolean close(boolean isClean) {
+        capture.stop();
         eventLoop.kill();
-        subscription.stop();
+        discoveryWatch.stop();
         if (console != null) {
             console.close();
         }
-        wire.close();
-        side.shutdown();
+        network.close();
+        sideExecutor.shutdown();
         LOG.info(
                 "{} has left{}: {}",
-                setup.name(),
-                clean ? "" : " with accesses unanswered",
-                counts);
-        return clean && eventLoop.fault() == null;
+                config.name(),
+                isClean ? "" : " with accesses unanswered",
+                counters);
+        return isClean && eventLoop.fault() == null;
     }
 
-    /** Ends as a kill of the process would: sockets are reset and nothing is answered. */
+    /** Ends as a kill of the process would: connections are reset and nothing is answered. */
     public void kill() {
         eventLoop.kill();
-        subscription.stop();
+        discoveryWatch.stop();
         if (console != null) {
             console.close();
         }
-        wire.abort();
-        side.shutdownNow();
+        network.abort();
+        sideExecutor.shutdownNow();
     }
 
-    /** Holds the loop, as a long pause of this process would hold it; for rehearsals. */
+    /**
+     * Stalls the event loop, as a long pause of the process would; for scenarios.
+     *
+     * @param afterwards is run on the loop's thread when the stall ends
+     */
     public void stall(long millis, Runnable afterwards) {
-        eventLoop.stall(millis * 1000, afterwards);
+        eventLoop.stall(millis * MICROS_PER_MILLI, afterwards);
     }
 
-    // ---- What the loop needs ----
+    // ---- What the event loop needs ----
 
     @Override
-    public PendingConnect connect(String target, Address address, long dial) {
+    public PendingConnect connect(String target, Address address, long connectNumber) {
         Network.ConnectAttempt attempt =
-                wire.connect(
+                network.connect(
                         address.host(),
                         address.port(),
                         Role.INITIATOR,
-                        new LinkHandler(target, dial),
-                        toTargets,
-                        why -> eventLoop.post(new LoopMessage.ConnectFailed(target, dial, why)));
+                        new TargetConnectionListener(
+                                target,
+                                connectNumber,
+                                eventLoop,
+                                execution::monotonicMicros,
+                                violationLog),
+                        frameLimits,
+                        reason ->
+                                eventLoop.post(
+                                        new LoopMessage.ConnectFailed(
+                                                target, connectNumber, reason)));
         return attempt::cancel;
     }
 
     @Override
-    public void watchEndpoints(long version) {
-        subscription.follow(version);
+    public void watchEndpoints(long revision) {
+        discoveryWatch.watch(revision);
     }
 
     @Override
-    public void endpointListChanged(EndpointList whole) {
-        if (lastList != null && lastList.note(whole)) {
-            side.execute(lastList::save);
+    public void endpointListChanged(EndpointList list) {
+        if (endpointListCache != null && endpointListCache.note(list)) {
+            sideExecutor.execute(endpointListCache::save);
         }
     }
 
     @Override
-    public void settingsApplied(milletyoke.scheduler.api.SchedulerSettings provisioning) {
-        ingress.provision(provisioning);
+    public void settingsApplied(SchedulerSettings settings) {
+        clientListener.applySettings(settings);
     }
 
     @Override
-    public void releaseSlot(Connection client, Request access, long stay) {
-        gate.release(client, access, stay);
+    public void releaseSlot(Connection client, Request request, long stayMicros) {
+        admission.release(client, request, stayMicros);
     }
 
     @Override
     public double utilization() {
-        return gate.utilization();
+        return admission.utilization();
     }
 
     @Override
     public int slotsInUse() {
-        return gate.acquired();
-    }
-
-    /** One connection to a target, from dialling to its end. */
-    private final class LinkHandler implements PeerListener {
-        private final String target;
-        private final long dial;
-        private volatile boolean ready;
-
-        LinkHandler(String target, long dial) {
-            this.target = target;
-            this.dial = dial;
-        }
-
-        @Override
-        public void onReady(PeerConnection peer) {
-            ready = true;
-            eventLoop.post(new LoopMessage.ConnectSucceeded(target, dial, peer));
-        }
-
-        @Override
-        public void onFrame(PeerConnection peer, Frame frame) throws MalformedFrameException {
-            switch (frame.getBodyCase()) {
-                case ATTEMPT_REPLY ->
-                        eventLoop.post(
-                                new LoopMessage.AttemptReplied(
-                                        peer, frame.getAttemptReply(), world.monotonicMicros()));
-                case PROBE_REPLY ->
-                        eventLoop.post(
-                                new LoopMessage.ProbeReplied(
-                                        peer,
-                                        frame.getProbeReply().getNumber(),
-                                        frame.getProbeReply().getLoad(),
-                                        world.monotonicMicros()));
-                default ->
-                        throw new MalformedFrameException(
-                                "a target sends replies, not " + frame.getBodyCase());
-            }
-        }
-
-        @Override
-        public void onClosed(PeerConnection peer, String why) {
-            LOG.debug("link to {} is gone: {}", target, why);
-            faults.closed("target " + target, peer);
-            eventLoop.post(
-                    ready
-                            ? new LoopMessage.ConnectionLost(
-                                    target, peer, why, peer.hasProcessedNothing(), 0)
-                            : new LoopMessage.ConnectFailed(target, dial, why));
-        }
+        return admission.acquired();
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/discovery/DiscoveryWatch.java
+++ b/gateway/src/main/java/milletyoke/gateway/discovery/DiscoveryWatch.java
@@ -3,6 +3,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
+import milletyoke.gateway.config.Address;
 import milletyoke.gateway.config.InitiatorConfig;
 import milletyoke.gateway.loop.EventLoop;
 import milletyoke.gateway.loop.LoopMessage;
@@ -19,76 +20,99 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The connection to discovery, kept up for as long as the initiator lives. Where lists must be
- * asked for, the decisions say when; where they are pushed, a fresh connection is itself the
- * asking.
+ * The connection to discovery, which is reconnected with exponential backoff for as long as the
+ * initiator runs. Where the scheduler asks for endpoint lists, it says when; where discovery pushes
+ * them, each new connection starts a watch by itself. Any thread may call it.
  */
 public final class DiscoveryWatch implements PeerListener {
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryWatch.class);
 
-    /** Waits between tries to connect (milliseconds). */
-    private static final long FIRST_WAIT = 50, LONGEST_WAIT = 2_000;
+    private static final long INITIAL_BACKOFF_MILLIS = 50;
+    private static final long MAX_BACKOFF_MILLIS = 2_000;
 
-    private final InitiatorConfig setup;
-    private final Network wire;
+    /** An endpoint list may be larger than other frames. */
+    private static final int MIN_FRAME_BYTES = 16 << 20;
+
+    private final InitiatorConfig config;
+    private final Network network;
     private final EventLoop loop;
-    private final ScheduledExecutorService side;
-    private final SplittableRandom chance;
-    private final boolean asked;
+    private final ScheduledExecutorService sideExecutor;
+    private final SplittableRandom random;
+
+    /** Whether the scheduler asks for lists; else discovery pushes them. */
+    private final boolean mustAsk;
+
+    /** Null where there is no connection. */
     private PeerConnection peer;
-    private long wait = FIRST_WAIT;
-    private boolean stopped;
 
+    private long backoffMillis = INITIAL_BACKOFF_MILLIS;
+    private boolean isStopped;
+
+    /**
+     * Creates a watch that is not connected.
+     *
+     * @param sideExecutor runs the reconnects
+     * @param seed of the random part of the backoff
+     */
     public DiscoveryWatch(
-            InitiatorConfig setup,
-            Network wire,
+            InitiatorConfig config,
+            Network network,
             EventLoop loop,
-            ScheduledExecutorService side,
+            ScheduledExecutorService sideExecutor,
             long seed) {
-        this.setup = setup;
-        this.wire = wire;
+        this.config = config;
+        this.network = network;
         this.loop = loop;
-        this.side = side;
-        chance = new SplittableRandom(seed);
-        asked = setup.deployment().scheduler().mustWatchEndpoints();
+        this.sideExecutor = sideExecutor;
+        random = new SplittableRandom(seed);
+        mustAsk = config.deployment().scheduler().mustWatchEndpoints();
     }
 
+    /** Starts to connect, unless stopped. */
     public synchronized void connect() {
-        if (!stopped) {
-            var at = setup.discovery();
-            FrameLimits bounds =
-                    new FrameLimits(
-                            Math.max(setup.transport().frameBytes(), 16 << 20),
-                            setup.transport().waitingBytes(),
-                            setup.transport().partialTime(),
-                            0);
-            wire.connect(at.host(), at.port(), Role.INITIATOR, this, bounds, this::down);
+        if (isStopped) {
+            return;
         }
+        InitiatorConfig.Transport transport = config.transport();
+        FrameLimits limits =
+                new FrameLimits(
+                        Math.max(transport.frameBytes(), MIN_FRAME_BYTES),
+                        transport.waitingBytes(),
+                        transport.partialTime(),
+                        0);
+        Address address = config.discovery();
+        network.connect(
+                address.host(),
+                address.port(),
+                Role.INITIATOR,
+                this,
+                limits,
+                this::handleDisconnect);
     }
 
+    /** Reconnects no more; the network closes the connection. */
     public synchronized void stop() {
-        stopped = true;
+        isStopped = true;
     }
 
-    /** Sends what the decisions asked for, or tells them that it cannot be had. */
-    public synchronized void follow(long version) {
-        boolean sent =
-                peer != null
-                        && peer.send(
-                                Frame.newBuilder()
-                                        .setWatch(Watch.newBuilder().setRevision(version))
-                                        .build());
-        if (!sent) {
+    /** Asks for every change after a revision, or reports to the loop that discovery is away. */
+    public synchronized void watch(long revision) {
+        boolean isSent = peer != null && peer.send(watchFrame(revision));
+        if (!isSent) {
             loop.post(new LoopMessage.DiscoveryUnavailable("discovery is not connected"));
         }
     }
 
+    private static Frame watchFrame(long revision) {
+        return Frame.newBuilder().setWatch(Watch.newBuilder().setRevision(revision)).build();
+    }
+
     @Override
-    public synchronized void onReady(PeerConnection made) {
-        peer = made;
-        wait = FIRST_WAIT;
-        if (!asked) {
-            made.send(Frame.newBuilder().setWatch(Watch.newBuilder()).build());
+    public synchronized void onReady(PeerConnection connected) {
+        peer = connected;
+        backoffMillis = INITIAL_BACKOFF_MILLIS;
+        if (!mustAsk) {
+            connected.send(watchFrame(0));
         }
     }
 
@@ -105,28 +129,32 @@
     }
 
     @Override
-    public void onClosed(PeerConnection gone, String why) {
-        down(why);
+    public void onClosed(PeerConnection closed, String why) {
+        handleDisconnect(why);
     }
 
-    private void down(String why) {
-        boolean subscribed;
+    private void handleDisconnect(String reason) {
+        boolean wasConnected;
         synchronized (this) {
-            if (stopped) {
+            if (isStopped) {
                 return;
             }
-            subscribed = peer != null;
+            wasConnected = peer != null;
             peer = null;
-            long in = wait / 2 + chance.nextLong(wait);
-            wait = Math.min(LONGEST_WAIT, 2 * wait);
-            side.schedule(this::connect, in, TimeUnit.MILLISECONDS);
+            scheduleReconnect();
         }
-        if (subscribed) {
+        if (wasConnected) {
             LOG.warn(
-                    "discovery at {} is lost: {}; the list held stays in use",
-                    setup.discovery(),
-                    why);
-            loop.post(new LoopMessage.DiscoveryUnavailable(why));
+                    "discovery connection lost address={} reason={}; the endpoint list stays in use",
+                    config.discovery(),
+                    reason);
+            loop.post(new LoopMessage.DiscoveryUnavailable(reason));
         }
     }
+
+    private void scheduleReconnect() {
+        long delayMillis = backoffMillis / 2 + random.nextLong(backoffMillis);
+        backoffMillis = Math.min(MAX_BACKOFF_MILLIS, 2 * backoffMillis);
+        var unused = sideExecutor.schedule(this::connect, delayMillis, TimeUnit.MILLISECONDS);
+    }
 }
--- a/gateway/src/main/java/milletyoke/gateway/ingress/ClientListener.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/ClientListener.java
@@ -8,6 +8,7 @@
 import milletyoke.gateway.loop.Counters;
 import milletyoke.gateway.loop.EventLoop;
 import milletyoke.gateway.loop.LoopMessage;
+import milletyoke.gateway.loop.ResponseFrames;
 import milletyoke.scheduler.api.SchedulerSettings;
 import milletyoke.wire.Connection;
 import milletyoke.wire.ExecutionEnvironment;
@@ -18,116 +19,118 @@
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Reason;
 import milletyoke.wire.proto.Request;
-import milletyoke.wire.proto.Response;
-import milletyoke.wire.proto.ResponseStatus;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The clients' side. An access that this initiator cannot take at all gets its rejection here, at
- * once and with the reason, and never reaches the decisions; all others do. Runs on the threads
- * that serve sockets.
+ * Serves the clients' connections. A request that is invalid or finds no capacity is rejected here
+ * at once and never reaches the scheduler; every other one does. Runs on the threads that serve
+ * sockets.
  */
 public final class ClientListener implements PeerListener {
     private static final Logger LOG = LoggerFactory.getLogger(ClientListener.class);
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final long CLOSE_POLL_MICROS = 1_000;
 
-    private final ExecutionEnvironment world;
+    /** Sent to clients that are asked to close. */
+    private static final String SHUTDOWN_REASON = "this initiator leaves";
+
+    private final ExecutionEnvironment execution;
     private final EventLoop loop;
-    private final Counters counts;
-    private final RequestAdmission door;
-    private final ProtocolViolationLog faults;
-    private volatile boolean leaving;
+    private final Counters counters;
+    private final RequestAdmission admission;
+    private final ProtocolViolationLog violationLog;
+    private final Set<PeerConnection> clients = ConcurrentHashMap.newKeySet();
+    private volatile boolean isShuttingDown;
+
+    /** Null where volumes are not configured. */
     private volatile Fleet fleet;
+
+    /** Null where nothing is captured. */
     private volatile CaptureWriter capture;
-    private final Set<PeerConnection> clients = ConcurrentHashMap.newKeySet();
 
+    /** Creates a listener that serves no client yet. */
     public ClientListener(
-            InitiatorConfig setup,
-            ExecutionEnvironment world,
+            InitiatorConfig config,
+            ExecutionEnvironment execution,
             EventLoop loop,
-            Counters counts,
-            ConcurrentAdmission gate,
-            ProtocolViolationLog faults) {
-        this.faults = faults;
-        this.world = world;
+            Counters counters,
+            ConcurrentAdmission concurrentAdmission,
+            ProtocolViolationLog violationLog) {
+        this.violationLog = violationLog;
+        this.execution = execution;
         this.loop = loop;
-        this.counts = counts;
-        door = new RequestAdmission(setup, loop, gate);
+        this.counters = counters;
+        admission = new RequestAdmission(config, loop, concurrentAdmission);
     }
 
     /**
-     * Where the configuration names a volume, its plan and hosts are what that says, whatever a
-     * client says.
+     * Sets the configuration. A volume's plan and number of hosts are what it says, whatever the
+     * client sends.
      */
-    public void configure(Fleet fleet) {
-        this.fleet = fleet;
+    public void configure(Fleet newFleet) {
+        fleet = newFleet;
     }
 
-    private Request configured(Request a) {
-        Fleet.Block volume = fleet == null ? null : fleet.volume(a.getVolume());
+    private Request withConfiguredPlan(Request request) {
+        Fleet.Block volume = fleet == null ? null : fleet.volume(request.getVolume());
         if (volume == null) {
-            return a;
+            return request;
         }
-        return a.toBuilder()
+        return request.toBuilder()
                 .setPlan(volume.text("plan"))
                 .setInitiatorCount((int) volume.figure("hosts"))
                 .build();
     }
 
-    /**
-     * Accesses may name these categories and plans from now on; the decisions know them already.
-     */
-    public void provision(SchedulerSettings given) {
-        door.applySettings(given);
+    /** Requests may name these classes and plans from now on; the scheduler knows them already. */
+    public void applySettings(SchedulerSettings settings) {
+        admission.applySettings(settings);
     }
 
-    /**
-     * What comes in and could be taken is kept there too, whether it is or not; null for no more.
-     */
-    public void capture(CaptureWriter to) {
-        capture = to;
+    /** Records every valid request there, admitted or not; null to stop. */
+    public void capture(CaptureWriter writer) {
+        capture = writer;
     }
 
-    /**
-     * From now on nothing new is taken, and every client is asked to close once it has its answers.
-     */
-    public void leave() {
-        leaving = true;
-        door.stopAdmitting();
-        clients.forEach(c -> c.announceShutdown("this initiator leaves"));
+    /** Admits nothing from now on, and asks every client to close once it has its responses. */
+    public void beginShutdown() {
+        isShuttingDown = true;
+        admission.stopAdmitting();
+        clients.forEach(client -> client.announceShutdown(SHUTDOWN_REASON));
     }
 
     /**
-     * Waits until the clients that were asked to have closed; what still comes from them is
-     * rejected meanwhile. Guards what crossed our goodbye: closed before it is read, it would have
-     * no answer, and the reset that follows may take answers with it that are still on their way.
-     * Could hold up the end by {@code millis} where a client does not close.
+     * Waits until the clients that were asked to have closed, for {@code millis} at most; requests
+     * that they still send are rejected meanwhile. A connection that is closed before its last
+     * request is read gives that request no response, and the reset that follows may take responses
+     * with it that are still on their way.
      */
-    public void awaitGoodbyes(long millis) throws InterruptedException {
-        long until = world.monotonicMicros() + millis * 1000;
-        while (owesGoodbyes() && world.monotonicMicros() < until) {
-            world.sleep(1_000);
+    public void awaitClientsClosed(long millis) throws InterruptedException {
+        long untilMicros = execution.monotonicMicros() + millis * MICROS_PER_MILLI;
+        while (hasClientsToClose() && execution.monotonicMicros() < untilMicros) {
+            execution.sleep(CLOSE_POLL_MICROS);
         }
     }
 
     /** Whether a client that was asked to close has not. */
-    public boolean owesGoodbyes() {
-        return clients.stream().anyMatch(c -> c.isOpen() && c.supportsGoingAway());
+    public boolean hasClientsToClose() {
+        return clients.stream().anyMatch(client -> client.isOpen() && client.supportsGoingAway());
     }
 
     @Override
     public void onReady(PeerConnection peer) {
-        LOG.debug("client {} is here", peer);
+        LOG.debug("client connected peer={}", peer);
         clients.add(peer);
-        if (leaving) { // it connected while the others were told
-            peer.announceShutdown("this initiator leaves");
+        if (isShuttingDown) { // it connected while the others were asked to close
+            peer.announceShutdown(SHUTDOWN_REASON);
         }
     }
 
     @Override
     public void onFrame(PeerConnection peer, Frame frame) throws MalformedFrameException {
         switch (frame.getBodyCase()) {
-            case REQUEST -> access(peer, configured(frame.getRequest()));
+            case REQUEST -> handleRequest(peer, withConfiguredPlan(frame.getRequest()));
             case CANCEL_REQUEST ->
                     loop.post(
                             new LoopMessage.RequestCancelled(
@@ -138,40 +141,42 @@
         }
     }
 
-    private void access(PeerConnection peer, Request a) {
-        if (!door.validate(a)) {
-            reject(peer, a, Reason.INVALID, Counter.INVALID, 0);
+    private void handleRequest(PeerConnection peer, Request request) {
+        if (!admission.validate(request)) {
+            reject(peer, request, Reason.INVALID, Counter.INVALID, 0);
             return;
         }
-        CaptureWriter to = capture;
-        if (to != null) {
-            to.record(world.monotonicMicros(), a);
+        CaptureWriter writer = capture;
+        if (writer != null) {
+            writer.record(execution.monotonicMicros(), request);
         }
-        RequestAdmission.Rejection refusal = door.admit(peer, a, world.monotonicMicros());
-        if (refusal != null) {
-            reject(peer, a, refusal.reason(), refusal.counter(), refusal.retryAfterMicros());
+        RequestAdmission.Rejection rejection =
+                admission.admit(peer, request, execution.monotonicMicros());
+        if (rejection != null) {
+            reject(
+                    peer,
+                    request,
+                    rejection.reason(),
+                    rejection.counter(),
+                    rejection.retryAfterMicros());
         }
     }
 
     private void reject(
-            PeerConnection peer, Request a, Reason reason, Counter count, long retryIn) {
-        counts.increment(count);
-        peer.send(
-                Frame.newBuilder()
-                        .setResponse(
-                                Response.newBuilder()
-                                        .setNumber(a.getNumber())
-                                        .setStatus(ResponseStatus.REJECTED)
-                                        .setReason(reason)
-                                        .setRetryAfterMicros(retryIn))
-                        .build());
+            PeerConnection peer,
+            Request request,
+            Reason reason,
+            Counter counter,
+            long retryAfterMicros) {
+        counters.increment(counter);
+        peer.send(ResponseFrames.rejected(request.getNumber(), reason, retryAfterMicros));
     }
 
     @Override
     public void onClosed(PeerConnection peer, String why) {
-        LOG.debug("client {} is gone: {}", peer, why);
+        LOG.debug("client disconnected peer={} reason={}", peer, why);
         clients.remove(peer);
-        faults.closed("client", peer);
+        violationLog.closed("client", peer);
         loop.post(new LoopMessage.ClientDisconnected((Connection) peer));
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/ingress/ConcurrentAdmission.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/ConcurrentAdmission.java
@@ -6,61 +6,68 @@
 import milletyoke.wire.proto.Request;
 
 /**
- * The one {@link Admission} of a daemon behind a lock: sockets' threads ask and the loop gives
- * back, each holding the lock for a few look-ups. An answer at once needs no turn of the loop,
- * which may be the very thing that is behind.
+ * The process's one {@link Admission} behind a lock: the sockets' threads acquire slots and the
+ * event loop releases them, each with a few look-ups under the lock. So a request is rejected at
+ * once, without a turn of the loop, which may be the very thing that is overloaded.
  */
 public final class ConcurrentAdmission {
-    /**
-     * A volume's state behind the door goes ten to twenty minutes after its last use
-     * (microseconds).
-     */
-    private static final long KEPT = 1_200_000_000L;
+    /** State of a volume is kept ten to twenty minutes past its last use; this is the maximum. */
+    private static final long VOLUME_RETENTION_MICROS = 1_200_000_000L;
 
-    private static final int MOST_VOLUMES = 1 << 18;
+    private static final int DEFAULT_MAX_VOLUMES = 1 << 18;
 
     private final Admission admission;
     private final NameTable volumes;
 
-    public ConcurrentAdmission(Admission.CapacityLimits room) {
-        this(room, MOST_VOLUMES);
+    /** Creates an admission with the usual bound on the number of volumes in use. */
+    public ConcurrentAdmission(Admission.CapacityLimits limits) {
+        this(limits, DEFAULT_MAX_VOLUMES);
     }
 
     /**
-     * @param mostVolumes that may be in use, where there is less memory than usual
+     * Creates an admission.
+     *
+     * @param maxVolumes that may be in use, where there is less memory than usual
      */
-    public ConcurrentAdmission(Admission.CapacityLimits room, int mostVolumes) {
-        admission = new Admission(room);
-        volumes = new NameTable(mostVolumes, KEPT);
+    public ConcurrentAdmission(Admission.CapacityLimits limits, int maxVolumes) {
+        admission = new Admission(limits);
+        volumes = new NameTable(maxVolumes, VOLUME_RETENTION_MICROS);
     }
 
     /**
-     * A volume counts as named by what gets its place alone: what is turned away costs nothing
-     * behind the door.
+     * Acquires a slot where there is one. Only an admitted request counts as a use of its volume's
+     * name: what is rejected costs no memory.
      */
-    public synchronized Admission.Verdict tryAcquire(Connection client, Request access, long now) {
-        if (!volumes.admits(access.getVolume(), now)) {
+    public synchronized Admission.Verdict tryAcquire(
+            Connection client, Request request, long nowMicros) {
+        String volume = request.getVolume();
+        if (!volumes.admits(volume, nowMicros)) {
             return new Admission.Verdict(Admission.CapacityBound.NAMES, 0);
         }
         Admission.Verdict verdict =
-                admission.tryAcquire(client.id(), access.getVolume(), access.getPayload().size());
+                admission.tryAcquire(client.id(), volume, request.getPayload().size());
         if (verdict.admitted()) {
-            volumes.acquire(access.getVolume(), now);
+            volumes.acquire(volume, nowMicros);
         }
         return verdict;
     }
 
     /**
-     * @param stay for how long the place was held (microseconds)
+     * Releases a slot.
+     *
+     * @param stayMicros for how long it was occupied
      */
-    public synchronized void release(Connection client, Request access, long stay) {
-        admission.release(client.id(), access.getVolume(), access.getPayload().size(), stay);
+    public synchronized void release(Connection client, Request request, long stayMicros) {
+        admission.release(
+                client.id(), request.getVolume(), request.getPayload().size(), stayMicros);
     }
 
+    /** The part of the slots or bytes in use, whichever is more, 0 to 1. */
     public synchronized double utilization() {
         return admission.utilization();
     }
 
+    /** Slots in use. */
     public synchronized int acquired() {
         return admission.acquired();
     }
--- a/gateway/src/main/java/milletyoke/gateway/ingress/ProtocolViolationLog.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/ProtocolViolationLog.java
@@ -8,47 +8,65 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Counts and logs peers whose connection was closed for what they did. Guards the log against a
- * peer that connects again and again to be closed: so many lines a second, then how many were left
- * out. Could hide a second cause among many of a first; the counts do not.
+ * Counts and logs connections that were closed because the peer broke the protocol. The log is
+ * limited to some lines a second, against a peer that reconnects again and again; what is left out
+ * is counted. Any thread may call it.
  */
 public final class ProtocolViolationLog {
     private static final Logger LOG = LoggerFactory.getLogger(ProtocolViolationLog.class);
-    private static final int LINES_A_SECOND = 10;
+    private static final int MAX_LINES_PER_SECOND = 10;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
-    private final Counters counts;
+    private final Counters counters;
     private final LongSupplier clock;
-    private long second;
-    private int lines;
-    private int leftOut;
+    private long currentSecond;
+    private int lineCount;
+    private int suppressedCount;
 
-    public ProtocolViolationLog(Counters counts, LongSupplier clock) {
-        this.counts = counts;
+    /**
+     * Creates a log without lines.
+     *
+     * @param clock microseconds
+     */
+    public ProtocolViolationLog(Counters counters, LongSupplier clock) {
+        this.counters = counters;
         this.clock = clock;
     }
 
-    /** To be told of every connection that ended. */
-    public void closed(String who, PeerConnection peer) {
+    /**
+     * Counts and logs a connection that ended, if the peer broke the protocol.
+     *
+     * @param role what the peer is, for the log
+     */
+    public void closed(String role, PeerConnection peer) {
         if (peer.failProtocol() != null) {
-            counts.increment(Counter.MALFORMED_PEERS);
-            log(who + " " + peer + " was closed: " + peer.failProtocol());
+            counters.increment(Counter.MALFORMED_PEERS);
+            log(role, peer);
         }
     }
 
-    private synchronized void log(String line) {
-        long now = clock.getAsLong() / 1_000_000;
-        if (now != second) {
-            if (leftOut > 0) {
-                LOG.warn("{} more connections were closed for what their peers did", leftOut);
-            }
-            second = now;
-            lines = 0;
-            leftOut = 0;
+    private synchronized void log(String role, PeerConnection peer) {
+        long second = clock.getAsLong() / MICROS_PER_SECOND;
+        if (second != currentSecond) {
+            startSecond(second);
         }
-        if (lines++ < LINES_A_SECOND) {
-            LOG.warn("{}", line);
+        if (lineCount++ < MAX_LINES_PER_SECOND) {
+            LOG.warn(
+                    "connection closed for protocol violation role={} peer={} reason={}",
+                    role,
+                    peer,
+                    peer.failProtocol());
         } else {
-            leftOut++;
+            suppressedCount++;
         }
     }
+
+    private void startSecond(long second) {
+        if (suppressedCount > 0) {
+            LOG.warn("protocol violations not logged count={}", suppressedCount);
+        }
+        currentSecond = second;
+        lineCount = 0;
+        suppressedCount = 0;
+    }
 }
--- a/gateway/src/main/java/milletyoke/gateway/ingress/RequestAdmission.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/RequestAdmission.java
@@ -14,96 +14,113 @@
 import milletyoke.wire.proto.Request;
 
 /**
- * What an access must pass on any entry before the decisions hear of it. What it turns away was
- * never taken, so trying it again is harmless. Any thread may ask.
+ * Validates and admits requests before the scheduler sees them. A request that is rejected here was
+ * never run, so its client may safely retry it. Any thread may call it.
  */
 public final class RequestAdmission {
-    private static final int LONGEST_NAME = 512, MOST_HOSTS = 100_000;
+    private static final int MAX_NAME_LENGTH = 512;
+    private static final int MAX_INITIATOR_COUNT = 100_000;
 
-    /** Why an access was not taken. */
+    /** Why a request was not admitted; {@code retryAfterMicros} is 0 for no suggestion. */
     public record Rejection(Reason reason, Counter counter, long retryAfterMicros) {}
 
-    private final InitiatorConfig setup;
+    private final InitiatorConfig config;
     private final EventLoop loop;
-    private final ConcurrentAdmission gate;
-    private volatile Set<String> categories;
+    private final ConcurrentAdmission admission;
+    private volatile Set<String> requestClasses;
     private volatile Set<String> plans;
-    private volatile boolean leaving;
+    private volatile boolean isStopped;
 
-    public RequestAdmission(InitiatorConfig setup, EventLoop loop, ConcurrentAdmission gate) {
-        this.setup = setup;
+    /** Creates an admission for the request classes and plans that the configuration names. */
+    public RequestAdmission(InitiatorConfig config, EventLoop loop, ConcurrentAdmission admission) {
+        this.config = config;
         this.loop = loop;
-        this.gate = gate;
-        applySettings(setup.deployment().scheduler());
+        this.admission = admission;
+        applySettings(config.deployment().scheduler());
     }
 
-    /**
-     * Accesses may name these categories and plans from now on; the decisions know them already.
-     */
-    public void applySettings(SchedulerSettings given) {
-        categories =
-                given.requestClasses().stream()
+    /** Requests may name these classes and plans from now on; the scheduler knows them already. */
+    public void applySettings(SchedulerSettings settings) {
+        requestClasses =
+                settings.requestClasses().stream()
                         .map(SchedulerSettings.RequestClass::name)
                         .collect(Collectors.toSet());
         plans =
-                given.plans().stream()
+                settings.plans().stream()
                         .map(SchedulerSettings.ServicePlan::name)
                         .collect(Collectors.toSet());
     }
 
-    /** From now on nothing new is taken. */
+    /** Rejects every request from now on, as the process shuts down. */
     public void stopAdmitting() {
-        leaving = true;
+        isStopped = true;
     }
 
     /**
-     * What would make the decisions keep state without bound, or has no meaning to them, is not.
+     * Whether the request is one that the scheduler can handle: known names, values in range, and
+     * nothing that would make it keep state without bound.
      */
-    public boolean validate(Request a) {
-        return categories.contains(a.getRequestClass())
-                && plans.contains(a.getPlan())
-                && !a.getVolume().isEmpty()
-                && a.getVolume().length() <= LONGEST_NAME
-                && a.getExtent().length() <= LONGEST_NAME
-                && a.getIdempotencyKey().length() <= LONGEST_NAME
-                && a.getUnits() > 0
-                && a.getUnits() <= setup.capacity().largest()
-                && a.getTimeLeftMicros() > 0
-                && a.getTimeLeftMicros() <= setup.capacity().longest()
-                && a.getInitiatorCount() >= 0
-                && a.getInitiatorCount() <= MOST_HOSTS
-                && (!a.hasShard() || a.getShard() >= 0 && a.getShard() < setup.capacity().shards());
+    public boolean validate(Request request) {
+        return hasKnownNames(request) && hasBoundedNames(request) && hasValuesInRange(request);
+    }
+
+    private boolean hasKnownNames(Request request) {
+        return requestClasses.contains(request.getRequestClass())
+                && plans.contains(request.getPlan());
+    }
+
+    private static boolean hasBoundedNames(Request request) {
+        return !request.getVolume().isEmpty()
+                && request.getVolume().length() <= MAX_NAME_LENGTH
+                && request.getExtent().length() <= MAX_NAME_LENGTH
+                && request.getIdempotencyKey().length() <= MAX_NAME_LENGTH;
+    }
+
+    private boolean hasValuesInRange(Request request) {
+        InitiatorConfig.CapacityLimits limits = config.capacity();
+        return request.getUnits() > 0
+                && request.getUnits() <= limits.largest()
+                && request.getTimeLeftMicros() > 0
+                && request.getTimeLeftMicros() <= limits.longest()
+                && request.getInitiatorCount() >= 0
+                && request.getInitiatorCount() <= MAX_INITIATOR_COUNT
+                && (!request.hasShard()
+                        || (request.getShard() >= 0 && request.getShard() < limits.shards()));
     }
 
     /**
-     * Takes an acceptable access where there is a place.
+     * Admits a valid request where there is a slot, and passes it to the event loop.
      *
-     * @param at when it came (microseconds): its time runs from then
-     * @return null where it was taken
+     * @param receivedAtMicros when it was received; its deadline counts from then
+     * @return null where it was admitted
      */
-    public Rejection admit(Connection client, Request a, long at) {
-        LifecycleState condition = leaving ? LifecycleState.LEAVING : loop.lifecycleState();
-        if (!condition.admits()) {
-            return new Rejection(reason(condition), Counter.REJECTED_STATE, 0);
+    public Rejection admit(Connection client, Request request, long receivedAtMicros) {
+        LifecycleState state = isStopped ? LifecycleState.LEAVING : loop.lifecycleState();
+        if (!state.admits()) {
+            return new Rejection(reason(state), Counter.REJECTED_STATE, 0);
         }
-        Admission.Verdict verdict = gate.tryAcquire(client, a, at);
+        Admission.Verdict verdict = admission.tryAcquire(client, request, receivedAtMicros);
         if (!verdict.admitted()) {
-            boolean mayAdvise =
-                    setup.deployment().scheduler().capabilities().canSuggestRetryAfter();
-            return new Rejection(
-                    Reason.NO_CAPACITY,
-                    Counter.REJECTED_CAPACITY,
-                    mayAdvise ? verdict.retryAfterMicros() : 0);
+            return noCapacity(suggestedRetryAfter(verdict));
         }
-        if (!loop.offer(new LoopMessage.RequestReceived(client, a, at))) {
-            gate.release(client, a, 0);
-            return new Rejection(Reason.NO_CAPACITY, Counter.REJECTED_CAPACITY, 0);
+        if (!loop.offer(new LoopMessage.RequestReceived(client, request, receivedAtMicros))) {
+            admission.release(client, request, 0);
+            return noCapacity(0);
         }
         return null;
     }
 
-    private static Reason reason(LifecycleState condition) {
-        return switch (condition) {
+    private static Rejection noCapacity(long retryAfterMicros) {
+        return new Rejection(Reason.NO_CAPACITY, Counter.REJECTED_CAPACITY, retryAfterMicros);
+    }
+
+    private long suggestedRetryAfter(Admission.Verdict verdict) {
+        boolean canSuggest = config.deployment().scheduler().capabilities().canSuggestRetryAfter();
+        return canSuggest ? verdict.retryAfterMicros() : 0;
+    }
+
+    private static Reason reason(LifecycleState state) {
+        return switch (state) {
             case LEAVING -> Reason.SHUTTING_DOWN;
             case DRAINING -> Reason.DRAINED;
             default -> Reason.NOT_READY;
--- a/gateway/src/main/java/milletyoke/gateway/reload/ConfigUpdate.java
+++ b/gateway/src/main/java/milletyoke/gateway/reload/ConfigUpdate.java
@@ -6,30 +6,33 @@
 import milletyoke.config.FleetDiff;
 
 /**
- * Decides what becomes of a new version of the configuration: all of it is applied, or nothing.
- * Free of I/O and clocks.
+ * What becomes of a new version of the configuration: all of it is applied, or nothing. Free of I/O
+ * and clocks.
  */
 public sealed interface ConfigUpdate {
-    /** It means the same as the one in force. */
+    /** It means the same as the version in force. */
     record Unchanged() implements ConfigUpdate {}
 
+    /** It can be applied while the initiator runs. */
     record Apply(Fleet fleet, List<FleetDiff.Change> changes) implements ConfigUpdate {}
 
-    /** Nothing of it is applied; {@code why} says each change that stands in the way. */
+    /** It cannot be applied; {@code why} names each change that prevents that. */
     record Rejected(List<FleetDiff.Change> changes, List<String> why) implements ConfigUpdate {}
 
+    /** Compares a new version with the one in force. */
     static ConfigUpdate judge(Fleet inForce, Fleet next) {
         List<FleetDiff.Change> changes = FleetDiff.between(inForce, next);
+        if (changes.isEmpty()) {
+            return new Unchanged();
+        }
         List<String> why = new ArrayList<>();
-        for (FleetDiff.Change c : changes) {
-            switch (c.applyMode()) {
-                case RESTART -> why.add(c.text() + ": needs a restart");
-                case REFUSED -> why.add(c.text() + ": accesses of it may be held");
+        for (FleetDiff.Change change : changes) {
+            switch (change.applyMode()) {
+                case RESTART -> why.add(change.text() + ": needs a restart");
+                case REFUSED -> why.add(change.text() + ": accesses of it may be held");
                 case IN_SERVICE -> {}
             }
         }
-        return changes.isEmpty()
-                ? new Unchanged()
-                : why.isEmpty() ? new Apply(next, changes) : new Rejected(changes, why);
+        return why.isEmpty() ? new Apply(next, changes) : new Rejected(changes, why);
     }
 }
