--- a/gateway/src/main/java/milletyoke/gateway/dispatch/ConnectionPool.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/ConnectionPool.java
@@ -235,9 +235,9 @@
 
     /** Removes and returns all that wait. */
     List<OutboundAttempt> takeWaiting() {
-        List<OutboundAttempt> taken = new ArrayList<>(waiting);
+        List<OutboundAttempt> removed = new ArrayList<>(waiting);
         waiting.clear();
-        return taken;
+        return removed;
     }
 
     void removeEndedWaiting() {
--- a/gateway/src/test/java/milletyoke/gateway/loop/RequestTrackerTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/loop/RequestTrackerTest.java
@@ -66,16 +66,16 @@
     }
 
     @Override
-    public void cancelAttempt(String id, int attempt) {
-        calls.add("cancel " + id + "/" + attempt);
+    public void cancelAttempt(String requestId, int attemptNumber) {
+        calls.add("cancel " + requestId + "/" + attemptNumber);
     }
 
     @Override
-    public void dropUnsent(String id, int attempt) {
-        calls.add("drop " + id + "/" + attempt);
+    public void dropUnsent(String requestId, int attemptNumber) {
+        calls.add("drop " + requestId + "/" + attemptNumber);
         tracker.onAttemptEnded(
-                id,
-                attempt,
+                requestId,
+                attemptNumber,
                 Outcome.NOT_STARTED,
                 0,
                 null,
@@ -86,7 +86,7 @@
     public void sendProbe(String target) {}
 
     @Override
-    public void scheduleWakeUp(long in) {}
+    public void scheduleWakeUp(long delayMicros) {}
 
     @Override
     public void watchEndpoints() {}
--- a/lifecycle/src/test/java/milletyoke/admission/AdmissionTest.java
+++ b/lifecycle/src/test/java/milletyoke/admission/AdmissionTest.java
@@ -17,128 +17,132 @@
 import net.jqwik.api.state.ActionChain;
 import net.jqwik.api.state.Transformer;
 
-/** Random orders of asking and giving back, against a model that only counts. */
+/** Random orders of acquiring and releasing slots, against a model that only counts. */
 class AdmissionTest {
-    private static final int PLACES = 24;
+    private static final int SLOTS = 24;
     private static final long BYTES = 2_000;
-    private static final Admission.CapacityLimits ROOM =
-            new Admission.CapacityLimits(PLACES, BYTES, 0.75, 1, 500_000);
+    private static final Admission.CapacityLimits LIMITS =
+            new Admission.CapacityLimits(SLOTS, BYTES, 0.75, 1, 500_000);
 
-    private record Place(int connection, String volume, long bytes) {}
+    private record Slot(int connection, String volume, long bytes) {}
 
-    /** The thing itself and what a plain count says of it. */
-    private static final class Both {
-        final Admission real = new Admission(ROOM);
-        final List<Place> held = new ArrayList<>();
+    /** The admission and a plain list of the slots that it granted. */
+    private static final class AdmissionAndModel {
+        final Admission admission = new Admission(LIMITS);
+        final List<Slot> heldSlots = new ArrayList<>();
 
         long bytes() {
-            return held.stream().mapToLong(Place::bytes).sum();
+            return heldSlots.stream().mapToLong(Slot::bytes).sum();
         }
 
         void check() {
-            assertEquals(held.size(), real.acquired(), "places leaked or were given back twice");
-            assertEquals(bytes(), real.bytes());
+            assertEquals(
+                    heldSlots.size(), admission.acquired(), "slots leaked or were released twice");
+            assertEquals(bytes(), admission.bytes());
             assertTrue(
-                    held.size() <= PLACES && bytes() <= BYTES, "a bound of the daemon was passed");
+                    heldSlots.size() <= SLOTS && bytes() <= BYTES,
+                    "a bound of the process was exceeded");
             for (int c = 0; c < 4; c++) {
                 int connection = c;
                 assertTrue(
-                        held.stream().filter(p -> p.connection() == connection).count()
-                                <= 0.75 * PLACES);
+                        heldSlots.stream().filter(p -> p.connection() == connection).count()
+                                <= 0.75 * SLOTS);
             }
             assertTrue(
-                    real.remembered() <= 2 * held.size(),
-                    "something is remembered of who holds nothing");
+                    admission.remembered() <= 2 * heldSlots.size(),
+                    "memory is kept for what holds no slot");
         }
     }
 
     @Provide
-    Arbitrary<ActionChain<Both>> chains() {
-        return ActionChain.startWith(Both::new)
-                .withAction(4, new Ask())
-                .withAction(2, new GiveBack())
+    Arbitrary<ActionChain<AdmissionAndModel>> chains() {
+        return ActionChain.startWith(AdmissionAndModel::new)
+                .withAction(4, new Acquire())
+                .withAction(2, new Release())
                 .withMaxTransformations(200);
     }
 
-    private static final class Ask implements Action.Independent<Both> {
+    private static final class Acquire implements Action.Independent<AdmissionAndModel> {
         @Override
-        public Arbitrary<Transformer<Both>> transformer() {
-            return Arbitraries.integers().between(0, 3).flatMap(Ask::ofConnection);
+        public Arbitrary<Transformer<AdmissionAndModel>> transformer() {
+            return Arbitraries.integers().between(0, 3).flatMap(Acquire::ofConnection);
         }
 
-        private static Arbitrary<Transformer<Both>> ofConnection(int connection) {
+        private static Arbitrary<Transformer<AdmissionAndModel>> ofConnection(int connection) {
             return Arbitraries.of("a", "b", "c", "d", "e")
                     .flatMap(volume -> ofVolume(connection, volume));
         }
 
-        private static Arbitrary<Transformer<Both>> ofVolume(int connection, String volume) {
+        private static Arbitrary<Transformer<AdmissionAndModel>> ofVolume(
+                int connection, String volume) {
             return Arbitraries.longs()
                     .between(0, 400)
                     .map(
                             bytes ->
                                     Transformer.mutate(
-                                            "ask " + connection + volume + bytes,
-                                            both -> ask(both, connection, volume, bytes)));
+                                            "acquire " + connection + volume + bytes,
+                                            pair -> acquire(pair, connection, volume, bytes)));
         }
 
-        private static void ask(Both both, int c, String v, long bytes) {
-            long mine = both.held.stream().filter(p -> p.volume().equals(v)).count();
+        private static void acquire(AdmissionAndModel pair, int c, String v, long bytes) {
+            long mine = pair.heldSlots.stream().filter(p -> p.volume().equals(v)).count();
             boolean free =
-                    both.held.size() < PLACES
-                            && both.bytes() + bytes <= BYTES
-                            && both.held.stream().noneMatch(p -> p.connection() == c);
-            Admission.Verdict verdict = both.real.tryAcquire(c, v, bytes);
+                    pair.heldSlots.size() < SLOTS
+                            && pair.bytes() + bytes <= BYTES
+                            && pair.heldSlots.stream().noneMatch(p -> p.connection() == c);
+            Admission.Verdict verdict = pair.admission.tryAcquire(c, v, bytes);
             assertTrue(
                     mine > 0 || !free || verdict.admitted(),
-                    "a volume that holds nothing found no place");
+                    "a volume that holds nothing found no slot");
             assertTrue(
                     verdict.admitted() == (verdict.retryAfterMicros() == 0)
                             && verdict.retryAfterMicros() <= 500_000);
             if (verdict.admitted()) {
-                both.held.add(new Place(c, v, bytes));
+                pair.heldSlots.add(new Slot(c, v, bytes));
             }
-            both.check();
+            pair.check();
         }
     }
 
-    private static final class GiveBack implements Action.Dependent<Both> {
+    private static final class Release implements Action.Dependent<AdmissionAndModel> {
         @Override
-        public boolean precondition(Both both) {
-            return !both.held.isEmpty();
+        public boolean precondition(AdmissionAndModel pair) {
+            return !pair.heldSlots.isEmpty();
         }
 
         @Override
-        public Arbitrary<Transformer<Both>> transformer(Both now) {
+        public Arbitrary<Transformer<AdmissionAndModel>> transformer(AdmissionAndModel now) {
             return Arbitraries.integers()
-                    .between(0, now.held.size() - 1)
+                    .between(0, now.heldSlots.size() - 1)
                     .map(
                             i ->
                                     Transformer.mutate(
-                                            "give back " + i,
-                                            both -> {
-                                                Place place =
-                                                        both.held.remove(i % both.held.size());
-                                                both.real.release(
-                                                        place.connection(),
-                                                        place.volume(),
-                                                        place.bytes(),
+                                            "release " + i,
+                                            pair -> {
+                                                Slot slot =
+                                                        pair.heldSlots.remove(
+                                                                i % pair.heldSlots.size());
+                                                pair.admission.release(
+                                                        slot.connection(),
+                                                        slot.volume(),
+                                                        slot.bytes(),
                                                         1_000);
-                                                both.check();
+                                                pair.check();
                                             }));
         }
     }
 
     @Property(tries = 300, seed = "20261201")
-    void boundsHoldAndNoPlaceLeaks(@ForAll("chains") ActionChain<Both> chain) {
+    void boundsHoldAndNoSlotLeaks(@ForAll("chains") ActionChain<AdmissionAndModel> chain) {
         chain.run();
     }
 
     /**
-     * However many volumes flood, one that holds nothing finds a place, and its part grows as they
-     * go.
+     * However many volumes flood, one that holds nothing finds a slot, and its share grows as they
+     * release theirs.
      */
     @Property(tries = 100, seed = "20261201")
-    void floodsLeaveRoomForOthers(@ForAll @IntRange(min = 1, max = 20) int floods) {
+    void floodsLeaveCapacityForOthers(@ForAll @IntRange(min = 1, max = 20) int floods) {
         Admission admission = new Admission(new Admission.CapacityLimits(1000, 1 << 30, 1, 1, 0));
         for (int round = 0; round < 1000; round++) {
             for (int f = 0; f < floods; f++) {
@@ -148,17 +152,17 @@
         int left = 1000 - admission.acquired();
         assertTrue(
                 left >= 1000 / (1 + floods) - floods,
-                left + " places are left beside " + floods + " floods");
+                left + " slots are left beside " + floods + " floods");
         int quiet = 0;
         while (admission.tryAcquire(99, "quiet", 1).admitted()) {
             quiet++;
         }
-        assertTrue(quiet >= left / 2 - 1, "the quiet one got " + quiet + " of " + left);
+        assertTrue(quiet >= left / 2 - 1, "the quiet volume got " + quiet + " of " + left);
     }
 
     @Example
-    void aPlaceGivenBackTwiceIsAFault() {
-        Admission admission = new Admission(ROOM);
+    void releasingASlotTwiceThrows() {
+        Admission admission = new Admission(LIMITS);
         admission.tryAcquire(1, "a", 10);
         admission.release(1, "a", 10, 5);
         assertThrows(IllegalStateException.class, () -> admission.release(1, "a", 10, 5));
--- a/lifecycle/src/test/java/milletyoke/admission/NameTableTest.java
+++ b/lifecycle/src/test/java/milletyoke/admission/NameTableTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.Example;
 
 class NameTableTest {
-    private static boolean used(NameTable names, String name, long now) {
+    private static boolean tryUse(NameTable names, String name, long now) {
         boolean admitted = names.admits(name, now);
         if (admitted) {
             names.acquire(name, now);
@@ -17,28 +17,28 @@
     }
 
     @Example
-    void aFloodOfNewNamesStopsAtTheBoundAndThoseInUseGoOn() {
+    void floodOfNewNamesStopsAtTheBoundAndNamesInUseAreAdmitted() {
         NameTable names = new NameTable(100, 1_000);
-        SplittableRandom chance = new SplittableRandom(3);
-        int refused = 0;
+        SplittableRandom random = new SplittableRandom(3);
+        int rejected = 0;
         for (long now = 0; now < 200_000; now++) {
-            refused += used(names, "made-up-" + now, now) ? 0 : 1;
+            rejected += tryUse(names, "made-up-" + now, now) ? 0 : 1;
             assertTrue(
-                    used(names, "ours-" + chance.nextInt(10), now) || now < 100,
-                    "a name in use got in before");
+                    tryUse(names, "ours-" + random.nextInt(10), now) || now < 100,
+                    "a name in use is admitted");
             assertTrue(names.inUse() <= 100);
         }
-        assertTrue(refused > 100_000, "most of the flood stays outside");
+        assertTrue(rejected > 100_000, "most of the flood is rejected");
     }
 
     @Example
-    void aNameUnusedForLongEnoughMakesRoom() {
+    void nameUnusedForItsRetentionMakesRoom() {
         NameTable names = new NameTable(2, 1_000);
-        assertTrue(used(names, "a", 0) && used(names, "b", 10) && used(names, "a", 500));
-        assertFalse(used(names, "c", 1_009), "b was used less than its time ago");
-        assertTrue(used(names, "c", 1_010));
+        assertTrue(tryUse(names, "a", 0) && tryUse(names, "b", 10) && tryUse(names, "a", 500));
+        assertFalse(tryUse(names, "c", 1_009), "b is still within its retention");
+        assertTrue(tryUse(names, "c", 1_010));
         assertEquals(2, names.inUse());
-        assertFalse(used(names, "b", 1_011), "and b is new now");
-        assertTrue(used(names, "a", 1_012), "a was used since");
+        assertFalse(tryUse(names, "b", 1_011), "and b is new now");
+        assertTrue(tryUse(names, "a", 1_012), "a was used since");
     }
 }
--- a/lifecycle/src/test/java/milletyoke/lifecycle/LifecycleTest.java
+++ b/lifecycle/src/test/java/milletyoke/lifecycle/LifecycleTest.java
@@ -11,20 +11,20 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** What a daemon is after any order of facts. */
+/** The lifecycle state after events in any order. */
 class LifecycleTest {
-    private static final long SECOND = 1_000_000;
-    private final Lifecycle life = new Lifecycle(Lifecycle.Thresholds.DEFAULT);
-    private long now = 100 * SECOND;
+    private static final long SECOND_MICROS = 1_000_000;
+    private final Lifecycle lifecycle = new Lifecycle(Lifecycle.Thresholds.DEFAULT);
+    private long nowMicros = 100 * SECOND_MICROS;
 
-    private LifecycleState after(long seconds, LifecycleEvent fact) {
-        now += seconds * SECOND;
-        return life.apply(now, fact);
+    private LifecycleState after(long seconds, LifecycleEvent event) {
+        nowMicros += seconds * SECOND_MICROS;
+        return lifecycle.apply(nowMicros, event);
     }
 
     @Example
-    void takesNothingUntilItKnowsATarget() {
-        assertEquals(LifecycleState.STARTING, life.state());
+    void admitsNothingUntilATargetIsKnown() {
+        assertEquals(LifecycleState.STARTING, lifecycle.state());
         assertEquals(LifecycleState.STARTING, after(0, new LifecycleEvent.DiscoveryUnavailable()));
         assertEquals(LifecycleState.WITHOUT_LIST, after(10, new LifecycleEvent.Tick()));
         assertEquals(
@@ -35,7 +35,7 @@
     }
 
     @Example
-    void aRestoredListIsUsedAndToldToBeOld() {
+    void restoredListIsUsedUntilItCountsAsLost() {
         assertEquals(
                 LifecycleState.READY, after(0, new LifecycleEvent.EndpointListReceived(3, true)));
         assertEquals(LifecycleState.LIST_LOST, after(10, new LifecycleEvent.Tick()));
@@ -44,23 +44,23 @@
     }
 
     @Example
-    void anEmptyRestoredListIsNone() {
+    void emptyRestoredListCountsAsNone() {
         assertEquals(
                 LifecycleState.STARTING,
                 after(0, new LifecycleEvent.EndpointListReceived(0, true)));
     }
 
     @Example
-    void losingTheListWhileTargetsAreKnownIsAConditionOfItsOwn() {
+    void lostListWithKnownTargetsIsAStateOfItsOwn() {
         after(0, new LifecycleEvent.EndpointListReceived(3, false));
         assertEquals(LifecycleState.READY, after(1, new LifecycleEvent.DiscoveryUnavailable()));
         assertEquals(LifecycleState.READY, after(9, new LifecycleEvent.DiscoveryUnavailable()));
         assertEquals(LifecycleState.LIST_LOST, after(1, new LifecycleEvent.Tick()));
-        assertTrue(life.state().admits());
+        assertTrue(lifecycle.state().admits());
     }
 
     @Example
-    void saturationHasAGapAndATime() {
+    void saturationHasHysteresisAndAMinimumTime() {
         after(0, new LifecycleEvent.EndpointListReceived(3, false));
         assertEquals(
                 LifecycleState.SATURATED, after(1, new LifecycleEvent.UtilizationMeasured(0.95)));
@@ -73,17 +73,17 @@
     }
 
     @Example
-    void drainIsTakenBackAndLeavingIsNot() {
+    void drainCanBeCancelledAndShutdownCannot() {
         after(0, new LifecycleEvent.EndpointListReceived(3, false));
         assertEquals(LifecycleState.DRAINING, after(1, new LifecycleEvent.DrainRequested("ann")));
         assertEquals(LifecycleState.READY, after(1, new LifecycleEvent.DrainCancelled("ann")));
         assertEquals(LifecycleState.LEAVING, after(1, new LifecycleEvent.ShutdownRequested()));
         assertEquals(LifecycleState.LEAVING, after(1, new LifecycleEvent.DrainCancelled("ann")));
-        assertEquals("drained by ann", life.transitions().get(1).reason());
+        assertEquals("drained by ann", lifecycle.transitions().get(1).reason());
     }
 
     @Provide
-    Arbitrary<List<LifecycleEvent>> facts() {
+    Arbitrary<List<LifecycleEvent>> events() {
         Arbitrary<LifecycleEvent> any =
                 Arbitraries.oneOf(
                         Arbitraries.integers()
@@ -104,26 +104,26 @@
     }
 
     /**
-     * In any order: leaving is for ever, no access is taken without a target, and each change is
-     * remembered in order.
+     * In any order: shutting down is final, nothing is admitted without a usable target, and each
+     * transition is recorded in order.
      */
     @Property(tries = 500, seed = "20261201")
-    void whatAlwaysHolds(@ForAll("facts") List<LifecycleEvent> facts) {
+    void invariantsHoldInAnyOrderOfEvents(@ForAll("events") List<LifecycleEvent> history) {
         Lifecycle any = new Lifecycle(Lifecycle.Thresholds.DEFAULT);
         int usable = 0;
-        boolean left = false;
+        boolean isShuttingDown = false;
         LifecycleState before = any.state();
-        for (LifecycleEvent fact : facts) {
-            now += SECOND / 3;
-            usable = fact instanceof LifecycleEvent.EndpointListReceived l ? l.usable() : usable;
-            left |= fact instanceof LifecycleEvent.ShutdownRequested;
-            LifecycleState after = any.apply(now, fact);
-            assertTrue(!left || after == LifecycleState.LEAVING);
+        for (LifecycleEvent event : history) {
+            nowMicros += SECOND_MICROS / 3;
+            usable = event instanceof LifecycleEvent.EndpointListReceived l ? l.usable() : usable;
+            isShuttingDown |= event instanceof LifecycleEvent.ShutdownRequested;
+            LifecycleState after = any.apply(nowMicros, event);
+            assertTrue(!isShuttingDown || after == LifecycleState.LEAVING);
             assertTrue(usable > 0 || !after.admits());
             if (after != before) {
                 var last = any.transitions().get(any.transitions().size() - 1);
                 assertEquals(
-                        List.of(before, after, now),
+                        List.of(before, after, nowMicros),
                         List.of(last.from(), last.to(), last.atMicros()));
             }
             before = after;
