--- a/cli/src/main/java/milletyoke/cli/ConfigCommand.java
+++ b/cli/src/main/java/milletyoke/cli/ConfigCommand.java
@@ -52,7 +52,7 @@
 
     private static boolean tell(List<Diagnostic> findings) {
         findings.forEach(f -> System.err.print(f.text()));
-        return findings.stream().noneMatch(Diagnostic::error);
+        return findings.stream().noneMatch(Diagnostic::isError);
     }
 
     @Command(
@@ -75,7 +75,7 @@
                     all.add(
                             Map.of(
                                     "severity",
-                                    f.error() ? "error" : "warning",
+                                    f.isError() ? "error" : "warning",
                                     "code",
                                     f.code(),
                                     "file",
@@ -96,7 +96,7 @@
                                 Map.of("clean", result.isValid(), "findings", all)));
             } else {
                 tell(result.diagnostics());
-                long errors = result.diagnostics().stream().filter(Diagnostic::error).count();
+                long errors = result.diagnostics().stream().filter(Diagnostic::isError).count();
                 System.out.printf(
                         "%d files, %d errors, %d warnings%n",
                         result.files().size(), errors, result.diagnostics().size() - errors);
@@ -172,8 +172,8 @@
         @Override
         public Integer call() throws Exception {
             Checker.Result a = check(before), b = check(after);
-            if (!tell(a.diagnostics().stream().filter(Diagnostic::error).toList())
-                    | !tell(b.diagnostics().stream().filter(Diagnostic::error).toList())) {
+            if (!tell(a.diagnostics().stream().filter(Diagnostic::isError).toList())
+                    | !tell(b.diagnostics().stream().filter(Diagnostic::isError).toList())) {
                 return 2;
             }
             List<FleetDiff.Change> changes = FleetDiff.between(a.fleet(), b.fleet());
--- a/cli/src/main/java/milletyoke/cli/LoadCommand.java
+++ b/cli/src/main/java/milletyoke/cli/LoadCommand.java
@@ -105,7 +105,7 @@
                         1,
                         1,
                         0,
-                        setup.deployment().answerSlackMicros(),
+                        setup.deployment().responseSlackMicros(),
                         0,
                         0,
                         List.of());
--- a/config/src/main/java/milletyoke/config/Checker.java
+++ b/config/src/main/java/milletyoke/config/Checker.java
@@ -13,8 +13,8 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import milletyoke.config.Quantity.Dimension;
-import milletyoke.config.SyntaxTree.At;
 import milletyoke.config.SyntaxTree.Block;
+import milletyoke.config.SyntaxTree.Position;
 import milletyoke.config.SyntaxTree.Setting;
 
 /**
@@ -33,7 +33,7 @@
     /** What came of it; {@code fleet} is null where there is any error. */
     public record Result(Fleet fleet, List<Diagnostic> diagnostics, List<String> files) {
         public boolean isValid() {
-            return diagnostics.stream().noneMatch(Diagnostic::error);
+            return diagnostics.stream().noneMatch(Diagnostic::isError);
         }
     }
 
@@ -70,7 +70,7 @@
                 Comparator.comparing(Diagnostic::file)
                         .thenComparingInt(Diagnostic::line)
                         .thenComparingInt(Diagnostic::column));
-        boolean clean = checker.findings.stream().noneMatch(Diagnostic::error);
+        boolean clean = checker.findings.stream().noneMatch(Diagnostic::isError);
         return new Result(
                 clean ? fleet : null,
                 List.copyOf(checker.findings),
@@ -79,16 +79,21 @@
 
     // ---- Findings ----
 
-    private void error(At at, String code, String message, String hint) {
+    private void error(Position at, String code, String message, String hint) {
         found(true, at, code, message, hint, List.of());
     }
 
-    private void warn(At at, String code, String message, String hint) {
+    private void warn(Position at, String code, String message, String hint) {
         found(false, at, code, message, hint, List.of());
     }
 
     private void found(
-            boolean error, At at, String code, String message, String hint, List<String> chain) {
+            boolean error,
+            Position at,
+            String code,
+            String message,
+            String hint,
+            List<String> chain) {
         if (findings.size() < MOST_FINDINGS) {
             List<String> of =
                     lines.computeIfAbsent(
@@ -110,7 +115,7 @@
 
     // ---- Files ----
 
-    private void load(String file, At from) {
+    private void load(String file, Position from) {
         if (open.contains(file)) {
             List<String> chain = new ArrayList<>();
             open.descendingIterator().forEachRemaining(f -> chain.add(f + " includes"));
@@ -127,11 +132,14 @@
         if (files.containsKey(file)) {
             return; // included twice, by whatever names: once is enough
         }
-        if (files.size() >= MOST_FILES || open.size() >= FleetReader.DEEPEST) {
+        if (files.size() >= MOST_FILES || open.size() >= FleetReader.MAX_DEPTH) {
             error(
                     from,
                     "size",
-                    "over " + MOST_FILES + " files, or includes deeper than " + FleetReader.DEEPEST,
+                    "over "
+                            + MOST_FILES
+                            + " files, or includes deeper than "
+                            + FleetReader.MAX_DEPTH,
                     "");
             return;
         }
@@ -139,14 +147,14 @@
         try {
             text = library.text(file);
         } catch (SourceProvider.UnreadableSourceException unreadable) {
-            At at = from == null ? new At(file, 1, 1) : from;
+            Position at = from == null ? new Position(file, 1, 1) : from;
             error(at, "file", file + " cannot be read: " + unreadable.getMessage(), "");
             return;
         }
         read += text.length();
         if (read > MOST_TEXT) {
             error(
-                    from == null ? new At(file, 1, 1) : from,
+                    from == null ? new Position(file, 1, 1) : from,
                     "size",
                     "over " + MOST_TEXT + " characters in all files",
                     "");
@@ -218,7 +226,7 @@
         }
     }
 
-    private static String place(At at) {
+    private static String place(Position at) {
         return at.file() + ":" + at.line();
     }
 
@@ -244,25 +252,25 @@
     // ---- Figures ----
 
     private Quantity evaluate(SyntaxTree.Expression e) throws Quantity.QuantityFormatException {
-        if (e instanceof SyntaxTree.Figure f) {
+        if (e instanceof SyntaxTree.NumberLiteral f) {
             return Quantity.of(f.text());
-        } else if (e instanceof SyntaxTree.Word w) {
+        } else if (e instanceof SyntaxTree.NameReference w) {
             return constant(w);
-        } else if (e instanceof SyntaxTree.Minus m) {
-            Quantity of = evaluate(m.of());
-            return new Quantity(-of.figure(), of.dimension());
+        } else if (e instanceof SyntaxTree.Negation m) {
+            Quantity of = evaluate(m.operand());
+            return new Quantity(-of.value(), of.dimension());
         }
         SyntaxTree.Binary b = (SyntaxTree.Binary) e;
         Quantity left = evaluate(b.left()), right = evaluate(b.right());
-        return switch (b.op()) {
+        return switch (b.operator()) {
             case '*' -> left.times(right);
-            case '/' -> left.over(right);
+            case '/' -> left.dividedBy(right);
             case '+' -> left.plus(right, 1);
             default -> left.plus(right, -1);
         };
     }
 
-    private Quantity constant(SyntaxTree.Word w) throws Quantity.QuantityFormatException {
+    private Quantity constant(SyntaxTree.NameReference w) throws Quantity.QuantityFormatException {
         Quantity known = constants.get(w.name());
         if (known != null) {
             return known;
@@ -278,13 +286,13 @@
                                     + NameSuggestions.nearest(w.name(), lets.keySet())
                                     + "?");
         }
-        if (!evaluating.add(w.name()) || evaluating.size() > FleetReader.DEEPEST) {
+        if (!evaluating.add(w.name()) || evaluating.size() > FleetReader.MAX_DEPTH) {
             throw new Quantity.QuantityFormatException(
                     "cycle",
                     "constant "
                             + w.name()
                             + " rests on itself, or on over "
-                            + FleetReader.DEEPEST
+                            + FleetReader.MAX_DEPTH
                             + " others: "
                             + String.join(", ", evaluating),
                     "");
@@ -305,7 +313,7 @@
                 .forEach(
                         l -> {
                             try {
-                                constant(new SyntaxTree.Word(l.at(), l.name()));
+                                constant(new SyntaxTree.NameReference(l.at(), l.name()));
                             } catch (Quantity.QuantityFormatException wrong) {
                                 error(l.value().at(), wrong.code, wrong.getMessage(), wrong.hint);
                             }
@@ -346,14 +354,14 @@
         references(fleet);
         routesReach();
         patterns();
-        if (findings.stream().noneMatch(Diagnostic::error)) {
+        if (findings.stream().noneMatch(Diagnostic::isError)) {
             sense(fleet);
         }
         return fleet;
     }
 
-    private At first() {
-        return new At(files.isEmpty() ? "" : files.keySet().iterator().next(), 1, 1);
+    private Position first() {
+        return new Position(files.isEmpty() ? "" : files.keySet().iterator().next(), 1, 1);
     }
 
     private SortedMap<String, List<Object>> defaults(String kind) {
@@ -362,7 +370,7 @@
                 .get(kind)
                 .forEach(
                         (name, field) -> {
-                            if (field.usual() != null && !field.usual().isEmpty()) {
+                            if (field.defaultValue() != null && !field.defaultValue().isEmpty()) {
                                 all.put(name, List.of(usual(field)));
                             }
                         });
@@ -371,7 +379,9 @@
 
     private static Object usual(Schema.Field field) {
         try {
-            return field.type().dimension() == null ? field.usual() : Quantity.of(field.usual());
+            return field.type().dimension() == null
+                    ? field.defaultValue()
+                    : Quantity.of(field.defaultValue());
         } catch (Quantity.QuantityFormatException impossible) {
             throw new IllegalStateException(impossible);
         }
@@ -384,7 +394,7 @@
                 .get(b.kind())
                 .forEach(
                         (name, field) -> {
-                            if (field.usual() == null && !all.containsKey(name)) {
+                            if (field.defaultValue() == null && !all.containsKey(name)) {
                                 error(
                                         b.at(),
                                         "missing",
@@ -401,9 +411,9 @@
                 + " "
                 + (type.dimension() != null
                         ? type.dimension().example()
-                        : type.words() != null
-                                ? type.words().get(0)
-                                : type.names() != null ? "NAME" : "a, b")
+                        : type.keywords() != null
+                                ? type.keywords().get(0)
+                                : type.referencedKind() != null ? "NAME" : "a, b")
                 + ";";
     }
 
@@ -415,7 +425,7 @@
             return known;
         }
         SortedMap<String, List<Object>> all = new TreeMap<>();
-        if (!path.add(key) || path.size() > FleetReader.DEEPEST) {
+        if (!path.add(key) || path.size() > FleetReader.MAX_DEPTH) {
             error(
                     b.parentAt(),
                     "cycle",
@@ -423,7 +433,7 @@
                             + " "
                             + b.name()
                             + " is like itself, or like over "
-                            + FleetReader.DEEPEST
+                            + FleetReader.MAX_DEPTH
                             + " others in a row",
                     "");
             return all;
@@ -441,7 +451,7 @@
             }
         }
         Map<String, Schema.Field> fields = Schema.KINDS.get(kind);
-        Map<String, At> seen = new HashMap<>();
+        Map<String, Position> seen = new HashMap<>();
         for (Setting s : b.settings()) {
             Schema.Field field = fields.get(s.name());
             if (field == null) {
@@ -468,7 +478,7 @@
         if (s.values().isEmpty()) {
             return null; // the parser has told
         }
-        if (s.values().size() > 1 && !type.list()) {
+        if (s.values().size() > 1 && !type.isList()) {
             error(s.values().get(1).at(), "type", s.name() + " takes one value", "");
             return null;
         }
@@ -489,7 +499,7 @@
             error(
                     v.at(),
                     "type",
-                    s.name() + " takes " + wanted.words() + ", not text",
+                    s.name() + " takes " + wanted.description() + ", not text",
                     "as " + example(s.name(), type));
             return null;
         }
@@ -501,15 +511,18 @@
                         "unit",
                         s.name()
                                 + " takes "
-                                + wanted.words()
+                                + wanted.description()
                                 + ", and "
                                 + q
                                 + " is "
-                                + q.dimension().words(),
-                        "did you mean " + Quantity.plain(shownFigure(v, q)) + unit(wanted) + "?");
+                                + q.dimension().description(),
+                        "did you mean "
+                                + Quantity.formatNumber(shownFigure(v, q))
+                                + unit(wanted)
+                                + "?");
                 return null;
             }
-            if (!(q.figure() >= type.least() && q.figure() <= type.most())) {
+            if (!(q.value() >= type.min() && q.value() <= type.max())) {
                 error(
                         v.at(),
                         "range",
@@ -517,16 +530,16 @@
                                 + ": "
                                 + q
                                 + " is out of range, "
-                                + new Quantity(type.least(), wanted)
+                                + new Quantity(type.min(), wanted)
                                 + " to "
-                                + new Quantity(type.most(), wanted)
+                                + new Quantity(type.max(), wanted)
                                 + " is",
                         "");
                 return null;
             }
             if (wanted == Dimension.NONE
-                    && type.most() == 100_000
-                    && q.figure() != Math.rint(q.figure())) {
+                    && type.max() == 100_000
+                    && q.value() != Math.rint(q.value())) {
                 error(v.at(), "range", s.name() + " takes a whole number", "");
                 return null;
             }
@@ -539,11 +552,11 @@
 
     /** The figure as it was written, so that the hint changes the unit alone. */
     private static double shownFigure(SyntaxTree.Value v, Quantity q) {
-        if (v.expression() instanceof SyntaxTree.Figure f) {
+        if (v.expression() instanceof SyntaxTree.NumberLiteral f) {
             String digits = f.text().replaceAll("[^0-9.].*$", "");
             return Double.parseDouble(digits);
         }
-        return q.figure();
+        return q.value();
     }
 
     private static String unit(Dimension wanted) {
@@ -554,26 +567,30 @@
         String text =
                 v.text() != null
                         ? v.text()
-                        : v.expression() instanceof SyntaxTree.Word w ? w.name() : null;
+                        : v.expression() instanceof SyntaxTree.NameReference w ? w.name() : null;
         if (text == null) {
             error(
                     v.at(),
                     "type",
                     s.name()
                             + " takes "
-                            + (type.words() != null
-                                    ? "one of " + String.join(", ", type.words())
+                            + (type.keywords() != null
+                                    ? "one of " + String.join(", ", type.keywords())
                                     : "a name")
                             + ", not a figure",
                     "");
             return null;
         }
-        if (type.words() != null && !type.words().contains(text)) {
+        if (type.keywords() != null && !type.keywords().contains(text)) {
             error(
                     v.at(),
                     "type",
-                    s.name() + " takes one of " + String.join(", ", type.words()) + ", not " + text,
-                    "did you mean " + NameSuggestions.nearest(text, type.words()) + "?");
+                    s.name()
+                            + " takes one of "
+                            + String.join(", ", type.keywords())
+                            + ", not "
+                            + text,
+                    "did you mean " + NameSuggestions.nearest(text, type.keywords()) + "?");
             return null;
         }
         return text;
@@ -587,7 +604,7 @@
         return all;
     }
 
-    private void unknown(At at, String kind, String name, Set<String> known) {
+    private void unknown(Position at, String kind, String name, Set<String> known) {
         error(
                 at,
                 "name",
@@ -608,7 +625,7 @@
                     }
                     fields.forEach(
                             (name, field) -> {
-                                String kind = field.type().names();
+                                String kind = field.type().referencedKind();
                                 String value = kind == null ? "" : meant.text(name);
                                 if (!value.isEmpty()
                                         && !known.computeIfAbsent(kind, this::names)
@@ -623,7 +640,7 @@
                 .forEach(r -> unknown(r.poolAt(), "pool", r.pool(), pools));
     }
 
-    private static At where(Block b, String setting) {
+    private static Position where(Block b, String setting) {
         return b.settings().stream()
                 .filter(s -> s.name().equals(setting) && !s.values().isEmpty())
                 .map(s -> s.values().get(0).at())
@@ -693,48 +710,48 @@
     /** What is well formed and cannot be meant. */
     private void sense(Fleet fleet) {
         Fleet.Block bounds = fleet.single("bounds");
-        At at = blocks.containsKey("bounds ") ? blocks.get("bounds ").at() : first();
-        if (bounds.figure("fall") > 0 && bounds.figure("cold") == 0) {
+        Position at = blocks.containsKey("bounds ") ? blocks.get("bounds ").at() : first();
+        if (bounds.number("fall") > 0 && bounds.number("cold") == 0) {
             error(
                     at,
                     "bounds",
                     "fall is stated and cold is not: no target would ever count as cold",
                     "cold 17s;");
         }
-        if (bounds.figure("cold") > 0 && bounds.figure("fall") > bounds.figure("cold")) {
+        if (bounds.number("cold") > 0 && bounds.number("fall") > bounds.number("cold")) {
             error(at, "bounds", "a target is warm before it could fall", "fall must be under cold");
         }
-        if (bounds.figure("fall") > 0 && bounds.figure("cold-bears") < bounds.figure("largest")) {
+        if (bounds.number("fall") > 0 && bounds.number("cold-bears") < bounds.number("largest")) {
             warn(
                     at,
                     "bounds",
                     "cold-bears is under one largest access: a cold target may get nothing for long",
                     "");
         }
-        if (bounds.figure("relay-budget-span") > 0
-                && bounds.figure("relay-budget-free") < 1
-                && bounds.figure("relay-budget-share") == 0) {
+        if (bounds.number("relay-budget-span") > 0
+                && bounds.number("relay-budget-free") < 1
+                && bounds.number("relay-budget-share") == 0) {
             warn(at, "bounds", "the relay budget allows no further relay at all", "");
         }
-        for (Fleet.Block c : fleet.of("category")) {
+        for (Fleet.Block c : fleet.blocksOfKind("category")) {
             category(fleet, c);
         }
-        for (Fleet.Block p : fleet.of("plan")) {
+        for (Fleet.Block p : fleet.blocksOfKind("plan")) {
             plan(fleet, p, bounds);
         }
         reserves(fleet);
     }
 
     private void category(Fleet fleet, Fleet.Block c) {
-        At at = blocks.get("category " + c.name()).at();
-        if (c.text("repeats").equals("stamped") && c.figure("repeat-window") == 0) {
+        Position at = blocks.get("category " + c.name()).at();
+        if (c.text("repeats").equals("stamped") && c.number("repeat-window") == 0) {
             error(
                     at,
                     "category",
                     "category " + c.name() + " is stamped and states no repeat-window",
                     "repeat-window 2500ms;");
         }
-        if (c.text("repeats").equals("one-shot") && c.figure("repeat-window") > 0) {
+        if (c.text("repeats").equals("one-shot") && c.number("repeat-window") > 0) {
             warn(
                     at,
                     "category",
@@ -744,7 +761,7 @@
                             + " repeat-window is never used",
                     "stamped is what knows repeats");
         }
-        if (c.flag("key-ordered") && fleet.single("bounds").figure("key-quiet") == 0) {
+        if (c.flag("key-ordered") && fleet.single("bounds").number("key-quiet") == 0) {
             warn(
                     at,
                     "category",
@@ -754,11 +771,11 @@
     }
 
     private void plan(Fleet fleet, Fleet.Block p, Fleet.Block bounds) {
-        At at = blocks.get("plan " + p.name()).at();
-        if (p.figure("limit-rate") == 0) {
+        Position at = blocks.get("plan " + p.name()).at();
+        if (p.number("limit-rate") == 0) {
             return;
         }
-        if (p.figure("limit-depth") == 0) {
+        if (p.number("limit-depth") == 0) {
             error(
                     at,
                     "limit",
@@ -768,7 +785,7 @@
                     "limit-depth 36u;");
             return;
         }
-        if (p.figure("reserve") > p.figure("limit-rate")) {
+        if (p.number("reserve") > p.number("limit-rate")) {
             error(
                     at,
                     "limit",
@@ -776,13 +793,13 @@
                     "");
         }
         double hosts =
-                fleet.of("volume").stream()
+                fleet.blocksOfKind("volume").stream()
                         .filter(v -> v.text("plan").equals(p.name()))
-                        .mapToDouble(v -> v.figure("hosts"))
+                        .mapToDouble(v -> v.number("hosts"))
                         .max()
                         .orElse(1);
-        double part = (p.figure("limit-depth") + 0.9 * p.figure("limit-slack")) / hosts;
-        if (part < bounds.figure("largest")) {
+        double part = (p.number("limit-depth") + 0.9 * p.number("limit-slack")) / hosts;
+        if (part < bounds.number("largest")) {
             warn(
                     at,
                     "limit",
@@ -792,7 +809,7 @@
                                     + " one largest access of %s",
                             p.name(),
                             new Quantity(Math.floor(part * 100) / 100, Dimension.UNITS),
-                            new Quantity(bounds.figure("largest"), Dimension.UNITS)),
+                            new Quantity(bounds.number("largest"), Dimension.UNITS)),
                     "such an access could never be sent");
         }
     }
@@ -803,16 +820,16 @@
      */
     private void reserves(Fleet fleet) {
         Map<String, Double> sums = new TreeMap<>();
-        for (Fleet.Block v : fleet.of("volume")) {
+        for (Fleet.Block v : fleet.blocksOfKind("volume")) {
             Fleet.Block plan = fleet.block("plan", v.text("plan"));
             String pool = fleet.route("volume", v.name());
             if (pool != null && plan != null) {
-                sums.merge(pool, plan.figure("reserve"), Double::sum);
+                sums.merge(pool, plan.number("reserve"), Double::sum);
             }
         }
         sums.forEach(
                 (pool, sum) -> {
-                    double bears = fleet.block("pool", pool).figure("capacity");
+                    double bears = fleet.block("pool", pool).number("capacity");
                     if (bears > 0 && sum > bears) {
                         error(
                                 blocks.get("pool " + pool).at(),
--- a/config/src/main/java/milletyoke/config/Diagnostic.java
+++ b/config/src/main/java/milletyoke/config/Diagnostic.java
@@ -7,18 +7,18 @@
  *
  * @param code stays the same over versions, as {@code unit} or {@code cycle}
  * @param hint what to do, empty where there is nothing to add
- * @param shown the line itself, without its end
+ * @param sourceLine the line itself, without its end
  * @param chain further places that belong to it, as the files of an include cycle
  */
 public record Diagnostic(
-        boolean error,
+        boolean isError,
         String code,
         String file,
         int line,
         int column,
         String message,
         String hint,
-        String shown,
+        String sourceLine,
         List<String> chain) {
 
     /** Several lines: the place and what is wrong, the line, a caret, the hint. */
@@ -30,16 +30,18 @@
                 .append(':')
                 .append(column)
                 .append(": ")
-                .append(error ? "error" : "warning")
+                .append(isError ? "error" : "warning")
                 .append(" [")
                 .append(code)
                 .append("]: ")
                 .append(message)
                 .append('\n');
-        if (!shown.isEmpty()) {
-            int from = Math.max(0, Math.min(column - 1 - 60, shown.length()));
+        if (!sourceLine.isEmpty()) {
+            int from = Math.max(0, Math.min(column - 1 - 60, sourceLine.length()));
             String part =
-                    shown.substring(from, Math.min(shown.length(), from + 120)).replace('\t', ' ');
+                    sourceLine
+                            .substring(from, Math.min(sourceLine.length(), from + 120))
+                            .replace('\t', ' ');
             out.append("    ")
                     .append(part)
                     .append('\n')
--- a/config/src/main/java/milletyoke/config/Fleet.java
+++ b/config/src/main/java/milletyoke/config/Fleet.java
@@ -13,9 +13,9 @@
 public record Fleet(SortedMap<String, Block> blocks, List<Route> routes) {
     /** One block; a value is a {@link Quantity} or text. */
     public record Block(String kind, String name, SortedMap<String, List<Object>> settings) {
-        public double figure(String setting) {
+        public double number(String setting) {
             List<Object> values = settings.get(setting);
-            return values == null ? 0 : ((Quantity) values.get(0)).figure();
+            return values == null ? 0 : ((Quantity) values.get(0)).value();
         }
 
         public String text(String setting) {
@@ -33,7 +33,7 @@
      */
     public record Route(String what, String pattern, String pool) {}
 
-    public List<Block> of(String kind) {
+    public List<Block> blocksOfKind(String kind) {
         return blocks.values().stream().filter(b -> b.kind().equals(kind)).toList();
     }
 
--- a/config/src/main/java/milletyoke/config/FleetDiff.java
+++ b/config/src/main/java/milletyoke/config/FleetDiff.java
@@ -29,7 +29,7 @@
             String before,
             String after,
             String whom,
-            ApplyMode applyMode) {
+            ApplyMode taken) {
         public String text() {
             String change =
                     setting.isEmpty()
@@ -46,7 +46,7 @@
                     + change
                     + (whom.isEmpty() ? "" : ", " + whom)
                     + "  ["
-                    + applyMode.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ')
+                    + taken.name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ')
                     + "]";
         }
     }
@@ -117,14 +117,14 @@
             return "";
         }
         long own =
-                fleet.of("volume").stream()
+                fleet.blocksOfKind("volume").stream()
                         .filter(
                                 v ->
                                         v.text(block.kind()).equals(block.name())
                                                 && !v.name().endsWith("*"))
                         .count();
         long patterns =
-                fleet.of("volume").stream()
+                fleet.blocksOfKind("volume").stream()
                         .filter(
                                 v ->
                                         v.text(block.kind()).equals(block.name())
--- a/config/src/main/java/milletyoke/config/FleetReader.java
+++ b/config/src/main/java/milletyoke/config/FleetReader.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import milletyoke.config.SyntaxTree.At;
+import milletyoke.config.SyntaxTree.Position;
 import milletyoke.config.grammar.FleetLexer;
 import milletyoke.config.grammar.FleetParser;
 import org.antlr.v4.runtime.BaseErrorListener;
@@ -20,17 +20,20 @@
  * as the text does.
  */
 final class FleetReader {
-    static final int LARGEST = 16 << 20, DEEPEST = 64, LONGEST_SUM = 256, MOST_FINDINGS = 200;
+    static final int MAX_FILE_CHARS = 16 << 20,
+            MAX_DEPTH = 64,
+            MAX_OPERATORS = 256,
+            MAX_DIAGNOSTICS = 200;
 
     private final String file;
     private final String text;
-    private final List<Diagnostic> findings;
+    private final List<Diagnostic> diagnostics;
     private List<String> lines;
 
     private FleetReader(String file, String text, List<Diagnostic> findings) {
         this.file = file;
         this.text = text;
-        this.findings = findings;
+        this.diagnostics = findings;
     }
 
     static SyntaxTree.File read(String file, String text, List<Diagnostic> findings) {
@@ -40,7 +43,7 @@
     /** All tokens, remarks too; null where the text is beyond a bound, and that was found. */
     static CommonTokenStream tokens(String file, String text, List<Diagnostic> findings) {
         FleetReader reader = new FleetReader(file, text, findings);
-        return reader.bounded() ? reader.lex() : null;
+        return reader.isWithinSizeLimit() ? reader.lex() : null;
     }
 
     private CommonTokenStream lex() {
@@ -48,23 +51,23 @@
         lexer.removeErrorListeners();
         CommonTokenStream tokens = new CommonTokenStream(lexer);
         tokens.fill();
-        return shallow(tokens) ? tokens : null;
+        return isWithinNestingLimits(tokens) ? tokens : null;
     }
 
-    private boolean bounded() {
-        if (text.length() > LARGEST) {
-            found(
+    private boolean isWithinSizeLimit() {
+        if (text.length() > MAX_FILE_CHARS) {
+            report(
                     "size",
                     1,
                     1,
-                    "over " + LARGEST + " characters in one file",
+                    "over " + MAX_FILE_CHARS + " characters in one file",
                     "split it and include the parts");
         }
-        return text.length() <= LARGEST;
+        return text.length() <= MAX_FILE_CHARS;
     }
 
     /** Guards the stack against text that nests without end; nothing that is meant needs more. */
-    private boolean shallow(CommonTokenStream tokens) {
+    private boolean isWithinNestingLimits(CommonTokenStream tokens) {
         int depth = 0, signs = 0, operators = 0;
         for (Token t : tokens.getTokens()) {
             if (t.getChannel() != Token.DEFAULT_CHANNEL) {
@@ -83,15 +86,15 @@
                                                     || s.equals("/")
                                             ? 1
                                             : 0);
-            if (depth > DEEPEST || signs > DEEPEST || operators > LONGEST_SUM) {
-                found(
+            if (depth > MAX_DEPTH || signs > MAX_DEPTH || operators > MAX_OPERATORS) {
+                report(
                         "depth",
                         t.getLine(),
                         t.getCharPositionInLine() + 1,
                         "nested deeper than "
-                                + DEEPEST
+                                + MAX_DEPTH
                                 + ", or over "
-                                + LONGEST_SUM
+                                + MAX_OPERATORS
                                 + " operators in one figure",
                         "name parts of it with let");
                 return false;
@@ -101,7 +104,7 @@
     }
 
     private SyntaxTree.File read() {
-        CommonTokenStream tokens = bounded() ? lex() : null;
+        CommonTokenStream tokens = isWithinSizeLimit() ? lex() : null;
         if (tokens == null) {
             return new SyntaxTree.File(file, List.of());
         }
@@ -118,7 +121,7 @@
                             int column,
                             String message,
                             RecognitionException e) {
-                        found("syntax", line, column + 1, words(message, symbol), "");
+                        report("syntax", line, column + 1, words(message, symbol), "");
                     }
                 });
         List<SyntaxTree.Statement> statements = new ArrayList<>();
@@ -142,9 +145,9 @@
         return message.replaceAll("\\s+", " ").replace("<EOF>", "the end of the file");
     }
 
-    private void found(String code, int line, int column, String message, String hint) {
-        if (findings.size() < MOST_FINDINGS) {
-            findings.add(
+    private void report(String code, int line, int column, String message, String hint) {
+        if (diagnostics.size() < MAX_DIAGNOSTICS) {
+            diagnostics.add(
                     new Diagnostic(
                             true, code, file, line, column, message, hint, line(line), List.of()));
         }
@@ -157,12 +160,12 @@
 
     // ---- The parser's tree to ours; what it could not finish is left out, and was found ----
 
-    private At at(ParserRuleContext c) {
+    private Position at(ParserRuleContext c) {
         return at(c.getStart());
     }
 
-    private At at(Token t) {
-        return new At(file, t.getLine(), t.getCharPositionInLine() + 1);
+    private Position at(Token t) {
+        return new Position(file, t.getLine(), t.getCharPositionInLine() + 1);
     }
 
     private SyntaxTree.Statement statement(FleetParser.StatementContext s) {
@@ -227,14 +230,14 @@
 
     private SyntaxTree.Expression expression(FleetParser.ExpressionContext e) {
         if (e instanceof FleetParser.QuantityContext c && c.QUANTITY() != null) {
-            return new SyntaxTree.Figure(at(c), c.QUANTITY().getText());
+            return new SyntaxTree.NumberLiteral(at(c), c.QUANTITY().getText());
         } else if (e instanceof FleetParser.WordContext c && c.key() != null) {
-            return new SyntaxTree.Word(at(c), c.key().getText());
+            return new SyntaxTree.NameReference(at(c), c.key().getText());
         } else if (e instanceof FleetParser.GroupContext c) {
             return expression(c.expression());
         } else if (e instanceof FleetParser.MinusContext c) {
             SyntaxTree.Expression of = expression(c.expression());
-            return of == null ? null : new SyntaxTree.Minus(at(c), of);
+            return of == null ? null : new SyntaxTree.Negation(at(c), of);
         } else if (e instanceof FleetParser.ProductContext c) {
             return binary(at(c), c.op, c.left, c.right);
         } else if (e instanceof FleetParser.SumContext c) {
@@ -244,7 +247,10 @@
     }
 
     private SyntaxTree.Expression binary(
-            At at, Token op, FleetParser.ExpressionContext a, FleetParser.ExpressionContext b) {
+            Position at,
+            Token op,
+            FleetParser.ExpressionContext a,
+            FleetParser.ExpressionContext b) {
         SyntaxTree.Expression left = expression(a);
         SyntaxTree.Expression right = expression(b);
         return left == null || right == null || op == null
--- a/config/src/main/java/milletyoke/config/NameSuggestions.java
+++ b/config/src/main/java/milletyoke/config/NameSuggestions.java
@@ -4,7 +4,7 @@
 
 /** Names that look alike. */
 final class NameSuggestions {
-    private static final int LONGEST = 64;
+    private static final int MAX_NAME_CHARS = 64;
 
     private NameSuggestions() {}
 
@@ -15,7 +15,7 @@
     static String nearest(String name, Collection<String> known) {
         String best = "";
         int least = Integer.MAX_VALUE;
-        String bounded = name.length() > LONGEST ? name.substring(0, LONGEST) : name;
+        String bounded = name.length() > MAX_NAME_CHARS ? name.substring(0, MAX_NAME_CHARS) : name;
         for (String k : known) {
             int d = Math.abs(k.length() - bounded.length()) >= least ? least : distance(bounded, k);
             if (d < least) {
--- a/config/src/main/java/milletyoke/config/Quantity.java
+++ b/config/src/main/java/milletyoke/config/Quantity.java
@@ -8,7 +8,7 @@
  * A figure with its dimension, in base units: microseconds, units, units a second, bytes, parts of
  * one, or none.
  */
-public record Quantity(double figure, Dimension dimension) {
+public record Quantity(double value, Dimension dimension) {
     /** What a figure measures. */
     public enum Dimension {
         TIME("a time", "250ms"),
@@ -18,16 +18,16 @@
         SHARE("a share", "29%"),
         NONE("a bare number", "3");
 
-        private final String words;
+        private final String description;
         private final String example;
 
         Dimension(String words, String example) {
-            this.words = words;
+            this.description = words;
             this.example = example;
         }
 
-        public String words() {
-            return words;
+        public String description() {
+            return description;
         }
 
         public String example() {
@@ -36,7 +36,7 @@
     }
 
     /** No figure of a configuration is larger; what is beyond is a slip. */
-    static final double MOST = 1e15;
+    static final double MAX_VALUE = 1e15;
 
     private record Unit(Dimension dimension, double base) {}
 
@@ -97,10 +97,10 @@
 
     private static Quantity checked(double figure, Dimension dimension)
             throws QuantityFormatException {
-        if (!(Math.abs(figure) <= MOST)) {
+        if (!(Math.abs(figure) <= MAX_VALUE)) {
             throw new QuantityFormatException(
                     "range",
-                    "a figure over " + plain(MOST) + " in base units",
+                    "a figure over " + formatNumber(MAX_VALUE) + " in base units",
                     "no such figure has a meaning here");
         }
         return new Quantity(figure, dimension);
@@ -110,67 +110,74 @@
         if (dimension != o.dimension) {
             throw new QuantityFormatException(
                     "unit",
-                    dimension.words() + " and " + o.dimension.words() + " cannot be added",
+                    dimension.description()
+                            + " and "
+                            + o.dimension.description()
+                            + " cannot be added",
                     "");
         }
-        return checked(figure + sign * o.figure, dimension);
+        return checked(value + sign * o.value, dimension);
     }
 
     Quantity times(Quantity o) throws QuantityFormatException {
         if (dimension == Dimension.NONE || o.dimension == Dimension.NONE) {
-            return checked(
-                    figure * o.figure, dimension == Dimension.NONE ? o.dimension : dimension);
+            return checked(value * o.value, dimension == Dimension.NONE ? o.dimension : dimension);
         }
         if (dimension == Dimension.SHARE || o.dimension == Dimension.SHARE) {
-            return checked(
-                    figure * o.figure, dimension == Dimension.SHARE ? o.dimension : dimension);
+            return checked(value * o.value, dimension == Dimension.SHARE ? o.dimension : dimension);
         }
         if (dimension == Dimension.RATE && o.dimension == Dimension.TIME
                 || dimension == Dimension.TIME && o.dimension == Dimension.RATE) {
-            return checked(figure * o.figure / 1e6, Dimension.UNITS);
+            return checked(value * o.value / 1e6, Dimension.UNITS);
         }
         throw new QuantityFormatException(
                 "unit",
-                dimension.words() + " times " + o.dimension.words() + " is nothing known here",
+                dimension.description()
+                        + " times "
+                        + o.dimension.description()
+                        + " is nothing known here",
                 "");
     }
 
-    Quantity over(Quantity o) throws QuantityFormatException {
-        if (o.figure == 0) {
+    Quantity dividedBy(Quantity o) throws QuantityFormatException {
+        if (o.value == 0) {
             throw new QuantityFormatException("range", "a division by 0", "");
         }
         if (o.dimension == Dimension.NONE) {
-            return checked(figure / o.figure, dimension);
+            return checked(value / o.value, dimension);
         }
         if (dimension == o.dimension) {
-            return checked(figure / o.figure, Dimension.NONE);
+            return checked(value / o.value, Dimension.NONE);
         }
         if (dimension == Dimension.UNITS && o.dimension == Dimension.TIME) {
-            return checked(figure / (o.figure / 1e6), Dimension.RATE);
+            return checked(value / (o.value / 1e6), Dimension.RATE);
         }
         if (dimension == Dimension.UNITS && o.dimension == Dimension.RATE) {
-            return checked(figure / o.figure * 1e6, Dimension.TIME);
+            return checked(value / o.value * 1e6, Dimension.TIME);
         }
         throw new QuantityFormatException(
                 "unit",
-                dimension.words() + " over " + o.dimension.words() + " is nothing known here",
+                dimension.description()
+                        + " over "
+                        + o.dimension.description()
+                        + " is nothing known here",
                 "");
     }
 
     /** As an operator would write it: the largest unit that gives a short figure. */
     @Override
     public String toString() {
-        if (figure == 0 && dimension != Dimension.NONE) {
+        if (value == 0 && dimension != Dimension.NONE) {
             return "0" + smallest();
         }
         String best = null;
         for (Map.Entry<String, Unit> u : UNITS.entrySet()) {
             if (u.getValue().dimension() == dimension && !u.getKey().equals("u/min")) {
-                String text = plain(figure / u.getValue().base()) + u.getKey();
+                String text = formatNumber(value / u.getValue().base()) + u.getKey();
                 boolean exact =
-                        Double.parseDouble(plain(figure / u.getValue().base()))
+                        Double.parseDouble(formatNumber(value / u.getValue().base()))
                                         * u.getValue().base()
-                                == figure;
+                                == value;
                 if (best == null || exact && text.length() <= best.length()) {
                     best = text;
                 }
@@ -187,8 +194,8 @@
                 .getKey();
     }
 
-    static String plain(double figure) {
-        if (figure == Math.rint(figure) && Math.abs(figure) <= MOST) {
+    static String formatNumber(double figure) {
+        if (figure == Math.rint(figure) && Math.abs(figure) <= MAX_VALUE) {
             return Long.toString((long) figure);
         }
         String text =
--- a/config/src/main/java/milletyoke/config/Schema.java
+++ b/config/src/main/java/milletyoke/config/Schema.java
@@ -19,18 +19,18 @@
     /** Exactly one of dimension, words and names is set. */
     record Type(
             Dimension dimension,
-            double least,
-            double most,
-            List<String> words,
-            String names,
-            boolean list,
+            double min,
+            double max,
+            List<String> keywords,
+            String referencedKind,
+            boolean isList,
             boolean free) {}
 
     /**
-     * @param usual as it would be written; null where it must be there, empty where it may be
-     *     absent
+     * @param defaultValue as it would be written; null where it must be there, empty where it may
+     *     be absent
      */
-    record Field(Type type, String usual, Change change) {}
+    record Field(Type type, String defaultValue, Change change) {}
 
     static final Map<String, Map<String, Field>> KINDS = kinds();
 
--- a/config/src/main/java/milletyoke/config/SyntaxTree.java
+++ b/config/src/main/java/milletyoke/config/SyntaxTree.java
@@ -7,39 +7,46 @@
     private SyntaxTree() {}
 
     /** Where something stands. */
-    record At(String file, int line, int column) {}
+    record Position(String file, int line, int column) {}
 
     record File(String name, List<Statement> statements) {}
 
     sealed interface Statement {
-        At at();
+        Position at();
     }
 
-    record Include(At at, String pattern) implements Statement {}
+    record Include(Position at, String pattern) implements Statement {}
 
-    record Let(At at, String name, Expression value) implements Statement {}
+    record Let(Position at, String name, Expression value) implements Statement {}
 
     /** A block; {@code parent} null where it is like none. */
     record Block(
-            At at, String kind, String name, String parent, At parentAt, List<Setting> settings)
+            Position at,
+            String kind,
+            String name,
+            String parent,
+            Position parentAt,
+            List<Setting> settings)
             implements Statement {}
 
-    record Route(At at, String what, String pattern, String pool, At poolAt) implements Statement {}
+    record Route(Position at, String what, String pattern, String pool, Position poolAt)
+            implements Statement {}
 
-    record Setting(At at, String name, List<Value> values) {}
+    record Setting(Position at, String name, List<Value> values) {}
 
     /** Exactly one of expression and text is set. */
-    record Value(At at, Expression expression, String text) {}
+    record Value(Position at, Expression expression, String text) {}
 
     sealed interface Expression {
-        At at();
+        Position at();
     }
 
-    record Figure(At at, String text) implements Expression {}
+    record NumberLiteral(Position at, String text) implements Expression {}
 
-    record Word(At at, String name) implements Expression {}
+    record NameReference(Position at, String name) implements Expression {}
 
-    record Minus(At at, Expression of) implements Expression {}
+    record Negation(Position at, Expression operand) implements Expression {}
 
-    record Binary(At at, char op, Expression left, Expression right) implements Expression {}
+    record Binary(Position at, char operator, Expression left, Expression right)
+            implements Expression {}
 }
--- a/config/src/main/java/milletyoke/config/disk/FileSourceProvider.java
+++ b/config/src/main/java/milletyoke/config/disk/FileSourceProvider.java
@@ -18,10 +18,10 @@
 
 /** Files of a folder. The one name of a file is its real path, so two links to it are one file. */
 public final class FileSourceProvider implements SourceProvider {
-    private static final int LARGEST = 64 << 20, MOST = 10_000, TRIES = 8;
+    private static final int MAX_FILE_BYTES = 64 << 20, MAX_MATCHES = 10_000, MAX_ATTEMPTS = 8;
 
     /** A file that was written to so short a time ago may be half written (milliseconds). */
-    private static final long SETTLED = 30;
+    private static final long SETTLE_MILLIS = 30;
 
     private final LongSupplier clock;
 
@@ -62,7 +62,7 @@
             List<Path> found = new ArrayList<>();
             try (Stream<Path> all = Files.list(in)) {
                 all.filter(f -> fits.matches(f.getFileName()) && Files.isRegularFile(f))
-                        .limit(MOST)
+                        .limit(MAX_MATCHES)
                         .forEach(found::add);
             }
             found.sort(null);
@@ -87,16 +87,18 @@
     public String text(String file) throws UnreadableSourceException {
         Path path = Path.of(file);
         try {
-            for (int i = 0; i < TRIES; i++) {
+            for (int i = 0; i < MAX_ATTEMPTS; i++) {
                 BasicFileAttributes before = Files.readAttributes(path, BasicFileAttributes.class);
-                if (!before.isRegularFile() || before.size() > LARGEST) {
+                if (!before.isRegularFile() || before.size() > MAX_FILE_BYTES) {
                     throw new UnreadableSourceException(
-                            before.isRegularFile() ? "over " + LARGEST + " bytes" : "not a file");
+                            before.isRegularFile()
+                                    ? "over " + MAX_FILE_BYTES + " bytes"
+                                    : "not a file");
                 }
                 byte[] bytes = Files.readAllBytes(path);
                 BasicFileAttributes after = Files.readAttributes(path, BasicFileAttributes.class);
                 long since = clock.getAsLong() - after.lastModifiedTime().toMillis();
-                boolean settled = since < 0 || since > SETTLED;
+                boolean settled = since < 0 || since > SETTLE_MILLIS;
                 if (settled
                         && after.size() == bytes.length
                         && after.lastModifiedTime().equals(before.lastModifiedTime())) {
@@ -105,7 +107,7 @@
                             .decode(ByteBuffer.wrap(bytes))
                             .toString();
                 }
-                java.util.concurrent.locks.LockSupport.parkNanos(SETTLED * 1_000_000);
+                java.util.concurrent.locks.LockSupport.parkNanos(SETTLE_MILLIS * 1_000_000);
             }
             throw new UnreadableSourceException("it changes while it is read");
         } catch (CharacterCodingException notText) {
--- a/config/src/test/java/milletyoke/config/CheckerTest.java
+++ b/config/src/test/java/milletyoke/config/CheckerTest.java
@@ -34,10 +34,10 @@
                                 + "plan club like t { weight 3; }\npool main { targets a, b; }\nvolume club-* { plan club; hosts 2; }\n"
                                 + "volume club-1 { plan basic; }\nroute volume club-* to main;\nroute prefix \"/scores/\" to main;");
         assertTrue(r.isValid(), () -> r.diagnostics().toString());
-        assertEquals(20, r.fleet().block("plan", "club").figure("reserve"));
+        assertEquals(20, r.fleet().block("plan", "club").number("reserve"));
         assertEquals(
                 3,
-                r.fleet().block("plan", "club").figure("weight"),
+                r.fleet().block("plan", "club").number("weight"),
                 "its own hides what it is like");
         assertEquals("club", r.fleet().volume("club-12").text("plan"));
         assertEquals(
@@ -174,7 +174,7 @@
                                 .with("g", "plan basic { weight 2; }"),
                         "f");
         assertTrue(hides.isValid(), () -> hides.diagnostics().toString());
-        assertEquals(7, hides.fleet().block("plan", "basic").figure("weight"));
+        assertEquals(7, hides.fleet().block("plan", "basic").number("weight"));
         Checker.Result siblings =
                 Checker.check(
                         new InMemorySourceProvider()
--- a/gateway/src/main/java/milletyoke/gateway/Initiator.java
+++ b/gateway/src/main/java/milletyoke/gateway/Initiator.java
@@ -87,17 +87,17 @@
         this.execution = execution;
         admission = new ConcurrentAdmission(capacityLimits(config));
         endpointListCache =
-                config.folder() == null
+                config.stateDirectory() == null
                         ? null
-                        : new EndpointListCache(config.folder(), !execution.isVirtual());
+                        : new EndpointListCache(config.stateDirectory(), !execution.isVirtual());
         InitiatorConfig.Transport transport = config.transport();
         frameLimits =
                 new FrameLimits(
-                        transport.frameBytes(),
-                        transport.waitingBytes(),
-                        transport.partialTime(),
+                        transport.maxFrameBytes(),
+                        transport.maxUnsentBytes(),
+                        transport.partialFrameTimeoutMicros(),
                         0);
-        network = execution.openNetwork(config.name(), transport.threads(), frameObserver);
+        network = execution.openNetwork(config.name(), transport.ioThreads(), frameObserver);
         sideExecutor = execution.newTimerExecutor(config.name() + "-side", 1);
         eventLoop = new EventLoop(config, this, execution, counters, schedulerFactory);
         violationLog = new ProtocolViolationLog(counters, execution::monotonicMicros);
@@ -112,8 +112,8 @@
     private static Admission.CapacityLimits capacityLimits(InitiatorConfig config) {
         InitiatorConfig.CapacityLimits limits = config.capacity();
         return new Admission.CapacityLimits(
-                limits.requests(),
-                limits.bytes(),
+                limits.maxRequests(),
+                limits.maxPayloadBytes(),
                 limits.connectionShare(),
                 limits.volumeShare(),
                 config.deployment().scheduler().capabilities().maxRetryAfterMicros());
@@ -123,7 +123,7 @@
         ConfigWatcher watcher =
                 new ConfigWatcher(
                         initial.fleet().file(),
-                        initial.folder(),
+                        initial.stateDirectory(),
                         initial.fleet().fleet(),
                         initial.fleet().files(),
                         this::applyConfig);
--- a/gateway/src/main/java/milletyoke/gateway/config/DeploymentSettings.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/DeploymentSettings.java
@@ -16,46 +16,46 @@
  * What all parts of one deployment share: what the decisions are provisioned with, and how long a
  * client waits beyond the time it told.
  *
- * @param answerSlackMicros microseconds beyond the time left that an access told, in which its
+ * @param responseSlackMicros microseconds beyond the time left that an access told, in which its
  *     answer still counts
  * @param drainGraceMicros microseconds after which nothing new may go to a target that was told to
  *     drain or be gone; the decisions use none of it, the audit judges by it
  */
 public record DeploymentSettings(
-        SchedulerSettings scheduler, long answerSlackMicros, long drainGraceMicros) {
+        SchedulerSettings scheduler, long responseSlackMicros, long drainGraceMicros) {
 
     /**
      * @throws SetupError that names line and field
      */
     public static DeploymentSettings read(SettingsReader f) throws ConfigException {
         List<RequestClass> categories = new ArrayList<>();
-        for (SettingsReader c : f.sections("categories", true)) {
-            categories.add(category(c));
+        for (SettingsReader c : f.objects("categories", true)) {
+            categories.add(requestClass(c));
         }
         if (categories.isEmpty()) {
             throw f.error("categories", "at least one is needed");
         }
-        distinct(f, "categories", categories.stream().map(RequestClass::name).toList());
+        rejectDuplicates(f, "categories", categories.stream().map(RequestClass::name).toList());
         List<ServicePlan> plans = new ArrayList<>();
-        for (SettingsReader p : f.sections("plans", true)) {
-            plans.add(plan(p));
+        for (SettingsReader p : f.objects("plans", true)) {
+            plans.add(servicePlan(p));
         }
-        distinct(f, "plans", plans.stream().map(ServicePlan::name).toList());
-        SettingsReader a = f.optional("allowances");
+        rejectDuplicates(f, "plans", plans.stream().map(ServicePlan::name).toList());
+        SettingsReader a = f.optionalObject("allowances");
         Capabilities allowances =
                 new Capabilities(
-                        a.whole("maxRelays", 3, 1, 100),
+                        a.integer("maxRelays", 3, 1, 100),
                         a.flag("probes", true),
                         a.flag("cancels", true),
                         a.flag("advice", true),
-                        a.time("longestAdvice", "500 ms"));
+                        a.timeMicros("longestAdvice", "500 ms"));
         a.rejectUnknown();
-        SettingsReader b = f.optional("bounds");
-        RuleLimits bounds = bounds(b);
-        long slack = b.time("answerSlack", "50 ms");
-        long grace = b.time("drainGrace", "500 ms");
+        SettingsReader b = f.optionalObject("bounds");
+        RuleLimits bounds = ruleLimits(b);
+        long slack = b.timeMicros("answerSlack", "50 ms");
+        long grace = b.timeMicros("drainGrace", "500 ms");
         b.rejectUnknown();
-        int initiators = f.whole("initiators", Integer.MIN_VALUE, 1, 100_000);
+        int initiators = f.integer("initiators", Integer.MIN_VALUE, 1, 100_000);
         boolean asked = f.flag("listMustBeAsked", false);
         f.rejectUnknown();
         return new DeploymentSettings(
@@ -70,7 +70,7 @@
                 grace);
     }
 
-    private static void distinct(SettingsReader f, String field, List<String> names)
+    private static void rejectDuplicates(SettingsReader f, String field, List<String> names)
             throws ConfigException {
         Set<String> seen = new HashSet<>();
         for (String name : names) {
@@ -80,16 +80,16 @@
         }
     }
 
-    private static RequestClass category(SettingsReader c) throws ConfigException {
+    private static RequestClass requestClass(SettingsReader c) throws ConfigException {
         Idempotency repeats = c.keyword("repeats", Idempotency.class, null);
         RequestClass category =
                 new RequestClass(
                         c.text("name", null),
                         repeats,
                         c.keyword("group", DeduplicationScope.class, DeduplicationScope.ALL),
-                        c.time("repeatWindow", "0"),
+                        c.timeMicros("repeatWindow", "0"),
                         c.flag("keyOrdered", false),
-                        c.time("agreedTime", null),
+                        c.timeMicros("agreedTime", null),
                         c.number("importance", 1, 0, 1e6));
         if (category.latencyObjectiveMicros() == 0) {
             throw c.error("agreedTime", "must be over 0");
@@ -103,7 +103,7 @@
         return category;
     }
 
-    private static ServicePlan plan(SettingsReader p) throws ConfigException {
+    private static ServicePlan servicePlan(SettingsReader p) throws ConfigException {
         ServicePlan plan =
                 new ServicePlan(
                         p.text("name", null),
@@ -119,17 +119,17 @@
         return plan;
     }
 
-    private static RuleLimits bounds(SettingsReader b) throws ConfigException {
+    private static RuleLimits ruleLimits(SettingsReader b) throws ConfigException {
         return new RuleLimits(
-                b.time("keyQuiet", "0"),
-                b.time("cold", "0"),
+                b.timeMicros("keyQuiet", "0"),
+                b.timeMicros("cold", "0"),
                 b.number("coldShare", 1, 0.001, 1),
                 b.number("coldBears", 0, 0, 1e9),
-                b.time("fall", "0"),
+                b.timeMicros("fall", "0"),
                 b.number("tipMultiple", 1, 1, 1e3),
                 b.number("relayBudgetFree", 0, 0, 1e6),
                 b.number("relayBudgetShare", 0, 0, 1e3),
-                b.time("relayBudgetSpan", "0"),
-                b.time("mustAskIn", "0"));
+                b.timeMicros("relayBudgetSpan", "0"),
+                b.timeMicros("mustAskIn", "0"));
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/config/FleetConverter.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/FleetConverter.java
@@ -21,60 +21,60 @@
     /** What a checked configuration provisions. */
     public static DeploymentSettings deployment(Fleet fleet) {
         List<RequestClass> categories = new ArrayList<>();
-        for (Fleet.Block c : fleet.of("category")) {
+        for (Fleet.Block c : fleet.blocksOfKind("category")) {
             categories.add(
                     new RequestClass(
                             c.name(),
                             idempotency(c.text("repeats")),
-                            DeduplicationScope.valueOf(upper(c.text("group"))),
-                            (long) c.figure("repeat-window"),
+                            DeduplicationScope.valueOf(enumName(c.text("group"))),
+                            (long) c.number("repeat-window"),
                             c.flag("key-ordered"),
-                            (long) c.figure("agreed"),
-                            c.figure("importance")));
+                            (long) c.number("agreed"),
+                            c.number("importance")));
         }
         List<ServicePlan> plans = new ArrayList<>();
-        for (Fleet.Block p : fleet.of("plan")) {
+        for (Fleet.Block p : fleet.blocksOfKind("plan")) {
             plans.add(
                     new ServicePlan(
                             p.name(),
-                            p.figure("reserve"),
-                            p.figure("weight"),
-                            p.figure("limit-rate"),
-                            p.figure("limit-depth"),
-                            p.figure("limit-slack")));
+                            p.number("reserve"),
+                            p.number("weight"),
+                            p.number("limit-rate"),
+                            p.number("limit-depth"),
+                            p.number("limit-slack")));
         }
         Fleet.Block a = fleet.single("allowances");
         Fleet.Block b = fleet.single("bounds");
         Fleet.Block f = fleet.single("fleet");
         Capabilities allowances =
                 new Capabilities(
-                        (int) a.figure("max-relays"),
+                        (int) a.number("max-relays"),
                         a.flag("probes"),
                         a.flag("cancels"),
                         a.flag("advice"),
-                        (long) a.figure("longest-advice"));
+                        (long) a.number("longest-advice"));
         RuleLimits bounds =
                 new RuleLimits(
-                        (long) b.figure("key-quiet"),
-                        (long) b.figure("cold"),
-                        b.figure("cold-share"),
-                        b.figure("cold-bears"),
-                        (long) b.figure("fall"),
-                        b.figure("tip-multiple"),
-                        b.figure("relay-budget-free"),
-                        b.figure("relay-budget-share"),
-                        (long) b.figure("relay-budget-span"),
-                        (long) b.figure("must-ask-in"));
+                        (long) b.number("key-quiet"),
+                        (long) b.number("cold"),
+                        b.number("cold-share"),
+                        b.number("cold-bears"),
+                        (long) b.number("fall"),
+                        b.number("tip-multiple"),
+                        b.number("relay-budget-free"),
+                        b.number("relay-budget-share"),
+                        (long) b.number("relay-budget-span"),
+                        (long) b.number("must-ask-in"));
         return new DeploymentSettings(
                 new SchedulerSettings(
-                        (int) f.figure("initiators"),
+                        (int) f.number("initiators"),
                         List.copyOf(categories),
                         List.copyOf(plans),
                         allowances,
                         bounds,
                         f.text("list").equals("asked")),
-                (long) b.figure("answer-slack"),
-                (long) b.figure("drain-grace"));
+                (long) b.number("answer-slack"),
+                (long) b.number("drain-grace"));
     }
 
     private static Idempotency idempotency(String keyword) {
@@ -84,7 +84,7 @@
                 .orElseThrow();
     }
 
-    private static String upper(String word) {
+    private static String enumName(String word) {
         return word.toUpperCase(Locale.ROOT).replace('-', '_');
     }
 
@@ -99,7 +99,7 @@
                 .append(";\n}\n\n");
         RuleLimits b = p.limits();
         out.append("bounds {\n")
-                .append(time("answer-slack", d.answerSlackMicros()))
+                .append(time("answer-slack", d.responseSlackMicros()))
                 .append(time("drain-grace", d.drainGraceMicros()))
                 .append(time("key-quiet", b.keyQuietMicros()))
                 .append(time("cold", b.warmUpMicros()))
--- a/gateway/src/main/java/milletyoke/gateway/config/InitiatorConfig.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/InitiatorConfig.java
@@ -12,7 +12,7 @@
  * What one initiator is started with.
  *
  * @param number its number among the initiators of the deployment, from 1
- * @param folder where it keeps its last list and the journal of actions; null keeps none
+ * @param stateDirectory where it keeps its last list and the journal of actions; null keeps none
  * @param console null where it has none
  * @param fleet the configuration that the deployment was read from; null where it stands in the
  *     setup itself
@@ -22,7 +22,7 @@
         int number,
         Address listen,
         Address discovery,
-        Path folder,
+        Path stateDirectory,
         DeploymentSettings deployment,
         Transport transport,
         CapacityLimits capacity,
@@ -35,69 +35,98 @@
             int number,
             Address listen,
             Address discovery,
-            Path folder,
+            Path stateDirectory,
             DeploymentSettings deployment,
             Transport transport,
             CapacityLimits capacity) {
-        this(name, number, listen, discovery, folder, deployment, transport, capacity, null, null);
+        this(
+                name,
+                number,
+                listen,
+                discovery,
+                stateDirectory,
+                deployment,
+                transport,
+                capacity,
+                null,
+                null);
     }
 
     /** A checked configuration. @param files that it was read from */
     public record FleetFile(String file, Fleet fleet, List<String> files) {}
 
-    /** Where the console listens and who may look. @param rate requests a second for each token */
-    public record Console(Address listen, Path tokens, double rate) {}
+    /**
+     * Where the console listens and who may look. @param requestsPerSecond requests a second for
+     * each token
+     */
+    public record Console(Address listen, Path tokenFile, double requestsPerSecond) {}
 
     /**
      * How connections are kept. Times are microseconds.
      *
-     * @param connections most to one target
-     * @param streams most relays at once on one connection
-     * @param probeTime how long a probe may go unanswered
-     * @param threads that serve sockets
+     * @param maxConnectionsPerTarget most to one target
+     * @param maxAttemptsPerConnection most relays at once on one connection
+     * @param probeTimeoutMicros how long a probe may go unanswered
+     * @param ioThreads that serve sockets
      */
     public record Transport(
             long connectTimeoutMicros,
             long idleTimeoutMicros,
-            int connections,
-            int streams,
-            long probeTime,
-            int frameBytes,
-            long waitingBytes,
-            long partialTime,
-            int threads) {}
+            int maxConnectionsPerTarget,
+            int maxAttemptsPerConnection,
+            long probeTimeoutMicros,
+            int maxFrameBytes,
+            long maxUnsentBytes,
+            long partialFrameTimeoutMicros,
+            int ioThreads) {}
 
     /**
      * What this initiator has room for.
      *
-     * @param requests accesses, from taking to the end of their last relay
-     * @param queue entries between the sockets and the loop
-     * @param shards shards are numbered below this
-     * @param largest units of one access
-     * @param longest time left that an access may come with (microseconds)
-     * @param bytes of payloads held
+     * @param maxRequests accesses, from taking to the end of their last relay
+     * @param queueCapacity entries between the sockets and the loop
+     * @param shardCount shards are numbered below this
+     * @param maxRequestUnits units of one access
+     * @param maxTimeLeftMicros time left that an access may come with (microseconds)
+     * @param maxPayloadBytes of payloads held
      * @param connectionShare of places and bytes, for one connection
      * @param volumeShare how many times the free room one volume may hold
-     * @param full from this part used on the daemon tells that it is saturated, until below {@code
-     *     eased}
-     * @param listAge without a word from discovery for so long the list counts as lost
-     *     (microseconds)
+     * @param saturationThreshold from this part used on the daemon tells that it is saturated,
+     *     until below {@code eased}
+     * @param endpointListTimeoutMicros without a word from discovery for so long the list counts as
+     *     lost (microseconds)
      */
     public record CapacityLimits(
-            int requests,
-            int queue,
-            int shards,
-            double largest,
-            long longest,
-            long bytes,
+            int maxRequests,
+            int queueCapacity,
+            int shardCount,
+            double maxRequestUnits,
+            long maxTimeLeftMicros,
+            long maxPayloadBytes,
             double connectionShare,
             double volumeShare,
-            double full,
-            double eased,
-            long listAge) {
+            double saturationThreshold,
+            double recoveryThreshold,
+            long endpointListTimeoutMicros) {
         /** With the usual figures beside these. */
-        public CapacityLimits(int requests, int queue, int shards, double largest, long longest) {
-            this(requests, queue, shards, largest, longest, 256L << 20, 1, 4, 0.9, 0.7, 10_000_000);
+        public CapacityLimits(
+                int maxRequests,
+                int queueCapacity,
+                int shardCount,
+                double maxRequestUnits,
+                long maxTimeLeftMicros) {
+            this(
+                    maxRequests,
+                    queueCapacity,
+                    shardCount,
+                    maxRequestUnits,
+                    maxTimeLeftMicros,
+                    256L << 20,
+                    1,
+                    4,
+                    0.9,
+                    0.7,
+                    10_000_000);
         }
     }
 
@@ -111,7 +140,7 @@
 
     public static InitiatorConfig of(SettingsReader f, Path base) throws ConfigException {
         String name = f.text("name", null);
-        int number = f.whole("number", 1, 1, 100_000);
+        int number = f.integer("number", 1, 1, 100_000);
         Address listen = f.address("listen", null);
         Address discovery = f.address("discovery", null);
         Path folder = f.has("folder") ? base.resolve(f.text("folder", null)) : null;
@@ -119,10 +148,10 @@
         DeploymentSettings deployment =
                 fleet != null
                         ? FleetConverter.deployment(fleet.fleet())
-                        : DeploymentSettings.read(f.form("deployment"));
-        Transport transport = transport(f.optional("transport"));
-        CapacityLimits room = capacity(f.optional("room"));
-        Console console = f.has("console") ? console(f.form("console"), base) : null;
+                        : DeploymentSettings.read(f.object("deployment"));
+        Transport transport = transport(f.optionalObject("transport"));
+        CapacityLimits room = capacity(f.optionalObject("room"));
+        Console console = f.has("console") ? console(f.object("console"), base) : null;
         f.rejectUnknown();
         return new InitiatorConfig(
                 name,
@@ -150,7 +179,7 @@
             if (!checked.isValid()) {
                 throw new ConfigException(
                         checked.diagnostics().stream()
-                                .filter(Diagnostic::error)
+                                .filter(Diagnostic::isError)
                                 .findFirst()
                                 .orElseThrow()
                                 .text()
@@ -165,15 +194,15 @@
     private static Transport transport(SettingsReader t) throws ConfigException {
         Transport transport =
                 new Transport(
-                        t.time("connectTime", "250 ms"),
-                        t.time("idle", "30 s"),
-                        t.whole("connections", 4, 1, 1000),
-                        t.whole("streams", 100, 1, 100_000),
-                        t.time("probeTime", "250 ms"),
-                        t.whole("frameBytes", 1 << 20, 1024, 1 << 30),
+                        t.timeMicros("connectTime", "250 ms"),
+                        t.timeMicros("idle", "30 s"),
+                        t.integer("connections", 4, 1, 1000),
+                        t.integer("streams", 100, 1, 100_000),
+                        t.timeMicros("probeTime", "250 ms"),
+                        t.integer("frameBytes", 1 << 20, 1024, 1 << 30),
                         (long) t.number("waitingBytes", 8 << 20, 4096, 1e12),
-                        t.time("partialTime", "5 s"),
-                        t.whole("threads", 2, 1, 256));
+                        t.timeMicros("partialTime", "5 s"),
+                        t.integer("threads", 2, 1, 256));
         if (transport.connectTimeoutMicros() == 0) {
             throw t.error("connectTime", "must be over 0");
         }
@@ -194,19 +223,19 @@
     private static CapacityLimits capacity(SettingsReader r) throws ConfigException {
         CapacityLimits room =
                 new CapacityLimits(
-                        r.whole("held", 10_000, 1, 10_000_000),
-                        r.whole("queue", 1 << 16, 64, 1 << 24),
-                        r.whole("shards", 1 << 16, 1, 1 << 24),
+                        r.integer("held", 10_000, 1, 10_000_000),
+                        r.integer("queue", 1 << 16, 64, 1 << 24),
+                        r.integer("shards", 1 << 16, 1, 1 << 24),
                         r.number("largest", 1e6, 1, 1e12),
-                        r.time("longest", "1 h"),
+                        r.timeMicros("longest", "1 h"),
                         (long) r.number("bytes", 256 << 20, 1024, 1e15),
                         r.number("connectionPart", 1, 0.01, 1),
                         r.number("greed", 4, 1, 1e6),
                         r.number("full", 0.9, 0.01, 1),
                         r.number("eased", 0.7, 0, 0.99),
-                        r.time("listAge", "10 s"));
-        if (room.eased() >= room.full()) {
-            throw r.error("eased", "must be under full, " + room.full());
+                        r.timeMicros("listAge", "10 s"));
+        if (room.recoveryThreshold() >= room.saturationThreshold()) {
+            throw r.error("eased", "must be under full, " + room.saturationThreshold());
         }
         r.rejectUnknown();
         return room;
--- a/gateway/src/main/java/milletyoke/gateway/config/Json5.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/Json5Parser.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 
 /** Reads JSON5 into a tree in which every value knows its line, so that a finding can name it. */
-final class Json5 {
-    private static final JsonFactory FORM =
+final class Json5Parser {
+    private static final JsonFactory JSON5 =
             new JsonFactoryBuilder()
                     .enable(JsonReadFeature.ALLOW_JAVA_COMMENTS)
                     .enable(JsonReadFeature.ALLOW_UNQUOTED_FIELD_NAMES)
@@ -32,7 +32,7 @@
                     .build();
 
     /** A setup is written by hand; more than this is not one. */
-    private static final long LARGEST = 4 << 20;
+    private static final long MAX_FILE_BYTES = 4 << 20;
 
     /** A value and where it stands; exactly one of object, list and scalar is set. */
     record Value(int line, Map<String, Value> object, List<Value> list, Object scalar) {
@@ -54,15 +54,16 @@
     private final String source;
     private final JsonParser in;
 
-    private Json5(String source, JsonParser in) {
+    private Json5Parser(String source, JsonParser in) {
         this.source = source;
         this.in = in;
     }
 
     static Value read(Path file) throws ConfigException {
         try {
-            if (Files.size(file) > LARGEST) {
-                throw new ConfigException(file + ": over " + LARGEST + " bytes, not a setup");
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                throw new ConfigException(
+                        file + ": over " + MAX_FILE_BYTES + " bytes, not a setup");
             }
             return read(file.toString(), Files.readString(file));
         } catch (java.nio.file.NoSuchFileException missing) {
@@ -73,8 +74,8 @@
     }
 
     static Value read(String source, String text) throws ConfigException {
-        try (JsonParser in = FORM.createParser(text)) {
-            Json5 reader = new Json5(source, in);
+        try (JsonParser in = JSON5.createParser(text)) {
+            Json5Parser reader = new Json5Parser(source, in);
             in.nextToken();
             if (in.currentToken() == null) {
                 throw new ConfigException(source + ":1: empty");
--- a/gateway/src/main/java/milletyoke/gateway/config/SettingsReader.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/SettingsReader.java
@@ -16,17 +16,19 @@
  * come out as microseconds.
  */
 public final class SettingsReader {
-    private static final Pattern TIME = Pattern.compile("([0-9]+(?:\\.[0-9]+)?) ?(us|ms|s|min|h)");
-    private static final Map<String, Double> MICROS =
+    private static final Pattern TIME_PATTERN =
+            Pattern.compile("([0-9]+(?:\\.[0-9]+)?) ?(us|ms|s|min|h)");
+    private static final Map<String, Double> MICROS_PER_UNIT =
             Map.of("us", 1.0, "ms", 1e3, "s", 1e6, "min", 60e6, "h", 3600e6);
-    private static final double LONGEST = 100 * 3600e6;
+    private static final double MAX_TIME_MICROS = 100 * 3600e6;
 
     private final String source;
     private final String path;
-    private final Json5.Value self;
-    private final Set<String> asked = new HashSet<>();
+    private final Json5Parser.Value self;
+    private final Set<String> knownFields = new HashSet<>();
 
-    private SettingsReader(String source, String path, Json5.Value self) throws ConfigException {
+    private SettingsReader(String source, String path, Json5Parser.Value self)
+            throws ConfigException {
         this.source = source;
         this.path = path;
         this.self = self;
@@ -39,14 +41,14 @@
     }
 
     public static SettingsReader read(Path file) throws ConfigException {
-        return new SettingsReader(file.toString(), "", Json5.read(file));
+        return new SettingsReader(file.toString(), "", Json5Parser.read(file));
     }
 
     public static SettingsReader of(String source, String text) throws ConfigException {
-        return new SettingsReader(source, "", Json5.read(source, text));
+        return new SettingsReader(source, "", Json5Parser.read(source, text));
     }
 
-    private ConfigException error(Json5.Value at, String field, String what) {
+    private ConfigException error(Json5Parser.Value at, String field, String what) {
         return new ConfigException(source + ":" + at.line() + ": " + field + ": " + what);
     }
 
@@ -55,9 +57,9 @@
         return error(self.object().getOrDefault(field, self), path + field, what);
     }
 
-    private Json5.Value ask(String field, boolean needed) throws ConfigException {
-        asked.add(field);
-        Json5.Value value = self.object().get(field);
+    private Json5Parser.Value lookUp(String field, boolean needed) throws ConfigException {
+        knownFields.add(field);
+        Json5Parser.Value value = self.object().get(field);
         if (value == null && needed) {
             throw error(self, path + field, "is missing");
         }
@@ -72,7 +74,7 @@
      * @param usual null where the field must be there
      */
     public String text(String field, String usual) throws ConfigException {
-        Json5.Value value = ask(field, usual == null);
+        Json5Parser.Value value = lookUp(field, usual == null);
         if (value == null) {
             return usual;
         }
@@ -87,7 +89,7 @@
 
     public <E extends Enum<E>> E keyword(String field, Class<E> words, E usual)
             throws ConfigException {
-        Json5.Value value = ask(field, usual == null);
+        Json5Parser.Value value = lookUp(field, usual == null);
         if (value == null) {
             return usual;
         }
@@ -104,7 +106,7 @@
     }
 
     public boolean flag(String field, boolean usual) throws ConfigException {
-        Json5.Value value = ask(field, false);
+        Json5Parser.Value value = lookUp(field, false);
         if (value == null) {
             return usual;
         }
@@ -119,7 +121,7 @@
      */
     public double number(String field, double usual, double least, double most)
             throws ConfigException {
-        Json5.Value value = ask(field, Double.isNaN(usual));
+        Json5Parser.Value value = lookUp(field, Double.isNaN(usual));
         if (value == null) {
             return usual;
         }
@@ -130,11 +132,11 @@
             throw error(
                     value,
                     path + field,
-                    plain(figure)
+                    formatNumber(figure)
                             + " is out of range, "
-                            + plain(least)
+                            + formatNumber(least)
                             + " to "
-                            + plain(most)
+                            + formatNumber(most)
                             + " is");
         }
         return figure;
@@ -143,7 +145,7 @@
     /**
      * @param usual Integer.MIN_VALUE where the field must be there
      */
-    public int whole(String field, int usual, int least, int most) throws ConfigException {
+    public int integer(String field, int usual, int least, int most) throws ConfigException {
         double figure = number(field, usual == Integer.MIN_VALUE ? Double.NaN : usual, least, most);
         if (figure != Math.rint(figure)) {
             throw error(field, "a whole number is expected, not " + figure);
@@ -155,13 +157,13 @@
      * Microseconds. @param usual null where the field must be there, else a time as it would be
      * written
      */
-    public long time(String field, String usual) throws ConfigException {
-        Json5.Value value = ask(field, usual == null);
+    public long timeMicros(String field, String usual) throws ConfigException {
+        Json5Parser.Value value = lookUp(field, usual == null);
         String text = value == null ? usual : value.scalar() instanceof String s ? s : "";
         if (text.equals("0")) {
             return 0;
         }
-        Matcher m = TIME.matcher(text);
+        Matcher m = TIME_PATTERN.matcher(text);
         if (!m.matches()) {
             throw error(
                     value == null ? self : value,
@@ -169,28 +171,28 @@
                     "a time with its unit is expected, as \"250 ms\" (us, ms, s, min, h), not "
                             + (value.scalar() == null ? value.kind() : value.scalar()));
         }
-        double micros = Double.parseDouble(m.group(1)) * MICROS.get(m.group(2));
-        if (micros > LONGEST) {
+        double micros = Double.parseDouble(m.group(1)) * MICROS_PER_UNIT.get(m.group(2));
+        if (micros > MAX_TIME_MICROS) {
             throw error(field, text + " is over 100 h");
         }
         return Math.round(micros);
     }
 
-    public SettingsReader form(String field) throws ConfigException {
-        return new SettingsReader(source, path + field + ".", ask(field, true));
+    public SettingsReader object(String field) throws ConfigException {
+        return new SettingsReader(source, path + field + ".", lookUp(field, true));
     }
 
     /** An object that may be left out: all of its fields then have their defaults. */
-    public SettingsReader optional(String field) throws ConfigException {
-        Json5.Value value = ask(field, false);
+    public SettingsReader optionalObject(String field) throws ConfigException {
+        Json5Parser.Value value = lookUp(field, false);
         return new SettingsReader(
                 source,
                 path + field + ".",
-                value == null ? new Json5.Value(self.line(), Map.of(), null, null) : value);
+                value == null ? new Json5Parser.Value(self.line(), Map.of(), null, null) : value);
     }
 
-    public List<SettingsReader> sections(String field, boolean needed) throws ConfigException {
-        Json5.Value value = ask(field, needed);
+    public List<SettingsReader> objects(String field, boolean needed) throws ConfigException {
+        Json5Parser.Value value = lookUp(field, needed);
         List<SettingsReader> forms = new ArrayList<>();
         if (value == null) {
             return forms;
@@ -198,7 +200,7 @@
         if (value.list() == null) {
             throw error(value, path + field, "a list is expected, not " + value.kind());
         }
-        for (Json5.Value one : value.list()) {
+        for (Json5Parser.Value one : value.list()) {
             forms.add(new SettingsReader(source, path + field + "[" + forms.size() + "].", one));
         }
         return forms;
@@ -216,18 +218,18 @@
 
     /** To be called last: what was never asked for is not known. */
     public void rejectUnknown() throws ConfigException {
-        for (Map.Entry<String, Json5.Value> field : self.object().entrySet()) {
-            if (!asked.contains(field.getKey())) {
+        for (Map.Entry<String, Json5Parser.Value> field : self.object().entrySet()) {
+            if (!knownFields.contains(field.getKey())) {
                 throw error(
                         field.getValue(),
                         path + field.getKey(),
                         "is not known here; known are "
-                                + String.join(", ", new java.util.TreeSet<>(asked)));
+                                + String.join(", ", new java.util.TreeSet<>(knownFields)));
             }
         }
     }
 
-    private static String plain(double figure) {
+    private static String formatNumber(double figure) {
         return figure == Math.rint(figure) && Math.abs(figure) < 1e15
                 ? Long.toString((long) figure)
                 : Double.toString(figure);
--- a/gateway/src/main/java/milletyoke/gateway/console/Console.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Console.java
@@ -134,9 +134,9 @@
             ConfigWatcher following)
             throws IOException, ConfigException {
         this.loop = loop;
-        tokens = new Tokens(access.tokens());
-        rates = new RateLimiter(access.rate(), 4 * access.rate());
-        journal = new AuditLog(setup.folder());
+        tokens = new Tokens(access.tokenFile());
+        rates = new RateLimiter(access.requestsPerSecond(), 4 * access.requestsPerSecond());
+        journal = new AuditLog(setup.stateDirectory());
         views =
                 new PageModels(
                         setup, loop, journal, counts, following, SocketNetwork.monotonicMicros());
--- a/gateway/src/main/java/milletyoke/gateway/console/PageModels.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/PageModels.java
@@ -102,32 +102,32 @@
         StatusSnapshot p = loop.snapshot();
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("initiator", p.name());
-        figures.put("condition", word(p.condition(), sight));
-        figures.put("told", tells(p.condition(), sight));
+        figures.put("condition", word(p.lifecycleState(), sight));
+        figures.put("told", tells(p.lifecycleState(), sight));
         if (!sight.all()) {
             RequestTally own = own(p, sight);
             tally(figures, own);
             return new View("Overview", figures, List.of(), List.of());
         }
-        figures.put("places taken", p.places() + " of " + setup.capacity().requests());
-        figures.put("room used", percent(p.used()));
-        figures.put("relays out", p.out());
+        figures.put("places taken", p.admittedRequests() + " of " + setup.capacity().maxRequests());
+        figures.put("room used", percent(p.utilization()));
+        figures.put("relays out", p.attemptsInFlight());
         figures.put("targets", p.targets().size());
         figures.put(
                 "not on",
                 p.targets().stream()
                         .filter(t -> !t.state().equals("on"))
-                        .map(t -> t.look().id() + " " + t.state())
+                        .map(t -> t.view().id() + " " + t.state())
                         .sorted()
                         .limit(20)
                         .reduce((a, b) -> a + ", " + b)
                         .orElse("none"));
-        figures.put("list version", p.listVersion());
-        figures.put("turn p50", micros(p.turnP50Micros()));
-        figures.put("turn p99", micros(p.turnP99Micros()));
+        figures.put("list version", p.endpointListRevision());
+        figures.put("turn p50", micros(p.loopP50Micros()));
+        figures.put("turn p99", micros(p.loopP99Micros()));
         figures.put("pictures cost", percent(p.snapshotCostShare()));
         figures.put("late answers, of late", percent(p.lateShare()));
-        figures.put("further relays that succeed", percent(p.furtherSuccess()));
+        figures.put("further relays that succeed", percent(p.retrySuccessShare()));
         List<List<Object>> rows = new ArrayList<>();
         p.categories().forEach((name, t) -> rows.add(row(name, t)));
         List<List<Object>> why = why(p);
@@ -161,33 +161,33 @@
         for (StatusSnapshot.Volume v : p.volumes().values()) {
             if (sight.sees(v.name())) {
                 RequestTally t = v.tally();
-                asked += t.asked();
+                asked += t.requests();
                 answered += t.answered();
-                inTime += t.inTime();
+                inTime += t.onTime();
                 rejected += t.rejected();
-                brokenOff += t.brokenOff();
+                brokenOff += t.failed();
             }
         }
         return new RequestTally(asked, answered, inTime, rejected, brokenOff);
     }
 
     private static void tally(Map<String, Object> figures, RequestTally t) {
-        figures.put("asked", t.asked());
+        figures.put("asked", t.requests());
         figures.put("answered", t.answered());
-        figures.put("in time", percent(t.service()));
+        figures.put("in time", percent(t.onTimeShare()));
         figures.put("rejected", t.rejected());
-        figures.put("broken off", t.brokenOff());
+        figures.put("broken off", t.failed());
     }
 
     /** What holds accesses up, as far as one initiator can know it: the gravest first. */
     private List<List<Object>> why(StatusSnapshot p) {
         List<List<Object>> rows = new ArrayList<>();
-        if (!p.condition().admits() || p.condition() == LifecycleState.SATURATED) {
-            rows.add(List.of("this initiator", p.condition().tells(), 0));
+        if (!p.lifecycleState().admits() || p.lifecycleState() == LifecycleState.SATURATED) {
+            rows.add(List.of("this initiator", p.lifecycleState().tells(), 0));
         }
         Map<Integer, Integer> waiting = new LinkedHashMap<>();
-        p.nodes().forEach(n -> waiting.put(n.shard(), n.pending()));
-        p.nodes().stream()
+        p.shards().forEach(n -> waiting.put(n.shard(), n.pending()));
+        p.shards().stream()
                 .filter(n -> n.target() == null && n.pending() > 0)
                 .forEach(
                         n ->
@@ -199,17 +199,17 @@
         for (StatusSnapshot.Target t : p.targets()) {
             String cause = cause(t.state());
             if (cause != null) {
-                rows.add(List.of(t.look().id(), cause, waiting.getOrDefault(t.look().shard(), 0)));
+                rows.add(List.of(t.view().id(), cause, waiting.getOrDefault(t.view().shard(), 0)));
             }
         }
         p.volumes().values().stream()
                 .filter(
                         v ->
-                                v.left().limitUnits() >= 0
-                                        && v.left().limitUnits() < 1
-                                        && v.left().pending() > 0)
+                                v.view().limitUnits() >= 0
+                                        && v.view().limitUnits() < 1
+                                        && v.view().pending() > 0)
                 .sorted(
-                        Comparator.comparing((StatusSnapshot.Volume v) -> -v.left().pending())
+                        Comparator.comparing((StatusSnapshot.Volume v) -> -v.view().pending())
                                 .thenComparing(StatusSnapshot.Volume::name))
                 .limit(10)
                 .forEach(
@@ -218,7 +218,7 @@
                                         List.of(
                                                 v.name(),
                                                 "at the limit of its plan " + v.plan(),
-                                                v.left().pending())));
+                                                v.view().pending())));
         refused(
                 rows,
                 Counter.REJECTED_CAPACITY,
@@ -252,7 +252,12 @@
 
     private static List<Object> row(String name, RequestTally t) {
         return List.of(
-                name, t.asked(), t.answered(), percent(t.service()), t.rejected(), t.brokenOff());
+                name,
+                t.requests(),
+                t.answered(),
+                percent(t.onTimeShare()),
+                t.rejected(),
+                t.failed());
     }
 
     private View targets(AccessScope sight, Ask ask) {
@@ -260,11 +265,11 @@
         List<List<Object>> rows = new ArrayList<>();
         if (!sight.all()) {
             for (StatusSnapshot.Target t : p.targets()) {
-                if (t.look().id().contains(ask.find())) {
+                if (t.view().id().contains(ask.find())) {
                     rows.add(
                             List.of(
-                                    t.look().id(),
-                                    t.look().usable() && !t.drainedHere()
+                                    t.view().id(),
+                                    t.view().usable() && !t.isDrainedHere()
                                             ? "on"
                                             : "not in service"));
                 }
@@ -276,7 +281,7 @@
                     List.of());
         }
         for (StatusSnapshot.Target t : p.targets()) {
-            var l = t.look();
+            var l = t.view();
             if (l.id().contains(ask.find())) {
                 rows.add(
                         List.of(
@@ -288,13 +293,13 @@
                                 round(l.concurrencyLimit()),
                                 micros((long) l.latencyMicros()),
                                 l.hasLoadReport() ? micros((long) l.queueDelayMicros()) : "-",
-                                age(p.at(), l.startedAtMicros()),
-                                t.tally().asked(),
-                                percent(t.tally().service())));
+                                age(p.atMicros(), l.startedAtMicros()),
+                                t.tally().requests(),
+                                percent(t.tally().onTimeShare())));
             }
         }
         List<List<Object>> nodes = new ArrayList<>();
-        p.nodes().stream()
+        p.shards().stream()
                 .sorted(Comparator.comparingInt(n -> n.shard()))
                 .forEach(
                         n ->
@@ -306,7 +311,7 @@
                                                 n.volumes())));
         return new View(
                 "Targets",
-                Map.of("list version", p.listVersion()),
+                Map.of("list version", p.endpointListRevision()),
                 List.of(
                         cut(
                                 "targets",
@@ -339,7 +344,7 @@
                         .filter(v -> sight.sees(v.name()) && v.name().contains(ask.find()))
                         .sorted(
                                 Comparator.comparingLong(
-                                                (StatusSnapshot.Volume v) -> -v.tally().asked())
+                                                (StatusSnapshot.Volume v) -> -v.tally().requests())
                                         .thenComparing(StatusSnapshot.Volume::name))
                         .toList();
         List<List<Object>> rows = new ArrayList<>();
@@ -349,15 +354,15 @@
                     List.of(
                             v.name(),
                             v.plan(),
-                            v.held(),
-                            v.left().pending(),
-                            t.asked(),
+                            v.pendingRequests(),
+                            v.view().pending(),
+                            t.requests(),
                             t.answered(),
-                            percent(t.service()),
+                            percent(t.onTimeShare()),
                             t.rejected(),
-                            t.brokenOff(),
-                            v.left().limitUnits() < 0 ? "no limit" : round(v.left().limitUnits()),
-                            round(v.left().reservationUnits())));
+                            t.failed(),
+                            v.view().limitUnits() < 0 ? "no limit" : round(v.view().limitUnits()),
+                            round(v.view().reservationUnits())));
         }
         Table table =
                 new Table(
@@ -379,7 +384,7 @@
                         ask.page());
         return new View(
                 "Volumes",
-                sight.all() ? Map.of("not counted in yet", p.behind()) : Map.of(),
+                sight.all() ? Map.of("not counted in yet", p.unreportedVolumes()) : Map.of(),
                 List.of(table),
                 List.of(asked(sight)));
     }
@@ -397,10 +402,10 @@
                                 words(c.idempotency()),
                                 micros(c.latencyObjectiveMicros()),
                                 c.priorityWeight(),
-                                t.asked(),
-                                percent(t.service()),
+                                t.requests(),
+                                percent(t.onTimeShare()),
                                 t.rejected(),
-                                t.brokenOff()));
+                                t.failed()));
             } else {
                 rows.add(
                         List.of(
@@ -440,24 +445,24 @@
         for (int i = p.events().size() - 1; i >= 0; i--) {
             StatusSnapshot.OperationalEvent h = p.events().get(i);
             boolean own = h.volume() == null ? sight.all() : sight.sees(h.volume());
-            if (own && h.what().contains(ask.find())) {
+            if (own && h.description().contains(ask.find())) {
                 seen.add(h);
             }
         }
         List<List<Object>> rows = new ArrayList<>();
         seen.subList(from(seen.size(), ask), to(seen.size(), ask))
-                .forEach(h -> rows.add(List.of(clock(h.at()), h.kind(), h.what())));
+                .forEach(h -> rows.add(List.of(clock(h.atMicros()), h.kind(), h.description())));
         List<Table> tables = new ArrayList<>();
         tables.add(
                 new Table("events", List.of("at", "kind", "what"), rows, seen.size(), ask.page()));
         List<List<Object>> decided = new ArrayList<>();
-        p.decided().stream()
+        p.decisions().stream()
                 .filter(d -> d.volume() == null ? sight.all() : sight.sees(d.volume()))
                 .forEach(
                         d ->
                                 decided.add(
                                         List.of(
-                                                clock(d.at()),
+                                                clock(d.atMicros()),
                                                 d.volume() == null ? "-" : d.volume(),
                                                 words(d.action(), sight))));
         tables.add(cut("latest decisions", List.of("at", "volume", "decided"), decided, Ask.FIRST));
@@ -568,17 +573,15 @@
                 "%",
                 "category:",
                 s ->
-                        s.asked() == 0
+                        s.requests() == 0
                                 ? null
                                 : Math.min(
                                         100.0,
                                         100.0
-                                                * s.inTime()
+                                                * s.onTime()
                                                 / Math.max(
-                                                        s.asked(),
-                                                        s.answered()
-                                                                + s.rejected()
-                                                                + s.brokenOff())),
+                                                        s.requests(),
+                                                        s.answered() + s.rejected() + s.failed())),
                 sight);
     }
 
@@ -587,12 +590,12 @@
                 "answers of targets, p50",
                 "ms",
                 "target:",
-                s -> s.answered() == 0 ? null : s.p50() / 1e3,
+                s -> s.answered() == 0 ? null : s.p50Micros() / 1e3,
                 null);
     }
 
     private Chart asked(AccessScope sight) {
-        return chart("asked", "/s", "volume:", s -> (double) s.asked(), sight);
+        return chart("asked", "/s", "volume:", s -> (double) s.requests(), sight);
     }
 
     private interface Point {
@@ -616,7 +619,7 @@
                                                         || sight.all()
                                                         || !of.equals("others") && sight.sees(of));
                                 if (shown) {
-                                    sums.merge(of, s.asked() + s.answered(), Integer::sum);
+                                    sums.merge(of, s.requests() + s.answered(), Integer::sum);
                                 }
                             });
         }
--- a/gateway/src/main/java/milletyoke/gateway/console/Tokens.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Tokens.java
@@ -48,7 +48,7 @@
     private static List<Entry> read(Path file) throws ConfigException {
         SettingsReader f = SettingsReader.read(file);
         List<Entry> all = new ArrayList<>();
-        for (SettingsReader t : f.sections("tokens", true)) {
+        for (SettingsReader t : f.objects("tokens", true)) {
             AccessScope.Role role = t.keyword("role", AccessScope.Role.class, null);
             String name = t.text("name", null);
             byte[] hash;
--- a/gateway/src/main/java/milletyoke/gateway/discovery/DiscoveryWatch.java
+++ b/gateway/src/main/java/milletyoke/gateway/discovery/DiscoveryWatch.java
@@ -76,9 +76,9 @@
         InitiatorConfig.Transport transport = config.transport();
         FrameLimits limits =
                 new FrameLimits(
-                        Math.max(transport.frameBytes(), MIN_FRAME_BYTES),
-                        transport.waitingBytes(),
-                        transport.partialTime(),
+                        Math.max(transport.maxFrameBytes(), MIN_FRAME_BYTES),
+                        transport.maxUnsentBytes(),
+                        transport.partialFrameTimeoutMicros(),
                         0);
         Address address = config.discovery();
         network.connect(
--- a/gateway/src/main/java/milletyoke/gateway/dispatch/AttemptDispatcher.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/AttemptDispatcher.java
@@ -128,7 +128,7 @@
                         target,
                         nextFrameNumber++,
                         now,
-                        now + transport.probeTime(),
+                        now + transport.probeTimeoutMicros(),
                         now + transport.connectTimeoutMicros()));
     }
 
@@ -189,7 +189,7 @@
      * new one.
      */
     private boolean isExclusive() {
-        return transport.streams() == 1;
+        return transport.maxAttemptsPerConnection() == 1;
     }
 
     /** Sends on one of the pool's connections; false where none takes it. */
--- a/gateway/src/main/java/milletyoke/gateway/dispatch/ConnectionPool.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/ConnectionPool.java
@@ -61,7 +61,7 @@
 
     /** Whether a connection carries one attempt at a time. */
     private boolean isExclusive() {
-        return transport.streams() == 1;
+        return transport.maxAttemptsPerConnection() == 1;
     }
 
     void add(PooledConnection connection) {
@@ -97,7 +97,7 @@
     }
 
     private boolean hasRoom(PooledConnection candidate, long nowMicros) {
-        return candidate.inFlight.size() < transport.streams()
+        return candidate.inFlight.size() < transport.maxAttemptsPerConnection()
                 && candidate.isOpen()
                 && nowMicros >= reusableAtMicros(candidate);
     }
@@ -166,7 +166,8 @@
     /** Whether one more waiting attempt calls for a new connection, and the bound allows one. */
     boolean needsConnect(long nowMicros) {
         return countInReuseDelay(nowMicros) <= waiting.size()
-                && connections.size() + pendingConnects.size() < transport.connections();
+                && connections.size() + pendingConnects.size()
+                        < transport.maxConnectionsPerTarget();
     }
 
     void connect(Connector connector, long connectNumber, long nowMicros) {
--- a/gateway/src/main/java/milletyoke/gateway/ingress/ClientListener.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/ClientListener.java
@@ -79,7 +79,7 @@
         }
         return request.toBuilder()
                 .setPlan(volume.text("plan"))
-                .setInitiatorCount((int) volume.figure("hosts"))
+                .setInitiatorCount((int) volume.number("hosts"))
                 .build();
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/ingress/ProtocolViolationLog.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/ProtocolViolationLog.java
@@ -39,7 +39,7 @@
      * @param role what the peer is, for the log
      */
     public void closed(String role, PeerConnection peer) {
-        if (peer.failProtocol() != null) {
+        if (peer.protocolViolation() != null) {
             counters.increment(Counter.MALFORMED_PEERS);
             log(role, peer);
         }
@@ -55,7 +55,7 @@
                     "connection closed for protocol violation role={} peer={} reason={}",
                     role,
                     peer,
-                    peer.failProtocol());
+                    peer.protocolViolation());
         } else {
             suppressedCount++;
         }
--- a/gateway/src/main/java/milletyoke/gateway/ingress/RequestAdmission.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/RequestAdmission.java
@@ -79,13 +79,13 @@
     private boolean hasValuesInRange(Request request) {
         InitiatorConfig.CapacityLimits limits = config.capacity();
         return request.getUnits() > 0
-                && request.getUnits() <= limits.largest()
+                && request.getUnits() <= limits.maxRequestUnits()
                 && request.getTimeLeftMicros() > 0
-                && request.getTimeLeftMicros() <= limits.longest()
+                && request.getTimeLeftMicros() <= limits.maxTimeLeftMicros()
                 && request.getInitiatorCount() >= 0
                 && request.getInitiatorCount() <= MAX_INITIATOR_COUNT
                 && (!request.hasShard()
-                        || (request.getShard() >= 0 && request.getShard() < limits.shards()));
+                        || (request.getShard() >= 0 && request.getShard() < limits.shardCount()));
     }
 
     /**
--- a/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
@@ -124,7 +124,7 @@
         RequestScheduler requestScheduler = new RequestScheduler();
         Scheduler scheduler =
                 schedulerFactory == null ? requestScheduler::decide : schedulerFactory.get();
-        queue = new MessageQueue(config.capacity().queue());
+        queue = new MessageQueue(config.capacity().queueCapacity());
         lateRequestRejector = new LateRequestRejector(queue, environment, counters);
         ExecutionEnvironment.LoopDriver driver = execution.newLoopDriver(this::runWhileBusy);
         thread = new LoopThread(driver, this::run, config.name() + "-loop");
@@ -252,7 +252,7 @@
 
     /** Whether the endpoint list has such a target, as of the latest snapshot. */
     public boolean knows(String target) {
-        return snapshot().targets().stream().anyMatch(t -> t.look().id().equals(target));
+        return snapshot().targets().stream().anyMatch(t -> t.view().id().equals(target));
     }
 
     /** Passes the loop's figures to a reader, on the loop's thread. */
--- a/gateway/src/main/java/milletyoke/gateway/loop/LoopComponents.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/LoopComponents.java
@@ -63,7 +63,7 @@
     private RequestTracker newTracker() {
         return new RequestTracker(
                 config.name() + "." + clock.getAsLong() + ".",
-                config.deployment().answerSlackMicros(),
+                config.deployment().responseSlackMicros(),
                 counters,
                 environment::releaseSlot,
                 statistics,
@@ -88,9 +88,9 @@
     private static Lifecycle newLifecycle(InitiatorConfig.CapacityLimits capacity) {
         return new Lifecycle(
                 new Lifecycle.Thresholds(
-                        capacity.listAge(),
-                        capacity.full(),
-                        capacity.eased(),
+                        capacity.endpointListTimeoutMicros(),
+                        capacity.saturationThreshold(),
+                        capacity.recoveryThreshold(),
                         MIN_SATURATED_MICROS));
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/loop/MessageHandler.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/MessageHandler.java
@@ -144,7 +144,7 @@
 
     @Override
     public void onApplySettings(LoopMessage.ApplySettings message) {
-        statistics.provision(message.settings());
+        statistics.applySettings(message.settings());
         tracker.addEvent(new Event.SettingsChanged(message.settings()));
         status.recordEvent(nowMicros, CONFIGURATION_EVENT, "a new version holds");
         environment.settingsApplied(message.settings());
--- a/gateway/src/main/java/milletyoke/gateway/loop/RequestTracker.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/RequestTracker.java
@@ -124,7 +124,7 @@
         requests.add(tracked);
         unansweredCount++;
         counters.increment(Counter.REQUESTS);
-        statistics.asked(
+        statistics.onRequest(
                 nowMicros, request.getRequestClass(), request.getPlan(), request.getVolume());
         events.add(tracked.receivedEvent(deadlineMicros - nowMicros));
     }
@@ -192,7 +192,7 @@
     /** Ends a request without a response. */
     private void closeRequest(TrackedRequest tracked) {
         events.add(new Event.RequestClosed(tracked.id));
-        markAnswered(tracked, ServiceStatistics.End.LEFT);
+        markAnswered(tracked, ServiceStatistics.Outcome.CANCELLED);
         if (tracked.hasAttemptInFlight) {
             actionSink.dropUnsent(tracked.id, tracked.latestAttemptNumber());
         }
@@ -215,7 +215,7 @@
             return; // its request is over and no longer tracked
         }
         tracked.hasAttemptInFlight = false;
-        statistics.relayEnded(
+        statistics.onAttemptEnd(
                 clock.getAsLong(), tracked.target, attemptEnd(outcome), latencyMicros);
         if (outcome == Outcome.SUCCEEDED && !tracked.isAnswered) {
             respond(tracked, ResponseStatus.ANSWERED, 0, payload);
@@ -227,11 +227,11 @@
         removeIfComplete(tracked);
     }
 
-    private static ServiceStatistics.End attemptEnd(Outcome outcome) {
+    private static ServiceStatistics.Outcome attemptEnd(Outcome outcome) {
         return switch (outcome) {
-            case SUCCEEDED -> ServiceStatistics.End.ANSWERED;
-            case OVERLOADED, NOT_STARTED, NO_CONNECTION -> ServiceStatistics.End.REJECTED;
-            default -> ServiceStatistics.End.BROKEN_OFF;
+            case SUCCEEDED -> ServiceStatistics.Outcome.ANSWERED;
+            case OVERLOADED, NOT_STARTED, NO_CONNECTION -> ServiceStatistics.Outcome.REJECTED;
+            default -> ServiceStatistics.Outcome.FAILED;
         };
     }
 
@@ -310,7 +310,7 @@
                     "an attempt was decided for request " + send.id() + ", which is over");
         }
         int attemptNumber = tracked.beginAttempt(send.target());
-        statistics.relayed(nowMicros, send.target());
+        statistics.onAttempt(nowMicros, send.target());
         counters.increment(attemptNumber == 0 ? Counter.ATTEMPTS : Counter.RETRIES);
         long timeLeftMicros = Math.max(0, send.deadlineMicros() - nowMicros);
         actionSink.sendAttempt(
@@ -348,17 +348,17 @@
         markAnswered(tracked, requestEnd(status));
     }
 
-    private static ServiceStatistics.End requestEnd(ResponseStatus status) {
+    private static ServiceStatistics.Outcome requestEnd(ResponseStatus status) {
         return switch (status) {
-            case ANSWERED -> ServiceStatistics.End.ANSWERED;
-            case REJECTED -> ServiceStatistics.End.REJECTED;
-            default -> ServiceStatistics.End.BROKEN_OFF;
+            case ANSWERED -> ServiceStatistics.Outcome.ANSWERED;
+            case REJECTED -> ServiceStatistics.Outcome.REJECTED;
+            default -> ServiceStatistics.Outcome.FAILED;
         };
     }
 
-    private void markAnswered(TrackedRequest tracked, ServiceStatistics.End end) {
+    private void markAnswered(TrackedRequest tracked, ServiceStatistics.Outcome end) {
         long nowMicros = clock.getAsLong();
-        statistics.ended(
+        statistics.onRequestEnd(
                 nowMicros,
                 tracked.request.getRequestClass(),
                 tracked.request.getPlan(),
--- a/gateway/src/main/java/milletyoke/gateway/loop/StatusPublisher.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/StatusPublisher.java
@@ -60,7 +60,7 @@
 
     /** Adds an event to the console's list of events. */
     void recordEvent(long nowMicros, String kind, String description) {
-        snapshotBuilder.happened(nowMicros, kind, description, null);
+        snapshotBuilder.addEvent(nowMicros, kind, description, null);
     }
 
     long nextSnapshotMicros() {
@@ -76,12 +76,12 @@
         if (snapshot != null && (isVirtual || !environment.isWatched())) {
             return; // nobody reads it, and its cost grows with the targets and volumes
         }
-        snapshot = snapshotBuilder.paint(nowMicros, loopState());
+        snapshot = snapshotBuilder.build(nowMicros, loopState());
         timings.recordSnapshot(nowMicros, System.nanoTime() - startNanos);
     }
 
-    private SnapshotBuilder.Loop loopState() {
-        return new SnapshotBuilder.Loop(
+    private SnapshotBuilder.LoopStatus loopState() {
+        return new SnapshotBuilder.LoopStatus(
                 lifecycle,
                 environment.slotsInUse(),
                 tracker.trackedCount(),
--- a/gateway/src/main/java/milletyoke/gateway/reload/ConfigUpdate.java
+++ b/gateway/src/main/java/milletyoke/gateway/reload/ConfigUpdate.java
@@ -27,7 +27,7 @@
         }
         List<String> why = new ArrayList<>();
         for (FleetDiff.Change change : changes) {
-            switch (change.applyMode()) {
+            switch (change.taken()) {
                 case RESTART -> why.add(change.text() + ": needs a restart");
                 case REFUSED -> why.add(change.text() + ": accesses of it may be held");
                 case IN_SERVICE -> {}
--- a/gateway/src/main/java/milletyoke/gateway/reload/ConfigWatcher.java
+++ b/gateway/src/main/java/milletyoke/gateway/reload/ConfigWatcher.java
@@ -146,7 +146,7 @@
 
     private static List<String> errors(Checker.Result checked) {
         return checked.diagnostics().stream()
-                .filter(Diagnostic::error)
+                .filter(Diagnostic::isError)
                 .map(Diagnostic::text)
                 .toList();
     }
--- a/gateway/src/main/java/milletyoke/gateway/status/ServiceStatistics.java
+++ b/gateway/src/main/java/milletyoke/gateway/status/ServiceStatistics.java
@@ -24,15 +24,15 @@
  * second that come beyond are counted under {@code others}.
  */
 public final class ServiceStatistics {
-    public static final int SECONDS = 900;
-    static final int MOST_VOLUMES = 10_000, MOST_SERIES = 128;
-    private static final long LONGEST = 60_000_000;
+    public static final int RETAINED_SECONDS = 900;
+    static final int MAX_VOLUMES = 10_000, MAX_SERIES = 128;
+    private static final long MAX_LATENCY_MICROS = 60_000_000;
 
     /** One second of all series; keys are category:, plan:, volume: and target: with a name. */
     public record Row(long second, Map<String, SecondSummary> series) {}
 
     /** Sums that grow, and the second in the making. */
-    private static final class Account {
+    private static final class Totals {
         long asked, answered, inTime, rejected, brokenOff;
 
         RequestTally tally() {
@@ -40,7 +40,7 @@
         }
     }
 
-    private static final class Series {
+    private static final class SecondAccumulator {
         int asked, answered, inTime, rejected, brokenOff;
 
         /**
@@ -56,14 +56,14 @@
         private boolean spilled;
 
         void took(long micros) {
-            int time = (int) Math.min(LONGEST, Math.max(0, micros));
+            int time = (int) Math.min(MAX_LATENCY_MICROS, Math.max(0, micros));
             if (!spilled && some < few.length) {
                 few[some++] = time;
                 return;
             }
             if (!spilled) {
                 spilled = true;
-                many = many == null ? new Histogram(LONGEST, 2) : many;
+                many = many == null ? new Histogram(MAX_LATENCY_MICROS, 2) : many;
                 for (int each : few) {
                     many.recordValue(each);
                 }
@@ -108,22 +108,22 @@
      * The series of one kind, by name; nothing is put together or allocated for a name that is
      * known.
      */
-    private static final class Kind {
+    private static final class SeriesGroup {
         private final String prefix;
-        private final Map<String, Series> named = new HashMap<>();
-        private final Series others = new Series();
+        private final Map<String, SecondAccumulator> named = new HashMap<>();
+        private final SecondAccumulator others = new SecondAccumulator();
 
-        Kind(String prefix) {
+        SeriesGroup(String prefix) {
             this.prefix = prefix;
         }
 
-        Series of(String name) {
-            Series known = named.get(name);
-            if (known == null && (named.size() >= MOST_SERIES || name.equals("others"))) {
+        SecondAccumulator of(String name) {
+            SecondAccumulator known = named.get(name);
+            if (known == null && (named.size() >= MAX_SERIES || name.equals("others"))) {
                 return others;
             }
             if (known == null) {
-                known = new Series();
+                known = new SecondAccumulator();
                 named.put(name, known);
             }
             return known;
@@ -148,13 +148,13 @@
     }
 
     /** A volume's account and what else is told of it. */
-    static final class OfVolume {
+    static final class VolumeStatistics {
         final String plan;
-        final Account account = new Account();
+        final Totals account = new Totals();
         long lastAsked;
         int held;
 
-        OfVolume(String plan) {
+        VolumeStatistics(String plan) {
             this.plan = plan;
         }
 
@@ -163,85 +163,87 @@
         }
     }
 
-    private final Map<String, Long> agreed = new HashMap<>();
-    private final Map<String, Account> categories = new LinkedHashMap<>();
-    private final Map<String, Account> plans = new LinkedHashMap<>();
-    private final Map<String, Account> targets = new LinkedHashMap<>();
-    private final LinkedHashMap<String, OfVolume> volumes = new LinkedHashMap<>(64, 0.75f, true);
+    private final Map<String, Long> latencyObjectives = new HashMap<>();
+    private final Map<String, Totals> categories = new LinkedHashMap<>();
+    private final Map<String, Totals> plans = new LinkedHashMap<>();
+    private final Map<String, Totals> targets = new LinkedHashMap<>();
+    private final LinkedHashMap<String, VolumeStatistics> volumes =
+            new LinkedHashMap<>(64, 0.75f, true);
     private final Set<String> dirty = new LinkedHashSet<>();
-    private final List<String> forgotten = new ArrayList<>();
-    private final Kind categorySeries = new Kind("category:"),
-            planSeries = new Kind("plan:"),
-            volumeSeries = new Kind("volume:"),
-            targetSeries = new Kind("target:");
-    private final List<Kind> kinds =
+    private final List<String> evictedVolumes = new ArrayList<>();
+    private final SeriesGroup categorySeries = new SeriesGroup("category:"),
+            planSeries = new SeriesGroup("plan:"),
+            volumeSeries = new SeriesGroup("volume:"),
+            targetSeries = new SeriesGroup("target:");
+    private final List<SeriesGroup> kinds =
             List.of(categorySeries, planSeries, volumeSeries, targetSeries);
-    private final AtomicReferenceArray<Row> ring = new AtomicReferenceArray<>(SECONDS);
-    private final boolean kept;
-    private long second = -1;
+    private final AtomicReferenceArray<Row> ring = new AtomicReferenceArray<>(RETAINED_SECONDS);
+    private final boolean isEnabled;
+    private long currentSecond = -1;
 
     public ServiceStatistics(SchedulerSettings given) {
         this(given, true);
     }
 
     /**
-     * @param kept false where nobody will ever look: then nothing is counted and nothing grows
+     * @param isEnabled false where nobody will ever look: then nothing is counted and nothing grows
      */
     public ServiceStatistics(SchedulerSettings given, boolean kept) {
-        this.kept = kept;
-        provision(given);
+        this.isEnabled = kept;
+        applySettings(given);
     }
 
     /** Takes new categories and plans; those there are keep their sums. */
-    public void provision(SchedulerSettings given) {
+    public void applySettings(SchedulerSettings given) {
         given.requestClasses()
                 .forEach(
                         c -> {
-                            agreed.put(c.name(), c.latencyObjectiveMicros());
-                            categories.putIfAbsent(c.name(), new Account());
+                            latencyObjectives.put(c.name(), c.latencyObjectiveMicros());
+                            categories.putIfAbsent(c.name(), new Totals());
                         });
-        given.plans().forEach(p -> plans.putIfAbsent(p.name(), new Account()));
+        given.plans().forEach(p -> plans.putIfAbsent(p.name(), new Totals()));
     }
 
     /** How one access ended for its client. */
-    public enum End {
+    public enum Outcome {
         ANSWERED,
         REJECTED,
-        BROKEN_OFF,
-        LEFT
+        FAILED,
+        CANCELLED
     }
 
-    public void asked(long now, String category, String plan, String volume) {
-        if (!kept) {
+    public void onRequest(long now, String category, String plan, String volume) {
+        if (!isEnabled) {
             return;
         }
-        turn(now);
+        advanceTo(now);
         count(
                 categories.get(category),
                 categorySeries.of(category),
                 a -> a.asked++,
                 s -> s.asked++);
         count(plans.get(plan), planSeries.of(plan), a -> a.asked++, s -> s.asked++);
-        OfVolume v = volumes.computeIfAbsent(volume, x -> new OfVolume(plan));
+        VolumeStatistics v = volumes.computeIfAbsent(volume, x -> new VolumeStatistics(plan));
         v.lastAsked = now;
         v.held++;
         count(v.account, volumeSeries.of(volume), a -> a.asked++, s -> s.asked++);
         dirty.add(volume);
-        makeRoom();
+        evictEldestVolume();
     }
 
     /**
      * @param took microseconds from its coming in
      */
-    public void ended(long now, String category, String plan, String volume, End how, long took) {
-        if (!kept) {
+    public void onRequestEnd(
+            long now, String category, String plan, String volume, Outcome how, long took) {
+        if (!isEnabled) {
             return;
         }
-        turn(now);
-        boolean inTime = how == End.ANSWERED && took <= agreed.get(category);
+        advanceTo(now);
+        boolean inTime = how == Outcome.ANSWERED && took <= latencyObjectives.get(category);
         end(categories.get(category), categorySeries.of(category), how, inTime, took);
         end(plans.get(plan), planSeries.of(plan), how, inTime, took);
-        OfVolume v = volumes.get(volume);
+        VolumeStatistics v = volumes.get(volume);
         if (v != null) {
             v.held--;
             end(v.account, volumeSeries.of(volume), how, inTime, took);
@@ -249,14 +251,14 @@
         }
     }
 
-    public void relayed(long now, String target) {
-        if (!kept) {
+    public void onAttempt(long now, String target) {
+        if (!isEnabled) {
             return;
         }
-        turn(now);
-        Account a =
-                targets.size() < 4 * MOST_SERIES
-                        ? targets.computeIfAbsent(target, t -> new Account())
+        advanceTo(now);
+        Totals a =
+                targets.size() < 4 * MAX_SERIES
+                        ? targets.computeIfAbsent(target, t -> new Totals())
                         : targets.get(target);
         count(a, targetSeries.of(target), x -> x.asked++, s -> s.asked++);
     }
@@ -264,30 +266,31 @@
     /**
      * @param lag microseconds
      */
-    public void relayEnded(long now, String target, End how, long lag) {
-        if (!kept) {
+    public void onAttemptEnd(long now, String target, Outcome how, long lag) {
+        if (!isEnabled) {
             return;
         }
-        turn(now);
-        end(targets.get(target), targetSeries.of(target), how, how == End.ANSWERED, lag);
+        advanceTo(now);
+        end(targets.get(target), targetSeries.of(target), how, how == Outcome.ANSWERED, lag);
     }
 
     private interface OnAccount {
-        void add(Account a);
+        void add(Totals a);
     }
 
     private interface OnSeries {
-        void add(Series s);
+        void add(SecondAccumulator s);
     }
 
-    private static void count(Account account, Series of, OnAccount sum, OnSeries now) {
+    private static void count(Totals account, SecondAccumulator of, OnAccount sum, OnSeries now) {
         if (account != null) {
             sum.add(account);
         }
         now.add(of);
     }
 
-    private static void end(Account account, Series of, End how, boolean inTime, long took) {
+    private static void end(
+            Totals account, SecondAccumulator of, Outcome how, boolean inTime, long took) {
         switch (how) {
             case ANSWERED -> {
                 count(account, of, a -> a.answered++, s -> s.answered++);
@@ -297,34 +300,36 @@
                 of.took(took);
             }
             case REJECTED -> count(account, of, a -> a.rejected++, s -> s.rejected++);
-            case BROKEN_OFF -> count(account, of, a -> a.brokenOff++, s -> s.brokenOff++);
-            case LEFT -> {}
+            case FAILED -> count(account, of, a -> a.brokenOff++, s -> s.brokenOff++);
+            case CANCELLED -> {}
         }
     }
 
-    private void makeRoom() {
-        if (volumes.size() > MOST_VOLUMES) {
+    private void evictEldestVolume() {
+        if (volumes.size() > MAX_VOLUMES) {
             String eldest = volumes.keySet().iterator().next();
             volumes.remove(eldest);
             dirty.remove(eldest);
-            forgotten.add(eldest);
+            evictedVolumes.add(eldest);
         }
     }
 
     /** Closes the seconds that are over. */
-    public void turn(long now) {
+    public void advanceTo(long now) {
         long current = now / 1_000_000;
-        if (second == current) {
+        if (currentSecond == current) {
             return;
         }
-        if (second >= 0) {
+        if (currentSecond >= 0) {
             Map<String, SecondSummary> row = new TreeMap<>();
-            for (Kind kind : kinds) {
+            for (SeriesGroup kind : kinds) {
                 kind.close(row);
             }
-            ring.set((int) (second % SECONDS), new Row(second, Map.copyOf(row)));
+            ring.set(
+                    (int) (currentSecond % RETAINED_SECONDS),
+                    new Row(currentSecond, Map.copyOf(row)));
         }
-        second = current;
+        currentSecond = current;
     }
 
     // ---- Reading ----
@@ -336,8 +341,8 @@
     public List<Row> rows(long now, int seconds) {
         List<Row> rows = new ArrayList<>();
         long last = now / 1_000_000 - 1;
-        for (long s = last - Math.min(SECONDS - 1, seconds) + 1; s <= last; s++) {
-            Row row = s < 0 ? null : ring.get((int) (s % SECONDS));
+        for (long s = last - Math.min(RETAINED_SECONDS - 1, seconds) + 1; s <= last; s++) {
+            Row row = s < 0 ? null : ring.get((int) (s % RETAINED_SECONDS));
             if (row != null && row.second() == s) {
                 rows.add(row);
             }
@@ -353,24 +358,24 @@
         return tallies(plans);
     }
 
-    private static Map<String, RequestTally> tallies(Map<String, Account> accounts) {
+    private static Map<String, RequestTally> tallies(Map<String, Totals> accounts) {
         Map<String, RequestTally> all = new LinkedHashMap<>();
         accounts.forEach((name, a) -> all.put(name, a.tally()));
         return java.util.Collections.unmodifiableMap(all);
     }
 
     RequestTally target(String id) {
-        Account a = targets.get(id);
+        Totals a = targets.get(id);
         return a == null ? RequestTally.NONE : a.tally();
     }
 
     /** Forgets a target that is listed no longer. */
-    void forgetTarget(String id) {
+    void removeTarget(String id) {
         targets.remove(id);
     }
 
     /** Takes up to so many volumes that changed. */
-    List<String> takeDirty(int most) {
+    List<String> pollChangedVolumes(int most) {
         List<String> some = new ArrayList<>(Math.min(most, dirty.size()));
         var each = dirty.iterator();
         while (each.hasNext() && some.size() < most) {
@@ -385,14 +390,14 @@
     }
 
     /** Takes the volumes that made room for others. */
-    List<String> takeForgotten() {
-        List<String> gone = new ArrayList<>(forgotten);
-        forgotten.clear();
+    List<String> pollEvictedVolumes() {
+        List<String> gone = new ArrayList<>(evictedVolumes);
+        evictedVolumes.clear();
         return gone;
     }
 
     /** Null where it is not known, or made room for others. */
-    OfVolume volume(String name) {
+    VolumeStatistics volume(String name) {
         return volumes.get(name);
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/status/SnapshotBuilder.java
+++ b/gateway/src/main/java/milletyoke/gateway/status/SnapshotBuilder.java
@@ -22,65 +22,65 @@
  * differs from the last picture becomes an event.
  */
 public final class SnapshotBuilder {
-    static final int VOLUMES_A_PICTURE = 256;
-    private static final int EVENTS = 2_000;
+    static final int MAX_VOLUMES_PER_SNAPSHOT = 256;
+    private static final int MAX_EVENTS = 2_000;
 
     private final String name;
-    private final RequestScheduler decide;
-    private final ServiceStatistics accounts;
+    private final RequestScheduler scheduler;
+    private final ServiceStatistics statistics;
     private PMap<String, Volume> volumes = HashTreePMap.empty();
     private PVector<OperationalEvent> events = TreePVector.empty();
-    private Map<String, String> states = new HashMap<>();
+    private Map<String, String> lastTargetStates = new HashMap<>();
     private Lifecycle.Transition lastTransition;
 
     public SnapshotBuilder(String name, RequestScheduler decide, ServiceStatistics accounts) {
         this.name = name;
-        this.decide = decide;
-        this.accounts = accounts;
+        this.scheduler = decide;
+        this.statistics = accounts;
     }
 
     /** What the loop knows beside the decisions. */
-    public record Loop(
+    public record LoopStatus(
             Lifecycle lifecycle,
-            int places,
-            int held,
-            int out,
-            double used,
-            long version,
-            Histogram turns,
-            double costs,
-            List<StatusSnapshot.DecisionRecord> decided,
-            Function<String, String> listedAs,
-            Function<String, Boolean> drainedHere) {}
+            int admittedRequests,
+            int pendingRequests,
+            int attemptsInFlight,
+            double utilization,
+            long endpointListRevision,
+            Histogram loopDurations,
+            double snapshotCostShare,
+            List<StatusSnapshot.DecisionRecord> decisions,
+            Function<String, String> listedState,
+            Function<String, Boolean> isDrainedHere) {}
 
     /** Notes something that no picture shows by itself. @param volume whose it is alone, or null */
-    public void happened(long now, String kind, String what, String volume) {
+    public void addEvent(long now, String kind, String what, String volume) {
         events = events.plus(new OperationalEvent(now, kind, what, volume));
-        if (events.size() > EVENTS) {
+        if (events.size() > MAX_EVENTS) {
             events = events.minus(0);
         }
     }
 
-    public StatusSnapshot paint(long now, Loop loop) {
-        accounts.turn(now);
+    public StatusSnapshot build(long now, LoopStatus loop) {
+        statistics.advanceTo(now);
         List<StatusSnapshot.Target> targets = new ArrayList<>();
-        for (SchedulerView.TargetView look : SchedulerView.targets(decide)) {
-            String listed = loop.listedAs().apply(look.id());
+        for (SchedulerView.TargetView look : SchedulerView.targets(scheduler)) {
+            String listed = loop.listedState().apply(look.id());
             if (listed != null || look.inFlight() > 0) {
                 targets.add(
                         new StatusSnapshot.Target(
                                 look,
-                                loop.drainedHere().apply(look.id()),
+                                loop.isDrainedHere().apply(look.id()),
                                 listed == null ? "gone" : listed,
-                                accounts.target(look.id())));
+                                statistics.target(look.id())));
             } else {
-                accounts.forgetTarget(look.id());
+                statistics.removeTarget(look.id());
             }
         }
-        tellChanges(now, targets, loop.lifecycle());
-        accounts.takeForgotten().forEach(v -> volumes = volumes.minus(v));
-        for (String v : accounts.takeDirty(VOLUMES_A_PICTURE)) {
-            ServiceStatistics.OfVolume of = accounts.volume(v);
+        addChangeEvents(now, targets, loop.lifecycle());
+        statistics.pollEvictedVolumes().forEach(v -> volumes = volumes.minus(v));
+        for (String v : statistics.pollChangedVolumes(MAX_VOLUMES_PER_SNAPSHOT)) {
+            ServiceStatistics.VolumeStatistics of = statistics.volume(v);
             if (of != null) {
                 volumes =
                         volumes.plus(
@@ -89,7 +89,7 @@
                                         v,
                                         of.plan,
                                         of.tally(),
-                                        SchedulerView.volume(decide, v),
+                                        SchedulerView.volume(scheduler, v),
                                         of.lastAsked,
                                         of.held));
             }
@@ -99,51 +99,52 @@
                 name,
                 loop.lifecycle().state(),
                 loop.lifecycle().transitions(),
-                loop.places(),
-                loop.held(),
-                loop.out(),
-                loop.used(),
-                loop.version(),
-                SchedulerView.lateShare(decide),
-                SchedulerView.retrySuccessShare(decide),
-                loop.turns().getValueAtPercentile(50),
-                loop.turns().getValueAtPercentile(99),
+                loop.admittedRequests(),
+                loop.pendingRequests(),
+                loop.attemptsInFlight(),
+                loop.utilization(),
+                loop.endpointListRevision(),
+                SchedulerView.lateShare(scheduler),
+                SchedulerView.retrySuccessShare(scheduler),
+                loop.loopDurations().getValueAtPercentile(50),
+                loop.loopDurations().getValueAtPercentile(99),
                 List.copyOf(targets),
-                List.copyOf(SchedulerView.shards(decide)),
+                List.copyOf(SchedulerView.shards(scheduler)),
                 volumes,
-                accounts.dirty(),
+                statistics.dirty(),
                 events,
-                accounts.categories(),
-                accounts.plans(),
-                loop.costs(),
-                loop.decided());
+                statistics.categories(),
+                statistics.plans(),
+                loop.snapshotCostShare(),
+                loop.decisions());
     }
 
-    private void tellChanges(long now, List<StatusSnapshot.Target> targets, Lifecycle lifecycle) {
+    private void addChangeEvents(
+            long now, List<StatusSnapshot.Target> targets, Lifecycle lifecycle) {
         Map<String, String> next = new HashMap<>();
         for (StatusSnapshot.Target t : targets) {
             String state = t.state();
-            String before = states.get(t.look().id());
-            next.put(t.look().id(), state);
+            String before = lastTargetStates.get(t.view().id());
+            next.put(t.view().id(), state);
             if (!state.equals(before)) {
-                happened(
+                addEvent(
                         now,
                         "target",
-                        t.look().id()
+                        t.view().id()
                                 + (before == null ? " is known: " : ": " + before + " -> ")
                                 + state,
                         null);
             }
         }
-        states.keySet().stream()
+        lastTargetStates.keySet().stream()
                 .filter(id -> !next.containsKey(id))
                 .sorted()
-                .forEach(id -> happened(now, "target", id + " is known no more", null));
-        states = next;
+                .forEach(id -> addEvent(now, "target", id + " is known no more", null));
+        lastTargetStates = next;
         List<Lifecycle.Transition> past = lifecycle.transitions();
         int fresh = lastTransition == null ? 0 : past.lastIndexOf(lastTransition) + 1;
         for (Lifecycle.Transition t : past.subList(fresh, past.size())) {
-            happened(
+            addEvent(
                     t.atMicros(),
                     "condition",
                     t.from() + " -> " + t.to() + ": " + t.reason(),
--- a/gateway/src/main/java/milletyoke/gateway/status/StatusSnapshot.java
+++ b/gateway/src/main/java/milletyoke/gateway/status/StatusSnapshot.java
@@ -14,50 +14,53 @@
  * hold it while the loop goes on. Volumes are a persistent map of which only the changed part is
  * made anew. Times are microseconds on the initiator's clock.
  *
- * @param behind volumes that changed and are not in it yet
- * @param decided the latest decisions, the newest first
+ * @param unreportedVolumes volumes that changed and are not in it yet
+ * @param decisions the latest decisions, the newest first
  * @param snapshotCostShare part of the loop's time that pictures and accounts took, of late
  */
 public record StatusSnapshot(
-        long at,
+        long atMicros,
         String name,
-        LifecycleState condition,
+        LifecycleState lifecycleState,
         List<Lifecycle.Transition> transitions,
-        int places,
-        int held,
-        int out,
-        double used,
-        long listVersion,
+        int admittedRequests,
+        int pendingRequests,
+        int attemptsInFlight,
+        double utilization,
+        long endpointListRevision,
         double lateShare,
-        double furtherSuccess,
-        long turnP50Micros,
-        long turnP99Micros,
+        double retrySuccessShare,
+        long loopP50Micros,
+        long loopP99Micros,
         List<Target> targets,
-        List<SchedulerView.ShardView> nodes,
+        List<SchedulerView.ShardView> shards,
         PMap<String, Volume> volumes,
-        int behind,
+        int unreportedVolumes,
         PVector<OperationalEvent> events,
         Map<String, RequestTally> categories,
         Map<String, RequestTally> plans,
         double snapshotCostShare,
-        List<DecisionRecord> decided) {
+        List<DecisionRecord> decisions) {
 
     /**
-     * @param drainedHere taken out of service by an operator of this initiator alone
+     * @param isDrainedHere taken out of service by an operator of this initiator alone
      */
     public record Target(
-            SchedulerView.TargetView look, boolean drainedHere, String listed, RequestTally tally) {
+            SchedulerView.TargetView view,
+            boolean isDrainedHere,
+            String listedState,
+            RequestTally tally) {
         /** One word for people, the gravest first. */
         public String state() {
-            return drainedHere
+            return isDrainedHere
                     ? "drained here"
-                    : !look.usable()
-                            ? listed
-                            : look.nextTrialAtMicros() > 0
+                    : !view.usable()
+                            ? listedState
+                            : view.nextTrialAtMicros() > 0
                                     ? "silent"
-                                    : look.warmingUp()
+                                    : view.warmingUp()
                                             ? "cold"
-                                            : look.backingOff() ? "resting" : "on";
+                                            : view.backingOff() ? "resting" : "on";
         }
     }
 
@@ -69,22 +72,22 @@
             String name,
             String plan,
             RequestTally tally,
-            SchedulerView.VolumeView left,
-            long lastAsked,
-            int held) {}
+            SchedulerView.VolumeView view,
+            long lastRequestMicros,
+            int pendingRequests) {}
 
     /**
      * Counts since the start.
      *
-     * @param inTime answered within the agreed time of their category
+     * @param onTime answered within the agreed time of their category
      */
     public record RequestTally(
-            long asked, long answered, long inTime, long rejected, long brokenOff) {
+            long requests, long answered, long onTime, long rejected, long failed) {
         public static final RequestTally NONE = new RequestTally(0, 0, 0, 0, 0);
 
         /** The part of what was asked that was answered in time; 1 where nothing was. */
-        public double service() {
-            return asked == 0 ? 1 : inTime / (double) asked;
+        public double onTimeShare() {
+            return requests == 0 ? 1 : onTime / (double) requests;
         }
     }
 
@@ -93,12 +96,18 @@
      *
      * @param volume whose it is alone; null for what concerns the initiator or a target
      */
-    public record OperationalEvent(long at, String kind, String what, String volume) {}
+    public record OperationalEvent(long atMicros, String kind, String description, String volume) {}
 
     /** One decision as it was made. @param volume whose access it was about, or null */
-    public record DecisionRecord(long at, Action action, String volume) {}
+    public record DecisionRecord(long atMicros, Action action, String volume) {}
 
     /** Figures of one second of one series; times are of answers, in microseconds. */
     public record SecondSummary(
-            int asked, int answered, int inTime, int rejected, int brokenOff, int p50, int p99) {}
+            int requests,
+            int answered,
+            int onTime,
+            int rejected,
+            int failed,
+            int p50Micros,
+            int p99Micros) {}
 }
--- a/gateway/src/test/java/milletyoke/gateway/config/CheckSpeedTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/config/CheckSpeedTest.java
@@ -61,9 +61,9 @@
                             r.diagnostics()
                                     .subList(0, Math.min(3, r.diagnostics().size()))
                                     .toString());
-            assertEquals(VOLUMES, r.fleet().of("volume").size());
+            assertEquals(VOLUMES, r.fleet().blocksOfKind("volume").size());
             began = System.nanoTime();
-            assertEquals(VOLUMES, Json5.read(b).object().get("volumes").list().size());
+            assertEquals(VOLUMES, Json5Parser.read(b).object().get("volumes").list().size());
             bare = Math.min(bare, (System.nanoTime() - began) / 1e6);
         }
         long peak =
--- a/gateway/src/test/java/milletyoke/gateway/config/InitiatorConfigTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/config/InitiatorConfigTest.java
@@ -36,7 +36,7 @@
                 400_000,
                 setup.deployment().scheduler().requestClasses().get(0).latencyObjectiveMicros());
         assertEquals(17_000_000, setup.deployment().scheduler().limits().warmUpMicros());
-        assertEquals(Path.of("/base/state"), setup.folder());
+        assertEquals(Path.of("/base/state"), setup.stateDirectory());
         assertEquals(250_000, setup.transport().connectTimeoutMicros());
     }
 
--- a/gateway/src/test/java/milletyoke/gateway/status/ServiceStatisticsTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/status/ServiceStatisticsTest.java
@@ -40,23 +40,23 @@
             int[] times = new int[count];
             for (int i = 0; i < count; i++) {
                 times[i] = 100 + chance.nextInt(200_000);
-                accounts.asked(second * 1_000_000L, "read", "free", "v");
-                accounts.ended(
+                accounts.onRequest(second * 1_000_000L, "read", "free", "v");
+                accounts.onRequestEnd(
                         second * 1_000_000L,
                         "read",
                         "free",
                         "v",
-                        ServiceStatistics.End.ANSWERED,
+                        ServiceStatistics.Outcome.ANSWERED,
                         times[i]);
             }
             Arrays.sort(times);
-            accounts.turn((second + 1) * 1_000_000L);
+            accounts.advanceTo((second + 1) * 1_000_000L);
             for (String series : List.of("category:read", "plan:free", "volume:v")) {
                 StatusSnapshot.SecondSummary told =
                         accounts.rows((second + 1) * 1_000_000L, 1).get(0).series().get(series);
                 assertEquals(count, told.answered());
-                assertNear(times[Math.max(0, (count * 50 + 99) / 100 - 1)], told.p50());
-                assertNear(times[Math.max(0, (count * 99 + 99) / 100 - 1)], told.p99());
+                assertNear(times[Math.max(0, (count * 50 + 99) / 100 - 1)], told.p50Micros());
+                assertNear(times[Math.max(0, (count * 99 + 99) / 100 - 1)], told.p99Micros());
             }
             second++;
         }
@@ -74,20 +74,20 @@
     void seriesAreBoundedAndSlotsComeFree() {
         ServiceStatistics accounts = accounts();
         for (int v = 0; v < 1_000; v++) {
-            accounts.asked(1_000_000, "read", "free", "v" + v);
+            accounts.onRequest(1_000_000, "read", "free", "v" + v);
         }
-        accounts.asked(2_000_000, "read", "free", "v999");
-        accounts.turn(3_000_000);
+        accounts.onRequest(2_000_000, "read", "free", "v999");
+        accounts.advanceTo(3_000_000);
         List<ServiceStatistics.Row> rows = accounts.rows(3_000_000, 2);
         assertEquals(
-                1_000 - ServiceStatistics.MOST_SERIES,
-                rows.get(0).series().get("volume:others").asked());
-        assertEquals(ServiceStatistics.MOST_SERIES + 3, rows.get(0).series().size());
-        accounts.asked(3_000_000, "read", "free", "v999");
-        accounts.turn(4_000_000);
+                1_000 - ServiceStatistics.MAX_SERIES,
+                rows.get(0).series().get("volume:others").requests());
+        assertEquals(ServiceStatistics.MAX_SERIES + 3, rows.get(0).series().size());
+        accounts.onRequest(3_000_000, "read", "free", "v999");
+        accounts.advanceTo(4_000_000);
         assertEquals(
                 1,
-                accounts.rows(4_000_000, 1).get(0).series().get("volume:v999").asked(),
+                accounts.rows(4_000_000, 1).get(0).series().get("volume:v999").requests(),
                 "it has a slot of its own now");
     }
 }
--- a/scenario/src/main/java/milletyoke/scenario/ScenarioRunner.java
+++ b/scenario/src/main/java/milletyoke/scenario/ScenarioRunner.java
@@ -545,8 +545,8 @@
                                 "%s: %s; turns p50 %d us, p99 %d us; pictures take %.2f%% of the loop's time",
                                 i.name(),
                                 i.counts(),
-                                p.turnP50Micros(),
-                                p.turnP99Micros(),
+                                p.loopP50Micros(),
+                                p.loopP99Micros(),
                                 100 * p.snapshotCostShare()));
             }
         }
@@ -795,7 +795,7 @@
                                 p.capabilities(),
                                 p.limits(),
                                 p.mustWatchEndpoints()),
-                        day.deployment().answerSlackMicros(),
+                        day.deployment().responseSlackMicros(),
                         day.deployment().drainGraceMicros());
         Path file = folder.resolve("main.fleet");
         Path aside = folder.resolve("main.fleet.new");
--- a/simulation/src/main/java/milletyoke/simulation/environment/SimulatedNetwork.java
+++ b/simulation/src/main/java/milletyoke/simulation/environment/SimulatedNetwork.java
@@ -199,7 +199,7 @@
             world.at(
                     lastArrival,
                     () -> {
-                        written(size);
+                        onWritten(size);
                         other.arrives(() -> frames.forEach(other::deliver));
                     });
         }
@@ -228,7 +228,7 @@
         }
 
         @Override
-        protected void cut() {
+        protected void disconnectWithReset() {
             end();
         }
 
--- a/simulation/src/main/java/milletyoke/simulation/experiment/Experiment.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/Experiment.java
@@ -64,7 +64,7 @@
         Path base = file.toAbsolutePath().getParent();
         List<Arm> arms = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (SettingsReader a : f.sections("arms", true)) {
+        for (SettingsReader a : f.objects("arms", true)) {
             String name = a.text("name", null);
             if (!names.add(name)) {
                 throw a.error("name", "\"" + name + "\" is the name of an arm already");
@@ -83,7 +83,7 @@
                 new Experiment(
                         f.text("name", null),
                         base.resolve(f.text("day", null)),
-                        f.whole("seeds", 10, 2, 10_000),
+                        f.integer("seeds", 10, 2, 10_000),
                         List.copyOf(arms),
                         List.of(f.text("values", "").trim().split("\\s+")),
                         f.text("axis", "value"),
--- a/wire/src/main/java/milletyoke/wire/FrameFilter.java
+++ b/wire/src/main/java/milletyoke/wire/FrameFilter.java
@@ -19,7 +19,7 @@
  * before any is kept.
  */
 final class FrameFilter extends BaseFilter {
-    private static final int PREFIX = 4;
+    private static final int LENGTH_PREFIX_BYTES = 4;
 
     @Override
     public NextAction handleRead(FilterChainContext ctx) throws IOException {
@@ -29,26 +29,26 @@
             bytes.tryDispose(); // it was turned away as it came
             return ctx.getStopAction();
         }
-        if (bytes.remaining() < PREFIX) {
-            peer.partial();
+        if (bytes.remaining() < LENGTH_PREFIX_BYTES) {
+            peer.onPartialFrame();
             return ctx.getStopAction(bytes);
         }
         int length = bytes.getInt(bytes.position());
-        if (length < 0 || length > peer.frameBytes()) {
-            peer.blame(
+        if (length < 0 || length > peer.maxFrameBytes()) {
+            peer.closeForViolation(
                     "a frame of "
                             + Integer.toUnsignedString(length)
                             + " bytes is announced, "
-                            + peer.frameBytes()
+                            + peer.maxFrameBytes()
                             + " are the most");
             bytes.tryDispose();
             return ctx.getStopAction();
         }
-        if (bytes.remaining() < PREFIX + length) {
-            peer.partial();
+        if (bytes.remaining() < LENGTH_PREFIX_BYTES + length) {
+            peer.onPartialFrame();
             return ctx.getStopAction(bytes);
         }
-        bytes.position(bytes.position() + PREFIX);
+        bytes.position(bytes.position() + LENGTH_PREFIX_BYTES);
         byte[] body = new byte[length];
         bytes.get(body);
         Buffer rest = bytes.hasRemaining() ? bytes.slice() : null;
@@ -62,19 +62,19 @@
             input.enableAliasing(true);
             ctx.setMessage(Frame.parseFrom(input));
         } catch (InvalidProtocolBufferException bad) {
-            peer.blame("a frame that cannot be read: " + bad.getMessage());
+            peer.closeForViolation("a frame that cannot be read: " + bad.getMessage());
             return ctx.getStopAction();
         }
         return ctx.getInvokeAction(rest);
     }
 
     /** Frames that leave together, in this order. */
-    record Frames(List<Frame> each) {}
+    record FrameBatch(List<Frame> frames) {}
 
     @Override
     public NextAction handleWrite(FilterChainContext ctx) throws IOException {
-        if (ctx.getMessage() instanceof Frames frames) {
-            ctx.setMessage(Buffers.wrap(ctx.getMemoryManager(), encode(frames.each())));
+        if (ctx.getMessage() instanceof FrameBatch frames) {
+            ctx.setMessage(Buffers.wrap(ctx.getMemoryManager(), encode(frames.frames())));
         }
         return ctx.getInvokeAction();
     }
@@ -83,7 +83,7 @@
     private static ByteBuffer encode(List<Frame> frames) throws IOException {
         int size = 0;
         for (Frame frame : frames) {
-            size += PREFIX + frame.getSerializedSize();
+            size += LENGTH_PREFIX_BYTES + frame.getSerializedSize();
         }
         ByteBuffer all = ByteBuffer.allocate(size);
         for (Frame frame : frames) {
--- a/wire/src/main/java/milletyoke/wire/PeerConnection.java
+++ b/wire/src/main/java/milletyoke/wire/PeerConnection.java
@@ -17,37 +17,37 @@
  */
 public abstract class PeerConnection implements Connection {
     /** The versions of the protocol that this build speaks. */
-    static final int LOWEST = 1, HIGHEST = 2;
+    static final int LOWEST_VERSION = 1, HIGHEST_VERSION = 2;
 
     /** The first version that knows a goodbye in two steps. */
-    private static final int GOING_AWAY = 2;
+    private static final int GOING_AWAY_VERSION = 2;
 
     /** What a frame that waits costs beside its bytes: a million tiny ones are no small thing. */
-    private static final int EACH = 256;
+    private static final int FRAME_OVERHEAD_BYTES = 256;
 
     /** Posted frames leave at once from this size on. */
-    private static final int MOST_POSTED = 256 * 1024;
+    private static final int FLUSH_THRESHOLD_BYTES = 256 * 1024;
 
     private final int id;
     private final LongSupplier clock;
     private final PeerListener handler;
     private final FrameLimits bounds;
     private final FrameObserver tap;
-    private final AtomicLong waitingBytes = new AtomicLong();
+    private final AtomicLong unsentBytes = new AtomicLong();
     private final AtomicBoolean closed = new AtomicBoolean();
 
     /** Of the one thread that posts. */
-    private List<Frame> posted = new ArrayList<>();
+    private List<Frame> queuedFrames = new ArrayList<>();
 
-    private int postedBytes;
+    private int queuedBytes;
     private volatile String name = "";
     private volatile Role role = Role.ROLE_UNKNOWN;
-    private volatile boolean greeted;
-    private volatile int speaks;
-    private volatile long lastUse;
-    private volatile long partialSince;
-    private volatile String failProtocol;
-    private volatile boolean refused;
+    private volatile boolean hasReceivedHello;
+    private volatile int protocolVersion;
+    private volatile long lastActivityMicros;
+    private volatile long incompleteSinceMicros;
+    private volatile String protocolViolation;
+    private volatile boolean isRefused;
     private volatile boolean hasProcessedNothing;
 
     /**
@@ -65,8 +65,8 @@
         this.handler = handler;
         this.bounds = bounds;
         this.tap = tap;
-        lastUse = clock.getAsLong();
-        partialSince = lastUse; // a hello is owed
+        lastActivityMicros = clock.getAsLong();
+        incompleteSinceMicros = lastActivityMicros; // a hello is owed
     }
 
     @Override
@@ -89,19 +89,19 @@
     }
 
     /** What this peer did that its connection was closed for; null where it did nothing wrong. */
-    public String failProtocol() {
-        return failProtocol;
+    public String protocolViolation() {
+        return protocolViolation;
     }
 
     /** Tells the peer what it did wrong and closes. */
-    void blame(String what) {
-        failProtocol = what;
+    void closeForViolation(String what) {
+        protocolViolation = what;
         closeWithReason(what);
     }
 
     /** Bytes handed over that the peer's side has not taken yet. */
-    public long waitingBytes() {
-        return waitingBytes.get();
+    public long unsentBytes() {
+        return unsentBytes.get();
     }
 
     @Override
@@ -118,10 +118,10 @@
     public boolean enqueue(Frame frame) {
         int size = admit(frame);
         if (size > 0) {
-            posted.add(frame);
-            postedBytes += size;
+            queuedFrames.add(frame);
+            queuedBytes += size;
         }
-        if (postedBytes >= MOST_POSTED) {
+        if (queuedBytes >= FLUSH_THRESHOLD_BYTES) {
             flush();
         }
         return size > 0;
@@ -129,11 +129,11 @@
 
     @Override
     public void flush() {
-        if (!posted.isEmpty()) {
-            List<Frame> frames = posted;
-            int size = postedBytes;
-            posted = new ArrayList<>();
-            postedBytes = 0;
+        if (!queuedFrames.isEmpty()) {
+            List<Frame> frames = queuedFrames;
+            int size = queuedBytes;
+            queuedFrames = new ArrayList<>();
+            queuedBytes = 0;
             write(frames, size);
         }
     }
@@ -144,7 +144,7 @@
             return 0;
         }
         int body = frame.getSerializedSize();
-        int size = body + EACH;
+        int size = body + FRAME_OVERHEAD_BYTES;
         if (body > bounds.maxFrameBytes()) {
             throw new IllegalArgumentException(
                     "a frame of "
@@ -153,24 +153,24 @@
                             + bounds.maxFrameBytes()
                             + " are the most on this connection");
         }
-        if (waitingBytes.addAndGet(size) > bounds.maxUnsentBytes()) {
-            waitingBytes.addAndGet(-size);
+        if (unsentBytes.addAndGet(size) > bounds.maxUnsentBytes()) {
+            unsentBytes.addAndGet(-size);
             // Guards the memory of this process against a peer that asks and does not read. Could
             // harm a peer that
             // stands still for long with much on its way to it; it may connect again.
-            failProtocol =
+            protocolViolation =
                     "reads too slowly: over " + bounds.maxUnsentBytes() + " bytes wait for it";
-            close(failProtocol);
+            close(protocolViolation);
             return 0;
         }
-        lastUse = clock.getAsLong();
+        lastActivityMicros = clock.getAsLong();
         tap.onFrame(this, Direction.SENT, frame);
         return size;
     }
 
     /** What was handed over has left; to be called once for each {@link #write}. */
-    protected final void written(int size) {
-        waitingBytes.addAndGet(-size);
+    protected final void onWritten(int size) {
+        unsentBytes.addAndGet(-size);
     }
 
     // ---- What carries it ----
@@ -178,7 +178,7 @@
     protected abstract boolean isConnected();
 
     /**
-     * Takes frames to be delivered in this order, and tells {@link #written} when they have left.
+     * Takes frames to be delivered in this order, and tells {@link #onWritten} when they have left.
      */
     protected abstract void write(List<Frame> frames, int size);
 
@@ -186,7 +186,7 @@
     protected abstract void disconnect();
 
     /** Closes so that the other end sees a reset. */
-    protected abstract void cut();
+    protected abstract void disconnectWithReset();
 
     /**
      * Closes a connection of which nothing was taken, and says so, so that the other end may try
@@ -194,7 +194,7 @@
      * look at.
      */
     public void refuse(String why) {
-        refused = true;
+        isRefused = true;
         send(
                 Frame.newBuilder()
                         .setClose(Close.newBuilder().setReason(why).setNothingProcessed(true))
@@ -209,7 +209,7 @@
 
     @Override
     public void closeWithReason(String why) {
-        send(byeFrame(why));
+        send(closeFrame(why));
         close(why);
     }
 
@@ -228,10 +228,10 @@
     }
 
     public boolean supportsGoingAway() {
-        return speaks >= GOING_AWAY;
+        return protocolVersion >= GOING_AWAY_VERSION;
     }
 
-    static Frame byeFrame(String why) {
+    static Frame closeFrame(String why) {
         return Frame.newBuilder().setClose(Close.newBuilder().setReason(why)).build();
     }
 
@@ -250,7 +250,7 @@
      */
     public void reset() {
         if (closed.compareAndSet(false, true)) {
-            cut();
+            disconnectWithReset();
             tap.onFrame(this, Direction.CLOSED, null);
         }
     }
@@ -260,23 +260,23 @@
                 Frame.newBuilder()
                         .setHello(
                                 Hello.newBuilder()
-                                        .setLowestVersion(LOWEST)
-                                        .setHighestVersion(HIGHEST)
+                                        .setLowestVersion(LOWEST_VERSION)
+                                        .setHighestVersion(HIGHEST_VERSION)
                                         .setRole(own)
                                         .setName(ownName))
                         .build());
     }
 
     protected final void handleFrame(Frame frame) {
-        lastUse = clock.getAsLong();
-        partialSince = 0;
-        if (closed.get() || refused) {
+        lastActivityMicros = clock.getAsLong();
+        incompleteSinceMicros = 0;
+        if (closed.get() || isRefused) {
             return;
         }
         tap.onFrame(this, Direction.GOT, frame);
         try {
-            if (!greeted) {
-                welcome(frame);
+            if (!hasReceivedHello) {
+                acceptHello(frame);
                 handler.onReady(this);
             } else if (frame.getBodyCase() == Frame.BodyCase.CLOSE) {
                 hasProcessedNothing = frame.getClose().getNothingProcessed();
@@ -289,26 +289,27 @@
                 handler.onFrame(this, frame);
             }
         } catch (MalformedFrameException bad) {
-            blame(bad.getMessage());
+            closeForViolation(bad.getMessage());
         }
     }
 
-    private void welcome(Frame frame) throws MalformedFrameException {
+    private void acceptHello(Frame frame) throws MalformedFrameException {
         if (frame.getBodyCase() != Frame.BodyCase.HELLO) {
             throw new MalformedFrameException(
                     "the first frame must be a hello, not " + frame.getBodyCase());
         }
         Hello hello = frame.getHello();
-        if (hello.getHighestVersion() < LOWEST || hello.getLowestVersion() > HIGHEST) {
+        if (hello.getHighestVersion() < LOWEST_VERSION
+                || hello.getLowestVersion() > HIGHEST_VERSION) {
             throw new MalformedFrameException(
                     "versions "
                             + hello.getLowestVersion()
                             + " to "
                             + hello.getHighestVersion()
                             + " are offered, "
-                            + LOWEST
+                            + LOWEST_VERSION
                             + " to "
-                            + HIGHEST
+                            + HIGHEST_VERSION
                             + " are spoken here");
         }
         if (hello.getName().length() > 200) {
@@ -316,28 +317,31 @@
         }
         name = hello.getName();
         role = hello.getRole();
-        speaks = Math.min(HIGHEST, hello.getHighestVersion());
-        greeted = true;
+        protocolVersion = Math.min(HIGHEST_VERSION, hello.getHighestVersion());
+        hasReceivedHello = true;
     }
 
-    void partial() {
-        lastUse = clock.getAsLong();
-        partialSince = partialSince == 0 ? lastUse : partialSince;
+    void onPartialFrame() {
+        lastActivityMicros = clock.getAsLong();
+        incompleteSinceMicros =
+                incompleteSinceMicros == 0 ? lastActivityMicros : incompleteSinceMicros;
     }
 
-    int frameBytes() {
+    int maxFrameBytes() {
         return bounds.maxFrameBytes();
     }
 
     /** Closes what has been idle, or half received, for too long. */
-    void look(long now) {
-        if (partialSince > 0 && now - partialSince > bounds.partialFrameTimeoutMicros()) {
-            blame(
-                    (greeted ? "half a frame" : "no hello")
+    void closeIfTimedOut(long now) {
+        if (incompleteSinceMicros > 0
+                && now - incompleteSinceMicros > bounds.partialFrameTimeoutMicros()) {
+            closeForViolation(
+                    (hasReceivedHello ? "half a frame" : "no hello")
                             + " for "
                             + bounds.partialFrameTimeoutMicros() / 1000
                             + " ms");
-        } else if (bounds.idleTimeoutMicros() > 0 && now - lastUse > bounds.idleTimeoutMicros()) {
+        } else if (bounds.idleTimeoutMicros() > 0
+                && now - lastActivityMicros > bounds.idleTimeoutMicros()) {
             closeWithReason("idle for " + bounds.idleTimeoutMicros() / 1000 + " ms");
         }
     }
--- a/wire/src/main/java/milletyoke/wire/SocketNetwork.java
+++ b/wire/src/main/java/milletyoke/wire/SocketNetwork.java
@@ -28,33 +28,33 @@
      * What was handed over before a clean end has this long to be taken by its readers
      * (microseconds).
      */
-    private static final long LAST_WRITES = 1_000_000;
+    private static final long CLOSE_FLUSH_TIMEOUT_MICROS = 1_000_000;
 
     /** Connections of one participant; what is beyond is closed as it comes. */
-    private static final int MOST_PEERS = 16_384;
+    private static final int DEFAULT_MAX_CONNECTIONS = 16_384;
 
     private final TCPNIOTransport transport;
-    private final int mostPeers;
+    private final int maxConnections;
     private final String name;
     private final FrameObserver tap;
     private final Set<PeerConnection> peers = ConcurrentHashMap.newKeySet();
-    private final ScheduledExecutorService looks;
+    private final ScheduledExecutorService timeoutSweeper;
 
     /**
      * @param name what this participant calls itself in its hellos
      * @param threads threads that serve its sockets
      */
     public SocketNetwork(String name, int threads, FrameObserver tap) throws IOException {
-        this(name, threads, tap, MOST_PEERS);
+        this(name, threads, tap, DEFAULT_MAX_CONNECTIONS);
     }
 
     /**
-     * @param mostPeers connections at once; a further one that comes in is closed and nothing is
-     *     kept of it
+     * @param maxConnections connections at once; a further one that comes in is closed and nothing
+     *     is kept of it
      */
     public SocketNetwork(String name, int threads, FrameObserver tap, int mostPeers)
             throws IOException {
-        this.mostPeers = mostPeers;
+        this.maxConnections = mostPeers;
         this.name = name;
         this.tap = tap;
         TCPNIOTransportBuilder builder =
@@ -72,15 +72,15 @@
         builder.setSelectorRunnersCount(threads);
         transport = builder.build();
         transport.start();
-        looks =
+        timeoutSweeper =
                 Executors.newSingleThreadScheduledExecutor(
                         task -> {
                             Thread thread = new Thread(task, name + "-looks");
                             thread.setDaemon(true);
                             return thread;
                         });
-        looks.scheduleWithFixedDelay(
-                () -> peers.forEach(p -> p.look(monotonicMicros())),
+        timeoutSweeper.scheduleWithFixedDelay(
+                () -> peers.forEach(p -> p.closeIfTimedOut(monotonicMicros())),
                 250,
                 250,
                 TimeUnit.MILLISECONDS);
@@ -99,7 +99,7 @@
             TCPNIOServerConnection server =
                     (TCPNIOServerConnection)
                             binder(role, handler, bounds).bind(new InetSocketAddress(host, port));
-            return new Bound(this, server);
+            return new BoundListener(this, server);
         } catch (IOException failed) {
             throw new IOException(
                     "cannot listen at " + host + ":" + port + ": " + failed.getMessage(), failed);
@@ -125,7 +125,7 @@
                 TCPNIOConnectorHandler.builder(transport)
                         .processor(chain(role, handler, bounds))
                         .build();
-        Making attempt = new Making();
+        PendingConnect attempt = new PendingConnect();
         connector.connect(
                 new InetSocketAddress(host, port),
                 new EmptyCompletionHandler<Connection>() {
@@ -157,7 +157,7 @@
 
     /** Guards memory and file handles against peers that open connections without end. */
     boolean isFull() {
-        return peers.size() >= mostPeers;
+        return peers.size() >= maxConnections;
     }
 
     void add(PeerConnection peer) {
@@ -174,7 +174,7 @@
 
     @Override
     public void abort() {
-        looks.shutdownNow();
+        timeoutSweeper.shutdownNow();
         transport.unbindAll();
         peers.forEach(PeerConnection::reset);
         shutdown();
@@ -182,12 +182,12 @@
 
     @Override
     public void close() {
-        looks.shutdownNow();
+        timeoutSweeper.shutdownNow();
         transport.unbindAll();
-        peers.forEach(p -> p.send(PeerConnection.byeFrame("shutting down")));
-        long until = monotonicMicros() + LAST_WRITES;
+        peers.forEach(p -> p.send(PeerConnection.closeFrame("shutting down")));
+        long until = monotonicMicros() + CLOSE_FLUSH_TIMEOUT_MICROS;
         while (monotonicMicros() < until
-                && peers.stream().anyMatch(p -> p.isOpen() && p.waitingBytes() > 0)) {
+                && peers.stream().anyMatch(p -> p.isOpen() && p.unsentBytes() > 0)) {
             java.util.concurrent.locks.LockSupport.parkNanos(1_000_000);
         }
         peers.forEach(p -> p.close("shutting down"));
@@ -203,7 +203,7 @@
     }
 
     /** A connection in the making, which can be given up. */
-    private static final class Making implements Network.ConnectAttempt {
+    private static final class PendingConnect implements Network.ConnectAttempt {
         private Connection<?> made;
         private boolean givenUp;
 
@@ -224,7 +224,7 @@
     }
 
     /** A bound address. */
-    private record Bound(SocketNetwork wire, TCPNIOServerConnection server)
+    private record BoundListener(SocketNetwork wire, TCPNIOServerConnection server)
             implements Network.Listener {
         @Override
         public int port() {
--- a/wire/src/main/java/milletyoke/wire/SocketPeerConnection.java
+++ b/wire/src/main/java/milletyoke/wire/SocketPeerConnection.java
@@ -14,14 +14,14 @@
 
 /** A peer at the other end of a TCP connection. */
 final class SocketPeerConnection extends PeerConnection {
-    private static final AtomicInteger NEXT = new AtomicInteger();
+    private static final AtomicInteger NEXT_ID = new AtomicInteger();
 
     private final Connection<SocketAddress> connection;
 
     @SuppressWarnings("unchecked") // a TCP connection's addresses are socket addresses
     SocketPeerConnection(
             Connection<?> connection, PeerListener handler, FrameLimits bounds, FrameObserver tap) {
-        super(NEXT.incrementAndGet(), handler, bounds, tap, SocketNetwork::monotonicMicros);
+        super(NEXT_ID.incrementAndGet(), handler, bounds, tap, SocketNetwork::monotonicMicros);
         this.connection = (Connection<SocketAddress>) connection;
     }
 
@@ -33,16 +33,17 @@
     @Override
     protected void write(List<Frame> frames, int size) {
         connection.write(
-                new FrameFilter.Frames(frames),
-                new EmptyCompletionHandler<WriteResult<FrameFilter.Frames, SocketAddress>>() {
+                new FrameFilter.FrameBatch(frames),
+                new EmptyCompletionHandler<WriteResult<FrameFilter.FrameBatch, SocketAddress>>() {
                     @Override
-                    public void completed(WriteResult<FrameFilter.Frames, SocketAddress> result) {
-                        written(size);
+                    public void completed(
+                            WriteResult<FrameFilter.FrameBatch, SocketAddress> result) {
+                        onWritten(size);
                     }
 
                     @Override
                     public void failed(Throwable cause) {
-                        written(size);
+                        onWritten(size);
                         close("writing failed: " + cause.getMessage());
                     }
                 });
@@ -54,7 +55,7 @@
     }
 
     @Override
-    protected void cut() {
+    protected void disconnectWithReset() {
         try {
             ((SocketChannel) ((NIOConnection) connection).getChannel())
                     .setOption(StandardSocketOptions.SO_LINGER, 0);
--- a/wire/src/main/java/milletyoke/wire/capture/CaptureWriter.java
+++ b/wire/src/main/java/milletyoke/wire/capture/CaptureWriter.java
@@ -22,23 +22,23 @@
  * one of so many bytes.
  */
 public final class CaptureWriter implements AutoCloseable {
-    static final byte[] BEGINNING = "MYTRAFF1".getBytes(StandardCharsets.US_ASCII);
-    private static final int MOST_WAITING = 200_000;
+    static final byte[] MAGIC = "MYTRAFF1".getBytes(StandardCharsets.US_ASCII);
+    private static final int MAX_PENDING_REQUESTS = 200_000;
 
     /**
      * Characters of names that wait to be written, and of names remembered; beyond the latter they
      * are told anew each time.
      */
-    private static final int MOST_WAITING_TEXT = 8 << 20, MOST_TEXT = 16 << 20;
+    private static final int MAX_PENDING_NAME_CHARS = 8 << 20, MAX_KNOWN_NAME_CHARS = 16 << 20;
 
     private final DataOutputStream out;
     private final Map<String, Integer> names = new HashMap<>();
     private Block.Builder block;
-    private long last;
-    private int nextName = 1;
-    private int text;
-    private int waitingText;
-    private IOException failed;
+    private long lastMicros;
+    private int nextNameIndex = 1;
+    private int knownNameChars;
+    private int pendingNameChars;
+    private IOException failure;
 
     /**
      * @param now when it begins (microseconds)
@@ -50,35 +50,36 @@
                 Files.newOutputStream(
                         file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
         out = new DataOutputStream(raw);
-        out.write(BEGINNING);
+        out.write(MAGIC);
         block = Block.newBuilder().setInitiator(initiator);
-        last = now;
+        lastMicros = now;
     }
 
     /** An access came. @param now microseconds, on one clock for all calls */
     public synchronized void record(long now, Request a) {
-        if (block.getCameCount() >= MOST_WAITING || waitingText >= MOST_WAITING_TEXT) {
+        if (block.getCameCount() >= MAX_PENDING_REQUESTS
+                || pendingNameChars >= MAX_PENDING_NAME_CHARS) {
             block.setLeftOut(block.getLeftOut() + 1);
             return;
         }
-        long at = Math.max(last, now);
+        long at = Math.max(lastMicros, now);
         block.addCame(
                 Came.newBuilder()
-                        .setAfter(at - last)
-                        .setVolume(name(a.getVolume()))
-                        .setPlan(name(a.getPlan()))
-                        .setCategory(name(a.getRequestClass()))
-                        .setExtent(name(a.getExtent()))
+                        .setAfter(at - lastMicros)
+                        .setVolume(nameIndex(a.getVolume()))
+                        .setPlan(nameIndex(a.getPlan()))
+                        .setCategory(nameIndex(a.getRequestClass()))
+                        .setExtent(nameIndex(a.getExtent()))
                         .setShard(a.hasShard() ? a.getShard() + 1 : 0)
                         .setHosts(a.getInitiatorCount())
                         .setUnits(a.getUnits())
                         .setTimeLeft(Math.max(0, a.getTimeLeftMicros()))
                         .setWrite(a.getWrite())
                         .setPayload(a.getPayload().size()));
-        last = at;
+        lastMicros = at;
     }
 
-    private int name(String name) {
+    private int nameIndex(String name) {
         if (name.isEmpty()) {
             return 0;
         }
@@ -86,13 +87,13 @@
         if (known != null) {
             return known;
         }
-        if (text < MOST_TEXT) {
-            text += name.length();
-            names.put(name, nextName);
+        if (knownNameChars < MAX_KNOWN_NAME_CHARS) {
+            knownNameChars += name.length();
+            names.put(name, nextNameIndex);
         }
-        waitingText += name.length();
+        pendingNameChars += name.length();
         block.addName(name);
-        return nextName++;
+        return nextNameIndex++;
     }
 
     /** Writes what has come; not to be called by a thread that serves sockets. */
@@ -105,12 +106,12 @@
     private void write() throws IOException {
         Block full;
         synchronized (this) {
-            if (failed != null || block.getCameCount() == 0 && block.getLeftOut() == 0) {
+            if (failure != null || block.getCameCount() == 0 && block.getLeftOut() == 0) {
                 return;
             }
             full = block.build();
             block = Block.newBuilder();
-            waitingText = 0;
+            pendingNameChars = 0;
         }
         byte[] bytes = full.toByteArray();
         CRC32C crc = new CRC32C();
@@ -122,7 +123,7 @@
             out.flush();
         } catch (IOException cause) {
             synchronized (this) {
-                failed = cause; // what follows would stand behind a hole
+                failure = cause; // what follows would stand behind a hole
             }
             throw cause;
         }
--- a/wire/src/main/java/milletyoke/wire/capture/CapturedTraffic.java
+++ b/wire/src/main/java/milletyoke/wire/capture/CapturedTraffic.java
@@ -22,7 +22,7 @@
  */
 public record CapturedTraffic(
         String initiator, List<CapturedRequest> requests, long omitted, boolean complete) {
-    private static final int LARGEST_BLOCK = 256 << 20;
+    private static final int MAX_BLOCK_BYTES = 256 << 20;
 
     /**
      * One access.
@@ -41,7 +41,7 @@
             double units,
             long timeLeftMicros,
             boolean write,
-            int payload) {}
+            int payloadBytes) {}
 
     /**
      * @throws IOException where it is no capture of a version that is known, or a whole block says
@@ -50,8 +50,8 @@
     public static CapturedTraffic read(Path file) throws IOException {
         try (DataInputStream in =
                 new DataInputStream(new BufferedInputStream(Files.newInputStream(file), 1 << 16))) {
-            byte[] beginning = in.readNBytes(CaptureWriter.BEGINNING.length);
-            if (!Arrays.equals(beginning, CaptureWriter.BEGINNING)) {
+            byte[] beginning = in.readNBytes(CaptureWriter.MAGIC.length);
+            if (!Arrays.equals(beginning, CaptureWriter.MAGIC)) {
                 throw new IOException(file + ": not captured traffic of version 1");
             }
             List<String> names = new ArrayList<>(List.of(""));
@@ -117,7 +117,7 @@
             return null;
         }
         int length = first << 24 | in.readUnsignedByte() << 16 | in.readUnsignedShort();
-        if (length < 0 || length > LARGEST_BLOCK) {
+        if (length < 0 || length > MAX_BLOCK_BYTES) {
             throw new EOFException();
         }
         int told = in.readInt();
--- a/wire/src/main/java/milletyoke/wire/recording/Recorder.java
+++ b/wire/src/main/java/milletyoke/wire/recording/Recorder.java
@@ -32,7 +32,7 @@
     private final LongSupplier clock;
     private final OutputStream out;
     private final Thread writer;
-    private volatile IOException failed;
+    private volatile IOException failure;
 
     /**
      * @param clock of the world that is recorded (microseconds)
@@ -47,10 +47,11 @@
 
     /** What one participant's connections see is recorded under its name. */
     public FrameObserver observer(String witness) {
-        return (peer, direction, frame) -> saw(witness, peer, direction, frame);
+        return (peer, direction, frame) -> recordFrame(witness, peer, direction, frame);
     }
 
-    private void saw(String witness, PeerConnection peer, Direction direction, Frame frame) {
+    private void recordFrame(
+            String witness, PeerConnection peer, Direction direction, Frame frame) {
         Record.Builder record =
                 Record.newBuilder()
                         .setAtMicros(clock.getAsLong())
@@ -59,12 +60,12 @@
                         .setConnection(peer.id())
                         .setDirection(direction);
         if (frame != null) {
-            record.setFrame(bare(frame));
+            record.setFrame(withoutPayload(frame));
         }
         put(record.build());
     }
 
-    private static Frame bare(Frame frame) {
+    private static Frame withoutPayload(Frame frame) {
         return switch (frame.getBodyCase()) {
             case REQUEST ->
                     frame.getRequest().getPayload().isEmpty()
@@ -113,7 +114,7 @@
     }
 
     private void put(Record record) {
-        if (failed != null) {
+        if (failure != null) {
             return;
         }
         try {
@@ -129,7 +130,7 @@
                 record.writeDelimitedTo(out);
             }
         } catch (IOException cause) {
-            failed = cause;
+            failure = cause;
             queue.clear();
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
@@ -142,15 +143,15 @@
     @Override
     public void close() throws IOException {
         try {
-            while (failed == null && !queue.offer(END, 100, TimeUnit.MILLISECONDS)) {
+            while (failure == null && !queue.offer(END, 100, TimeUnit.MILLISECONDS)) {
                 continue;
             }
             writer.join(30_000);
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
         }
-        if (failed != null) {
-            throw failed;
+        if (failure != null) {
+            throw failure;
         }
     }
 
--- a/wire/src/test/java/milletyoke/wire/CaptureTest.java
+++ b/wire/src/test/java/milletyoke/wire/CaptureTest.java
@@ -56,7 +56,7 @@
         assertEquals(2_001, one.atMicros());
         assertEquals(1, one.shard());
         assertEquals("x1", one.extent());
-        assertEquals(1, one.payload());
+        assertEquals(1, one.payloadBytes());
         assertEquals(-1, t.requests().get(100).shard());
         assertEquals("", t.requests().get(100).extent());
     }
--- a/wire/src/test/java/milletyoke/wire/SocketNetworkTest.java
+++ b/wire/src/test/java/milletyoke/wire/SocketNetworkTest.java
@@ -131,10 +131,10 @@
             for (Frame expected : sent) {
                 assertEquals(expected, came.poll(10, java.util.concurrent.TimeUnit.SECONDS));
             }
-            for (int i = 0; i < 500 && peer.waitingBytes() > 0; i++) {
+            for (int i = 0; i < 500 && peer.unsentBytes() > 0; i++) {
                 Thread.sleep(10);
             }
-            assertEquals(0, peer.waitingBytes(), "nothing is counted as waiting any more");
+            assertEquals(0, peer.unsentBytes(), "nothing is counted as waiting any more");
         }
     }
 
