--- a/gateway/src/main/java/milletyoke/gateway/loop/RequestTracker.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/RequestTracker.java
@@ -2,9 +2,7 @@
 
 import com.google.protobuf.ByteString;
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.function.LongSupplier;
 import milletyoke.gateway.dispatch.AttemptListener;
 import milletyoke.gateway.dispatch.WriteBatch;
@@ -14,7 +12,6 @@
 import milletyoke.scheduler.api.Event;
 import milletyoke.scheduler.api.Outcome;
 import milletyoke.wire.Connection;
-import milletyoke.wire.proto.Attempt;
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Load;
 import milletyoke.wire.proto.Reason;
@@ -25,392 +22,376 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The accesses held, between the sockets and the decisions: what happens becomes an event, an
- * action becomes a frame. It decides nothing on accesses. What it sees to is that each access gets
- * at most one final answer, and that each relay that was decided gets exactly one outcome.
+ * The admitted requests, between the sockets and the scheduler: what happens to one becomes an
+ * event, an action becomes a frame. It decides nothing. It ensures that each request gets at most
+ * one response, and that each attempt that the scheduler ordered gets exactly one outcome.
  *
- * <p>Owned by the loop; free of sockets and clocks.
+ * <p>Owned by the event loop; free of sockets and clocks.
  */
 final class RequestTracker implements AttemptListener {
     private static final Logger LOG = LoggerFactory.getLogger(RequestTracker.class);
 
-    /** How relays, cancels and probes leave. */
-    interface AttemptSender {
-        void relay(String target, String id, int attempt, long giveUpAt, Attempt.Builder relay);
-
-        void cancel(String id, int attempt);
-
-        /** Its access is over: what has not been sent is not sent any more. */
-        void dropUnsent(String id, int attempt);
-
-        void probe(String target);
-
-        void wake(long in);
-
-        void follow();
-    }
-
-    /** Told when an access no longer takes a place. */
+    /** Is notified when a request no longer occupies an admission slot. */
     interface SlotListener {
-        /**
-         * @param stay microseconds since the access came in
-         */
-        void free(Connection client, Request access, long stay);
+        /** Releases the slot; {@code stayMicros} is the time since the request was received. */
+        void onSlotReleased(Connection client, Request request, long stayMicros);
     }
 
-    private final String mark;
-    private final long answerSlack;
-    private final Counters counts;
-    private final SlotListener places;
-    private final ServiceStatistics accounts;
-    private final LongSupplier time;
-    private final WriteBatch outbox;
-    private AttemptSender outlet;
-    private final Map<String, TrackedRequest> entries = new LinkedHashMap<>();
-    private final Map<Connection, Map<Long, TrackedRequest>> byClient = new LinkedHashMap<>();
-
-    /**
-     * Entries in the order of their last calls, as near as arrivals give it; looked at from the
-     * front.
-     */
-    private final java.util.PriorityQueue<TrackedRequest> byLastCall =
-            new java.util.PriorityQueue<>(java.util.Comparator.comparingLong(e -> e.lastCall));
-
+    private final String idempotencyKeyPrefix;
+    private final long answerSlackMicros;
+    private final Counters counters;
+    private final SlotListener slotListener;
+    private final ServiceStatistics statistics;
+    private final LongSupplier clock;
+    private final WriteBatch writeBatch;
+    private final RequestIndex requests = new RequestIndex();
+    private final DecisionLog decisionLog = new DecisionLog();
+    private ActionSink actionSink;
     private List<Event> events = new ArrayList<>();
-    private final DecisionRecord[] latest = new DecisionRecord[64];
-    private long noted;
-    private int unanswered;
+    private int unansweredCount;
 
     /**
-     * @param mark what makes marks of this life unlike any other's, for accesses whose client gave
-     *     none
+     * Creates a tracker without requests.
+     *
+     * @param idempotencyKeyPrefix makes this incarnation's idempotency keys unique, for requests
+     *     whose client gave none
+     * @param answerSlackMicros how long past its deadline a request is kept for its response
      */
     RequestTracker(
-            String mark,
-            long answerSlack,
-            Counters counts,
-            SlotListener places,
-            ServiceStatistics accounts,
-            LongSupplier time,
-            WriteBatch outbox) {
-        this.outbox = outbox;
-        this.accounts = accounts;
-        this.time = time;
-        this.mark = mark;
-        this.answerSlack = answerSlack;
-        this.counts = counts;
-        this.places = places;
+            String idempotencyKeyPrefix,
+            long answerSlackMicros,
+            Counters counters,
+            SlotListener slotListener,
+            ServiceStatistics statistics,
+            LongSupplier clock,
+            WriteBatch writeBatch) {
+        this.idempotencyKeyPrefix = idempotencyKeyPrefix;
+        this.answerSlackMicros = answerSlackMicros;
+        this.counters = counters;
+        this.slotListener = slotListener;
+        this.statistics = statistics;
+        this.clock = clock;
+        this.writeBatch = writeBatch;
     }
 
-    void connect(AttemptSender to) {
-        outlet = to;
+    void setActionSink(ActionSink sink) {
+        actionSink = sink;
     }
 
-    // ---- What happens ----
+    // ---- Events for the scheduler ----
 
-    void happened(Event event) {
+    void addEvent(Event event) {
         events.add(event);
     }
 
+    boolean hasEvents() {
+        return !events.isEmpty();
+    }
+
+    /** Returns the events collected and starts a new list. */
+    List<Event> drainEvents() {
+        List<Event> drained = events;
+        events = new ArrayList<>();
+        return drained;
+    }
+
+    // ---- Clients ----
+
     /**
-     * Guards the client's time against a loop that was held up: what waited in the queue has that
-     * much less left, and what has none left is told at once that it never ran. Without it,
-     * accesses that came during a standstill were answered late by its length. Could do no harm.
-     *
-     * @param at when the access came in
+     * Starts to track a request. The time that it waited for the loop counts against its deadline,
+     * and one that has none left is rejected at once as never run; without that, requests that came
+     * during a stall were answered late by the stall's length.
      */
-    void taken(long now, long at, Connection client, Request a) {
+    void receive(long nowMicros, long receivedAtMicros, Connection client, Request request) {
         if (!client.isOpen()) {
-            places.free(
-                    client, a,
-                    now - at); // gone while it waited in the queue: nobody is owed an answer
+            // Disconnected while the request was queued: nobody waits for the response.
+            slotListener.onSlotReleased(client, request, nowMicros - receivedAtMicros);
             return;
         }
-        if (now >= at + a.getTimeLeftMicros()) {
-            places.free(client, a, now - at);
-            counts.increment(Counter.EXPIRED);
-            outbox.post(
-                    client,
-                    Frame.newBuilder()
-                            .setResponse(
-                                    Response.newBuilder()
-                                            .setNumber(a.getNumber())
-                                            .setStatus(ResponseStatus.REJECTED)
-                                            .setReason(Reason.EXPIRED))
-                            .build());
+        long deadlineMicros = receivedAtMicros + request.getTimeLeftMicros();
+        if (nowMicros >= deadlineMicros) {
+            rejectExpired(client, request, nowMicros - receivedAtMicros);
             return;
         }
-        String id = client.id() + "-" + a.getNumber();
-        if (entries.containsKey(id)) {
-            places.free(client, a, now - at);
-            outbox.flush(); // answers of this turn go before the farewell
-            client.closeWithReason("access number " + a.getNumber() + " is used twice");
+        String id = client.id() + "-" + request.getNumber();
+        if (requests.contains(id)) {
+            closeForDuplicateNumber(client, request, nowMicros - receivedAtMicros);
             return;
         }
-        TrackedRequest e =
-                new TrackedRequest(id, client, a, at, at + a.getTimeLeftMicros() + answerSlack);
-        entries.put(id, e);
-        byClient.computeIfAbsent(client, c -> new LinkedHashMap<>()).put(a.getNumber(), e);
-        byLastCall.add(e);
-        unanswered++;
-        counts.increment(Counter.REQUESTS);
-        accounts.onRequest(now, a.getRequestClass(), a.getPlan(), a.getVolume());
-        long timeLeft = a.getTimeLeftMicros() - (now - at);
-        events.add(
-                new Event.RequestReceived(
-                        id,
-                        a.hasShard() ? a.getShard() : -1,
-                        a.getExtent().isEmpty() ? null : a.getExtent(),
-                        a.getVolume(),
-                        timeLeft,
-                        a.getPlan(),
-                        a.getRequestClass(),
-                        Math.max(1, a.getInitiatorCount()),
-                        a.getUnits()));
+        TrackedRequest tracked =
+                new TrackedRequest(
+                        id, client, request, receivedAtMicros, deadlineMicros + answerSlackMicros);
+        requests.add(tracked);
+        unansweredCount++;
+        counters.increment(Counter.REQUESTS);
+        statistics.onRequest(
+                nowMicros, request.getRequestClass(), request.getPlan(), request.getVolume());
+        events.add(tracked.receivedEvent(deadlineMicros - nowMicros));
+    }
+
+    private void rejectExpired(Connection client, Request request, long stayMicros) {
+        slotListener.onSlotReleased(client, request, stayMicros);
+        counters.increment(Counter.EXPIRED);
+        writeBatch.enqueue(client, ResponseFrames.rejected(request.getNumber(), Reason.EXPIRED, 0));
     }
 
-    void left(Connection client, long number) {
-        Map<Long, TrackedRequest> own = byClient.get(client);
-        TrackedRequest e = own == null ? null : own.get(number);
-        if (e != null && !e.answered) {
-            counts.increment(Counter.CANCELLED_BY_CLIENT);
-            over(e);
+    private void closeForDuplicateNumber(Connection client, Request request, long stayMicros) {
+        slotListener.onSlotReleased(client, request, stayMicros);
+        writeBatch.flush(); // responses of this turn go before the reason for the close
+        client.closeWithReason("access number " + request.getNumber() + " is used twice");
+    }
+
+    /** The client cancelled one request. */
+    void requestCancelled(Connection client, long number) {
+        TrackedRequest tracked = requests.find(client, number);
+        if (tracked != null && !tracked.isAnswered) {
+            counters.increment(Counter.CANCELLED_BY_CLIENT);
+            closeRequest(tracked);
         }
     }
 
-    void clientGone(Connection client) {
-        Map<Long, TrackedRequest> own = byClient.get(client);
-        if (own != null) {
-            List.copyOf(own.values()).stream().filter(e -> !e.answered).forEach(this::over);
-            counts.increment(Counter.CANCELLED_BY_CLIENT);
+    /** The client's connection closed: all its requests are cancelled. */
+    void clientDisconnected(Connection client) {
+        List<TrackedRequest> cancelled = requests.copyOfClient(client);
+        if (cancelled.isEmpty()) {
+            return;
+        }
+        for (TrackedRequest tracked : cancelled) {
+            if (!tracked.isAnswered) {
+                closeRequest(tracked);
+            }
         }
+        counters.increment(Counter.CANCELLED_BY_CLIENT);
     }
 
-    private void over(TrackedRequest e) {
-        events.add(new Event.RequestClosed(e.id));
-        answered(e, ServiceStatistics.Outcome.CANCELLED);
-        if (e.out) {
-            outlet.dropUnsent(e.id, e.relays - 1);
+    /**
+     * Closes requests past their deadline for which the scheduler decided no response. That would
+     * be a fault of the scheduler, so it is counted; closing them bounds the memory.
+     */
+    void closeOverdue(long nowMicros) {
+        TrackedRequest tracked = requests.pollAnsweredOrExpired(nowMicros);
+        while (tracked != null) {
+            if (!tracked.isAnswered) {
+                closeOverdue(tracked);
+            }
+            tracked = requests.pollAnsweredOrExpired(nowMicros);
         }
     }
 
-    private void answered(TrackedRequest e, ServiceStatistics.Outcome how) {
-        long now = time.getAsLong();
-        accounts.onRequestEnd(
-                now,
-                e.access.getRequestClass(),
-                e.access.getPlan(),
-                e.access.getVolume(),
-                how,
-                now - e.cameAt);
-        e.answered = true;
-        unanswered--;
-        forgetIfDone(e);
+    private void closeOverdue(TrackedRequest tracked) {
+        counters.increment(Counter.OVERDUE);
+        LOG.error(
+                "no answer was decided in time request={} volume={} attempts={} inFlight={}",
+                tracked.id,
+                tracked.request.getVolume(),
+                tracked.attemptCount,
+                tracked.hasAttemptInFlight);
+        closeRequest(tracked);
     }
 
-    private void forgetIfDone(TrackedRequest e) {
-        if (e.answered && !e.out && entries.remove(e.id) != null) {
-            Map<Long, TrackedRequest> own = byClient.get(e.client);
-            own.remove(e.access.getNumber());
-            if (own.isEmpty()) {
-                byClient.remove(e.client);
-            }
-            places.free(e.client, e.access, time.getAsLong() - e.cameAt);
+    /** Ends a request without a response. */
+    private void closeRequest(TrackedRequest tracked) {
+        events.add(new Event.RequestClosed(tracked.id));
+        markAnswered(tracked, ServiceStatistics.Outcome.CANCELLED);
+        if (tracked.hasAttemptInFlight) {
+            actionSink.dropUnsent(tracked.id, tracked.latestAttemptNumber());
         }
     }
 
+    // ---- Outcomes of attempts and probes ----
+
     @Override
     public void onAttemptEnded(
-            String id, int attempt, Outcome outcome, long lag, Load load, ByteString payload) {
-        TrackedRequest e = entries.get(id);
-        if (e == null || !e.out || e.relays - 1 != attempt) {
-            return; // its access is over and forgotten
+            String requestId,
+            int attemptNumber,
+            Outcome outcome,
+            long latencyMicros,
+            Load load,
+            ByteString payload) {
+        TrackedRequest tracked = requests.find(requestId);
+        if (tracked == null
+                || !tracked.hasAttemptInFlight
+                || tracked.latestAttemptNumber() != attemptNumber) {
+            return; // its request is over and no longer tracked
         }
-        e.out = false;
-        accounts.onAttemptEnd(
-                time.getAsLong(),
-                e.target,
-                outcome == Outcome.SUCCEEDED
-                        ? ServiceStatistics.Outcome.ANSWERED
-                        : outcome == Outcome.OVERLOADED
-                                        || outcome == Outcome.NOT_STARTED
-                                        || outcome == Outcome.NO_CONNECTION
-                                ? ServiceStatistics.Outcome.REJECTED
-                                : ServiceStatistics.Outcome.FAILED,
-                lag);
-        if (outcome == Outcome.SUCCEEDED && !e.answered) {
-            answer(e, ResponseStatus.ANSWERED, 0, payload);
-            counts.increment(Counter.ANSWERED);
+        tracked.hasAttemptInFlight = false;
+        statistics.onAttemptEnd(
+                clock.getAsLong(), tracked.target, attemptEnd(outcome), latencyMicros);
+        if (outcome == Outcome.SUCCEEDED && !tracked.isAnswered) {
+            respond(tracked, ResponseStatus.ANSWERED, 0, payload);
+            counters.increment(Counter.ANSWERED);
         }
-        events.add(new Event.AttemptEnded(id, attempt, e.answered, outcome, lag));
-        forgetIfDone(e);
+        events.add(
+                new Event.AttemptEnded(
+                        requestId, attemptNumber, tracked.isAnswered, outcome, latencyMicros));
+        removeIfComplete(tracked);
     }
 
-    @Override
-    public void onProbeEnded(String target, Outcome outcome, long lag, double waiting) {
-        events.add(new Event.ProbeEnded(target, outcome, lag, waiting));
+    private static ServiceStatistics.Outcome attemptEnd(Outcome outcome) {
+        return switch (outcome) {
+            case SUCCEEDED -> ServiceStatistics.Outcome.ANSWERED;
+            case OVERLOADED, NOT_STARTED, NO_CONNECTION -> ServiceStatistics.Outcome.REJECTED;
+            default -> ServiceStatistics.Outcome.FAILED;
+        };
     }
 
-    /**
-     * Ends what is past all use. Guards the memory against an access for which no answer was ever
-     * decided; that would be a fault of the decisions, so it is counted. Could do no harm: its
-     * client has given up.
-     */
-    void endOverdue(long now) {
-        while (!byLastCall.isEmpty()
-                && (byLastCall.peek().answered || byLastCall.peek().lastCall < now)) {
-            TrackedRequest e = byLastCall.poll();
-            if (!e.answered) {
-                counts.increment(Counter.OVERDUE);
-                LOG.error(
-                        "no answer was decided for access {} of {} in its time: {} relays, {}",
-                        e.id,
-                        e.access.getVolume(),
-                        e.relays,
-                        e.out ? "one out" : "none out");
-                over(e);
-            }
-        }
+    @Override
+    public void onProbeEnded(
+            String target, Outcome outcome, long latencyMicros, double queueLength) {
+        events.add(new Event.ProbeEnded(target, outcome, latencyMicros, queueLength));
     }
 
-    // ---- What is decided ----
+    // ---- Actions of the scheduler ----
 
-    boolean hasEvents() {
-        return !events.isEmpty();
+    void execute(long nowMicros, List<Action> actions) {
+        for (Action action : actions) {
+            recordDecision(nowMicros, action);
+            execute(nowMicros, action);
+        }
     }
 
-    List<Event> drain() {
-        List<Event> all = events;
-        events = new ArrayList<>();
-        return all;
+    private void execute(long nowMicros, Action action) {
+        if (action instanceof Action.SendAttempt send) {
+            sendAttempt(nowMicros, send);
+        } else if (action instanceof Action.Reject reject) {
+            finish(
+                    reject.id(),
+                    ResponseStatus.REJECTED,
+                    reject.retryAfterMicros(),
+                    Counter.REJECTED);
+        } else if (action instanceof Action.Fail fail) {
+            finish(fail.id(), ResponseStatus.FAILED, 0, Counter.FAILED);
+        } else if (action instanceof Action.CancelAttempt cancel) {
+            counters.increment(Counter.CANCELS);
+            actionSink.cancelAttempt(cancel.id(), cancel.attemptNumber());
+        } else if (action instanceof Action.SendProbe probe) {
+            counters.increment(Counter.PROBES);
+            actionSink.sendProbe(probe.target());
+        } else if (action instanceof Action.ScheduleWakeUp wakeUp) {
+            actionSink.scheduleWakeUp(wakeUp.delayMicros());
+        } else if (action instanceof Action.WatchEndpoints) {
+            actionSink.watchEndpoints();
+        }
     }
 
-    void carryOut(long now, List<Action> actions) {
-        for (Action action : actions) {
-            note(now, action);
-            if (action instanceof Action.SendAttempt a) {
-                relay(now, a);
-            } else if (action instanceof Action.Reject a) {
-                close(a.id(), ResponseStatus.REJECTED, a.retryAfterMicros(), Counter.REJECTED);
-            } else if (action instanceof Action.Fail a) {
-                close(a.id(), ResponseStatus.FAILED, 0, Counter.FAILED);
-            } else if (action instanceof Action.CancelAttempt a) {
-                counts.increment(Counter.CANCELS);
-                outlet.cancel(a.id(), a.attemptNumber());
-            } else if (action instanceof Action.SendProbe a) {
-                counts.increment(Counter.PROBES);
-                outlet.probe(a.target());
-            } else if (action instanceof Action.ScheduleWakeUp a) {
-                outlet.wake(a.delayMicros());
-            } else if (action instanceof Action.WatchEndpoints) {
-                outlet.follow();
-            }
+    /** Records the action for the console, unless it concerns neither a request nor a target. */
+    private void recordDecision(long nowMicros, Action action) {
+        String requestId = requestIdOf(action);
+        if (requestId == null && !(action instanceof Action.SendProbe)) {
+            return;
         }
+        TrackedRequest tracked = requestId == null ? null : requests.find(requestId);
+        String volume = tracked == null ? null : tracked.request.getVolume();
+        decisionLog.add(new DecisionRecord(nowMicros, action, volume));
     }
 
-    /**
-     * Wake-ups and askings for the list are no news; of the rest the latest are kept, as they were
-     * decided.
-     */
-    private void note(long now, Action action) {
-        String id =
-                action instanceof Action.SendAttempt a
-                        ? a.id()
-                        : action instanceof Action.Reject a
-                                ? a.id()
-                                : action instanceof Action.Fail a
-                                        ? a.id()
-                                        : action instanceof Action.CancelAttempt a ? a.id() : null;
-        if (id != null || action instanceof Action.SendProbe) {
-            TrackedRequest e = id == null ? null : entries.get(id);
-            latest[(int) (noted++ % latest.length)] =
-                    new DecisionRecord(now, action, e == null ? null : e.access.getVolume());
+    private static String requestIdOf(Action action) {
+        if (action instanceof Action.SendAttempt send) {
+            return send.id();
         }
+        if (action instanceof Action.Reject reject) {
+            return reject.id();
+        }
+        if (action instanceof Action.Fail fail) {
+            return fail.id();
+        }
+        return action instanceof Action.CancelAttempt cancel ? cancel.id() : null;
     }
 
     /** The latest decisions, the newest first. */
-    List<DecisionRecord> latest() {
-        List<DecisionRecord> all = new ArrayList<>();
-        for (long i = noted - 1; i >= Math.max(0, noted - latest.length); i--) {
-            all.add(latest[(int) (i % latest.length)]);
-        }
-        return all;
+    List<DecisionRecord> latestDecisions() {
+        return decisionLog.newestFirst();
     }
 
-    private void relay(long now, Action.SendAttempt a) {
-        TrackedRequest e = entries.get(a.id());
-        if (e == null || e.answered) {
+    private void sendAttempt(long nowMicros, Action.SendAttempt send) {
+        TrackedRequest tracked = requests.find(send.id());
+        if (tracked == null || tracked.isAnswered) {
             throw new IllegalStateException(
-                    "a relay was decided for " + a.id() + ", which is over");
-        }
-        Request x = e.access;
-        int attempt = e.relays++;
-        e.out = true;
-        e.target = a.target();
-        accounts.onAttempt(now, a.target());
-        counts.increment(attempt == 0 ? Counter.ATTEMPTS : Counter.RETRIES);
-        Attempt.Builder relay =
-                Attempt.newBuilder()
-                        .setRequestId(e.id)
-                        .setAttemptNumber(attempt)
-                        .setExtent(x.getExtent())
-                        .setVolume(x.getVolume())
-                        .setRequestClass(x.getRequestClass())
-                        .setUnits(x.getUnits())
-                        .setTimeLeftMicros(Math.max(0, a.deadlineMicros() - now))
-                        .setWrite(x.getWrite())
-                        .setPayload(x.getPayload())
-                        .setIdempotencyKey(
-                                x.getIdempotencyKey().isEmpty()
-                                        ? mark + e.id
-                                        : x.getIdempotencyKey());
-        if (x.hasShard()) {
-            relay.setShard(x.getShard());
+                    "an attempt was decided for request " + send.id() + ", which is over");
         }
-        outlet.relay(a.target(), e.id, attempt, a.deadlineMicros(), relay);
+        int attemptNumber = tracked.beginAttempt(send.target());
+        statistics.onAttempt(nowMicros, send.target());
+        counters.increment(attemptNumber == 0 ? Counter.ATTEMPTS : Counter.RETRIES);
+        long timeLeftMicros = Math.max(0, send.deadlineMicros() - nowMicros);
+        actionSink.sendAttempt(
+                send.target(),
+                tracked.id,
+                attemptNumber,
+                send.deadlineMicros(),
+                tracked.attemptFrame(attemptNumber, timeLeftMicros, idempotencyKeyPrefix));
     }
 
-    private void close(String id, ResponseStatus how, long retryIn, Counter count) {
-        TrackedRequest e = entries.get(id);
-        if (e != null && !e.answered) {
-            counts.increment(count);
-            answer(e, how, retryIn, null);
+    /** Responds to a request that is still unanswered. */
+    private void finish(String id, ResponseStatus status, long retryAfterMicros, Counter counter) {
+        TrackedRequest tracked = requests.find(id);
+        if (tracked != null && !tracked.isAnswered) {
+            counters.increment(counter);
+            respond(tracked, status, retryAfterMicros, null);
         }
     }
 
-    private void answer(TrackedRequest e, ResponseStatus how, long retryIn, ByteString payload) {
-        Response.Builder answer =
+    private void respond(
+            TrackedRequest tracked,
+            ResponseStatus status,
+            long retryAfterMicros,
+            ByteString payload) {
+        Response.Builder response =
                 Response.newBuilder()
-                        .setNumber(e.access.getNumber())
-                        .setStatus(how)
-                        .setRetryAfterMicros(retryIn)
+                        .setNumber(tracked.request.getNumber())
+                        .setStatus(status)
+                        .setRetryAfterMicros(retryAfterMicros)
                         .setReason(Reason.SCHEDULER);
         if (payload != null) {
-            answer.setPayload(payload);
+            response.setPayload(payload);
+        }
+        writeBatch.enqueue(tracked.client, Frame.newBuilder().setResponse(response).build());
+        markAnswered(tracked, requestEnd(status));
+    }
+
+    private static ServiceStatistics.Outcome requestEnd(ResponseStatus status) {
+        return switch (status) {
+            case ANSWERED -> ServiceStatistics.Outcome.ANSWERED;
+            case REJECTED -> ServiceStatistics.Outcome.REJECTED;
+            default -> ServiceStatistics.Outcome.FAILED;
+        };
+    }
+
+    private void markAnswered(TrackedRequest tracked, ServiceStatistics.Outcome end) {
+        long nowMicros = clock.getAsLong();
+        statistics.onRequestEnd(
+                nowMicros,
+                tracked.request.getRequestClass(),
+                tracked.request.getPlan(),
+                tracked.request.getVolume(),
+                end,
+                nowMicros - tracked.receivedAtMicros);
+        tracked.isAnswered = true;
+        unansweredCount--;
+        removeIfComplete(tracked);
+    }
+
+    private void removeIfComplete(TrackedRequest tracked) {
+        if (!tracked.isComplete() || !requests.remove(tracked)) {
+            return;
         }
-        outbox.post(e.client, Frame.newBuilder().setResponse(answer).build());
-        answered(
-                e,
-                how == ResponseStatus.ANSWERED
-                        ? ServiceStatistics.Outcome.ANSWERED
-                        : how == ResponseStatus.REJECTED
-                                ? ServiceStatistics.Outcome.REJECTED
-                                : ServiceStatistics.Outcome.FAILED);
+        slotListener.onSlotReleased(
+                tracked.client, tracked.request, clock.getAsLong() - tracked.receivedAtMicros);
     }
 
-    /** For a fault of the decisions: everything held is broken off, which promises nothing. */
-    void breakOffAll() {
-        for (TrackedRequest e : List.copyOf(entries.values())) {
-            close(e.id, ResponseStatus.FAILED, 0, Counter.FAILED);
+    /** Fails every unanswered request, for the scheduler failed; that promises nothing. */
+    void failAll() {
+        for (TrackedRequest tracked : requests.copyOfAll()) {
+            finish(tracked.id, ResponseStatus.FAILED, 0, Counter.FAILED);
         }
     }
 
-    /** Accesses that are owed an answer. */
-    int unanswered() {
-        return unanswered;
+    /** Requests without a response. */
+    int unansweredCount() {
+        return unansweredCount;
     }
 
-    int held() {
-        return entries.size();
+    /** Requests without a response or with an attempt in flight. */
+    int trackedCount() {
+        return requests.size();
     }
 }
--- a/gateway/src/test/java/milletyoke/gateway/loop/RequestTrackerTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/loop/RequestTrackerTest.java
@@ -15,16 +15,16 @@
 import milletyoke.wire.proto.Request;
 import org.junit.jupiter.api.Test;
 
-/** What the ledger tells when a client leaves; no sockets and no clock. */
-class RequestTrackerTest implements RequestTracker.AttemptSender {
-    private final List<String> told = new ArrayList<>();
-    private int freed;
-    private final RequestTracker ledger =
+/** What the tracker does when a client disconnects; without sockets and without a clock. */
+class RequestTrackerTest implements ActionSink {
+    private final List<String> calls = new ArrayList<>();
+    private int releasedSlots;
+    private final RequestTracker tracker =
             new RequestTracker(
                     "m",
                     50_000,
                     new Counters(),
-                    (client, access, stay) -> freed++,
+                    (client, access, stay) -> releasedSlots++,
                     new ServiceStatistics(
                             new SchedulerSettings(1, List.of(), List.of(), null, null, false),
                             false),
@@ -56,57 +56,59 @@
             };
 
     @Override
-    public void relay(String target, String id, int attempt, long giveUpAt, Attempt.Builder relay) {
-        told.add("relay " + id + "/" + attempt);
+    public void sendAttempt(
+            String target,
+            String requestId,
+            int attemptNumber,
+            long deadlineMicros,
+            Attempt.Builder attempt) {
+        calls.add("send " + requestId + "/" + attemptNumber);
     }
 
     @Override
-    public void cancel(String id, int attempt) {
-        told.add("cancel " + id + "/" + attempt);
+    public void cancelAttempt(String requestId, int attemptNumber) {
+        calls.add("cancel " + requestId + "/" + attemptNumber);
     }
 
     @Override
-    public void dropUnsent(String id, int attempt) {
-        told.add("drop " + id + "/" + attempt);
-        ledger.onAttemptEnded(
-                id,
-                attempt,
+    public void dropUnsent(String requestId, int attemptNumber) {
+        calls.add("drop " + requestId + "/" + attemptNumber);
+        tracker.onAttemptEnded(
+                requestId,
+                attemptNumber,
                 Outcome.NOT_STARTED,
                 0,
                 null,
-                null); // as Links does where it had not been sent
+                null); // as the dispatcher does with an unsent attempt
     }
 
     @Override
-    public void probe(String target) {}
+    public void sendProbe(String target) {}
 
     @Override
-    public void wake(long in) {}
+    public void scheduleWakeUp(long delayMicros) {}
 
     @Override
-    public void follow() {}
+    public void watchEndpoints() {}
 
-    /**
-     * Guards targets against a relay that waits for its connection when its client leaves: it was
-     * sent all the same.
-     */
+    /** An attempt that waits for its connection when its client disconnects must not be sent. */
     @Test
-    void whatIsOutForAClientThatLeftIsDroppedWhereUnsent() {
-        ledger.connect(this);
-        ledger.taken(
+    void disconnectDropsUnsentAttemptsAndReleasesSlots() {
+        tracker.setActionSink(this);
+        tracker.receive(
                 0,
                 0,
                 client,
                 Request.newBuilder().setNumber(1).setTimeLeftMicros(1_000_000).build());
-        ledger.taken(
+        tracker.receive(
                 0,
                 0,
                 client,
                 Request.newBuilder().setNumber(2).setTimeLeftMicros(1_000_000).build());
-        ledger.carryOut(0, List.of(new Action.SendAttempt("7-1", 1_000_000, "t")));
-        ledger.clientGone(client);
-        assertEquals(List.of("relay 7-1/0", "drop 7-1/0"), told);
-        assertEquals(2, freed);
-        assertEquals(0, ledger.held());
+        tracker.execute(0, List.of(new Action.SendAttempt("7-1", 1_000_000, "t")));
+        tracker.clientDisconnected(client);
+        assertEquals(List.of("send 7-1/0", "drop 7-1/0"), calls);
+        assertEquals(2, releasedSlots);
+        assertEquals(0, tracker.trackedCount());
     }
 }
