--- a/http/src/main/java/milletyoke/http/HttpConnection.java
+++ b/http/src/main/java/milletyoke/http/HttpConnection.java
@@ -34,23 +34,23 @@
      * What a peer may still send to a connection that closes gracefully; beyond it, it is reset
      * (bytes).
      */
-    private static final int MOST_DRAINED = 1 << 20;
+    private static final int MAX_DRAINED_BYTES = 1 << 20;
 
     private final int id;
     private final Connection<SocketAddress> connection;
     private final HttpTransport.Handler handler;
-    private final AtomicBoolean closed = new AtomicBoolean(), outputShut = new AtomicBoolean();
+    private final AtomicBoolean closed = new AtomicBoolean(), outputShutDown = new AtomicBoolean();
 
     /** Writes that the system has not taken whole. */
-    private final AtomicInteger writing = new AtomicInteger();
+    private final AtomicInteger pendingWrites = new AtomicInteger();
 
     /** Nothing that comes in counts any more. */
-    private volatile boolean closing;
+    private volatile boolean isClosing;
 
-    private volatile boolean endedByPeer, peerGone;
+    private volatile boolean isEndedByPeer, isClosedByPeer;
 
     /** Of the sockets' thread. */
-    private int drained;
+    private int drainedBytes;
 
     @SuppressWarnings("unchecked") // a TCP connection's addresses are socket addresses
     HttpConnection(int id, Connection<?> connection, HttpTransport.Handler handler) {
@@ -73,7 +73,7 @@
 
     /** Whether the system has not yet taken all that was written. */
     public boolean isWriting() {
-        return writing.get() > 0;
+        return pendingWrites.get() > 0;
     }
 
     /**
@@ -81,7 +81,7 @@
      * closed.
      */
     public boolean isEndedByPeer() {
-        return endedByPeer;
+        return isEndedByPeer;
     }
 
     /**
@@ -89,11 +89,11 @@
      * are passed on.
      */
     public boolean isClosedByPeer() {
-        return peerGone;
+        return isClosedByPeer;
     }
 
-    void peerGone() {
-        peerGone = true;
+    void markClosedByPeer() {
+        isClosedByPeer = true;
     }
 
     public void write(ByteBuffer bytes, WriteListener then) {
@@ -114,14 +114,14 @@
     }
 
     private void write(Buffer bytes, WriteListener then) {
-        writing.incrementAndGet();
+        pendingWrites.incrementAndGet();
         connection.write(
                 bytes,
                 new EmptyCompletionHandler<WriteResult<Buffer, SocketAddress>>() {
                     @Override
                     public void completed(WriteResult<Buffer, SocketAddress> result) {
-                        if (writing.decrementAndGet() == 0 && closing) {
-                            shutOutput();
+                        if (pendingWrites.decrementAndGet() == 0 && isClosing) {
+                            shutDownOutput();
                         }
                         then.written();
                     }
@@ -140,16 +140,16 @@
                 });
     }
 
-    static void quietly(Step step) {
+    static void ignoreFailure(IoStep step) {
         try {
-            step.take();
+            step.run();
         } catch (IOException | RuntimeException gone) {
             // the connection is gone, which its handler is told by another way
         }
     }
 
-    interface Step {
-        void take() throws IOException;
+    interface IoStep {
+        void run() throws IOException;
     }
 
     /**
@@ -159,30 +159,30 @@
      * over unread bytes resets the connection, and the answer may go with it.
      */
     public void closeGracefully() {
-        closing = true;
-        if (writing.get() == 0) {
-            shutOutput();
+        isClosing = true;
+        if (pendingWrites.get() == 0) {
+            shutDownOutput();
         }
     }
 
     public boolean isClosing() {
-        return closing;
+        return isClosing;
     }
 
-    private void shutOutput() {
-        if (outputShut.compareAndSet(false, true)
+    private void shutDownOutput() {
+        if (outputShutDown.compareAndSet(false, true)
                 && ((NIOConnection) connection).getChannel() instanceof SocketChannel channel) {
-            quietly(channel::shutdownOutput);
+            ignoreFailure(channel::shutdownOutput);
         }
     }
 
     /** Takes what came; false where it is to be dropped. Called on the sockets' thread. */
-    boolean takes(int bytes) {
-        if (!closing) {
+    boolean accepts(int bytes) {
+        if (!isClosing) {
             return isOpen();
         }
-        drained += bytes;
-        if (drained > MOST_DRAINED) {
+        drainedBytes += bytes;
+        if (drainedBytes > MAX_DRAINED_BYTES) {
             close("sends on though it is closed");
         }
         return false;
@@ -202,20 +202,20 @@
     /** Closes at once and resets it, whatever was read. */
     public void reset(String why) {
         if (((NIOConnection) connection).getChannel() instanceof SocketChannel channel) {
-            quietly(() -> channel.setOption(StandardSocketOptions.SO_LINGER, 0));
+            ignoreFailure(() -> channel.setOption(StandardSocketOptions.SO_LINGER, 0));
         }
         close(why);
     }
 
     /** The peer ended or reset it. */
-    void lost(String why, boolean endedByPeer) {
-        ended(why, endedByPeer);
+    void closedByPeer(String why, boolean endedByPeer) {
+        markClosed(why, endedByPeer);
         connection.terminateSilently();
     }
 
-    void ended(String why, boolean byPeer) {
+    void markClosed(String why, boolean byPeer) {
         if (closed.compareAndSet(false, true)) {
-            endedByPeer = byPeer;
+            isEndedByPeer = byPeer;
             handler.closed(this, why);
         }
     }
--- a/http/src/main/java/milletyoke/http/HttpTransport.java
+++ b/http/src/main/java/milletyoke/http/HttpTransport.java
@@ -30,8 +30,8 @@
 
 /** Sockets that carry bytes both ways, served by one thread. */
 public final class HttpTransport implements AutoCloseable {
-    private static final int READ_AT_ONCE = 16 * 1024, BACKLOG = 1024;
-    private static final Attribute<HttpConnection> CONN =
+    private static final int READ_BUFFER_BYTES = 16 * 1024, BACKLOG = 1024;
+    private static final Attribute<HttpConnection> HTTP_CONNECTION =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("milletyoke.http");
 
     /**
@@ -65,9 +65,9 @@
         void cancel();
     }
 
-    private final AtomicInteger ids = new AtomicInteger();
+    private final AtomicInteger lastId = new AtomicInteger();
     private final TCPNIOTransport transport;
-    private final ByteBuffer in = ByteBuffer.allocateDirect(READ_AT_ONCE);
+    private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
 
     public HttpTransport(String name) throws IOException {
         TCPNIOTransportBuilder builder =
@@ -82,7 +82,7 @@
                         .setTcpNoDelay(true)
                         .setReuseAddress(true)
                         .setServerConnectionBackLog(BACKLOG)
-                        .setReadBufferSize(READ_AT_ONCE);
+                        .setReadBufferSize(READ_BUFFER_BYTES);
         builder.setSelectorRunnersCount(1);
         transport = builder.build();
         transport.start();
@@ -99,14 +99,14 @@
                                     .processor(chain(handlers))
                                     .build()
                                     .bind(new InetSocketAddress(host, port), BACKLOG);
-            return new Bound(transport, server);
+            return new BoundListener(transport, server);
         } catch (IOException failed) {
             throw new IOException(
                     "cannot listen at " + host + ":" + port + ": " + failed.getMessage(), failed);
         }
     }
 
-    private record Bound(TCPNIOTransport transport, TCPNIOServerConnection server)
+    private record BoundListener(TCPNIOTransport transport, TCPNIOServerConnection server)
             implements Listener {
         @Override
         public int port() {
@@ -115,12 +115,12 @@
 
         @Override
         public void pause() {
-            HttpConnection.quietly(() -> server.disableIOEvent(IOEvent.SERVER_ACCEPT));
+            HttpConnection.ignoreFailure(() -> server.disableIOEvent(IOEvent.SERVER_ACCEPT));
         }
 
         @Override
         public void resume() {
-            HttpConnection.quietly(() -> server.enableIOEvent(IOEvent.SERVER_ACCEPT));
+            HttpConnection.ignoreFailure(() -> server.enableIOEvent(IOEvent.SERVER_ACCEPT));
         }
 
         @Override
@@ -155,7 +155,10 @@
     }
 
     private FilterChain chain(Supplier<Handler> handlers) {
-        return FilterChainBuilder.stateless().add(new Reading()).add(new Bytes(handlers)).build();
+        return FilterChainBuilder.stateless()
+                .add(new ReadFilter())
+                .add(new HandlerFilter(handlers))
+                .build();
     }
 
     /**
@@ -165,22 +168,22 @@
      * left while it waited here, or with the system. All connections share one buffer, for one
      * thread reads.
      */
-    private final class Reading extends TransportFilter {
+    private final class ReadFilter extends TransportFilter {
         @Override
         public NextAction handleRead(FilterChainContext ctx) {
-            HttpConnection conn = CONN.get(ctx.getConnection());
+            HttpConnection conn = HTTP_CONNECTION.get(ctx.getConnection());
             if (conn == null
                     || !(((NIOConnection) ctx.getConnection()).getChannel()
                             instanceof SocketChannel channel)) {
                 return ctx.getStopAction();
             }
-            in.clear();
+            readBuffer.clear();
             String end = null;
             boolean byPeer = false;
             try {
                 int came = 1;
-                while (came > 0 && in.hasRemaining()) {
-                    came = channel.read(in);
+                while (came > 0 && readBuffer.hasRemaining()) {
+                    came = channel.read(readBuffer);
                 }
                 byPeer = came < 0;
                 end = byPeer ? "its peer ended it" : null;
@@ -188,23 +191,23 @@
                 end = "reset: " + reset.getMessage();
             }
             if (end != null) {
-                conn.peerGone();
+                conn.markClosedByPeer();
             }
-            if (in.flip().hasRemaining() && conn.takes(in.remaining())) {
-                conn.handler().read(conn, in);
+            if (readBuffer.flip().hasRemaining() && conn.accepts(readBuffer.remaining())) {
+                conn.handler().read(conn, readBuffer);
             }
             if (end != null) {
-                conn.lost(end, byPeer);
+                conn.closedByPeer(end, byPeer);
             }
             return ctx.getStopAction();
         }
     }
 
     /** The last filter: gives each connection its handler. */
-    private final class Bytes extends BaseFilter {
+    private final class HandlerFilter extends BaseFilter {
         private final Supplier<Handler> handlers;
 
-        Bytes(Supplier<Handler> handlers) {
+        HandlerFilter(Supplier<Handler> handlers) {
             this.handlers = handlers;
         }
 
@@ -222,16 +225,16 @@
 
         private void opened(Connection<?> connection) {
             HttpConnection conn =
-                    new HttpConnection(ids.incrementAndGet(), connection, handlers.get());
-            CONN.set(connection, conn);
+                    new HttpConnection(lastId.incrementAndGet(), connection, handlers.get());
+            HTTP_CONNECTION.set(connection, conn);
             connection.addCloseListener(
-                    (closeable, type) -> conn.ended("closed (" + type + ")", false));
+                    (closeable, type) -> conn.markClosed("closed (" + type + ")", false));
             conn.handler().opened(conn);
         }
 
         @Override
         public void exceptionOccurred(FilterChainContext ctx, Throwable error) {
-            HttpConnection conn = CONN.get(ctx.getConnection());
+            HttpConnection conn = HTTP_CONNECTION.get(ctx.getConnection());
             if (conn != null) {
                 conn.close("reading failed: " + error);
             }
--- a/http/src/main/java/milletyoke/http/SharedByteBudget.java
+++ b/http/src/main/java/milletyoke/http/SharedByteBudget.java
@@ -7,26 +7,26 @@
  * Any thread may ask.
  */
 public final class SharedByteBudget {
-    private final long most;
-    private final AtomicLong taken = new AtomicLong();
+    private final long capacityBytes;
+    private final AtomicLong acquiredBytes = new AtomicLong();
 
     /**
-     * @param most bytes
+     * @param capacityBytes bytes
      */
     public SharedByteBudget(long most) {
-        this.most = most;
+        this.capacityBytes = most;
     }
 
     /** Takes so many bytes, or none and answers false. */
     public boolean tryAcquire(long bytes) {
-        if (taken.addAndGet(bytes) > most) {
-            taken.addAndGet(-bytes);
+        if (acquiredBytes.addAndGet(bytes) > capacityBytes) {
+            acquiredBytes.addAndGet(-bytes);
             return false;
         }
         return true;
     }
 
     public void release(long bytes) {
-        taken.addAndGet(-bytes);
+        acquiredBytes.addAndGet(-bytes);
     }
 }
