--- a/http/src/main/java/milletyoke/http/HeaderWriter.java
+++ b/http/src/main/java/milletyoke/http/HeaderWriter.java
@@ -3,23 +3,29 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** The head of a message on its way out; the body is written behind it as it is. */
+/** Builds the start line and headers of a message; the body is written behind it unchanged. */
 public final class HeaderWriter {
-    private final StringBuilder head = new StringBuilder(256);
+    private static final int INITIAL_CAPACITY = 256;
+    private static final int MICROS_PER_MILLI = 1000;
+    private static final int MILLIS_PER_SECOND = 1000;
 
-    private HeaderWriter(String start) {
-        head.append(start).append("\r\n");
+    private final StringBuilder head = new StringBuilder(INITIAL_CAPACITY);
+
+    private HeaderWriter(String startLine) {
+        head.append(startLine).append("\r\n");
     }
 
+    /** Starts a request. */
     public static HeaderWriter request(String method, String target) {
         return new HeaderWriter(method + " " + target + " HTTP/1.1");
     }
 
+    /** Starts a response. */
     public static HeaderWriter response(int status) {
-        return new HeaderWriter("HTTP/1.1 " + status + " " + reason(status));
+        return new HeaderWriter("HTTP/1.1 " + status + " " + reasonPhrase(status));
     }
 
-    private static String reason(int status) {
+    private static String reasonPhrase(int status) {
         return switch (status) {
             case 200 -> "OK";
             case 400 -> "Bad Request";
@@ -40,33 +46,38 @@
         };
     }
 
-    /** The value must be free of line ends: what came through {@link HttpMessageDecoder} is. */
+    /**
+     * Adds a header.
+     *
+     * @param value without line ends, as {@link HttpMessageDecoder} delivers it
+     */
     public HeaderWriter header(String name, String value) {
         head.append(name).append(": ").append(value).append("\r\n");
         return this;
     }
 
     /**
-     * Seconds with three decimals, rounded down; below one millisecond what is left of it is told
-     * as one.
+     * Adds a header whose value is a time in seconds with three decimals, rounded down, but at
+     * least one millisecond.
      */
     public HeaderWriter headerInSeconds(String name, long micros) {
-        long millis = Math.max(1, micros / 1000);
-        String part = Long.toString(millis % 1000 + 1000);
-        return header(name, millis / 1000 + "." + part.substring(1));
+        long millis = Math.max(1, micros / MICROS_PER_MILLI);
+        String padded = Long.toString(millis % MILLIS_PER_SECOND + MILLIS_PER_SECOND);
+        return header(name, millis / MILLIS_PER_SECOND + "." + padded.substring(1));
     }
 
-    /** Fields that are lines already, each ended. */
+    /** Adds headers that are complete lines already, each terminated. */
     public HeaderWriter lines(String lines) {
         head.append(lines);
         return this;
     }
 
-    /** Says how long the body is that is written behind the head. */
+    /** Adds the length of the body that is written behind the headers. */
     public HeaderWriter contentLength(int bytes) {
         return header("Content-Length", Integer.toString(bytes));
     }
 
+    /** The bytes of start line and headers, with the empty line behind them. */
     public ByteBuffer toBuffer() {
         return ByteBuffer.wrap(
                 head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
--- a/http/src/main/java/milletyoke/http/HttpConnection.java
+++ b/http/src/main/java/milletyoke/http/HttpConnection.java
@@ -16,40 +16,39 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * One connection that carries bytes; any thread may write and close. It is open, then perhaps
- * closing gracefully (its output is shut behind the last write, what still comes in is dropped),
- * then closed. Each step is taken once and never back.
+ * One TCP connection. It is open, then possibly closing gracefully (its output is shut down behind
+ * the last write, and input is discarded), then closed. Each of these steps happens once, and none
+ * is undone.
+ *
+ * <p>Any thread may write and close.
  */
 public final class HttpConnection {
-    /** How a write ended. */
+    /** Is notified of the end of one write, on any thread. */
     public interface WriteListener {
-        /** Its last byte was handed to the system. */
+        /** The last byte was handed to the operating system. */
         void written();
 
-        /** Its last byte was not: the connection broke before. */
-        default void failed(String why) {}
+        /** The connection broke before the last byte was handed to the operating system. */
+        default void failed(String reason) {}
     }
 
-    /**
-     * What a peer may still send to a connection that closes gracefully; beyond it, it is reset
-     * (bytes).
-     */
+    /** How many bytes a peer may send to a connection that closes gracefully before it is reset. */
     private static final int MAX_DRAINED_BYTES = 1 << 20;
 
     private final int id;
     private final Connection<SocketAddress> connection;
     private final HttpTransport.Handler handler;
-    private final AtomicBoolean closed = new AtomicBoolean(), outputShutDown = new AtomicBoolean();
+    private final AtomicBoolean isClosed = new AtomicBoolean();
+    private final AtomicBoolean isOutputShutDown = new AtomicBoolean();
 
-    /** Writes that the system has not taken whole. */
+    /** Writes that were not completely handed to the operating system yet. */
     private final AtomicInteger pendingWrites = new AtomicInteger();
 
-    /** Nothing that comes in counts any more. */
     private volatile boolean isClosing;
+    private volatile boolean isEndedByPeer;
+    private volatile boolean isClosedByPeer;
 
-    private volatile boolean isEndedByPeer, isClosedByPeer;
-
-    /** Of the sockets' thread. */
+    /** Bytes discarded while closing gracefully; of the transport's thread. */
     private int drainedBytes;
 
     @SuppressWarnings("unchecked") // a TCP connection's addresses are socket addresses
@@ -59,6 +58,7 @@
         this.handler = handler;
     }
 
+    /** Unique among the connections of one transport, and greater than those of earlier ones. */
     public int id() {
         return id;
     }
@@ -67,26 +67,24 @@
         return handler;
     }
 
+    /** Whether the connection is not closed; it may be closing gracefully. */
     public boolean isOpen() {
-        return !closed.get() && connection.isOpen();
+        return !isClosed.get() && connection.isOpen();
     }
 
-    /** Whether the system has not yet taken all that was written. */
+    /** Whether something that was written was not handed to the operating system yet. */
     public boolean isWriting() {
         return pendingWrites.get() > 0;
     }
 
-    /**
-     * Whether the peer ended its sending, and did not reset the connection; known once it is
-     * closed.
-     */
+    /** Whether a closed connection ended because the peer shut it down, and not by a reset. */
     public boolean isEndedByPeer() {
         return isEndedByPeer;
     }
 
     /**
-     * Whether the peer has ended its sending or reset the connection; known before its last bytes
-     * are passed on.
+     * Whether the peer shut down its output or reset the connection. This is known before its last
+     * bytes are delivered to the handler.
      */
     public boolean isClosedByPeer() {
         return isClosedByPeer;
@@ -96,67 +94,82 @@
         isClosedByPeer = true;
     }
 
-    public void write(ByteBuffer bytes, WriteListener then) {
-        write(Buffers.wrap(MemoryManager.DEFAULT_MEMORY_MANAGER, bytes), then);
+    /** Writes the bytes without waiting; the buffer must not be changed afterwards. */
+    public void write(ByteBuffer bytes, WriteListener listener) {
+        write(Buffers.wrap(MemoryManager.DEFAULT_MEMORY_MANAGER, bytes), listener);
     }
 
-    /** Both, one behind the other, without a copy of the second. */
-    public void write(ByteBuffer head, ByteBuffer body, WriteListener then) {
+    /** Writes both buffers as one, without copying the body. */
+    public void write(ByteBuffer head, ByteBuffer body, WriteListener listener) {
         if (!body.hasRemaining()) {
-            write(head, then);
+            write(head, listener);
             return;
         }
         MemoryManager<?> memory = MemoryManager.DEFAULT_MEMORY_MANAGER;
-        write(
+        Buffer message =
                 Buffers.appendBuffers(
-                        memory, Buffers.wrap(memory, head), Buffers.wrap(memory, body)),
-                then);
+                        memory, Buffers.wrap(memory, head), Buffers.wrap(memory, body));
+        write(message, listener);
     }
 
-    private void write(Buffer bytes, WriteListener then) {
+    private void write(Buffer bytes, WriteListener listener) {
         pendingWrites.incrementAndGet();
-        connection.write(
-                bytes,
-                new EmptyCompletionHandler<WriteResult<Buffer, SocketAddress>>() {
-                    @Override
-                    public void completed(WriteResult<Buffer, SocketAddress> result) {
-                        if (pendingWrites.decrementAndGet() == 0 && isClosing) {
-                            shutDownOutput();
-                        }
-                        then.written();
-                    }
-
-                    @Override
-                    public void failed(Throwable cause) {
-                        then.failed(String.valueOf(cause.getMessage()));
-                        close("writing failed: " + cause.getMessage());
-                    }
-
-                    @Override
-                    public void cancelled() {
-                        then.failed("cancelled");
-                        close("writing was cancelled");
-                    }
-                });
-    }
-
-    static void ignoreFailure(IoStep step) {
-        try {
-            step.run();
-        } catch (IOException | RuntimeException gone) {
-            // the connection is gone, which its handler is told by another way
+        connection.write(bytes, new WriteCompletion(listener));
+    }
+
+    /** Follows one write. */
+    private final class WriteCompletion
+            extends EmptyCompletionHandler<WriteResult<Buffer, SocketAddress>> {
+        private final WriteListener listener;
+
+        WriteCompletion(WriteListener listener) {
+            this.listener = listener;
+        }
+
+        @Override
+        public void completed(WriteResult<Buffer, SocketAddress> result) {
+            if (pendingWrites.decrementAndGet() == 0 && isClosing) {
+                shutDownOutput();
+            }
+            listener.written();
+        }
+
+        @Override
+        public void failed(Throwable cause) {
+            listener.failed(String.valueOf(cause.getMessage()));
+            close("write failed: " + cause.getMessage());
+        }
+
+        @Override
+        public void cancelled() {
+            listener.failed("cancelled");
+            close("write cancelled");
         }
     }
 
-    interface IoStep {
+    /** An operation on a socket. */
+    interface SocketOperation {
         void run() throws IOException;
     }
 
     /**
-     * Closes gracefully (RFC 9112 section 9.6): output is shut once all that was written is with
-     * the system, what comes in from now on is dropped, and the peer's own end closes it; whoever
-     * calls this bounds how long that may take by {@link #close}. Guards a last answer: a close
-     * over unread bytes resets the connection, and the answer may go with it.
+     * Runs an operation that can fail only if the socket is closed, which is reported elsewhere.
+     */
+    static void ignoreFailure(SocketOperation operation) {
+        try {
+            operation.run();
+        } catch (IOException | RuntimeException closed) {
+            // The handler is notified of the close by the transport.
+        }
+    }
+
+    /**
+     * Closes gracefully (RFC 9112 section 9.6): shuts down the output once everything was written,
+     * and discards further input until the peer closes its side. The caller has to limit the time
+     * for that and call {@link #close}.
+     *
+     * <p>A connection that is closed at once while input is unread is reset, by which the peer may
+     * lose the last response.
      */
     public void closeGracefully() {
         isClosing = true;
@@ -165,58 +178,64 @@
         }
     }
 
+    /** Whether a graceful close has begun. */
     public boolean isClosing() {
         return isClosing;
     }
 
     private void shutDownOutput() {
-        if (outputShutDown.compareAndSet(false, true)
+        if (isOutputShutDown.compareAndSet(false, true)
                 && ((NIOConnection) connection).getChannel() instanceof SocketChannel channel) {
             ignoreFailure(channel::shutdownOutput);
         }
     }
 
-    /** Takes what came; false where it is to be dropped. Called on the sockets' thread. */
+    /**
+     * Accounts for received bytes, on the transport's thread.
+     *
+     * @return whether they are to be delivered to the handler
+     */
     boolean accepts(int bytes) {
         if (!isClosing) {
             return isOpen();
         }
         drainedBytes += bytes;
         if (drainedBytes > MAX_DRAINED_BYTES) {
-            close("sends on though it is closed");
+            close("the peer keeps sending after a graceful close");
         }
         return false;
     }
 
-    /**
-     * Closes at once; what waits to be written is lost, and what was not read resets the
-     * connection.
-     */
-    public void close(String why) {
-        if (closed.compareAndSet(false, true)) {
+    /** Closes at once. Pending writes are lost, and unread input resets the connection. */
+    public void close(String reason) {
+        if (isClosed.compareAndSet(false, true)) {
             connection.terminateSilently();
-            handler.closed(this, why);
+            handler.closed(this, reason);
         }
     }
 
-    /** Closes at once and resets it, whatever was read. */
-    public void reset(String why) {
+    /** Closes at once with a reset, whether or not input is unread. */
+    public void reset(String reason) {
         if (((NIOConnection) connection).getChannel() instanceof SocketChannel channel) {
             ignoreFailure(() -> channel.setOption(StandardSocketOptions.SO_LINGER, 0));
         }
-        close(why);
+        close(reason);
     }
 
-    /** The peer ended or reset it. */
-    void closedByPeer(String why, boolean endedByPeer) {
-        markClosed(why, endedByPeer);
+    /**
+     * Closes because the peer did.
+     *
+     * @param byShutdown whether the peer shut down its output, and did not reset the connection
+     */
+    void closeAfterPeer(String reason, boolean byShutdown) {
+        markClosed(reason, byShutdown);
         connection.terminateSilently();
     }
 
-    void markClosed(String why, boolean byPeer) {
-        if (closed.compareAndSet(false, true)) {
-            isEndedByPeer = byPeer;
-            handler.closed(this, why);
+    void markClosed(String reason, boolean byPeerShutdown) {
+        if (isClosed.compareAndSet(false, true)) {
+            isEndedByPeer = byPeerShutdown;
+            handler.closed(this, reason);
         }
     }
 
--- a/http/src/main/java/milletyoke/http/HttpMessage.java
+++ b/http/src/main/java/milletyoke/http/HttpMessage.java
@@ -4,18 +4,18 @@
 import java.util.Set;
 
 /**
- * One whole request or answer (RFC 9112).
+ * One complete request or response (RFC 9112).
  *
- * @param method empty for an answer
- * @param target the request's target as it came (RFC 9112 section 3.2); empty for an answer
+ * @param method empty for a response
+ * @param target the request target as it was received (RFC 9112 section 3.2); empty for a response
  * @param status 0 for a request
- * @param headers in the order in which they came
+ * @param headers in the order in which they were received
  */
 public record HttpMessage(
         String method, String target, int status, List<HeaderField> headers, byte[] body) {
     /**
-     * What holds between two neighbours alone and is never passed on (RFC 9110 section 7.6.1),
-     * beside what Connection names.
+     * The headers that concern one connection and are never forwarded (RFC 9110 section 7.6.1), in
+     * addition to those that the Connection header names.
      */
     private static final Set<String> HOP_BY_HOP =
             Set.of(
@@ -33,61 +33,76 @@
                     "host");
 
     /**
-     * @param name in lower case @param originalName the name as it came
+     * One header.
+     *
+     * @param name in lower case
+     * @param originalName the name as it was received
      */
     public record HeaderField(String name, String value, String originalName) {}
 
-    /** Fields from end to end but those named (in lower case), each as a line, as they came. */
-    public String endToEndHeaders(Set<String> but) {
+    /**
+     * The end-to-end headers as they were received, each as a terminated line.
+     *
+     * @param excluded names, in lower case, to leave out
+     */
+    public String endToEndHeaders(Set<String> excluded) {
         StringBuilder lines = new StringBuilder();
-        for (HeaderField f : headers) {
-            if (!HOP_BY_HOP.contains(f.name()) && !but.contains(f.name()) && !isOption(f.name())) {
-                lines.append(f.originalName()).append(": ").append(f.value()).append("\r\n");
+        for (HeaderField field : headers) {
+            if (isEndToEnd(field.name()) && !excluded.contains(field.name())) {
+                lines.append(field.originalName()).append(": ").append(field.value());
+                lines.append("\r\n");
             }
         }
         return lines.toString();
     }
 
-    /**
-     * The value of a field that may stand there once; null where it does not, or stands there
-     * several times.
-     */
+    private boolean isEndToEnd(String name) {
+        return !HOP_BY_HOP.contains(name) && !isConnectionOption(name);
+    }
+
+    /** The value of a header; null if the message does not have it exactly once. */
     public String singleHeader(String name) {
-        String found = null;
-        for (HeaderField f : headers) {
-            if (f.name().equals(name)) {
-                if (found != null) {
+        String value = null;
+        for (HeaderField field : headers) {
+            if (field.name().equals(name)) {
+                if (value != null) {
                     return null;
                 }
-                found = f.value();
+                value = field.value();
             }
         }
-        return found;
+        return value;
     }
 
-    /** How often a field stands there. */
+    /** How often the message has a header. */
     public int headerCount(String name) {
-        int times = 0;
-        for (HeaderField f : headers) {
-            times += f.name().equals(name) ? 1 : 0;
+        int count = 0;
+        for (HeaderField field : headers) {
+            if (field.name().equals(name)) {
+                count++;
+            }
         }
-        return times;
+        return count;
     }
 
-    /** Whether the sender closes after this message (RFC 9112 section 9.6). */
+    /** Whether the sender closes the connection after this message (RFC 9112 section 9.6). */
     public boolean hasConnectionClose() {
-        return isOption("close");
+        return isConnectionOption("close");
     }
 
-    /** Whether Connection names it. */
-    private boolean isOption(String name) {
-        for (HeaderField f : headers) {
-            if (f.name().equals("connection")) {
-                for (String option : f.value().split(",")) {
-                    if (option.strip().equalsIgnoreCase(name)) {
-                        return true;
-                    }
-                }
+    private boolean isConnectionOption(String name) {
+        for (HeaderField field : headers) {
+            if (field.name().equals("connection") && hasOption(field.value(), name)) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private static boolean hasOption(String options, String name) {
+        for (String option : options.split(",", -1)) {
+            if (option.strip().equalsIgnoreCase(name)) {
+                return true;
             }
         }
         return false;
--- a/http/src/main/java/milletyoke/http/HttpParseException.java
+++ b/http/src/main/java/milletyoke/http/HttpParseException.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * What came is no message that is taken here; the connection is of no further use, for its framing
- * is lost.
+ * What was received is not a valid message, or not one that is accepted here. The message
+ * boundaries are lost, so the connection must not be read any further.
  */
 public final class HttpParseException extends IOException {
     private static final long serialVersionUID = 1L;
@@ -12,13 +12,17 @@
     private final int status;
 
     /**
-     * @param status what a server answers (RFC 9110 section 15.5)
+     * Creates an exception.
+     *
+     * @param status with which a server answers (RFC 9110 section 15.5)
+     * @param problem what is wrong with the message
      */
-    public HttpParseException(int status, String what) {
-        super(what, null);
+    public HttpParseException(int status, String problem) {
+        super(problem, null);
         this.status = status;
     }
 
+    /** The status with which a server answers. */
     public int status() {
         return status;
     }
--- a/http/src/main/java/milletyoke/http/HttpTransport.java
+++ b/http/src/main/java/milletyoke/http/HttpTransport.java
@@ -28,57 +28,71 @@
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
-/** Sockets that carry bytes both ways, served by one thread. */
+/** Accepts, opens and reads TCP connections, all on one thread of its own. */
 public final class HttpTransport implements AutoCloseable {
-    private static final int READ_BUFFER_BYTES = 16 * 1024, BACKLOG = 1024;
+    private static final int READ_BUFFER_BYTES = 16 * 1024;
+    private static final int BACKLOG = 1024;
     private static final Attribute<HttpConnection> HTTP_CONNECTION =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("milletyoke.http");
 
     /**
-     * One end of one connection. All but {@code closed} are called on the thread of the sockets.
+     * The user of one connection. All methods but {@code closed} are called on the transport's
+     * thread.
      */
     public interface Handler {
-        void opened(HttpConnection conn);
+        /** The connection was accepted or established. */
+        void opened(HttpConnection connection);
 
-        /** Bytes came; what is not taken is lost, and the buffer is another's afterwards. */
-        void read(HttpConnection conn, ByteBuffer in);
+        /** Bytes were received. The buffer is reused afterwards; what was not consumed is lost. */
+        void read(HttpConnection connection, ByteBuffer in);
 
-        /** Called once, on any thread; nothing comes after it. */
-        void closed(HttpConnection conn, String why);
+        /** The connection is closed. Called once, on any thread, after all other methods. */
+        void closed(HttpConnection connection, String reason);
     }
 
     /** A bound address. */
     public interface Listener {
+        /** The port that was bound. */
         int port();
 
-        /** Lets further connections wait with the system until {@link #resume}. */
+        /** Lets further connections wait in the system's backlog until {@link #resume}. */
         void pause();
 
+        /** Accepts connections again. */
         void resume();
 
-        /** Takes no further connections. */
+        /** Accepts no further connections, for good. */
         void stop();
     }
 
-    /** A connection in the making, which can be given up. */
+    /** A connection that is being established. */
     public interface ConnectAttempt {
+        /** Gives up, unless the connection is already established. */
         void cancel();
     }
 
     private final AtomicInteger lastId = new AtomicInteger();
     private final TCPNIOTransport transport;
+
+    /** Shared by all connections, since one thread reads them. */
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
 
+    /**
+     * Starts a transport.
+     *
+     * @param name of its thread, with the suffix {@code -io}
+     */
     public HttpTransport(String name) throws IOException {
+        ThreadPoolConfig threads =
+                ThreadPoolConfig.defaultConfig()
+                        .setPoolName(name + "-io")
+                        .setCorePoolSize(1)
+                        .setMaxPoolSize(1)
+                        .setDaemon(true);
         TCPNIOTransportBuilder builder =
                 TCPNIOTransportBuilder.newInstance()
                         .setIOStrategy(SameThreadIOStrategy.getInstance())
-                        .setSelectorThreadPoolConfig(
-                                ThreadPoolConfig.defaultConfig()
-                                        .setPoolName(name + "-io")
-                                        .setCorePoolSize(1)
-                                        .setMaxPoolSize(1)
-                                        .setDaemon(true))
+                        .setSelectorThreadPoolConfig(threads)
                         .setTcpNoDelay(true)
                         .setReuseAddress(true)
                         .setServerConnectionBackLog(BACKLOG)
@@ -89,14 +103,17 @@
     }
 
     /**
-     * @throws IOException where the address cannot be had, with a message that names it
+     * Binds an address and accepts connections from now on.
+     *
+     * @param handlers supplies the handler of each connection
+     * @throws IOException if the address cannot be bound; the message names it
      */
     public Listener listen(String host, int port, Supplier<Handler> handlers) throws IOException {
         try {
             TCPNIOServerConnection server =
                     (TCPNIOServerConnection)
                             TCPNIOBindingHandler.builder(transport)
-                                    .processor(chain(handlers))
+                                    .processor(filterChain(handlers))
                                     .build()
                                     .bind(new InetSocketAddress(host, port), BACKLOG);
             return new BoundListener(transport, server);
@@ -130,14 +147,19 @@
     }
 
     /**
-     * Connects without waiting; the handler's opened tells of success, {@code failed} of the reason
-     * why not.
+     * Opens a connection without waiting for it. Either {@code opened} of the handler is called, or
+     * {@code failed} with the reason.
+     *
+     * @return a means to give up; otherwise an unreachable peer would occupy a descriptor for the
+     *     operating system's own timeout, which is minutes
      */
     public ConnectAttempt connect(String host, int port, Handler handler, Consumer<String> failed) {
-        var connector =
-                TCPNIOConnectorHandler.builder(transport).processor(chain(() -> handler)).build();
-        GrizzlyFuture<Connection> made = connector.connect(new InetSocketAddress(host, port));
-        made.addCompletionHandler(
+        GrizzlyFuture<Connection> connecting =
+                TCPNIOConnectorHandler.builder(transport)
+                        .processor(filterChain(() -> handler))
+                        .build()
+                        .connect(new InetSocketAddress(host, port));
+        connecting.addCompletionHandler(
                 new EmptyCompletionHandler<>() {
                     @Override
                     public void failed(Throwable cause) {
@@ -146,15 +168,13 @@
 
                     @Override
                     public void cancelled() {
-                        failed.accept("given up");
+                        failed.accept("cancelled");
                     }
                 });
-        // Guards descriptors against a machine that is cut off: its socket would wait for the
-        // system's own time, minutes.
-        return () -> made.cancel(false);
+        return () -> connecting.cancel(false);
     }
 
-    private FilterChain chain(Supplier<Handler> handlers) {
+    private FilterChain filterChain(Supplier<Handler> handlers) {
         return FilterChainBuilder.stateless()
                 .add(new ReadFilter())
                 .add(new HandlerFilter(handlers))
@@ -162,48 +182,57 @@
     }
 
     /**
-     * Reads by itself, for the transport's own way tells an end and a reset alike. Guards an answer
-     * that ends with its connection: after a reset it is not whole. Reads until nothing is left, so
-     * that an end that waits behind a request is known before the request is acted upon: its client
-     * left while it waited here, or with the system. All connections share one buffer, for one
-     * thread reads.
+     * Reads in place of Grizzly's own filter, which does not distinguish the end of input from a
+     * reset. A response that lasts until the end of input is incomplete after a reset.
+     *
+     * <p>It reads until nothing is left. So the end of input is known before a request ahead of it
+     * is processed, whose client does not wait for the response any more.
      */
     private final class ReadFilter extends TransportFilter {
         @Override
-        public NextAction handleRead(FilterChainContext ctx) {
-            HttpConnection conn = HTTP_CONNECTION.get(ctx.getConnection());
-            if (conn == null
-                    || !(((NIOConnection) ctx.getConnection()).getChannel()
-                            instanceof SocketChannel channel)) {
-                return ctx.getStopAction();
+        public NextAction handleRead(FilterChainContext context) {
+            HttpConnection connection = HTTP_CONNECTION.get(context.getConnection());
+            if (connection != null
+                    && ((NIOConnection) context.getConnection()).getChannel()
+                            instanceof SocketChannel channel) {
+                read(connection, channel);
             }
+            return context.getStopAction();
+        }
+
+        private void read(HttpConnection connection, SocketChannel channel) {
             readBuffer.clear();
-            String end = null;
-            boolean byPeer = false;
+            String closeReason = null;
+            boolean isEndOfInput = false;
             try {
-                int came = 1;
-                while (came > 0 && readBuffer.hasRemaining()) {
-                    came = channel.read(readBuffer);
-                }
-                byPeer = came < 0;
-                end = byPeer ? "its peer ended it" : null;
+                isEndOfInput = fillReadBuffer(channel);
+                closeReason = isEndOfInput ? "closed by the peer" : null;
             } catch (IOException reset) {
-                end = "reset: " + reset.getMessage();
+                closeReason = "reset: " + reset.getMessage();
+            }
+            if (closeReason != null) {
+                connection.markClosedByPeer();
             }
-            if (end != null) {
-                conn.markClosedByPeer();
+            readBuffer.flip();
+            if (readBuffer.hasRemaining() && connection.accepts(readBuffer.remaining())) {
+                connection.handler().read(connection, readBuffer);
             }
-            if (readBuffer.flip().hasRemaining() && conn.accepts(readBuffer.remaining())) {
-                conn.handler().read(conn, readBuffer);
+            if (closeReason != null) {
+                connection.closeAfterPeer(closeReason, isEndOfInput);
             }
-            if (end != null) {
-                conn.closedByPeer(end, byPeer);
+        }
+
+        /** Returns whether the end of input was reached. */
+        private boolean fillReadBuffer(SocketChannel channel) throws IOException {
+            int received = 1;
+            while (received > 0 && readBuffer.hasRemaining()) {
+                received = channel.read(readBuffer);
             }
-            return ctx.getStopAction();
+            return received < 0;
         }
     }
 
-    /** The last filter: gives each connection its handler. */
+    /** Connects each connection with its handler; the last filter of the chain. */
     private final class HandlerFilter extends BaseFilter {
         private final Supplier<Handler> handlers;
 
@@ -212,41 +241,42 @@
         }
 
         @Override
-        public NextAction handleAccept(FilterChainContext ctx) {
-            opened(ctx.getConnection());
-            return ctx.getInvokeAction();
+        public NextAction handleAccept(FilterChainContext context) {
+            open(context.getConnection());
+            return context.getInvokeAction();
         }
 
         @Override
-        public NextAction handleConnect(FilterChainContext ctx) {
-            opened(ctx.getConnection());
-            return ctx.getInvokeAction();
+        public NextAction handleConnect(FilterChainContext context) {
+            open(context.getConnection());
+            return context.getInvokeAction();
         }
 
-        private void opened(Connection<?> connection) {
-            HttpConnection conn =
-                    new HttpConnection(lastId.incrementAndGet(), connection, handlers.get());
-            HTTP_CONNECTION.set(connection, conn);
-            connection.addCloseListener(
-                    (closeable, type) -> conn.markClosed("closed (" + type + ")", false));
-            conn.handler().opened(conn);
+        private void open(Connection<?> grizzlyConnection) {
+            HttpConnection connection =
+                    new HttpConnection(lastId.incrementAndGet(), grizzlyConnection, handlers.get());
+            HTTP_CONNECTION.set(grizzlyConnection, connection);
+            grizzlyConnection.addCloseListener(
+                    (closeable, type) -> connection.markClosed("closed (" + type + ")", false));
+            connection.handler().opened(connection);
         }
 
         @Override
-        public void exceptionOccurred(FilterChainContext ctx, Throwable error) {
-            HttpConnection conn = HTTP_CONNECTION.get(ctx.getConnection());
-            if (conn != null) {
-                conn.close("reading failed: " + error);
+        public void exceptionOccurred(FilterChainContext context, Throwable error) {
+            HttpConnection connection = HTTP_CONNECTION.get(context.getConnection());
+            if (connection != null) {
+                connection.close("read failed: " + error);
             }
         }
     }
 
+    /** Closes all connections and ends the thread. */
     @Override
     public void close() {
         try {
             transport.shutdownNow();
-        } catch (IOException | RuntimeException late) {
-            // its sockets are closed; there is nothing left to release
+        } catch (IOException | RuntimeException ignored) {
+            // The sockets are closed; there is nothing left to release.
         }
     }
 }
--- a/http/src/main/java/milletyoke/http/SharedByteBudget.java
+++ b/http/src/main/java/milletyoke/http/SharedByteBudget.java
@@ -3,21 +3,23 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Bytes that many connections share, so that each may need much while all together stay bounded.
- * Any thread may ask.
+ * A number of bytes that many connections share, so that each may need much memory while all
+ * together stay bounded. Safe for use by any thread.
  */
 public final class SharedByteBudget {
     private final long capacityBytes;
     private final AtomicLong acquiredBytes = new AtomicLong();
 
     /**
-     * @param capacityBytes bytes
+     * Creates a budget of which nothing is acquired.
+     *
+     * @param capacityBytes the most bytes that may be acquired at a time
      */
-    public SharedByteBudget(long most) {
-        this.capacityBytes = most;
+    public SharedByteBudget(long capacityBytes) {
+        this.capacityBytes = capacityBytes;
     }
 
-    /** Takes so many bytes, or none and answers false. */
+    /** Acquires all of the bytes, or none and returns false. */
     public boolean tryAcquire(long bytes) {
         if (acquiredBytes.addAndGet(bytes) > capacityBytes) {
             acquiredBytes.addAndGet(-bytes);
@@ -26,6 +28,7 @@
         return true;
     }
 
+    /** Gives back bytes that were acquired. */
     public void release(long bytes) {
         acquiredBytes.addAndGet(-bytes);
     }
