--- a/http/src/main/java/milletyoke/http/HttpMessage.java
+++ b/http/src/main/java/milletyoke/http/HttpMessage.java
@@ -11,6 +11,7 @@
  * @param status 0 for a request
  * @param headers in the order in which they were received
  */
+@SuppressWarnings("ArrayRecordComponent") // bodies are passed on without a copy, never compared
 public record HttpMessage(
         String method, String target, int status, List<HeaderField> headers, byte[] body) {
     /**
--- a/http/src/main/java/milletyoke/http/HttpTransport.java
+++ b/http/src/main/java/milletyoke/http/HttpTransport.java
@@ -7,10 +7,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
+import org.glassfish.grizzly.CloseListener;
+import org.glassfish.grizzly.CloseType;
+import org.glassfish.grizzly.Closeable;
 import org.glassfish.grizzly.Connection;
 import org.glassfish.grizzly.EmptyCompletionHandler;
 import org.glassfish.grizzly.Grizzly;
-import org.glassfish.grizzly.GrizzlyFuture;
 import org.glassfish.grizzly.IOEvent;
 import org.glassfish.grizzly.attributes.Attribute;
 import org.glassfish.grizzly.filterchain.BaseFilter;
@@ -111,11 +113,10 @@
     public Listener listen(String host, int port, Supplier<Handler> handlers) throws IOException {
         try {
             TCPNIOServerConnection server =
-                    (TCPNIOServerConnection)
-                            TCPNIOBindingHandler.builder(transport)
-                                    .processor(filterChain(handlers))
-                                    .build()
-                                    .bind(new InetSocketAddress(host, port), BACKLOG);
+                    TCPNIOBindingHandler.builder(transport)
+                            .processor(filterChain(handlers))
+                            .build()
+                            .bind(new InetSocketAddress(host, port), BACKLOG);
             return new BoundListener(transport, server);
         } catch (IOException failed) {
             throw new IOException(
@@ -154,7 +155,7 @@
      *     operating system's own timeout, which is minutes
      */
     public ConnectAttempt connect(String host, int port, Handler handler, Consumer<String> failed) {
-        GrizzlyFuture<Connection> connecting =
+        var connecting =
                 TCPNIOConnectorHandler.builder(transport)
                         .processor(filterChain(() -> handler))
                         .build()
@@ -256,8 +257,9 @@
             HttpConnection connection =
                     new HttpConnection(lastId.incrementAndGet(), grizzlyConnection, handlers.get());
             HTTP_CONNECTION.set(grizzlyConnection, connection);
-            grizzlyConnection.addCloseListener(
-                    (closeable, type) -> connection.markClosed("closed (" + type + ")", false));
+            CloseListener<Closeable, CloseType> closeListener =
+                    (closeable, type) -> connection.markClosed("closed (" + type + ")", false);
+            grizzlyConnection.addCloseListener(closeListener);
             connection.handler().opened(connection);
         }
 
--- a/http/src/test/java/milletyoke/http/HttpMessageDecoderTest.java
+++ b/http/src/test/java/milletyoke/http/HttpMessageDecoderTest.java
@@ -19,7 +19,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The parser: what it takes, what it refuses, and that no cut of its input makes a difference. */
+/**
+ * What the decoder accepts and rejects, and that the result does not depend on how its input is
+ * cut.
+ */
 class HttpMessageDecoderTest {
     private static final String REQUEST_HEAD = "PUT /api?a=b HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\n";
     private static final HttpMessageDecoder.Limits SMALL_LIMITS =
@@ -42,7 +45,8 @@
     private static final List<String> RESPONSES =
             List.of(
                     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
-                    "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 \r\nA: b\r\n\r\nHTTP/1.1 200\r\nContent-Length: 0\r\n\r\n",
+                    "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 \r\nA: b\r\n\r\n"
+                            + "HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n",
                     "HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 503 Busy\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
                     "HTTP/1.1 200 OK\r\n\r\nbody",
                     "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nx",
@@ -50,7 +54,9 @@
                     "HTTP/1.1 2x0 OK\r\n\r\n",
                     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n");
 
-    /** All that comes of the input, fed in pieces that end at {@code cuts}. */
+    /**
+     * Describes all messages and errors of the input, decoded in pieces that end at {@code cuts}.
+     */
     private static String decodeInPieces(HttpMessageDecoder decoder, byte[] input, int... cuts) {
         StringBuilder all = new StringBuilder();
         int from = 0;
@@ -58,12 +64,14 @@
             for (int i = 0; i <= cuts.length; i++) {
                 int to = i < cuts.length ? cuts[i] : input.length;
                 ByteBuffer piece = ByteBuffer.wrap(input, from, to - from);
-                for (HttpMessage m = decoder.decode(piece); m != null; m = decoder.decode(piece)) {
-                    all.append(m.method())
-                            .append(m.target())
-                            .append(m.status())
-                            .append(m.headers())
-                            .append(new String(m.body(), StandardCharsets.ISO_8859_1))
+                for (HttpMessage message = decoder.decode(piece);
+                        message != null;
+                        message = decoder.decode(piece)) {
+                    all.append(message.method())
+                            .append(message.target())
+                            .append(message.status())
+                            .append(message.headers())
+                            .append(new String(message.body(), StandardCharsets.ISO_8859_1))
                             .append('|');
                 }
                 from = to;
@@ -114,7 +122,7 @@
     }
 
     /**
-     * Mutated samples: the same for any two cuts, never anything but a message or {@link
+     * Mutated samples give the same result for any two cuts, and nothing but messages or an {@link
      * HttpParseException}.
      */
     @Property(tries = 3000, seed = "20261201")
@@ -145,8 +153,7 @@
     }
 
     /**
-     * RFC 9112 section 6.3, case 8: told by the end of the connection alone, and bounded as any
-     * other body.
+     * RFC 9112 section 6.3, case 8: the body is as long as the input, within the limit of any body.
      */
     @Test
     void aResponseWithoutALengthLastsUntilTheEndOfInput() throws Exception {
@@ -283,10 +290,7 @@
         assertTrue(told.startsWith("413"), told);
     }
 
-    /**
-     * Many peers that each send most of a body and stop: together they get the allowance and no
-     * more.
-     */
+    /** Many peers each send most of a body and stop: together they get no more than the budget. */
     @Test
     void incompleteBodiesShareABudget() throws HttpParseException {
         SharedByteBudget allowance = new SharedByteBudget(200 * 1024);
--- a/http/src/test/java/milletyoke/http/HttpTransportTest.java
+++ b/http/src/test/java/milletyoke/http/HttpTransportTest.java
@@ -11,6 +11,7 @@
 import java.net.Socket;
 import java.net.SocketTimeoutException;
 import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -18,13 +19,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Consumer;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What the bytes' transport promises the codec's users: how far a write got, and that what is given
- * up is released.
+ * What the transport guarantees to its users: how far a write got, how connections end, and that
+ * cancelled ones are released.
  */
 @Timeout(60)
 class HttpTransportTest {
@@ -77,15 +79,14 @@
     }
 
     /**
-     * A machine that is cut off takes no connection and refuses none; a full accept queue is as
-     * silent.
+     * A server whose accept queue is full neither accepts nor refuses, as an unreachable machine.
      */
     @Test
     void aCancelledConnectAttemptReleasesItsSocket() throws Exception {
         assumeTrue(Files.isDirectory(Path.of("/proc/self/fd")));
         List<Socket> filling = new ArrayList<>();
         try (HttpTransport net = new HttpTransport("test");
-                ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+                ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             try {
                 for (int i = 0; i < 20; i++) {
                     Socket one = new Socket();
@@ -93,7 +94,7 @@
                     one.connect(full.getLocalSocketAddress(), 200);
                 }
             } catch (SocketTimeoutException silent) {
-                // its queue is full now
+                // the accept queue is full now
             }
             long before = countOpenSockets();
             List<HttpTransport.ConnectAttempt> attempts = new ArrayList<>();
@@ -135,7 +136,7 @@
                     ByteBuffer.allocate(64 << 20),
                     large); // more than any buffers between the two hold
             TimeUnit.MILLISECONDS.sleep(50);
-            assertEquals(false, large.isWritten.isDone(), "nobody reads");
+            assertEquals(false, large.isWritten.isDone(), "the peer does not read");
             peer.setSoLinger(true, 0);
             peer.close();
             assertEquals(false, large.isWritten.get());
@@ -156,20 +157,17 @@
         }
     }
 
-    /**
-     * Accepts one connection, and does with it on its first bytes what is asked for; keeps what
-     * else it was told.
-     */
+    /** Accepts one connection, and calls a function on its first bytes. */
     private static final class AcceptedConnection implements HttpTransport.Handler {
-        final java.util.function.Consumer<HttpConnection> onFirstRead;
+        final Consumer<HttpConnection> onFirstRead;
         final AtomicInteger readCount = new AtomicInteger();
         final CompletableFuture<String> closed = new CompletableFuture<>();
         Socket peer;
 
-        AcceptedConnection(HttpTransport net, java.util.function.Consumer<HttpConnection> first)
-                throws IOException {
+        AcceptedConnection(HttpTransport net, Consumer<HttpConnection> first) throws IOException {
             this.onFirstRead = first;
-            peer = new Socket("127.0.0.1", net.listen("127.0.0.1", 0, () -> this).port());
+            int port = net.listen("127.0.0.1", 0, () -> this).port();
+            peer = new Socket(InetAddress.getLoopbackAddress(), port);
             peer.setSoTimeout(30_000);
         }
 
@@ -190,8 +188,8 @@
     }
 
     /**
-     * The peer sends on, half a megabyte that is never read; a close over that would reset the
-     * connection.
+     * The peer keeps sending half a megabyte that is never read, over which a close at once would
+     * reset the connection.
      */
     @Test
     void aGracefulCloseWithUnreadInputDoesNotReset() throws Exception {
@@ -200,22 +198,25 @@
                     new AcceptedConnection(
                             net,
                             conn -> {
-                                conn.write(ByteBuffer.wrap("the last answer".getBytes()), () -> {});
+                                conn.write(
+                                        ByteBuffer.wrap(
+                                                "the last answer".getBytes(StandardCharsets.UTF_8)),
+                                        () -> {});
                                 conn.closeGracefully();
                             });
             Socket peer = accepted.peer;
             peer.getOutputStream().write(new byte[512 * 1024]);
             assertEquals(
                     "the last answer",
-                    new String(peer.getInputStream().readAllBytes()),
+                    new String(peer.getInputStream().readAllBytes(), StandardCharsets.UTF_8),
                     "and then an end, no reset");
             peer.close();
             accepted.closed.get();
-            assertEquals(1, accepted.readCount.get(), "what comes behind the shutdown is dropped");
+            assertEquals(1, accepted.readCount.get(), "input after the close is discarded");
         }
     }
 
-    /** Far more than the system takes at once is on its way when it is closed. */
+    /** Far more than the socket buffers hold is pending when the close begins. */
     @Test
     void aGracefulCloseWaitsForPendingWrites() throws Exception {
         int size = 32 << 20;
@@ -255,7 +256,7 @@
         }
     }
 
-    /** An answer without a length rests on this. */
+    /** A response without a length depends on this. */
     @Test
     void endOfInputIsDistinguishedFromAReset() throws Exception {
         try (HttpTransport net = new HttpTransport("test");
