--- a/http/src/main/java/milletyoke/http/SharedByteBudget.java
+++ b/http/src/main/java/milletyoke/http/SharedByteBudget.java
@@ -3,30 +3,33 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Bytes that many connections share, so that each may need much while all together stay bounded.
- * Any thread may ask.
+ * A number of bytes that many connections share, so that each may need much memory while all
+ * together stay bounded. Safe for use by any thread.
  */
 public final class SharedByteBudget {
-    private final long most;
-    private final AtomicLong taken = new AtomicLong();
+    private final long capacityBytes;
+    private final AtomicLong acquiredBytes = new AtomicLong();
 
     /**
-     * @param most bytes
+     * Creates a budget of which nothing is acquired.
+     *
+     * @param capacityBytes the most bytes that may be acquired at a time
      */
-    public SharedByteBudget(long most) {
-        this.most = most;
+    public SharedByteBudget(long capacityBytes) {
+        this.capacityBytes = capacityBytes;
     }
 
-    /** Takes so many bytes, or none and answers false. */
+    /** Acquires all of the bytes, or none and returns false. */
     public boolean tryAcquire(long bytes) {
-        if (taken.addAndGet(bytes) > most) {
-            taken.addAndGet(-bytes);
+        if (acquiredBytes.addAndGet(bytes) > capacityBytes) {
+            acquiredBytes.addAndGet(-bytes);
             return false;
         }
         return true;
     }
 
+    /** Gives back bytes that were acquired. */
     public void release(long bytes) {
-        taken.addAndGet(-bytes);
+        acquiredBytes.addAndGet(-bytes);
     }
 }
--- a/http/src/test/java/milletyoke/http/HttpMessageDecoderTest.java
+++ b/http/src/test/java/milletyoke/http/HttpMessageDecoderTest.java
@@ -19,30 +19,34 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The parser: what it takes, what it refuses, and that no cut of its input makes a difference. */
+/**
+ * What the decoder accepts and rejects, and that the result does not depend on how its input is
+ * cut.
+ */
 class HttpMessageDecoderTest {
-    private static final String HEAD = "PUT /api?a=b HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\n";
-    private static final HttpMessageDecoder.Limits SMALL =
+    private static final String REQUEST_HEAD = "PUT /api?a=b HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\n";
+    private static final HttpMessageDecoder.Limits SMALL_LIMITS =
             new HttpMessageDecoder.Limits(512, 16, 64);
 
     private static final List<String> REQUESTS =
             List.of(
-                    HEAD + "Content-Length: 5\r\n\r\nhello",
-                    HEAD
+                    REQUEST_HEAD + "Content-Length: 5\r\n\r\nhello",
+                    REQUEST_HEAD
                             + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\nA\r\n0123456789\r\n0\r\nX-T: 1\r\n\r\n",
-                    HEAD + "\r\n",
-                    "\r\n" + HEAD + "\r\n",
-                    HEAD + "\r\n" + HEAD + "Content-Length: 1\r\n\r\nx",
-                    HEAD + "Content-Length: 5\r\nContent-Length: 5\r\n\r\nhello",
-                    HEAD + "Content-Length: 65\r\n\r\n",
+                    REQUEST_HEAD + "\r\n",
+                    "\r\n" + REQUEST_HEAD + "\r\n",
+                    REQUEST_HEAD + "\r\n" + REQUEST_HEAD + "Content-Length: 1\r\n\r\nx",
+                    REQUEST_HEAD + "Content-Length: 5\r\nContent-Length: 5\r\n\r\nhello",
+                    REQUEST_HEAD + "Content-Length: 65\r\n\r\n",
                     "GET  /api HTTP/1.1\r\n\r\n",
                     "GET /api HTTP/1.0\r\nHost: a\r\n\r\n",
-                    HEAD + "No colon\r\n\r\n",
-                    HEAD + "X-Long: " + "y".repeat(600) + "\r\n\r\n");
-    private static final List<String> ANSWERS =
+                    REQUEST_HEAD + "No colon\r\n\r\n",
+                    REQUEST_HEAD + "X-Long: " + "y".repeat(600) + "\r\n\r\n");
+    private static final List<String> RESPONSES =
             List.of(
                     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
-                    "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 \r\nA: b\r\n\r\nHTTP/1.1 200\r\nContent-Length: 0\r\n\r\n",
+                    "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 \r\nA: b\r\n\r\n"
+                            + "HTTP/1.1 200\r\nContent-Length: 0\r\n\r\n",
                     "HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 503 Busy\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
                     "HTTP/1.1 200 OK\r\n\r\nbody",
                     "HTTP/1.1 200 OK\r\nContent-Length: 3221225472\r\n\r\nx",
@@ -50,20 +54,24 @@
                     "HTTP/1.1 2x0 OK\r\n\r\n",
                     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n");
 
-    /** All that comes of the input, fed in pieces that end at {@code cuts}. */
-    private static String fed(HttpMessageDecoder decoder, byte[] input, int... cuts) {
+    /**
+     * Describes all messages and errors of the input, decoded in pieces that end at {@code cuts}.
+     */
+    private static String decodeInPieces(HttpMessageDecoder decoder, byte[] input, int... cuts) {
         StringBuilder all = new StringBuilder();
         int from = 0;
         try {
             for (int i = 0; i <= cuts.length; i++) {
                 int to = i < cuts.length ? cuts[i] : input.length;
                 ByteBuffer piece = ByteBuffer.wrap(input, from, to - from);
-                for (HttpMessage m = decoder.decode(piece); m != null; m = decoder.decode(piece)) {
-                    all.append(m.method())
-                            .append(m.target())
-                            .append(m.status())
-                            .append(m.headers())
-                            .append(new String(m.body(), StandardCharsets.ISO_8859_1))
+                for (HttpMessage message = decoder.decode(piece);
+                        message != null;
+                        message = decoder.decode(piece)) {
+                    all.append(message.method())
+                            .append(message.target())
+                            .append(message.status())
+                            .append(message.headers())
+                            .append(new String(message.body(), StandardCharsets.ISO_8859_1))
                             .append('|');
                 }
                 from = to;
@@ -88,24 +96,25 @@
     }
 
     @Test
-    void everyCutOfEverySampleGivesTheSame() {
+    void messagesDoNotDependOnHowTheInputIsCut() {
         int compared = 0;
         for (HttpMessageDecoder.Side side : HttpMessageDecoder.Side.values()) {
-            for (String sample : side == HttpMessageDecoder.Side.REQUESTS ? REQUESTS : ANSWERS) {
+            for (String sample : side == HttpMessageDecoder.Side.REQUESTS ? REQUESTS : RESPONSES) {
                 byte[] input = bytes(sample);
-                String whole = fed(new HttpMessageDecoder(side, SMALL), input);
+                String whole = decodeInPieces(new HttpMessageDecoder(side, SMALL_LIMITS), input);
                 int[] each = new int[input.length - 1];
                 for (int i = 0; i < each.length; i++) {
                     each[i] = i + 1;
                     assertEquals(
                             whole,
-                            fed(new HttpMessageDecoder(side, SMALL), input, i + 1),
+                            decodeInPieces(
+                                    new HttpMessageDecoder(side, SMALL_LIMITS), input, i + 1),
                             sample + " cut at " + (i + 1));
                     compared++;
                 }
                 assertEquals(
                         whole,
-                        fed(new HttpMessageDecoder(side, SMALL), input, each),
+                        decodeInPieces(new HttpMessageDecoder(side, SMALL_LIMITS), input, each),
                         sample + " byte by byte");
             }
         }
@@ -113,18 +122,18 @@
     }
 
     /**
-     * Mutated samples: the same for any two cuts, never anything but a message or {@link
+     * Mutated samples give the same result for any two cuts, and nothing but messages or an {@link
      * HttpParseException}.
      */
     @Property(tries = 3000, seed = "20261201")
-    void mutatedInputNeverSurprises(
+    void mutatedInputIsDecodedOrRejected(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int changes) {
         SplittableRandom chance = new SplittableRandom(seed);
         HttpMessageDecoder.Side side =
                 chance.nextBoolean()
                         ? HttpMessageDecoder.Side.REQUESTS
                         : HttpMessageDecoder.Side.RESPONSES;
-        List<String> samples = side == HttpMessageDecoder.Side.REQUESTS ? REQUESTS : ANSWERS;
+        List<String> samples = side == HttpMessageDecoder.Side.REQUESTS ? REQUESTS : RESPONSES;
         byte[] input =
                 bytes(
                         samples.get(chance.nextInt(samples.size()))
@@ -139,18 +148,17 @@
         int a = chance.nextInt(input.length);
         int b = a + chance.nextInt(input.length - a);
         assertEquals(
-                fed(new HttpMessageDecoder(side, SMALL), input),
-                fed(new HttpMessageDecoder(side, SMALL), input, a, b));
+                decodeInPieces(new HttpMessageDecoder(side, SMALL_LIMITS), input),
+                decodeInPieces(new HttpMessageDecoder(side, SMALL_LIMITS), input, a, b));
     }
 
     /**
-     * RFC 9112 section 6.3, case 8: told by the end of the connection alone, and bounded as any
-     * other body.
+     * RFC 9112 section 6.3, case 8: the body is as long as the input, within the limit of any body.
      */
     @Test
-    void anAnswerWithoutALengthLastsUntilItsConnectionEnds() throws Exception {
+    void aResponseWithoutALengthLastsUntilTheEndOfInput() throws Exception {
         HttpMessageDecoder decoder =
-                new HttpMessageDecoder(HttpMessageDecoder.Side.RESPONSES, SMALL);
+                new HttpMessageDecoder(HttpMessageDecoder.Side.RESPONSES, SMALL_LIMITS);
         assertNull(decoder.decode(ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\n\r\nhalf"))));
         assertTrue(decoder.isPartial());
         assertNull(decoder.decode(ByteBuffer.wrap(bytes(" and whole"))));
@@ -165,12 +173,12 @@
                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
                         "HTTP/1.1 103 Early\r\n\r\n")) {
             HttpMessageDecoder other =
-                    new HttpMessageDecoder(HttpMessageDecoder.Side.RESPONSES, SMALL);
+                    new HttpMessageDecoder(HttpMessageDecoder.Side.RESPONSES, SMALL_LIMITS);
             assertNull(other.decode(ByteBuffer.wrap(bytes(unfinished))));
             assertNull(other.endOfInput(), "not whole: " + unfinished);
         }
         HttpMessageDecoder endless =
-                new HttpMessageDecoder(HttpMessageDecoder.Side.RESPONSES, SMALL);
+                new HttpMessageDecoder(HttpMessageDecoder.Side.RESPONSES, SMALL_LIMITS);
         assertNull(
                 endless.decode(ByteBuffer.wrap(bytes("HTTP/1.1 200 OK\r\n\r\n" + "x".repeat(64)))));
         assertThrows(HttpParseException.class, () -> endless.decode(ByteBuffer.wrap(bytes("x"))));
@@ -204,30 +212,33 @@
 
     @ParameterizedTest
     @MethodSource("ambiguous")
-    void whatTwoReadersCouldReadDifferentlyIsRefused(String rest) {
+    void ambiguousRequestsAreRejected(String rest) {
         String told =
-                fed(
+                decodeInPieces(
                         new HttpMessageDecoder(
                                 HttpMessageDecoder.Side.REQUESTS,
                                 HttpMessageDecoder.Limits.DEFAULT),
-                        bytes(HEAD + rest));
+                        bytes(REQUEST_HEAD + rest));
         assertTrue(told.matches("(?s)(400|413|501).*"), told);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"\u0016\u0003\u0001", "HTTQ", "HTTP/1.0 200 OK", "\n", "200 OK"})
-    void noiseInPlaceOfAnAnswerShowsAtItsFirstWrongByte(String noise) {
+    void anInvalidStatusLineIsRejectedAtItsFirstWrongByte(String noise) {
         assertTrue(
-                fed(new HttpMessageDecoder(HttpMessageDecoder.Side.RESPONSES, SMALL), bytes(noise))
+                decodeInPieces(
+                                new HttpMessageDecoder(
+                                        HttpMessageDecoder.Side.RESPONSES, SMALL_LIMITS),
+                                bytes(noise))
                         .startsWith("400"));
     }
 
     @Test
-    void aHeadWithoutEndIsRefusedAtItsBound() throws HttpParseException {
+    void anEndlessHeadIsRejectedAtItsLimit() throws HttpParseException {
         HttpMessageDecoder decoder =
-                new HttpMessageDecoder(HttpMessageDecoder.Side.REQUESTS, SMALL);
+                new HttpMessageDecoder(HttpMessageDecoder.Side.REQUESTS, SMALL_LIMITS);
         int status = 0;
-        assertNull(decoder.decode(ByteBuffer.wrap(bytes(HEAD))));
+        assertNull(decoder.decode(ByteBuffer.wrap(bytes(REQUEST_HEAD))));
         for (int i = 0; i < 600 && status == 0; i++) {
             try {
                 assertNull(
@@ -251,40 +262,39 @@
     }
 
     @Test
-    void interimAnswersAreSkippedWithinABound() {
+    void interimResponsesAreSkippedUpToALimit() {
         String interim = "HTTP/1.1 100 Continue\r\n\r\n";
         String end = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
         assertTrue(
-                fed(
-                                new HttpMessageDecoder(HttpMessageDecoder.Side.RESPONSES, SMALL),
+                decodeInPieces(
+                                new HttpMessageDecoder(
+                                        HttpMessageDecoder.Side.RESPONSES, SMALL_LIMITS),
                                 bytes(interim.repeat(16) + end))
                         .startsWith("200"));
         assertTrue(
-                fed(
-                                new HttpMessageDecoder(HttpMessageDecoder.Side.RESPONSES, SMALL),
+                decodeInPieces(
+                                new HttpMessageDecoder(
+                                        HttpMessageDecoder.Side.RESPONSES, SMALL_LIMITS),
                                 bytes(interim.repeat(17) + end))
                         .startsWith("400"));
     }
 
     @Test
-    void aHugeBodyIsRefusedAtItsHead() {
+    void aTooLongBodyIsRejectedAtItsHead() {
         String told =
-                fed(
+                decodeInPieces(
                         new HttpMessageDecoder(
                                 HttpMessageDecoder.Side.REQUESTS,
                                 HttpMessageDecoder.Limits.DEFAULT),
-                        bytes(HEAD + "Content-Length: 62914560\r\n\r\n"));
+                        bytes(REQUEST_HEAD + "Content-Length: 62914560\r\n\r\n"));
         assertTrue(told.startsWith("413"), told);
     }
 
-    /**
-     * Many peers that each send most of a body and stop: together they get the allowance and no
-     * more.
-     */
+    /** Many peers each send most of a body and stop: together they get no more than the budget. */
     @Test
-    void bodiesThatDoNotEndShareTheirRoom() throws HttpParseException {
+    void incompleteBodiesShareABudget() throws HttpParseException {
         SharedByteBudget allowance = new SharedByteBudget(200 * 1024);
-        byte[] most = bytes(HEAD + "Content-Length: 65536\r\n\r\n" + "x".repeat(60 * 1024));
+        byte[] most = bytes(REQUEST_HEAD + "Content-Length: 65536\r\n\r\n" + "x".repeat(60 * 1024));
         List<HttpMessageDecoder> stopped = new ArrayList<>();
         int refused = 0;
         for (int i = 0; i < 100; i++) {
@@ -307,14 +317,14 @@
     }
 
     @Test
-    void whoWaitsToBeToldToGoOnIsKnownOnce() throws HttpParseException {
+    void continueIsExpectedOnce() throws HttpParseException {
         HttpMessageDecoder decoder =
-                new HttpMessageDecoder(HttpMessageDecoder.Side.REQUESTS, SMALL);
+                new HttpMessageDecoder(HttpMessageDecoder.Side.REQUESTS, SMALL_LIMITS);
         assertNull(
                 decoder.decode(
                         ByteBuffer.wrap(
                                 bytes(
-                                        HEAD
+                                        REQUEST_HEAD
                                                 + "Content-Length: 5\r\nExpect: 100-continue\r\n\r\n"))));
         List<Boolean> owed =
                 new ArrayList<>(
--- a/http/src/test/java/milletyoke/http/HttpTransportTest.java
+++ b/http/src/test/java/milletyoke/http/HttpTransportTest.java
@@ -11,6 +11,7 @@
 import java.net.Socket;
 import java.net.SocketTimeoutException;
 import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -18,17 +19,18 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Consumer;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What the bytes' transport promises the codec's users: how far a write got, and that what is given
- * up is released.
+ * What the transport guarantees to its users: how far a write got, how connections end, and that
+ * cancelled ones are released.
  */
 @Timeout(60)
 class HttpTransportTest {
-    private static final class Ear implements HttpTransport.Handler {
+    private static final class RecordingHandler implements HttpTransport.Handler {
         final CompletableFuture<HttpConnection> opened = new CompletableFuture<>();
         final CompletableFuture<String> closed = new CompletableFuture<>();
 
@@ -46,21 +48,21 @@
         }
     }
 
-    private static final class Fate implements HttpConnection.WriteListener {
-        final CompletableFuture<Boolean> whole = new CompletableFuture<>();
+    private static final class RecordingWriteListener implements HttpConnection.WriteListener {
+        final CompletableFuture<Boolean> isWritten = new CompletableFuture<>();
 
         @Override
         public void written() {
-            whole.complete(true);
+            isWritten.complete(true);
         }
 
         @Override
         public void failed(String why) {
-            whole.complete(false);
+            isWritten.complete(false);
         }
     }
 
-    private static long sockets() throws IOException {
+    private static long countOpenSockets() throws IOException {
         try (Stream<Path> all = Files.list(Path.of("/proc/self/fd"))) {
             return all.filter(
                             f -> {
@@ -77,15 +79,14 @@
     }
 
     /**
-     * A machine that is cut off takes no connection and refuses none; a full accept queue is as
-     * silent.
+     * A server whose accept queue is full neither accepts nor refuses, as an unreachable machine.
      */
     @Test
-    void whatIsGivenUpWhileItConnectsIsReleased() throws Exception {
+    void aCancelledConnectAttemptReleasesItsSocket() throws Exception {
         assumeTrue(Files.isDirectory(Path.of("/proc/self/fd")));
         List<Socket> filling = new ArrayList<>();
         try (HttpTransport net = new HttpTransport("test");
-                ServerSocket full = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+                ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             try {
                 for (int i = 0; i < 20; i++) {
                     Socket one = new Socket();
@@ -93,19 +94,23 @@
                     one.connect(full.getLocalSocketAddress(), 200);
                 }
             } catch (SocketTimeoutException silent) {
-                // its queue is full now
+                // the accept queue is full now
             }
-            long before = sockets();
+            long before = countOpenSockets();
             List<HttpTransport.ConnectAttempt> attempts = new ArrayList<>();
             CompletableFuture<String> failed = new CompletableFuture<>();
             for (int i = 0; i < 10; i++) {
                 attempts.add(
-                        net.connect("127.0.0.1", full.getLocalPort(), new Ear(), failed::complete));
+                        net.connect(
+                                "127.0.0.1",
+                                full.getLocalPort(),
+                                new RecordingHandler(),
+                                failed::complete));
             }
-            assertEquals(before + 10, sockets());
+            assertEquals(before + 10, countOpenSockets());
             attempts.forEach(HttpTransport.ConnectAttempt::cancel);
             failed.get();
-            while (sockets() > before) {
+            while (countOpenSockets() > before) {
                 TimeUnit.MILLISECONDS.sleep(5);
             }
         } finally {
@@ -116,56 +121,53 @@
     }
 
     @Test
-    void aWriteThatCannotLeaveWholeIsToldSo() throws Exception {
+    void anIncompleteWriteIsReportedAsFailed() throws Exception {
         try (HttpTransport net = new HttpTransport("test");
                 ServerSocket server = new ServerSocket(0)) {
-            Ear ear = new Ear();
+            RecordingHandler ear = new RecordingHandler();
             net.connect("127.0.0.1", server.getLocalPort(), ear, why -> {});
             Socket peer = server.accept();
             HttpConnection conn = ear.opened.get();
-            Fate small = new Fate();
+            RecordingWriteListener small = new RecordingWriteListener();
             conn.write(ByteBuffer.allocate(100), small);
-            assertTrue(small.whole.get(), "the system took it");
-            Fate large = new Fate();
+            assertTrue(small.isWritten.get(), "the system took it");
+            RecordingWriteListener large = new RecordingWriteListener();
             conn.write(
                     ByteBuffer.allocate(64 << 20),
                     large); // more than any buffers between the two hold
             TimeUnit.MILLISECONDS.sleep(50);
-            assertEquals(false, large.whole.isDone(), "nobody reads");
+            assertEquals(false, large.isWritten.isDone(), "the peer does not read");
             peer.setSoLinger(true, 0);
             peer.close();
-            assertEquals(false, large.whole.get());
+            assertEquals(false, large.isWritten.get());
             ear.closed.get();
         }
     }
 
     @Test
-    void aConnectionThatIsRefusedIsToldSo() throws Exception {
+    void aRefusedConnectionIsReported() throws Exception {
         int port;
         try (ServerSocket gone = new ServerSocket(0)) {
             port = gone.getLocalPort();
         }
         try (HttpTransport net = new HttpTransport("test")) {
             CompletableFuture<String> failed = new CompletableFuture<>();
-            net.connect("127.0.0.1", port, new Ear(), failed::complete);
+            net.connect("127.0.0.1", port, new RecordingHandler(), failed::complete);
             failed.get();
         }
     }
 
-    /**
-     * Accepts one connection, and does with it on its first bytes what is asked for; keeps what
-     * else it was told.
-     */
-    private static final class Accepted implements HttpTransport.Handler {
-        final java.util.function.Consumer<HttpConnection> first;
-        final AtomicInteger reads = new AtomicInteger();
+    /** Accepts one connection, and calls a function on its first bytes. */
+    private static final class AcceptedConnection implements HttpTransport.Handler {
+        final Consumer<HttpConnection> onFirstRead;
+        final AtomicInteger readCount = new AtomicInteger();
         final CompletableFuture<String> closed = new CompletableFuture<>();
         Socket peer;
 
-        Accepted(HttpTransport net, java.util.function.Consumer<HttpConnection> first)
-                throws IOException {
-            this.first = first;
-            peer = new Socket("127.0.0.1", net.listen("127.0.0.1", 0, () -> this).port());
+        AcceptedConnection(HttpTransport net, Consumer<HttpConnection> first) throws IOException {
+            this.onFirstRead = first;
+            int port = net.listen("127.0.0.1", 0, () -> this).port();
+            peer = new Socket(InetAddress.getLoopbackAddress(), port);
             peer.setSoTimeout(30_000);
         }
 
@@ -174,8 +176,8 @@
 
         @Override
         public void read(HttpConnection conn, ByteBuffer in) {
-            if (reads.incrementAndGet() == 1) {
-                first.accept(conn);
+            if (readCount.incrementAndGet() == 1) {
+                onFirstRead.accept(conn);
             }
         }
 
@@ -186,38 +188,41 @@
     }
 
     /**
-     * The peer sends on, half a megabyte that is never read; a close over that would reset the
-     * connection.
+     * The peer keeps sending half a megabyte that is never read, over which a close at once would
+     * reset the connection.
      */
     @Test
-    void aGracefulCloseOverUnreadBytesResetsNothing() throws Exception {
+    void aGracefulCloseWithUnreadInputDoesNotReset() throws Exception {
         try (HttpTransport net = new HttpTransport("test")) {
-            Accepted accepted =
-                    new Accepted(
+            AcceptedConnection accepted =
+                    new AcceptedConnection(
                             net,
                             conn -> {
-                                conn.write(ByteBuffer.wrap("the last answer".getBytes()), () -> {});
+                                conn.write(
+                                        ByteBuffer.wrap(
+                                                "the last answer".getBytes(StandardCharsets.UTF_8)),
+                                        () -> {});
                                 conn.closeGracefully();
                             });
             Socket peer = accepted.peer;
             peer.getOutputStream().write(new byte[512 * 1024]);
             assertEquals(
                     "the last answer",
-                    new String(peer.getInputStream().readAllBytes()),
+                    new String(peer.getInputStream().readAllBytes(), StandardCharsets.UTF_8),
                     "and then an end, no reset");
             peer.close();
             accepted.closed.get();
-            assertEquals(1, accepted.reads.get(), "what comes behind the shutdown is dropped");
+            assertEquals(1, accepted.readCount.get(), "input after the close is discarded");
         }
     }
 
-    /** Far more than the system takes at once is on its way when it is closed. */
+    /** Far more than the socket buffers hold is pending when the close begins. */
     @Test
-    void aGracefulCloseWaitsForWhatWasWritten() throws Exception {
+    void aGracefulCloseWaitsForPendingWrites() throws Exception {
         int size = 32 << 20;
         try (HttpTransport net = new HttpTransport("test")) {
             Socket peer =
-                    new Accepted(
+                    new AcceptedConnection(
                                     net,
                                     conn -> {
                                         conn.write(ByteBuffer.allocate(size), () -> {});
@@ -238,9 +243,9 @@
     }
 
     @Test
-    void whoNeverStopsSendingIsResetInTheEnd() throws Exception {
+    void aPeerThatNeverStopsSendingIsReset() throws Exception {
         try (HttpTransport net = new HttpTransport("test")) {
-            Socket peer = new Accepted(net, HttpConnection::closeGracefully).peer;
+            Socket peer = new AcceptedConnection(net, HttpConnection::closeGracefully).peer;
             assertThrows(
                     IOException.class,
                     () -> {
@@ -251,13 +256,13 @@
         }
     }
 
-    /** An answer without a length rests on this. */
+    /** A response without a length depends on this. */
     @Test
-    void anEndIsToldFromAReset() throws Exception {
+    void endOfInputIsDistinguishedFromAReset() throws Exception {
         try (HttpTransport net = new HttpTransport("test");
                 ServerSocket server = new ServerSocket(0)) {
             for (boolean reset : new boolean[] {false, true}) {
-                Ear ear = new Ear();
+                RecordingHandler ear = new RecordingHandler();
                 net.connect("127.0.0.1", server.getLocalPort(), ear, why -> {});
                 Socket peer = server.accept();
                 HttpConnection conn = ear.opened.get();
