--- a/core/src/test/java/milletyoke/scheduler/IdleStateEvictionTest.java
+++ b/core/src/test/java/milletyoke/scheduler/IdleStateEvictionTest.java
@@ -488,22 +488,7 @@
             service.now += chance.nextLong(2 * each);
             service.handle(new Event.WakeUp());
             if (v % replaceEvery == 0) {
-                service.handle(
-                        new Event.EndpointListReceived(
-                                Event.ListScope.UPDATE,
-                                List.of(
-                                        new Event.Target(
-                                                1000 + generation,
-                                                "t" + generation,
-                                                "z",
-                                                Event.Health.ACTIVE,
-                                                service.now),
-                                        new Event.Target(
-                                                1000 + Math.max(0, generation - 60),
-                                                "t" + Math.max(0, generation - 60),
-                                                "z",
-                                                Event.Health.REMOVED,
-                                                0))));
+                service.handle(targetReplaced(generation, service.now));
                 generation++;
             }
             if (v % 50_000 == 0) {
@@ -515,28 +500,41 @@
             mostTargets = Math.max(mostTargets, service.scheduler.targets.count);
             mostNodes = Math.max(mostNodes, service.scheduler.dispatchQueue.shardQueues().size());
             if (v % Math.max(1, volumes / 10) == volumes / 20) {
-                System.gc();
-                heaps.add(
-                        (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory())
-                                / 1024);
+                heaps.add(liveHeapKib());
             }
         }
         System.out.printf(
-                "%d volumes and %d targets over %.1f days, %d relays, %d rejected: at most %d volumes and reservations, "
-                        + "%d places of targets, %d shards kept; live heap KiB after collections on the way %s%n",
+                "%d volumes and %d targets over %.1f days, %d attempts, %d rejected: ",
                 volumes,
                 generation,
                 (service.now - began) / 86_400e6,
                 service.attempts,
-                service.rejects,
-                most,
-                mostTargets,
-                mostNodes,
-                heaps);
+                service.rejects);
+        System.out.printf(
+                "at most %d volumes and flows, %d targets, %d shards; live heap KiB %s%n",
+                most, mostTargets, mostNodes, heaps);
         assertTrue(service.attempts > volumes, service.attempts + " relays");
         assertTrue(most < 6_000, most + " kept of " + volumes);
         assertTrue(
                 mostTargets < 200 && mostNodes < 250,
                 mostTargets + " targets, " + mostNodes + " shards");
     }
+
+    private static long liveHeapKib() {
+        System.gc();
+        Runtime runtime = Runtime.getRuntime();
+        return (runtime.totalMemory() - runtime.freeMemory()) / 1024;
+    }
+
+    /** A target starts on the next shard, and the one of sixty shards before is gone. */
+    private static Event targetReplaced(int generation, long now) {
+        int removed = Math.max(0, generation - 60);
+        return new Event.EndpointListReceived(
+                Event.ListScope.UPDATE,
+                List.of(
+                        new Event.Target(
+                                1000 + generation, "t" + generation, "z", Event.Health.ACTIVE, now),
+                        new Event.Target(
+                                1000 + removed, "t" + removed, "z", Event.Health.REMOVED, 0)));
+    }
 }
--- a/core/src/test/java/milletyoke/scheduler/StepCostTest.java
+++ b/core/src/test/java/milletyoke/scheduler/StepCostTest.java
@@ -45,33 +45,7 @@
     }
 
     private static double micros(Scheduler module, int held, int volumes, long[] relays, int of) {
-        RequestClass slow =
-                new RequestClass(
-                        "slow",
-                        Idempotency.IDEMPOTENT,
-                        DeduplicationScope.ALL,
-                        0,
-                        false,
-                        600_000_000L,
-                        1);
-        RequestClass read =
-                new RequestClass(
-                        "read",
-                        Idempotency.IDEMPOTENT,
-                        DeduplicationScope.ALL,
-                        0,
-                        false,
-                        400_000,
-                        2);
-        SchedulerSettings given =
-                new SchedulerSettings(
-                        3,
-                        List.of(slow, read),
-                        List.of(new ServicePlan("free", 2, 1, 0, 0, 0)),
-                        new Capabilities(3, true, true, true, 500_000),
-                        new RuleLimits(0, 0, 1, 0, 0, 1, 0, 0, 0, 10_000_000),
-                        false);
-        List<Event> start = new ArrayList<>(List.of(new Event.Started(1, given)));
+        List<Event> start = new ArrayList<>(List.of(new Event.Started(1, settings())));
         List<Event.Target> targets = new ArrayList<>();
         for (int t = 0; t < TARGETS; t++) {
             targets.add(new Event.Target(t, "t" + t, "z", Event.Health.ACTIVE, 0));
@@ -121,6 +95,34 @@
         return (System.nanoTime() - began) / 1e3 / STEPS;
     }
 
+    private static SchedulerSettings settings() {
+        RequestClass slow =
+                new RequestClass(
+                        "slow",
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0,
+                        false,
+                        600_000_000L,
+                        1);
+        RequestClass read =
+                new RequestClass(
+                        "read",
+                        Idempotency.IDEMPOTENT,
+                        DeduplicationScope.ALL,
+                        0,
+                        false,
+                        400_000,
+                        2);
+        return new SchedulerSettings(
+                3,
+                List.of(slow, read),
+                List.of(new ServicePlan("free", 2, 1, 0, 0, 0)),
+                new Capabilities(3, true, true, true, 500_000),
+                new RuleLimits(0, 0, 1, 0, 0, 1, 0, 0, 0, 10_000_000),
+                false);
+    }
+
     private static Event requestReceived(String id, int shard, int volume, String category) {
         return new Event.RequestReceived(
                 id, shard, null, "v" + volume, 700_000_000L, "free", category, 1, 1);
