--- a/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
@@ -122,8 +122,7 @@
         this.execution = execution;
         clock = execution::monotonicMicros;
         RequestScheduler requestScheduler = new RequestScheduler();
-        Scheduler scheduler =
-                schedulerFactory == null ? requestScheduler::decide : schedulerFactory.get();
+        Scheduler scheduler = schedulerFactory == null ? requestScheduler : schedulerFactory.get();
         queue = new MessageQueue(config.capacity().queueCapacity());
         lateRequestRejector = new LateRequestRejector(queue, environment, counters);
         ExecutionEnvironment.LoopDriver driver = execution.newLoopDriver(this::runWhileBusy);
--- a/gateway/src/test/java/milletyoke/gateway/dispatch/AttemptDispatcherTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/dispatch/AttemptDispatcherTest.java
@@ -298,66 +298,7 @@
         dispatcher.targetListed("a", new Address("h", 1));
         for (int step = 0; step < 20_000; step++) {
             now += random.nextInt(200);
-            FakeConnection connection =
-                    connections.isEmpty()
-                            ? null
-                            : connections.get(
-                                    connections.size()
-                                            - 1
-                                            - random.nextInt(Math.min(3, connections.size())));
-            switch (random.nextInt(9)) {
-                case 0, 1, 2 -> {
-                    String id = "r" + step;
-                    ordered.put(id, step);
-                    dispatcher.sendAttempt(
-                            now,
-                            "a",
-                            id,
-                            0,
-                            now + 1 + random.nextInt(4000),
-                            Attempt.newBuilder().setRequestId(id));
-                }
-                case 3 -> {
-                    if (!pendingConnects.isEmpty()) {
-                        establish(now, lastConnectNumber());
-                    }
-                }
-                case 4 -> {
-                    if (!pendingConnects.isEmpty()) {
-                        long connectNumber = lastConnectNumber();
-                        dispatcher.connectFailed(
-                                now,
-                                pendingConnects.remove(connectNumber),
-                                connectNumber,
-                                "refused");
-                    }
-                }
-                case 5, 6 -> {
-                    if (connection != null && connection.open && !connection.sent.isEmpty()) {
-                        Frame frame =
-                                connection.sent.get(
-                                        connection.sent.size()
-                                                - 1
-                                                - random.nextInt(
-                                                        Math.min(4, connection.sent.size())));
-                        dispatcher.attemptReplied(
-                                now,
-                                now,
-                                connection,
-                                AttemptReply.newBuilder()
-                                        .setNumber(frame.getAttempt().getNumber())
-                                        .setOutcomeValue(1 + random.nextInt(8))
-                                        .build());
-                    }
-                }
-                case 7 -> {
-                    if (connection != null && random.nextInt(4) == 0) {
-                        connection.open = false;
-                        dispatcher.connectionLost(now, "a", connection, false, 0);
-                    }
-                }
-                default -> dispatcher.handleTimeouts(now);
-            }
+            randomCall(random, now, step, ordered);
             assertTrue(
                     connections.stream().filter(l -> l.open).count() <= 2,
                     "at most two connections are open");
@@ -373,6 +314,67 @@
         }
     }
 
+    /** One call of the dispatcher, drawn at random; a request that is sent is noted in ordered. */
+    private void randomCall(
+            SplittableRandom random, long now, int step, Map<String, Integer> ordered) {
+        FakeConnection connection =
+                connections.isEmpty()
+                        ? null
+                        : connections.get(
+                                connections.size()
+                                        - 1
+                                        - random.nextInt(Math.min(3, connections.size())));
+        switch (random.nextInt(9)) {
+            case 0, 1, 2 -> {
+                String id = "r" + step;
+                ordered.put(id, step);
+                dispatcher.sendAttempt(
+                        now,
+                        "a",
+                        id,
+                        0,
+                        now + 1 + random.nextInt(4000),
+                        Attempt.newBuilder().setRequestId(id));
+            }
+            case 3 -> {
+                if (!pendingConnects.isEmpty()) {
+                    establish(now, lastConnectNumber());
+                }
+            }
+            case 4 -> {
+                if (!pendingConnects.isEmpty()) {
+                    long connectNumber = lastConnectNumber();
+                    dispatcher.connectFailed(
+                            now, pendingConnects.remove(connectNumber), connectNumber, "refused");
+                }
+            }
+            case 5, 6 -> {
+                if (connection != null && connection.open && !connection.sent.isEmpty()) {
+                    Frame frame =
+                            connection.sent.get(
+                                    connection.sent.size()
+                                            - 1
+                                            - random.nextInt(Math.min(4, connection.sent.size())));
+                    dispatcher.attemptReplied(
+                            now,
+                            now,
+                            connection,
+                            AttemptReply.newBuilder()
+                                    .setNumber(frame.getAttempt().getNumber())
+                                    .setOutcomeValue(1 + random.nextInt(8))
+                                    .build());
+                }
+            }
+            case 7 -> {
+                if (connection != null && random.nextInt(4) == 0) {
+                    connection.open = false;
+                    dispatcher.connectionLost(now, "a", connection, false, 0);
+                }
+            }
+            default -> dispatcher.handleTimeouts(now);
+        }
+    }
+
     // ---- One attempt at a time on a connection ----
 
     private final AttemptDispatcher exclusiveDispatcher =
--- a/gateway/src/test/java/milletyoke/gateway/reload/ConfigWatcherTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/reload/ConfigWatcherTest.java
@@ -24,7 +24,27 @@
 class ConfigWatcherTest {
     private static final String FIRST =
             "fleet { initiators 3; }\ninclude \"plans.fleet\";\n"
-                    + "category read { repeats harmless; agreed 400ms; }\ncategory write { repeats one-shot; agreed 500ms; }\n";
+                    + "category read { repeats harmless; agreed 400ms; }\n"
+                    + "category write { repeats one-shot; agreed 500ms; }\n";
+
+    private static final String CONVERTED_SETTINGS =
+            """
+            {
+              initiators: 5, listMustBeAsked: true,
+              categories: [{
+                name: "a b", repeats: "stamped", group: "zone", repeatWindow: "2500 ms",
+                keyOrdered: true, agreedTime: "1.5 s", importance: 0.7
+              }],
+              plans: [{
+                name: "p", reserve: 9.6, weight: 2.5,
+                limitRate: 31, limitDepth: 36, limitSlack: 6
+              }],
+              bounds: {
+                cold: "17 s", coldShare: 0.29, coldBears: 11, fall: "1 s", tipMultiple: 2,
+                relayBudgetFree: 10, relayBudgetShare: 0.1, relayBudgetSpan: "2 s"
+              }
+            }
+            """;
 
     @TempDir Path folder;
     private final List<Fleet> applied = new ArrayList<>();
@@ -147,14 +167,7 @@
     @Test
     void convertedSettingsMeanTheSame() throws Exception {
         DeploymentSettings settings =
-                DeploymentSettings.read(
-                        SettingsReader.of(
-                                "t",
-                                "{initiators: 5, listMustBeAsked: true, categories: [{name: \"a b\","
-                                        + " repeats: \"stamped\", group: \"zone\", repeatWindow: \"2500 ms\", keyOrdered: true, agreedTime: \"1.5 s\","
-                                        + " importance: 0.7}], plans: [{name: \"p\", reserve: 9.6, weight: 2.5, limitRate: 31, limitDepth: 36,"
-                                        + " limitSlack: 6}], bounds: {cold: \"17 s\", coldShare: 0.29, coldBears: 11, fall: \"1 s\", tipMultiple: 2,"
-                                        + " relayBudgetFree: 10, relayBudgetShare: 0.1, relayBudgetSpan: \"2 s\"}}"));
+                DeploymentSettings.read(SettingsReader.of("t", CONVERTED_SETTINGS));
         Path file = write("converted.fleet", FleetConverter.text(settings));
         Checker.Result checked = Checker.check(new FileSourceProvider(), ConfigWatcher.name(file));
         assertTrue(checked.isValid(), checked.diagnostics().toString());
