--- a/simulation/src/main/java/milletyoke/simulation/run/SimulationRun.java
+++ b/simulation/src/main/java/milletyoke/simulation/run/SimulationRun.java
@@ -11,23 +11,25 @@
 import milletyoke.simulation.environment.SimulatedEnvironment;
 import milletyoke.standins.ServiceLevelRecorder;
 
-/**
- * Plays a day in virtual time: the rehearsal's own stage, daemons and stand-ins, in a world of the
- * lab.
- */
+/** Runs a scenario in virtual time, with the scenario runner's own daemons and stand-ins. */
 public final class SimulationRun {
+    /** Keeps the draws of the network apart from those of the scenario, which has the same seed. */
+    private static final long NETWORK_SEED_MASK = 0x6C6162L;
+
+    private static final long SEED_STEP_PER_TURN = 31;
+
     private SimulationRun() {}
 
     /**
-     * What came of a day.
+     * The result of one run.
      *
-     * @param serviceLevelBySecond service of each second's asking so far, in the order of time
-     * @param unfinished tries still without an answer when all should have had one
-     * @param isClean every initiator that was there at the end left with nothing unanswered
-     * @param warmUpBudgetUsed the largest part of what a cold target bears that any was sent
-     * @param digest stands for all that travelled and when
-     * @param eventCount that happened
-     * @param elapsedMicros microseconds that the play took
+     * @param serviceLevelBySecond service level up to the end of each second, in order of time
+     * @param unfinished attempts without a reply when all should have had one
+     * @param isClean every initiator that ran at the end shut down with no request pending
+     * @param warmUpBudgetUsed the largest fraction of its warm-up capacity that any target was sent
+     * @param digest a hash over every frame delivered and its time; equal for equal runs
+     * @param eventCount events that were executed
+     * @param elapsedMicros wall-clock duration of the run, in microseconds
      */
     public record SimulationResult(
             ServiceLevelRecorder serviceLevels,
@@ -40,15 +42,22 @@
             long elapsedMicros) {}
 
     /**
-     * @param recording where all that the ends of connections saw is written; null for nowhere
+     * Runs a scenario with the product's own scheduler.
+     *
+     * @param recording file that receives the recorded frames; null for none
+     * @throws IOException if the run fails or its thread is interrupted
      */
     public static SimulationResult run(Scenario scenario, Path recording) throws IOException {
         return run(scenario, recording, false, null);
     }
 
     /**
-     * @param straight clients go straight to the targets, for comparison
-     * @param instead of the product's decisions; null for these
+     * Runs a scenario with a scheduler of the caller's choice.
+     *
+     * @param recording file that receives the recorded frames; null for none
+     * @param straight whether clients connect to the targets directly, for comparison
+     * @param instead creates the scheduler; null for the product's own
+     * @throws IOException if the run fails or its thread is interrupted
      */
     public static SimulationResult run(
             Scenario scenario, Path recording, boolean straight, Supplier<Scheduler> instead)
@@ -57,8 +66,14 @@
     }
 
     /**
-     * @param turn another one is the same day with the same draws, and frames travel otherwise, as
-     *     no play on sockets is the next
+     * Runs a scenario with the network latencies of a given repetition.
+     *
+     * @param recording file that receives the recorded frames; null for none
+     * @param straight whether clients connect to the targets directly, for comparison
+     * @param instead creates the scheduler; null for the product's own
+     * @param turn number of the repetition: another one changes the network's draws and leaves the
+     *     scenario's as they are
+     * @throws IOException if the run fails or its thread is interrupted
      */
     public static SimulationResult run(
             Scenario scenario,
@@ -67,15 +82,18 @@
             Supplier<Scheduler> instead,
             long turn)
             throws IOException {
-        long began = System.nanoTime();
-        Scenario.Network n = scenario.network();
+        long startNanos = System.nanoTime();
+        Scenario.Network network = scenario.network();
         SimulatedEnvironment.Physics physics =
                 new SimulatedEnvironment.Physics(
-                        n.latencyMicros()[0], n.latencyMicros()[1], n.loopTurnMicros());
-        SimulatedEnvironment world =
-                new SimulatedEnvironment((scenario.seed() ^ 0x6C6162L) + 31 * turn, physics);
+                        network.latencyMicros()[0],
+                        network.latencyMicros()[1],
+                        network.loopTurnMicros());
+        SimulatedEnvironment environment =
+                new SimulatedEnvironment(
+                        (scenario.seed() ^ NETWORK_SEED_MASK) + SEED_STEP_PER_TURN * turn, physics);
         try (ScenarioRunner runner =
-                new ScenarioRunner(scenario, recording, straight, null, world, instead)) {
+                new ScenarioRunner(scenario, recording, straight, null, environment, instead)) {
             List<Double> seconds = new ArrayList<>();
             ScenarioRunner.ScenarioResult result =
                     runner.run(service -> seconds.add(service.overallServiceLevel()), () -> {});
@@ -85,9 +103,9 @@
                     result.unfinished(),
                     result.isShutdownClean(),
                     result.warmUpBudgetUsed(),
-                    world.digest(),
-                    world.eventCount(),
-                    (System.nanoTime() - began) / 1000);
+                    environment.digest(),
+                    environment.eventCount(),
+                    (System.nanoTime() - startNanos) / 1000);
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted while " + scenario.name() + " was played", stopped);
