--- a/simulation/src/main/java/milletyoke/simulation/experiment/ResultRow.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/ResultRow.java
@@ -4,14 +4,15 @@
 import java.util.Map;
 
 /**
- * What one play came to. Times are milliseconds.
+ * The result of one run. The component names are the keys of the stored JSON. Latencies are
+ * milliseconds, {@code wall} is microseconds.
  *
- * @param categories service of each, the part answered in its agreed time
- * @param plans accesses of each that were answered in their agreed time
- * @param seconds service up to the end of each second
- * @param evenness between volumes, Jain's index
- * @param coldUsed the largest part of what a cold target bears that any was sent
- * @param digest of all that travelled, in hexadecimal
+ * @param categories service level of each request class, by name
+ * @param plans requests of each plan that were answered within the latency objective
+ * @param seconds service level up to the end of each second
+ * @param evenness fairness between volumes, Jain's index
+ * @param coldUsed the largest fraction of its warm-up capacity that any target was sent
+ * @param digest hash over every frame delivered, in hexadecimal
  */
 public record ResultRow(
         String arm,
--- a/simulation/src/main/java/milletyoke/simulation/experiment/ResultStore.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/ResultStore.java
@@ -15,11 +15,12 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeSet;
 
 /**
- * Rows in a file of JSON lines, one a line, each flushed as it comes: what a kill leaves can be
- * gone on with.
+ * The results of an experiment in a file of JSON lines. Each row is flushed when it is added, so an
+ * interrupted experiment can be resumed. Instances may be shared between threads.
  */
 public final class ResultStore implements AutoCloseable {
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -29,10 +30,10 @@
     private final BufferedWriter out;
 
     /**
-     * Opens a file, new or as an earlier run left it. A last line that a kill cut off is dropped.
+     * Opens a new file or that of an earlier run. An incomplete last line is dropped.
      *
-     * @throws IOException where it cannot be read, or a line before the last is no row; the message
-     *     names it
+     * @throws IOException if the file cannot be read or a line before the last is not a row; the
+     *     message names the line
      */
     public ResultStore(Path file) throws IOException {
         this.file = file;
@@ -50,6 +51,11 @@
         out = Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     }
 
+    /**
+     * Reads the rows of a file without opening it for writing. An incomplete last line is left out.
+     *
+     * @throws IOException if the file cannot be read or a line before the last is not a row
+     */
     public static List<ResultRow> read(Path file) throws IOException {
         String text = Files.readString(file, StandardCharsets.UTF_8);
         String[] lines = text.split("\n", -1);
@@ -62,7 +68,7 @@
                 rows.add(JSON.readValue(lines[n], ResultRow.class));
             } catch (JsonProcessingException bad) {
                 if (n == lines.length - 1) {
-                    break; // no newline behind it: it was being written
+                    break; // no newline follows: the write was interrupted
                 }
                 throw new IOException(
                         file
@@ -83,10 +89,12 @@
         }
     }
 
+    /** Whether the run with this key has a result. */
     public synchronized boolean has(String key) {
         return rows.containsKey(key);
     }
 
+    /** Adds a row and flushes it to the file. */
     public synchronized void add(ResultRow row) throws IOException {
         rows.put(row.key(), row);
         out.write(line(row));
@@ -94,7 +102,7 @@
         out.flush();
     }
 
-    /** All rows, by arm, value and seed. */
+    /** All rows, ordered by arm, value and seed. */
     public synchronized List<ResultRow> rows() {
         return rows.values().stream()
                 .sorted(
@@ -104,7 +112,11 @@
                 .toList();
     }
 
-    /** The same as a table for a spreadsheet, beside the lines. */
+    /**
+     * Writes all rows as a CSV file beside the JSON lines.
+     *
+     * @return the file written
+     */
     public synchronized Path writeCsv() throws IOException {
         TreeSet<String> categories = new TreeSet<>();
         rows.values().forEach(r -> categories.addAll(r.categories().keySet()));
@@ -114,42 +126,8 @@
                         + String.join(",", categories)
                         + (categories.isEmpty() ? "" : ",")
                         + "p50_ms,p99_ms,evenness,cold_used,asked,unfinished,digest,events,wall_us");
-        for (ResultRow r : rows()) {
-            StringBuilder line =
-                    new StringBuilder(
-                            quoted(r.arm())
-                                    + ","
-                                    + quoted(r.value())
-                                    + ","
-                                    + r.seed()
-                                    + ","
-                                    + figure(r.service()));
-            categories.forEach(
-                    c ->
-                            line.append(',')
-                                    .append(
-                                            r.categories().containsKey(c)
-                                                    ? figure(r.categories().get(c))
-                                                    : ""));
-            line.append(',')
-                    .append(figure(r.p50()))
-                    .append(',')
-                    .append(figure(r.p99()))
-                    .append(',')
-                    .append(figure(r.evenness()))
-                    .append(',')
-                    .append(figure(r.coldUsed()))
-                    .append(',')
-                    .append(r.asked())
-                    .append(',')
-                    .append(r.unfinished())
-                    .append(',')
-                    .append(r.digest())
-                    .append(',')
-                    .append(r.events())
-                    .append(',')
-                    .append(r.wall());
-            lines.add(line.toString());
+        for (ResultRow row : rows()) {
+            lines.add(csvLine(row, categories));
         }
         Path csv =
                 file.resolveSibling(
@@ -158,6 +136,28 @@
         return csv;
     }
 
+    private static String csvLine(ResultRow row, Set<String> categories) {
+        List<String> cells = new ArrayList<>();
+        cells.add(quoted(row.arm()));
+        cells.add(quoted(row.value()));
+        cells.add(Integer.toString(row.seed()));
+        cells.add(figure(row.service()));
+        for (String category : categories) {
+            Double service = row.categories().get(category);
+            cells.add(service == null ? "" : figure(service));
+        }
+        cells.add(figure(row.p50()));
+        cells.add(figure(row.p99()));
+        cells.add(figure(row.evenness()));
+        cells.add(figure(row.coldUsed()));
+        cells.add(Long.toString(row.asked()));
+        cells.add(Long.toString(row.unfinished()));
+        cells.add(row.digest());
+        cells.add(Long.toString(row.events()));
+        cells.add(Long.toString(row.wall()));
+        return String.join(",", cells);
+    }
+
     private static String figure(double figure) {
         return String.format(Locale.ROOT, "%.6f", figure);
     }
