--- a/simulation/src/main/java/milletyoke/simulation/experiment/Experiment.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/Experiment.java
@@ -51,7 +51,7 @@
     }
 
     /**
-     * @throws SetupError that names file, line and field
+     * @throws ConfigException that names file, line and field
      */
     public static Experiment read(Path file) throws ConfigException {
         SettingsReader f = SettingsReader.read(file);
