--- a/scenario/src/test/java/milletyoke/scenario/ConsoleTest.java
+++ b/scenario/src/test/java/milletyoke/scenario/ConsoleTest.java
@@ -396,6 +396,7 @@
                 stage(
                         String.format(DAY, "8s", 1, 3, "2400/s retries=0")
                                 + "at 2s hang 1 for=2s\n")) {
+            long playedSince = System.nanoTime();
             Future<ScenarioRunner.ScenarioResult> played = play(beside, runner);
             int port = runner.initiator(0).consolePort();
             List<Future<?>> viewers = new ArrayList<>();
@@ -429,7 +430,8 @@
                                     return null;
                                 }));
             }
-            Thread.sleep(7_000);
+            long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - playedSince);
+            Thread.sleep(Math.max(0, 7_000 - elapsedMillis));
             over.set(true); // the console ends with the day, and no viewer may outlast it
             for (Future<?> v : viewers) {
                 v.get(30, TimeUnit.SECONDS);
