--- a/cli/src/test/java/milletyoke/cli/ServeProcessTest.java
+++ b/cli/src/test/java/milletyoke/cli/ServeProcessTest.java
@@ -52,7 +52,7 @@
 
     /** Waits until the process listens. @return its port */
     private int awaitPort(Process process) throws Exception {
-        Matcher line = waitFor(process, "takes accesses at 127.0.0.1:(\\d+)");
+        Matcher line = waitFor(process, "accepts requests at 127.0.0.1:(\\d+)");
         return Integer.parseInt(line.group(1));
     }
 
@@ -109,10 +109,10 @@
                 folder.resolve("config.json"),
                 CONFIG.replace("127.0.0.1:1\",\"seed", "127.0.0.1:2\",\"seed"));
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
-        waitFor(process, "read again; discovery is at 127.0.0.1:2");
+        waitFor(process, "configuration reloaded discovery=127.0.0.1:2");
         Files.writeString(folder.resolve("config.json"), "{");
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
-        waitFor(process, "cannot be used and the old one holds");
+        waitFor(process, "invalid configuration ignored, the previous one stays in use");
         assertTrue(ready(port).endsWith("200"));
         process.destroy();
         assertTrue(process.waitFor(60, TimeUnit.SECONDS));
