--- a/http/src/main/java/milletyoke/http/BodyBuffer.java
+++ b/http/src/main/java/milletyoke/http/BodyBuffer.java
@@ -4,19 +4,19 @@
 import java.util.Arrays;
 
 /**
- * The body of the message that is being received. Its memory grows with what was received, not with
- * what was announced.
+ * Buffers the body of the message that is being received. The buffer grows with the bytes received,
+ * not with the length that the message announces.
  */
 final class BodyBuffer {
     private static final byte[] EMPTY = {};
 
     /**
-     * Bytes of a body that do not count against the shared budget: enough for most bodies, and
-     * little enough for all connections together.
+     * The number of bytes of each body that do not count against the shared budget: large enough
+     * for most bodies, and small enough that the memory of all connections together is acceptable.
      */
     private static final int UNBUDGETED_BYTES = 2 * 1024;
 
-    /** Null if bodies are bounded by their limit alone. */
+    /** Null if only the limit on each single body applies. */
     private final SharedByteBudget budget;
 
     private byte[] bytes = EMPTY;
@@ -34,7 +34,7 @@
     /**
      * Appends the next bytes of the input.
      *
-     * @param expectedLength the length of the whole body as far as it is known
+     * @param expectedLength the length of the complete body as far as it is known
      */
     void append(ByteBuffer in, int count, int expectedLength) throws HttpParseException {
         if (length + count > bytes.length) {
@@ -44,8 +44,8 @@
         length += count;
     }
 
-    private void grow(int neededLength, int expectedLength) throws HttpParseException {
-        int capacity = Math.min(expectedLength, Math.max(neededLength, 2 * bytes.length));
+    private void grow(int requiredLength, int expectedLength) throws HttpParseException {
+        int capacity = Math.min(expectedLength, Math.max(requiredLength, 2 * bytes.length));
         if (budget != null) {
             acquire(capacity, expectedLength);
         }
@@ -59,17 +59,18 @@
         }
         if (!budget.tryAcquire(missing)) {
             throw new HttpParseException(
-                    503, "no memory for a body of " + expectedLength + " bytes");
+                    503,
+                    "no memory in the shared budget for a body of " + expectedLength + " bytes");
         }
         acquiredBytes += missing;
     }
 
-    /** The whole body; the buffer still has to be discarded. */
+    /** Returns the complete body. The buffer must still be discarded. */
     byte[] toArray() {
         return length == bytes.length ? bytes : Arrays.copyOf(bytes, length);
     }
 
-    /** Empties the buffer and gives back its share of the budget. */
+    /** Empties the buffer and releases the bytes that it acquired from the budget. */
     void discard() {
         if (acquiredBytes > 0) {
             budget.release(acquiredBytes);
--- a/http/src/main/java/milletyoke/http/HeaderFieldParser.java
+++ b/http/src/main/java/milletyoke/http/HeaderFieldParser.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Parses header lines (RFC 9110 section 5). Holds no state. */
+/** Parses header lines (RFC 9110 section 5). Stateless. */
 final class HeaderFieldParser {
     private static final String TOKEN_PUNCTUATION = "!#$%&'*+-.^_`|~";
 
@@ -12,13 +12,13 @@
         int end = line.length();
         int colon = 0;
         while (colon < end && line.byteAt(colon) != ':') {
-            if (!isToken(line.byteAt(colon))) {
-                throw new HttpParseException(400, "a header name with an invalid character");
+            if (!isTokenChar(line.byteAt(colon))) {
+                throw new HttpParseException(400, "invalid character in a header field name");
             }
             colon++;
         }
         if (colon == 0 || colon == end) {
-            throw new HttpParseException(400, "a line in the message head that is no header");
+            throw new HttpParseException(400, "header line without a field name or a colon");
         }
         int from = colon + 1;
         int to = end;
@@ -37,8 +37,8 @@
         return value == ' ' || value == '\t';
     }
 
-    /** Whether a token may have this character (RFC 9110 section 5.6.2). */
-    static boolean isToken(byte value) {
+    /** Returns whether the character is allowed in a token (RFC 9110 section 5.6.2). */
+    static boolean isTokenChar(byte value) {
         boolean isDigit = value >= '0' && value <= '9';
         boolean isLower = value >= 'a' && value <= 'z';
         boolean isUpper = value >= 'A' && value <= 'Z';
--- a/http/src/main/java/milletyoke/http/HeaderWriter.java
+++ b/http/src/main/java/milletyoke/http/HeaderWriter.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Builds the start line and headers of a message; the body is written behind it unchanged. */
+/** Builds the start line and headers of a message; the caller writes the body separately. */
 public final class HeaderWriter {
     private static final int INITIAL_CAPACITY = 256;
     private static final int MICROS_PER_MILLI = 1000;
@@ -49,7 +49,7 @@
     /**
      * Adds a header.
      *
-     * @param value without line ends, as {@link HttpMessageDecoder} delivers it
+     * @param value without line terminators, as {@link HttpMessageDecoder} delivers values
      */
     public HeaderWriter header(String name, String value) {
         head.append(name).append(": ").append(value).append("\r\n");
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Adds a header whose value is a time in seconds with three decimals, rounded down, but at
-     * least one millisecond.
+     * Adds a header whose value is a duration in seconds with three decimals. The duration is
+     * rounded down to milliseconds, but is at least one millisecond.
      */
     public HeaderWriter headerInSeconds(String name, long micros) {
         long millis = Math.max(1, micros / MICROS_PER_MILLI);
@@ -66,18 +66,18 @@
         return header(name, millis / MILLIS_PER_SECOND + "." + padded.substring(1));
     }
 
-    /** Adds headers that are complete lines already, each terminated. */
+    /** Adds headers that are already formatted as complete lines, each ending in CR LF. */
     public HeaderWriter lines(String lines) {
         head.append(lines);
         return this;
     }
 
-    /** Adds the length of the body that is written behind the headers. */
+    /** Adds a Content-Length header for the body that follows the headers. */
     public HeaderWriter contentLength(int bytes) {
         return header("Content-Length", Integer.toString(bytes));
     }
 
-    /** The bytes of start line and headers, with the empty line behind them. */
+    /** Returns the encoded start line and headers, including the empty line that ends them. */
     public ByteBuffer toBuffer() {
         return ByteBuffer.wrap(
                 head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
--- a/http/src/main/java/milletyoke/http/HttpConnection.java
+++ b/http/src/main/java/milletyoke/http/HttpConnection.java
@@ -16,23 +16,26 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * One TCP connection. It is open, then possibly closing gracefully (its output is shut down behind
- * the last write, and input is discarded), then closed. Each of these steps happens once, and none
- * is undone.
+ * A TCP connection. Its state is first open, then optionally closing gracefully (the output is shut
+ * down after the last write, and input is discarded), then closed. Each transition happens at most
+ * once and cannot be reversed.
  *
  * <p>Any thread may write and close.
  */
 public final class HttpConnection {
-    /** Is notified of the end of one write, on any thread. */
+    /** Receives the outcome of one write, on any thread. */
     public interface WriteListener {
-        /** The last byte was handed to the operating system. */
+        /** Called when the last byte was handed to the operating system. */
         void written();
 
-        /** The connection broke before the last byte was handed to the operating system. */
+        /**
+         * Called when the connection failed before the last byte was handed to the operating
+         * system.
+         */
         default void failed(String reason) {}
     }
 
-    /** How many bytes a peer may send to a connection that closes gracefully before it is reset. */
+    /** Maximum number of bytes that a peer may send during a graceful close before a reset. */
     private static final int MAX_DRAINED_BYTES = 1 << 20;
 
     private final int id;
@@ -41,14 +44,14 @@
     private final AtomicBoolean isClosed = new AtomicBoolean();
     private final AtomicBoolean isOutputShutDown = new AtomicBoolean();
 
-    /** Writes that were not completely handed to the operating system yet. */
+    /** Number of writes that have not yet been handed to the operating system completely. */
     private final AtomicInteger pendingWrites = new AtomicInteger();
 
     private volatile boolean isClosing;
     private volatile boolean isEndedByPeer;
     private volatile boolean isClosedByPeer;
 
-    /** Bytes discarded while closing gracefully; of the transport's thread. */
+    /** Bytes discarded while closing gracefully; used on the transport's thread only. */
     private int drainedBytes;
 
     @SuppressWarnings("unchecked") // a TCP connection's addresses are socket addresses
@@ -58,7 +61,9 @@
         this.handler = handler;
     }
 
-    /** Unique among the connections of one transport, and greater than those of earlier ones. */
+    /**
+     * Returns an id that is unique in the transport and greater than those of earlier connections.
+     */
     public int id() {
         return id;
     }
@@ -67,24 +72,27 @@
         return handler;
     }
 
-    /** Whether the connection is not closed; it may be closing gracefully. */
+    /** Returns whether the connection is not closed; it may be closing gracefully. */
     public boolean isOpen() {
         return !isClosed.get() && connection.isOpen();
     }
 
-    /** Whether something that was written was not handed to the operating system yet. */
+    /** Returns whether a write has not yet been handed to the operating system completely. */
     public boolean isWriting() {
         return pendingWrites.get() > 0;
     }
 
-    /** Whether a closed connection ended because the peer shut it down, and not by a reset. */
+    /**
+     * Returns whether the connection was closed because the peer shut down its output, not by a
+     * reset.
+     */
     public boolean isEndedByPeer() {
         return isEndedByPeer;
     }
 
     /**
-     * Whether the peer shut down its output or reset the connection. This is known before its last
-     * bytes are delivered to the handler.
+     * Returns whether the peer shut down its output or reset the connection. Already true while the
+     * last bytes of the peer are delivered to the handler.
      */
     public boolean isClosedByPeer() {
         return isClosedByPeer;
@@ -99,7 +107,7 @@
         write(Buffers.wrap(MemoryManager.DEFAULT_MEMORY_MANAGER, bytes), listener);
     }
 
-    /** Writes both buffers as one, without copying the body. */
+    /** Writes both buffers as one message, without copying the body. */
     public void write(ByteBuffer head, ByteBuffer body, WriteListener listener) {
         if (!body.hasRemaining()) {
             write(head, listener);
@@ -117,7 +125,7 @@
         connection.write(bytes, new WriteCompletion(listener));
     }
 
-    /** Follows one write. */
+    /** Handles the completion of one write. */
     private final class WriteCompletion
             extends EmptyCompletionHandler<WriteResult<Buffer, SocketAddress>> {
         private final WriteListener listener;
@@ -147,28 +155,28 @@
         }
     }
 
-    /** An operation on a socket. */
     interface SocketOperation {
         void run() throws IOException;
     }
 
     /**
-     * Runs an operation that can fail only if the socket is closed, which is reported elsewhere.
+     * Runs an operation that fails only if the socket is closed, and ignores the failure. The
+     * transport reports the close to the handler.
      */
     static void ignoreFailure(SocketOperation operation) {
         try {
             operation.run();
         } catch (IOException | RuntimeException closed) {
-            // The handler is notified of the close by the transport.
+            // The transport notifies the handler of the close.
         }
     }
 
     /**
-     * Closes gracefully (RFC 9112 section 9.6): shuts down the output once everything was written,
-     * and discards further input until the peer closes its side. The caller has to limit the time
-     * for that and call {@link #close}.
+     * Closes gracefully (RFC 9112 section 9.6): shuts down the output after all pending writes, and
+     * discards further input until the peer closes its side. The caller must limit the time for
+     * that and call {@link #close}.
      *
-     * <p>A connection that is closed at once while input is unread is reset, by which the peer may
+     * <p>Closing immediately while input is unread would reset the connection, and the peer could
      * lose the last response.
      */
     public void closeGracefully() {
@@ -178,7 +186,7 @@
         }
     }
 
-    /** Whether a graceful close has begun. */
+    /** Returns whether a graceful close has begun. */
     public boolean isClosing() {
         return isClosing;
     }
@@ -191,22 +199,23 @@
     }
 
     /**
-     * Accounts for received bytes, on the transport's thread.
+     * Counts received bytes during a graceful close, and closes the connection if they exceed the
+     * limit. Called on the transport's thread.
      *
-     * @return whether they are to be delivered to the handler
+     * @return whether the bytes are to be delivered to the handler
      */
-    boolean accepts(int bytes) {
+    boolean onBytesReceived(int bytes) {
         if (!isClosing) {
             return isOpen();
         }
         drainedBytes += bytes;
         if (drainedBytes > MAX_DRAINED_BYTES) {
-            close("the peer keeps sending after a graceful close");
+            close("peer sent more than " + MAX_DRAINED_BYTES + " bytes after a graceful close");
         }
         return false;
     }
 
-    /** Closes at once. Pending writes are lost, and unread input resets the connection. */
+    /** Closes immediately. Pending writes are lost, and unread input causes a reset. */
     public void close(String reason) {
         if (isClosed.compareAndSet(false, true)) {
             connection.terminateSilently();
@@ -214,7 +223,7 @@
         }
     }
 
-    /** Closes at once with a reset, whether or not input is unread. */
+    /** Closes immediately with a reset, whether or not input is unread. */
     public void reset(String reason) {
         if (((NIOConnection) connection).getChannel() instanceof SocketChannel channel) {
             ignoreFailure(() -> channel.setOption(StandardSocketOptions.SO_LINGER, 0));
@@ -223,9 +232,9 @@
     }
 
     /**
-     * Closes because the peer did.
+     * Closes the connection after the peer closed it.
      *
-     * @param byShutdown whether the peer shut down its output, and did not reset the connection
+     * @param byShutdown true if the peer shut down its output, false if it reset the connection
      */
     void closeAfterPeer(String reason, boolean byShutdown) {
         markClosed(reason, byShutdown);
--- a/http/src/main/java/milletyoke/http/HttpMessage.java
+++ b/http/src/main/java/milletyoke/http/HttpMessage.java
@@ -4,21 +4,22 @@
 import java.util.Set;
 
 /**
- * One complete request or response (RFC 9112).
+ * A complete HTTP request or response (RFC 9112).
  *
  * @param method empty for a response
- * @param target the request target as it was received (RFC 9112 section 3.2); empty for a response
- * @param status 0 for a request
- * @param headers in the order in which they were received
+ * @param target the request target as received (RFC 9112 section 3.2); empty for a response
+ * @param status the status code; 0 for a request
+ * @param headers all header fields, in the order in which they were received
  */
-@SuppressWarnings("ArrayRecordComponent") // bodies are passed on without a copy, never compared
+@SuppressWarnings(
+        "ArrayRecordComponent") // bodies are passed on without copying and are never compared
 public record HttpMessage(
         String method, String target, int status, List<HeaderField> headers, byte[] body) {
     /**
-     * The headers that concern one connection and are never forwarded (RFC 9110 section 7.6.1), in
-     * addition to those that the Connection header names.
+     * Lower-case names of the headers that apply to a single connection and are never forwarded
+     * (RFC 9110 section 7.6.1), in addition to those listed in the Connection header.
      */
-    private static final Set<String> HOP_BY_HOP =
+    private static final Set<String> HOP_BY_HOP_HEADERS =
             Set.of(
                     "connection",
                     "keep-alive",
@@ -34,17 +35,17 @@
                     "host");
 
     /**
-     * One header.
+     * A header field.
      *
-     * @param name in lower case
-     * @param originalName the name as it was received
+     * @param name the name in lower case
+     * @param originalName the name as received
      */
     public record HeaderField(String name, String value, String originalName) {}
 
     /**
-     * The end-to-end headers as they were received, each as a terminated line.
+     * Returns the end-to-end headers as received, each as one line that ends in CR LF.
      *
-     * @param excluded names, in lower case, to leave out
+     * @param excluded lower-case names of headers to leave out
      */
     public String endToEndHeaders(Set<String> excluded) {
         StringBuilder lines = new StringBuilder();
@@ -58,10 +59,10 @@
     }
 
     private boolean isEndToEnd(String name) {
-        return !HOP_BY_HOP.contains(name) && !isConnectionOption(name);
+        return !HOP_BY_HOP_HEADERS.contains(name) && !isConnectionOption(name);
     }
 
-    /** The value of a header; null if the message does not have it exactly once. */
+    /** Returns the value of a header, or null if the message does not have it exactly once. */
     public String singleHeader(String name) {
         String value = null;
         for (HeaderField field : headers) {
@@ -75,7 +76,7 @@
         return value;
     }
 
-    /** How often the message has a header. */
+    /** Returns the number of times that a header occurs in the message. */
     public int headerCount(String name) {
         int count = 0;
         for (HeaderField field : headers) {
@@ -86,7 +87,9 @@
         return count;
     }
 
-    /** Whether the sender closes the connection after this message (RFC 9112 section 9.6). */
+    /**
+     * Returns whether the sender closes the connection after this message (RFC 9112 section 9.6).
+     */
     public boolean hasConnectionClose() {
         return isConnectionOption("close");
     }
--- a/http/src/main/java/milletyoke/http/HttpMessageDecoder.java
+++ b/http/src/main/java/milletyoke/http/HttpMessageDecoder.java
@@ -5,48 +5,52 @@
 import java.util.List;
 
 /**
- * An incremental parser of HTTP/1.1 messages, for both ends of a connection: it takes bytes in
- * pieces of any size and delivers complete messages.
+ * Parses HTTP/1.1 messages incrementally, for both ends of a connection: takes input in pieces of
+ * any size and delivers complete messages.
  *
- * <p>It is strict. Whatever RFC 9112 leaves to a receiver's judgement is rejected, since two
- * receivers that judge differently would see different messages in the same bytes (section 11.2).
- * An invalid line is rejected when it ends, an invalid start line at its first wrong byte. It keeps
- * no more than the head of a message and the part of its body that was received.
+ * <p>The decoder is strict. It rejects input whose interpretation RFC 9112 leaves to the receiver,
+ * because two receivers with different interpretations would see different messages in the same
+ * bytes (request smuggling, section 11.2). An invalid line is rejected at its end, an invalid start
+ * line at its first invalid byte. The decoder buffers only the head of a message and the received
+ * part of its body.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class HttpMessageDecoder {
-    /** Which messages are received. */
+    /** The kind of messages that are received. */
     public enum Side {
-        /** A server receives requests. */
+        /** Requests, as a server receives them. */
         REQUESTS,
-        /** A client receives responses. */
+        /** Responses, as a client receives them. */
         RESPONSES
     }
 
     /**
-     * The bounds of one message.
+     * Limits on one message.
      *
-     * @param head bytes of the start line, all headers and the trailer
-     * @param fields headers
-     * @param body bytes of the body
+     * @param maxHeadBytes maximum size of the start line, all headers and the trailer together
+     * @param maxHeaders maximum number of headers
+     * @param maxBodyBytes maximum size of the body
      */
-    public record Limits(int head, int fields, int body) {
-        /** A body of 64 KiB is the most that the platform sends; its heads are much shorter. */
+    public record Limits(int maxHeadBytes, int maxHeaders, int maxBodyBytes) {
+        /**
+         * The default limits. The platform sends bodies of up to 64 KiB, and heads much shorter
+         * than the limit.
+         */
         public static final Limits DEFAULT = new Limits(8 * 1024, 64, 64 * 1024);
     }
 
-    /** What is received next. */
+    /** The part of the message that is received next. */
     private enum State {
         START_LINE,
         HEADERS,
-        /** A body whose length is known. */
+        /** A body with a known length. */
         FIXED_BODY,
-        /** A body that lasts until the connection is closed. */
+        /** A body that ends when the connection is closed. */
         BODY_UNTIL_END,
         CHUNK_SIZE,
         CHUNK_DATA,
-        /** The end of line behind a chunk. */
+        /** The line terminator after a chunk. */
         CHUNK_END,
         TRAILER
     }
@@ -63,30 +67,30 @@
     private State state = State.START_LINE;
     private List<HttpMessage.HeaderField> headers = new ArrayList<>();
 
-    /** Bytes of the head that were received so far. */
+    /** Bytes received of the head so far. */
     private int headBytes;
 
-    /** Interim responses that were received ahead of the message. */
+    /** Number of interim responses received before the message. */
     private int interimResponses;
 
-    private boolean hasBlankLine;
+    private boolean hasSkippedEmptyLine;
 
-    /** Bytes that are still to be received of the body or chunk. */
-    private int remaining;
+    /** Bytes of the body or chunk that are still to be received. */
+    private int remainingBytes;
 
     private boolean isContinueExpected;
     private boolean isMalformed;
 
-    /** Creates a decoder whose bodies are bounded by their limit alone. */
+    /** Creates a decoder without a shared budget: only the limits bound the size of a body. */
     public HttpMessageDecoder(Side side, Limits limits) {
         this(side, limits, null);
     }
 
     /**
-     * Creates a decoder whose bodies share a budget.
+     * Creates a decoder whose bodies share a budget with other decoders.
      *
-     * @param budget of all bytes of bodies beyond the first 2 KiB of each; {@link #discard} gives
-     *     them back
+     * @param budget bounds the bytes of all bodies beyond the first 2 KiB of each; {@link #discard}
+     *     releases the bytes of this decoder
      */
     public HttpMessageDecoder(Side side, Limits limits, SharedByteBudget budget) {
         this.side = side;
@@ -95,14 +99,14 @@
         body = new BodyBuffer(budget);
     }
 
-    /** Frees the memory of the body. To be called when no more input follows. */
+    /** Releases the memory of the body. To be called when no more input follows. */
     public void discard() {
         body.discard();
     }
 
-    /** Whether part of a message was received. */
+    /** Returns whether a message was received in part. */
     public boolean isPartial() {
-        return state != State.START_LINE || !line.isUntouched() || interimResponses > 0;
+        return state != State.START_LINE || !line.hasNoInput() || interimResponses > 0;
     }
 
     /** Returns true once for a request that waits for 100 Continue (RFC 9110 section 10.1.1). */
@@ -115,8 +119,8 @@
     /**
      * Consumes input up to the end of a message, and no further.
      *
-     * @return the message; null if it is not complete yet
-     * @throws HttpParseException if the message is invalid; then no more input may be decoded
+     * @return the message, or null if it is not complete yet
+     * @throws HttpParseException if the message is invalid; no more input may be decoded afterwards
      */
     public HttpMessage decode(ByteBuffer in) throws HttpParseException {
         try {
@@ -132,7 +136,7 @@
             boolean isComplete =
                     switch (state) {
                         case BODY_UNTIL_END -> readUntilEnd(in);
-                        case FIXED_BODY -> readBody(in, body.length() + remaining);
+                        case FIXED_BODY -> readBody(in, body.length() + remainingBytes);
                         case CHUNK_DATA -> readChunk(in);
                         default -> addToLine(in.get()) && endLine();
                     };
@@ -144,11 +148,11 @@
     }
 
     /**
-     * To be called once the peer has shut down its output. After a reset it must not be called,
-     * since a reset does not complete a message (RFC 9112 section 8).
+     * Completes a response that is delimited by the end of the connection. To be called when the
+     * peer has shut down its output, but not after a reset, since a reset does not complete a
+     * message (RFC 9112 section 8).
      *
-     * @return the response that lasted until the end of the connection; null if there is none, or
-     *     if it is incomplete
+     * @return the response, or null if there is none or it is incomplete
      */
     public HttpMessage endOfInput() {
         return state == State.BODY_UNTIL_END && !isMalformed ? finishMessage() : null;
@@ -156,11 +160,12 @@
 
     // ---- Lines ----
 
-    /** Adds one byte to the line; returns whether it ended the line. */
+    /** Adds one byte to the line and returns whether the byte ended the line. */
     private boolean addToLine(byte next) throws HttpParseException {
         headBytes++;
-        if (headBytes > limits.head()) {
-            throw new HttpParseException(431, "a head of over " + limits.head() + " bytes");
+        if (headBytes > limits.maxHeadBytes()) {
+            throw new HttpParseException(
+                    431, "message head exceeds " + limits.maxHeadBytes() + " bytes");
         }
         if (line.add(next)) {
             return true;
@@ -171,7 +176,7 @@
         return false;
     }
 
-    /** Acts on a complete line; returns whether the message is complete. */
+    /** Processes a complete line and returns whether the message is complete. */
     private boolean endLine() throws HttpParseException {
         try {
             return parseLine();
@@ -196,44 +201,45 @@
                 if (isEmpty) {
                     return true;
                 }
-                // A trailer is validated and ignored.
+                // Trailer fields are validated and ignored.
                 HeaderFieldParser.parse(line);
             }
-            default -> throw new IllegalStateException("a line ended in state " + state);
+            default ->
+                    throw new IllegalStateException("unexpected end of a line in state " + state);
         }
         return false;
     }
 
     private void parseStartLine(boolean isEmpty) throws HttpParseException {
         if (isEmpty) {
-            skipBlankLine();
+            skipEmptyLine();
             return;
         }
         startLine.parse(line.text());
         state = State.HEADERS;
     }
 
-    /** One empty line ahead of a request is tolerated (RFC 9112 section 2.2). */
-    private void skipBlankLine() throws HttpParseException {
-        if (side == Side.RESPONSES || hasBlankLine) {
-            throw new HttpParseException(400, "an empty line instead of a start line");
+    /** Skips an empty line before a request; only one is tolerated (RFC 9112 section 2.2). */
+    private void skipEmptyLine() throws HttpParseException {
+        if (side == Side.RESPONSES || hasSkippedEmptyLine) {
+            throw new HttpParseException(400, "empty line instead of a start line");
         }
-        hasBlankLine = true;
+        hasSkippedEmptyLine = true;
         headBytes = 0;
     }
 
     private void addHeader() throws HttpParseException {
         headers.add(HeaderFieldParser.parse(line));
-        if (headers.size() > limits.fields()) {
-            throw new HttpParseException(431, "over " + limits.fields() + " headers");
+        if (headers.size() > limits.maxHeaders()) {
+            throw new HttpParseException(431, "more than " + limits.maxHeaders() + " headers");
         }
     }
 
     // ---- Framing of the body ----
 
     /**
-     * Determines how the body is framed (RFC 9112 section 6.3, without its fallbacks for invalid
-     * messages).
+     * Determines how the body is framed, by RFC 9112 section 6.3 without its leniency towards
+     * invalid messages.
      *
      * @return whether the message is complete without a body
      */
@@ -244,31 +250,32 @@
         }
         HttpMessage head = message(NO_BODY);
         checkHost(head);
-        int codings = head.headerCount("transfer-encoding");
-        int lengths = head.headerCount("content-length");
-        checkFramingHeaders(head, codings, lengths);
-        boolean isChunked = codings > 0;
+        int codingHeaders = head.headerCount("transfer-encoding");
+        int lengthHeaders = head.headerCount("content-length");
+        checkFramingHeaders(head, codingHeaders, lengthHeaders);
+        boolean isChunked = codingHeaders > 0;
         if (isChunked) {
             state = State.CHUNK_SIZE;
-        } else if (lengths > 0) {
-            remaining =
-                    LengthParser.contentLength(head.singleHeader("content-length"), limits.body());
+        } else if (lengthHeaders > 0) {
+            remainingBytes =
+                    LengthParser.contentLength(
+                            head.singleHeader("content-length"), limits.maxBodyBytes());
             state = State.FIXED_BODY;
         } else if (side == Side.RESPONSES && !isBodiless()) {
             state = State.BODY_UNTIL_END; // RFC 9112 section 6.3, case 8
             return false;
         }
-        boolean hasBody = isChunked || remaining > 0;
+        boolean hasBody = isChunked || remainingBytes > 0;
         if (hasBody && isBodiless()) {
             throw new HttpParseException(
-                    400, "a body in a response with status " + startLine.status());
+                    400, "unexpected body in a response with status " + startLine.status());
         }
         String expect = head.singleHeader("expect");
         isContinueExpected = hasBody && "100-continue".equalsIgnoreCase(expect);
         return !hasBody;
     }
 
-    /** Whether a response with this status never has a body. */
+    /** Returns whether the message is a response whose status never has a body. */
     private boolean isBodiless() {
         int status = startLine.status();
         return side == Side.RESPONSES && (status == 204 || status == 304);
@@ -277,29 +284,33 @@
     private void checkHost(HttpMessage head) throws HttpParseException {
         if (side == Side.REQUESTS && head.headerCount("host") != 1) {
             throw new HttpParseException(
-                    400, "a request without exactly one Host header (RFC 9112 section 3.2)");
+                    400, "request does not have exactly one Host header (RFC 9112 section 3.2)");
         }
     }
 
-    private static void checkFramingHeaders(HttpMessage head, int codings, int lengths)
+    private static void checkFramingHeaders(HttpMessage head, int codingHeaders, int lengthHeaders)
             throws HttpParseException {
-        if (lengths > 0 && codings > 0) {
-            throw new HttpParseException(400, "both Content-Length and Transfer-Encoding");
+        if (lengthHeaders > 0 && codingHeaders > 0) {
+            throw new HttpParseException(
+                    400, "message has both Content-Length and Transfer-Encoding");
         }
-        if (lengths > 1 || codings > 1) {
-            throw new HttpParseException(400, "repeated Content-Length or Transfer-Encoding");
+        if (lengthHeaders > 1 || codingHeaders > 1) {
+            throw new HttpParseException(
+                    400, "message has more than one Content-Length or Transfer-Encoding");
         }
-        if (codings > 0 && !head.singleHeader("transfer-encoding").equalsIgnoreCase("chunked")) {
-            throw new HttpParseException(501, "a transfer coding other than chunked");
+        if (codingHeaders > 0
+                && !head.singleHeader("transfer-encoding").equalsIgnoreCase("chunked")) {
+            throw new HttpParseException(
+                    501, "transfer coding other than chunked is not supported");
         }
     }
 
-    /** Skips an interim response (RFC 9110 section 15.2), up to a number of them. */
+    /** Skips an interim response (RFC 9110 section 15.2); their number is limited. */
     private void skipInterimResponse() throws HttpParseException {
         interimResponses++;
         if (interimResponses > MAX_INTERIM_RESPONSES) {
             throw new HttpParseException(
-                    400, "over " + MAX_INTERIM_RESPONSES + " interim responses");
+                    400, "more than " + MAX_INTERIM_RESPONSES + " interim responses");
         }
         headers = new ArrayList<>();
         headBytes = 0;
@@ -309,46 +320,49 @@
     // ---- The body ----
 
     private void parseChunkSize() throws HttpParseException {
-        int size = LengthParser.chunkSize(line, limits.body());
-        if (body.length() + size > limits.body()) {
-            throw LengthParser.bodyTooLong(limits.body());
+        int size = LengthParser.chunkSize(line, limits.maxBodyBytes());
+        if (body.length() + size > limits.maxBodyBytes()) {
+            throw LengthParser.bodyTooLong(limits.maxBodyBytes());
         }
-        remaining = size;
+        remainingBytes = size;
         state = size == 0 ? State.TRAILER : State.CHUNK_DATA;
     }
 
     private void endChunk(boolean isEmpty) throws HttpParseException {
         if (!isEmpty) {
-            throw new HttpParseException(400, "a chunk that is longer than its size");
+            throw new HttpParseException(400, "chunk data is longer than the chunk size");
         }
         state = State.CHUNK_SIZE;
     }
 
-    /** Returns false: a chunk never completes a message. */
+    /** Reads data of a chunk. Returns false, since a chunk never completes a message. */
     private boolean readChunk(ByteBuffer in) throws HttpParseException {
-        int received = Math.min(remaining, in.remaining());
+        int received = Math.min(remainingBytes, in.remaining());
         if (readBody(in, body.length() + received)) {
             state = State.CHUNK_END;
         }
         return false;
     }
 
-    /** Returns false: only the end of the connection completes the message. */
+    /**
+     * Reads data of a body that ends with the connection. Returns false, since only that end
+     * completes it.
+     */
     private boolean readUntilEnd(ByteBuffer in) throws HttpParseException {
-        if (body.length() + in.remaining() > limits.body()) {
-            throw LengthParser.bodyTooLong(limits.body());
+        if (body.length() + in.remaining() > limits.maxBodyBytes()) {
+            throw LengthParser.bodyTooLong(limits.maxBodyBytes());
         }
-        remaining = in.remaining();
-        readBody(in, limits.body());
+        remainingBytes = in.remaining();
+        readBody(in, limits.maxBodyBytes());
         return false;
     }
 
-    /** Reads the body or chunk as far as it was received; returns whether it is complete. */
+    /** Reads the available part of a body or chunk and returns whether it is complete. */
     private boolean readBody(ByteBuffer in, int expectedLength) throws HttpParseException {
-        int received = Math.min(remaining, in.remaining());
+        int received = Math.min(remainingBytes, in.remaining());
         body.append(in, received, expectedLength);
-        remaining -= received;
-        return remaining == 0;
+        remainingBytes -= received;
+        return remainingBytes == 0;
     }
 
     // ---- The message ----
@@ -363,7 +377,7 @@
         state = State.START_LINE;
         headBytes = 0;
         interimResponses = 0;
-        hasBlankLine = false;
+        hasSkippedEmptyLine = false;
         startLine.clear();
         headers = new ArrayList<>();
         body.discard();
--- a/http/src/main/java/milletyoke/http/HttpParseException.java
+++ b/http/src/main/java/milletyoke/http/HttpParseException.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * What was received is not a valid message, or not one that is accepted here. The message
- * boundaries are lost, so the connection must not be read any further.
+ * Thrown when received bytes are not a valid message, or not a message that this end accepts. The
+ * message boundaries are unknown afterwards, so the connection must not be read any further.
  */
 public final class HttpParseException extends IOException {
     private static final long serialVersionUID = 1L;
@@ -14,15 +14,15 @@
     /**
      * Creates an exception.
      *
-     * @param status with which a server answers (RFC 9110 section 15.5)
-     * @param problem what is wrong with the message
+     * @param status the status code of a server's response to the message (RFC 9110 section 15.5)
+     * @param problem a description of the error in the message
      */
     public HttpParseException(int status, String problem) {
         super(problem, null);
         this.status = status;
     }
 
-    /** The status with which a server answers. */
+    /** Returns the status code of a server's response to the message. */
     public int status() {
         return status;
     }
--- a/http/src/main/java/milletyoke/http/HttpTransport.java
+++ b/http/src/main/java/milletyoke/http/HttpTransport.java
@@ -30,7 +30,7 @@
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
-/** Accepts, opens and reads TCP connections, all on one thread of its own. */
+/** Accepts, opens and reads TCP connections on a single dedicated thread. */
 public final class HttpTransport implements AutoCloseable {
     private static final int READ_BUFFER_BYTES = 16 * 1024;
     private static final int BACKLOG = 1024;
@@ -38,51 +38,54 @@
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("milletyoke.http");
 
     /**
-     * The user of one connection. All methods but {@code closed} are called on the transport's
-     * thread.
+     * Receives the events of one connection. All methods except {@code closed} are called on the
+     * transport's thread.
      */
     public interface Handler {
-        /** The connection was accepted or established. */
+        /** Called when the connection was accepted or established. */
         void opened(HttpConnection connection);
 
-        /** Bytes were received. The buffer is reused afterwards; what was not consumed is lost. */
+        /**
+         * Called for received bytes. The buffer is reused after the call, so unconsumed bytes are
+         * lost.
+         */
         void read(HttpConnection connection, ByteBuffer in);
 
-        /** The connection is closed. Called once, on any thread, after all other methods. */
+        /** Called once when the connection is closed, on any thread, after all other methods. */
         void closed(HttpConnection connection, String reason);
     }
 
-    /** A bound address. */
+    /** A bound address that accepts connections. */
     public interface Listener {
-        /** The port that was bound. */
+        /** Returns the port that was bound. */
         int port();
 
-        /** Lets further connections wait in the system's backlog until {@link #resume}. */
+        /** Leaves new connections in the operating system's backlog until {@link #resume}. */
         void pause();
 
-        /** Accepts connections again. */
+        /** Accepts connections again after {@link #pause}. */
         void resume();
 
-        /** Accepts no further connections, for good. */
+        /** Stops accepting connections permanently. */
         void stop();
     }
 
     /** A connection that is being established. */
     public interface ConnectAttempt {
-        /** Gives up, unless the connection is already established. */
+        /** Cancels the attempt, unless the connection is already established. */
         void cancel();
     }
 
     private final AtomicInteger lastId = new AtomicInteger();
     private final TCPNIOTransport transport;
 
-    /** Shared by all connections, since one thread reads them. */
+    /** Shared by all connections, since a single thread reads them. */
     private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
 
     /**
      * Starts a transport.
      *
-     * @param name of its thread, with the suffix {@code -io}
+     * @param name the name of the thread, without its suffix {@code -io}
      */
     public HttpTransport(String name) throws IOException {
         ThreadPoolConfig threads =
@@ -105,22 +108,23 @@
     }
 
     /**
-     * Binds an address and accepts connections from now on.
+     * Binds an address and starts to accept connections.
      *
-     * @param handlers supplies the handler of each connection
-     * @throws IOException if the address cannot be bound; the message names it
+     * @param handlerFactory creates the handler of each accepted connection
+     * @throws IOException if the address cannot be bound; the message contains the address
      */
-    public Listener listen(String host, int port, Supplier<Handler> handlers) throws IOException {
+    public Listener listen(String host, int port, Supplier<Handler> handlerFactory)
+            throws IOException {
         try {
             TCPNIOServerConnection server =
                     TCPNIOBindingHandler.builder(transport)
-                            .processor(filterChain(handlers))
+                            .processor(filterChain(handlerFactory))
                             .build()
                             .bind(new InetSocketAddress(host, port), BACKLOG);
             return new BoundListener(transport, server);
-        } catch (IOException failed) {
+        } catch (IOException cause) {
             throw new IOException(
-                    "cannot listen at " + host + ":" + port + ": " + failed.getMessage(), failed);
+                    "cannot listen at " + host + ":" + port + ": " + cause.getMessage(), cause);
         }
     }
 
@@ -148,46 +152,50 @@
     }
 
     /**
-     * Opens a connection without waiting for it. Either {@code opened} of the handler is called, or
-     * {@code failed} with the reason.
+     * Opens a connection without waiting for it. Calls either {@link Handler#opened}, or {@code
+     * onFailure} with the reason.
      *
-     * @return a means to give up; otherwise an unreachable peer would occupy a descriptor for the
-     *     operating system's own timeout, which is minutes
+     * @return the attempt, which the caller can cancel; an attempt to reach an unreachable peer
+     *     otherwise occupies a file descriptor until the operating system's connect timeout of
+     *     several minutes
      */
-    public ConnectAttempt connect(String host, int port, Handler handler, Consumer<String> failed) {
-        var connecting =
+    public ConnectAttempt connect(
+            String host, int port, Handler handler, Consumer<String> onFailure) {
+        var connectFuture =
                 TCPNIOConnectorHandler.builder(transport)
                         .processor(filterChain(() -> handler))
                         .build()
                         .connect(new InetSocketAddress(host, port));
-        connecting.addCompletionHandler(
+        connectFuture.addCompletionHandler(
                 new EmptyCompletionHandler<>() {
                     @Override
                     public void failed(Throwable cause) {
-                        failed.accept(String.valueOf(cause.getMessage()));
+                        onFailure.accept(String.valueOf(cause.getMessage()));
                     }
 
                     @Override
                     public void cancelled() {
-                        failed.accept("cancelled");
+                        onFailure.accept("cancelled");
                     }
                 });
-        return () -> connecting.cancel(false);
+        return () -> connectFuture.cancel(false);
     }
 
-    private FilterChain filterChain(Supplier<Handler> handlers) {
+    private FilterChain filterChain(Supplier<Handler> handlerFactory) {
         return FilterChainBuilder.stateless()
                 .add(new ReadFilter())
-                .add(new HandlerFilter(handlers))
+                .add(new HandlerFilter(handlerFactory))
                 .build();
     }
 
     /**
-     * Reads in place of Grizzly's own filter, which does not distinguish the end of input from a
-     * reset. A response that lasts until the end of input is incomplete after a reset.
+     * Replaces Grizzly's own read filter, which does not distinguish the end of input from a reset.
+     * The distinction matters for a response that is delimited by the end of input: after a reset,
+     * the response is incomplete.
      *
-     * <p>It reads until nothing is left. So the end of input is known before a request ahead of it
-     * is processed, whose client does not wait for the response any more.
+     * <p>Reads until the socket has no more input or the buffer is full. The end of input is thus
+     * detected before the preceding request is processed, whose client no longer waits for the
+     * response.
      */
     private final class ReadFilter extends TransportFilter {
         @Override
@@ -215,7 +223,7 @@
                 connection.markClosedByPeer();
             }
             readBuffer.flip();
-            if (readBuffer.hasRemaining() && connection.accepts(readBuffer.remaining())) {
+            if (readBuffer.hasRemaining() && connection.onBytesReceived(readBuffer.remaining())) {
                 connection.handler().read(connection, readBuffer);
             }
             if (closeReason != null) {
@@ -223,7 +231,7 @@
             }
         }
 
-        /** Returns whether the end of input was reached. */
+        /** Reads available input and returns whether the end of input was reached. */
         private boolean fillReadBuffer(SocketChannel channel) throws IOException {
             int received = 1;
             while (received > 0 && readBuffer.hasRemaining()) {
@@ -233,12 +241,12 @@
         }
     }
 
-    /** Connects each connection with its handler; the last filter of the chain. */
+    /** Creates the {@link HttpConnection} of each connection; the last filter of the chain. */
     private final class HandlerFilter extends BaseFilter {
-        private final Supplier<Handler> handlers;
+        private final Supplier<Handler> handlerFactory;
 
-        HandlerFilter(Supplier<Handler> handlers) {
-            this.handlers = handlers;
+        HandlerFilter(Supplier<Handler> handlerFactory) {
+            this.handlerFactory = handlerFactory;
         }
 
         @Override
@@ -255,7 +263,8 @@
 
         private void open(Connection<?> grizzlyConnection) {
             HttpConnection connection =
-                    new HttpConnection(lastId.incrementAndGet(), grizzlyConnection, handlers.get());
+                    new HttpConnection(
+                            lastId.incrementAndGet(), grizzlyConnection, handlerFactory.get());
             HTTP_CONNECTION.set(grizzlyConnection, connection);
             CloseListener<Closeable, CloseType> closeListener =
                     (closeable, type) -> connection.markClosed("closed (" + type + ")", false);
@@ -264,21 +273,21 @@
         }
 
         @Override
-        public void exceptionOccurred(FilterChainContext context, Throwable error) {
+        public void exceptionOccurred(FilterChainContext context, Throwable cause) {
             HttpConnection connection = HTTP_CONNECTION.get(context.getConnection());
             if (connection != null) {
-                connection.close("read failed: " + error);
+                connection.close("read failed: " + cause);
             }
         }
     }
 
-    /** Closes all connections and ends the thread. */
+    /** Closes all connections and stops the thread. */
     @Override
     public void close() {
         try {
             transport.shutdownNow();
         } catch (IOException | RuntimeException ignored) {
-            // The sockets are closed; there is nothing left to release.
+            // The sockets are closed even so; nothing else needs to be released.
         }
     }
 }
--- a/http/src/main/java/milletyoke/http/LengthParser.java
+++ b/http/src/main/java/milletyoke/http/LengthParser.java
@@ -1,22 +1,22 @@
 package milletyoke.http;
 
-/** Parses the lengths that frame a body (RFC 9112 sections 6.2 and 7.1). Holds no state. */
+/** Parses the lengths that frame a body (RFC 9112 sections 6.2 and 7.1). Stateless. */
 final class LengthParser {
-    /** A decimal number of this many digits is always an int. */
+    /** Every decimal number with this many digits fits into an int. */
     private static final int MAX_DECIMAL_DIGITS = 9;
 
     private static final int MAX_HEX_DIGITS = 8;
     private static final int HEX_RADIX = 16;
 
-    /** How much of an invalid length a message quotes. */
-    private static final int MAX_QUOTED = 20;
+    /** Maximum number of characters of a length that an error message quotes. */
+    private static final int MAX_QUOTED_CHARS = 20;
 
     private LengthParser() {}
 
     /**
      * Parses the value of Content-Length.
      *
-     * @param maxBytes the longest body that is accepted
+     * @param maxBytes the maximum accepted length of a body
      */
     static int contentLength(String text, int maxBytes) throws HttpParseException {
         boolean isNumber = !text.isEmpty();
@@ -28,16 +28,16 @@
         }
         if (text.length() > MAX_DECIMAL_DIGITS || Integer.parseInt(text) > maxBytes) {
             throw new HttpParseException(
-                    413, "a body of " + quote(text) + " bytes, at most " + maxBytes);
+                    413, "body of " + quote(text) + " bytes exceeds the limit of " + maxBytes);
         }
         return Integer.parseInt(text);
     }
 
     /**
-     * Parses the line ahead of a chunk. Chunk extensions are rejected, since they have no meaning
-     * here and can disguise a message.
+     * Parses the chunk-size line that precedes a chunk. Chunk extensions are rejected: this codec
+     * supports none, and they allow request smuggling where receivers parse them differently.
      *
-     * @param maxBytes the longest body that is accepted
+     * @param maxBytes the maximum accepted length of a body
      */
     static int chunkSize(LineBuffer line, int maxBytes) throws HttpParseException {
         int digits = 0;
@@ -46,7 +46,7 @@
             digits++;
             if (digits > MAX_HEX_DIGITS) {
                 throw new HttpParseException(
-                        400, "a chunk size of over " + MAX_HEX_DIGITS + " digits");
+                        400, "chunk size has more than " + MAX_HEX_DIGITS + " digits");
             }
             int digit = Character.digit(line.byteAt(digits - 1), HEX_RADIX);
             long next = (long) HEX_RADIX * size + digit;
@@ -56,16 +56,18 @@
             size = (int) next;
         }
         if (digits == 0 || digits < line.length()) {
-            throw new HttpParseException(400, "a chunk size that is not a hexadecimal number");
+            throw new HttpParseException(400, "chunk size is not a hexadecimal number");
         }
         return size;
     }
 
     static HttpParseException bodyTooLong(int maxBytes) {
-        return new HttpParseException(413, "a body of over " + maxBytes + " bytes");
+        return new HttpParseException(413, "body exceeds the limit of " + maxBytes + " bytes");
     }
 
     private static String quote(String text) {
-        return text.length() > MAX_QUOTED ? text.substring(0, MAX_QUOTED) + "..." : text;
+        return text.length() > MAX_QUOTED_CHARS
+                ? text.substring(0, MAX_QUOTED_CHARS) + "..."
+                : text;
     }
 }
--- a/http/src/main/java/milletyoke/http/LineBuffer.java
+++ b/http/src/main/java/milletyoke/http/LineBuffer.java
@@ -3,12 +3,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** The line of a message head that is being received. */
+/** Buffers the line of a message head that is being received. */
 final class LineBuffer {
     private static final int INITIAL_CAPACITY = 128;
 
-    /** A longer buffer is not kept from one message to the next. */
-    private static final int MAX_KEPT_CAPACITY = 1024;
+    /** A larger buffer is released at the end of a message. */
+    private static final int MAX_RETAINED_CAPACITY = 1024;
 
     private static final byte DELETE = 0x7f;
 
@@ -19,12 +19,13 @@
     /**
      * Adds one byte.
      *
-     * @return whether it terminated the line; the terminator is not part of it
+     * @return whether the byte completed the line; the line terminator is not stored
      */
     boolean add(byte next) throws HttpParseException {
         if (isAfterCarriageReturn) {
             if (next != '\n') {
-                throw new HttpParseException(400, "a carriage return without a line feed");
+                throw new HttpParseException(
+                        400, "carriage return without a line feed in a message head");
             }
             isAfterCarriageReturn = false;
             return true;
@@ -49,8 +50,8 @@
         return isControl || value == DELETE;
     }
 
-    /** Whether nothing of a line was received, not even half of its terminator. */
-    boolean isUntouched() {
+    /** Returns whether no byte of the line was received, not even the CR of its terminator. */
+    boolean hasNoInput() {
         return length == 0 && !isAfterCarriageReturn;
     }
 
@@ -62,7 +63,7 @@
         return bytes[index];
     }
 
-    /** Part of the line, one character for each byte. */
+    /** Returns a part of the line, with one character for each byte. */
     String text(int from, int to) {
         return new String(bytes, from, to - from, StandardCharsets.ISO_8859_1);
     }
@@ -76,9 +77,9 @@
         length = 0;
     }
 
-    /** Frees the memory of long lines, at the end of a message. */
+    /** Releases the buffer if a long line has enlarged it. To be called at the end of a message. */
     void shrink() {
-        if (bytes.length > MAX_KEPT_CAPACITY) {
+        if (bytes.length > MAX_RETAINED_CAPACITY) {
             bytes = new byte[INITIAL_CAPACITY];
         }
     }
--- a/http/src/main/java/milletyoke/http/SharedByteBudget.java
+++ b/http/src/main/java/milletyoke/http/SharedByteBudget.java
@@ -3,23 +3,23 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A number of bytes that many connections share, so that each may need much memory while all
- * together stay bounded. Safe for use by any thread.
+ * Bounds the bytes that many connections hold together, while a single connection may hold a large
+ * part of them. Thread-safe.
  */
 public final class SharedByteBudget {
     private final long capacityBytes;
     private final AtomicLong acquiredBytes = new AtomicLong();
 
     /**
-     * Creates a budget of which nothing is acquired.
+     * Creates a budget that is entirely available.
      *
-     * @param capacityBytes the most bytes that may be acquired at a time
+     * @param capacityBytes the maximum number of bytes acquired at any time
      */
     public SharedByteBudget(long capacityBytes) {
         this.capacityBytes = capacityBytes;
     }
 
-    /** Acquires all of the bytes, or none and returns false. */
+    /** Acquires the bytes; returns false, and acquires none, if fewer are available. */
     public boolean tryAcquire(long bytes) {
         if (acquiredBytes.addAndGet(bytes) > capacityBytes) {
             acquiredBytes.addAndGet(-bytes);
@@ -28,7 +28,7 @@
         return true;
     }
 
-    /** Gives back bytes that were acquired. */
+    /** Returns acquired bytes to the budget. */
     public void release(long bytes) {
         acquiredBytes.addAndGet(-bytes);
     }
--- a/http/src/main/java/milletyoke/http/StartLine.java
+++ b/http/src/main/java/milletyoke/http/StartLine.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** The start line of the message that is being received: a request line or a status line. */
+/** Parses the start line of a message: a request line or a status line. */
 final class StartLine {
     private static final String HTTP_VERSION = "HTTP/1.1";
     private static final byte[] STATUS_LINE_PREFIX =
@@ -22,17 +22,17 @@
         this.side = side;
     }
 
-    /** Empty for a response. */
+    /** Returns the method; empty for a response. */
     String method() {
         return method;
     }
 
-    /** Empty for a response. */
+    /** Returns the request target; empty for a response. */
     String target() {
         return target;
     }
 
-    /** 0 for a request. */
+    /** Returns the status code; 0 for a request. */
     int status() {
         return status;
     }
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Checks the last byte of an incomplete start line. So a peer that sends anything else than
-     * HTTP is detected at its first wrong byte, and not waited for.
+     * Checks the last byte of an incomplete start line. A peer that does not use HTTP is thus
+     * rejected at its first invalid byte, not only when a line ends or a timeout expires.
      */
     void checkLastByte(LineBuffer line) throws HttpParseException {
         byte last = line.byteAt(line.length() - 1);
@@ -59,28 +59,28 @@
     private static void checkStatusLineByte(LineBuffer line, byte last) throws HttpParseException {
         int length = line.length();
         if (length <= STATUS_LINE_PREFIX.length && last != STATUS_LINE_PREFIX[length - 1]) {
-            throw new HttpParseException(400, "a response that is not " + HTTP_VERSION);
+            throw new HttpParseException(400, "response does not start with " + HTTP_VERSION);
         }
     }
 
     private static void checkRequestLineByte(LineBuffer line, byte last) throws HttpParseException {
         if (last < 0 || last == '\t') {
             throw new HttpParseException(
-                    400, "a request line with other characters than visible ASCII");
+                    400, "request line contains a character other than visible ASCII");
         }
         int length = line.length();
         if (length <= MAX_METHOD_LENGTH + 1
-                && !HeaderFieldParser.isToken(last)
+                && !HeaderFieldParser.isTokenChar(last)
                 && !hasSpace(line)) {
-            throw new HttpParseException(400, "a request line without a method");
+            throw new HttpParseException(400, "request line does not start with a method");
         }
         if (length == MAX_METHOD_LENGTH + 1 && !hasSpace(line)) {
             throw new HttpParseException(
-                    501, "a method of over " + MAX_METHOD_LENGTH + " characters");
+                    501, "method has more than " + MAX_METHOD_LENGTH + " characters");
         }
     }
 
-    /** Whether the line has a space behind its first character. */
+    /** Returns whether the line has a space after its first character. */
     private static boolean hasSpace(LineBuffer line) {
         for (int i = 1; i < line.length(); i++) {
             if (line.byteAt(i) == ' ') {
@@ -90,7 +90,7 @@
         return false;
     }
 
-    /** Parses the complete line. */
+    /** Parses a complete start line. */
     void parse(String text) throws HttpParseException {
         if (side == HttpMessageDecoder.Side.REQUESTS) {
             parseRequestLine(text);
@@ -100,21 +100,22 @@
     }
 
     private void parseRequestLine(String text) throws HttpParseException {
-        int first = text.indexOf(' ');
-        int last = text.lastIndexOf(' ');
-        boolean hasTwoSpaces = first != last && text.indexOf(' ', first + 1) == last;
-        if (first < 1 || !hasTwoSpaces || last == first + 1) {
+        int firstSpace = text.indexOf(' ');
+        int lastSpace = text.lastIndexOf(' ');
+        boolean hasTwoSpaces =
+                firstSpace != lastSpace && text.indexOf(' ', firstSpace + 1) == lastSpace;
+        if (firstSpace < 1 || !hasTwoSpaces || lastSpace == firstSpace + 1) {
             throw new HttpParseException(
-                    400, "a request line that is not method, target and version");
+                    400, "request line does not consist of a method, a target and a version");
         }
-        String version = text.substring(last + 1);
+        String version = text.substring(lastSpace + 1);
         if (!version.equals(HTTP_VERSION)) {
             boolean isHttp = version.matches("HTTP/[0-9]\\.[0-9]");
             throw new HttpParseException(
-                    isHttp ? 505 : 400, "a version other than " + HTTP_VERSION);
+                    isHttp ? 505 : 400, "protocol version is not " + HTTP_VERSION);
         }
-        method = text.substring(0, first);
-        target = text.substring(first + 1, last);
+        method = text.substring(0, firstSpace);
+        target = text.substring(firstSpace + 1, lastSpace);
     }
 
     private void parseStatusLine(String text) throws HttpParseException {
@@ -126,7 +127,7 @@
         }
         status = isValid ? Integer.parseInt(text.substring(from, to)) : 0;
         if (status < MIN_STATUS || status > MAX_STATUS || status == SWITCHING_PROTOCOLS) {
-            throw new HttpParseException(400, "a status line without a valid status");
+            throw new HttpParseException(400, "status line without a valid status code");
         }
     }
 }
--- a/http/src/test/java/milletyoke/http/HttpMessageDecoderTest.java
+++ b/http/src/test/java/milletyoke/http/HttpMessageDecoderTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What the decoder accepts and rejects, and that the result does not depend on how its input is
- * cut.
+ * Tests which messages the decoder accepts and rejects, and that the result does not depend on how
+ * the input is divided into pieces.
  */
 class HttpMessageDecoderTest {
     private static final String REQUEST_HEAD = "PUT /api?a=b HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\n";
@@ -55,10 +55,10 @@
                     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n");
 
     /**
-     * Describes all messages and errors of the input, decoded in pieces that end at {@code cuts}.
+     * Decodes the input in pieces that end at {@code cuts}, and describes all messages and errors.
      */
     private static String decodeInPieces(HttpMessageDecoder decoder, byte[] input, int... cuts) {
-        StringBuilder all = new StringBuilder();
+        StringBuilder description = new StringBuilder();
         int from = 0;
         try {
             for (int i = 0; i <= cuts.length; i++) {
@@ -67,7 +67,8 @@
                 for (HttpMessage message = decoder.decode(piece);
                         message != null;
                         message = decoder.decode(piece)) {
-                    all.append(message.method())
+                    description
+                            .append(message.method())
                             .append(message.target())
                             .append(message.status())
                             .append(message.headers())
@@ -76,12 +77,13 @@
                 }
                 from = to;
             }
-        } catch (HttpParseException bad) {
-            all.append(bad.status()).append(bad.getMessage());
+        } catch (HttpParseException rejected) {
+            description.append(rejected.status()).append(rejected.getMessage());
         }
-        boolean partial = decoder.isPartial();
-        HttpMessage last = partial ? decoder.endOfInput() : null;
-        return all.append(partial ? " partial" : "")
+        boolean isPartial = decoder.isPartial();
+        HttpMessage last = isPartial ? decoder.endOfInput() : null;
+        return description
+                .append(isPartial ? " partial" : "")
                 .append(
                         last == null
                                 ? ""
@@ -97,63 +99,65 @@
 
     @Test
     void messagesDoNotDependOnHowTheInputIsCut() {
-        int compared = 0;
+        int comparisons = 0;
         for (HttpMessageDecoder.Side side : HttpMessageDecoder.Side.values()) {
             for (String sample : side == HttpMessageDecoder.Side.REQUESTS ? REQUESTS : RESPONSES) {
                 byte[] input = bytes(sample);
-                String whole = decodeInPieces(new HttpMessageDecoder(side, SMALL_LIMITS), input);
-                int[] each = new int[input.length - 1];
-                for (int i = 0; i < each.length; i++) {
-                    each[i] = i + 1;
+                String expected = decodeInPieces(new HttpMessageDecoder(side, SMALL_LIMITS), input);
+                int[] allCuts = new int[input.length - 1];
+                for (int i = 0; i < allCuts.length; i++) {
+                    allCuts[i] = i + 1;
                     assertEquals(
-                            whole,
+                            expected,
                             decodeInPieces(
                                     new HttpMessageDecoder(side, SMALL_LIMITS), input, i + 1),
                             sample + " cut at " + (i + 1));
-                    compared++;
+                    comparisons++;
                 }
                 assertEquals(
-                        whole,
-                        decodeInPieces(new HttpMessageDecoder(side, SMALL_LIMITS), input, each),
+                        expected,
+                        decodeInPieces(new HttpMessageDecoder(side, SMALL_LIMITS), input, allCuts),
                         sample + " byte by byte");
             }
         }
-        assertTrue(compared > 1000);
+        assertTrue(comparisons > 1000);
     }
 
     /**
-     * Mutated samples give the same result for any two cuts, and nothing but messages or an {@link
-     * HttpParseException}.
+     * Mutated samples give the same result for any two cuts: messages or an {@link
+     * HttpParseException}, and no other exception.
      */
     @Property(tries = 3000, seed = "20261201")
     void mutatedInputIsDecodedOrRejected(
-            @ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int changes) {
-        SplittableRandom chance = new SplittableRandom(seed);
+            @ForAll long seed, @ForAll @IntRange(min = 1, max = 6) int mutations) {
+        SplittableRandom random = new SplittableRandom(seed);
         HttpMessageDecoder.Side side =
-                chance.nextBoolean()
+                random.nextBoolean()
                         ? HttpMessageDecoder.Side.REQUESTS
                         : HttpMessageDecoder.Side.RESPONSES;
         List<String> samples = side == HttpMessageDecoder.Side.REQUESTS ? REQUESTS : RESPONSES;
         byte[] input =
                 bytes(
-                        samples.get(chance.nextInt(samples.size()))
-                                + samples.get(chance.nextInt(samples.size())));
-        for (int i = 0; i < changes; i++) {
-            input[chance.nextInt(input.length)] =
+                        samples.get(random.nextInt(samples.size()))
+                                + samples.get(random.nextInt(samples.size())));
+        for (int i = 0; i < mutations; i++) {
+            input[random.nextInt(input.length)] =
                     (byte)
-                            (chance.nextBoolean()
-                                    ? chance.nextInt(256)
-                                    : "\r\n :0,9".charAt(chance.nextInt(7)));
+                            (random.nextBoolean()
+                                    ? random.nextInt(256)
+                                    : "\r\n :0,9".charAt(random.nextInt(7)));
         }
-        int a = chance.nextInt(input.length);
-        int b = a + chance.nextInt(input.length - a);
+        int firstCut = random.nextInt(input.length);
+        int secondCut = firstCut + random.nextInt(input.length - firstCut);
         assertEquals(
                 decodeInPieces(new HttpMessageDecoder(side, SMALL_LIMITS), input),
-                decodeInPieces(new HttpMessageDecoder(side, SMALL_LIMITS), input, a, b));
+                decodeInPieces(
+                        new HttpMessageDecoder(side, SMALL_LIMITS), input, firstCut, secondCut));
     }
 
     /**
-     * RFC 9112 section 6.3, case 8: the body is as long as the input, within the limit of any body.
+     * RFC 9112 section 6.3, case 8: the body lasts until the end of input, and the body limit
+     * applies to it as to any other.
      */
     @Test
     void aResponseWithoutALengthLastsUntilTheEndOfInput() throws Exception {
@@ -165,7 +169,7 @@
         assertEquals(
                 "half and whole",
                 new String(decoder.endOfInput().body(), StandardCharsets.ISO_8859_1));
-        for (String unfinished :
+        for (String incomplete :
                 List.of(
                         "",
                         "HTTP/1.1 200 OK\r\n",
@@ -174,8 +178,8 @@
                         "HTTP/1.1 103 Early\r\n\r\n")) {
             HttpMessageDecoder other =
                     new HttpMessageDecoder(HttpMessageDecoder.Side.RESPONSES, SMALL_LIMITS);
-            assertNull(other.decode(ByteBuffer.wrap(bytes(unfinished))));
-            assertNull(other.endOfInput(), "not whole: " + unfinished);
+            assertNull(other.decode(ByteBuffer.wrap(bytes(incomplete))));
+            assertNull(other.endOfInput(), "incomplete: " + incomplete);
         }
         HttpMessageDecoder endless =
                 new HttpMessageDecoder(HttpMessageDecoder.Side.RESPONSES, SMALL_LIMITS);
@@ -184,7 +188,7 @@
         assertThrows(HttpParseException.class, () -> endless.decode(ByteBuffer.wrap(bytes("x"))));
     }
 
-    static Stream<String> ambiguous() {
+    static Stream<String> ambiguousHeads() {
         return Stream.of(
                 "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
                 "Content-Length: 5\r\nContent-Length: 6\r\n\r\n",
@@ -211,25 +215,25 @@
     }
 
     @ParameterizedTest
-    @MethodSource("ambiguous")
-    void ambiguousRequestsAreRejected(String rest) {
-        String told =
+    @MethodSource("ambiguousHeads")
+    void ambiguousRequestsAreRejected(String remainder) {
+        String result =
                 decodeInPieces(
                         new HttpMessageDecoder(
                                 HttpMessageDecoder.Side.REQUESTS,
                                 HttpMessageDecoder.Limits.DEFAULT),
-                        bytes(REQUEST_HEAD + rest));
-        assertTrue(told.matches("(?s)(400|413|501).*"), told);
+                        bytes(REQUEST_HEAD + remainder));
+        assertTrue(result.matches("(?s)(400|413|501).*"), result);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"\u0016\u0003\u0001", "HTTQ", "HTTP/1.0 200 OK", "\n", "200 OK"})
-    void anInvalidStatusLineIsRejectedAtItsFirstWrongByte(String noise) {
+    void anInvalidStatusLineIsRejectedAtItsFirstWrongByte(String input) {
         assertTrue(
                 decodeInPieces(
                                 new HttpMessageDecoder(
                                         HttpMessageDecoder.Side.RESPONSES, SMALL_LIMITS),
-                                bytes(noise))
+                                bytes(input))
                         .startsWith("400"));
     }
 
@@ -254,8 +258,8 @@
                                                                         : i % 50 == 49
                                                                                 ? "\n"
                                                                                 : "y"))));
-            } catch (HttpParseException bad) {
-                status = bad.status();
+            } catch (HttpParseException rejected) {
+                status = rejected.status();
             }
         }
         assertEquals(431, status);
@@ -264,56 +268,60 @@
     @Test
     void interimResponsesAreSkippedUpToALimit() {
         String interim = "HTTP/1.1 100 Continue\r\n\r\n";
-        String end = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+        String finalResponse = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
         assertTrue(
                 decodeInPieces(
                                 new HttpMessageDecoder(
                                         HttpMessageDecoder.Side.RESPONSES, SMALL_LIMITS),
-                                bytes(interim.repeat(16) + end))
+                                bytes(interim.repeat(16) + finalResponse))
                         .startsWith("200"));
         assertTrue(
                 decodeInPieces(
                                 new HttpMessageDecoder(
                                         HttpMessageDecoder.Side.RESPONSES, SMALL_LIMITS),
-                                bytes(interim.repeat(17) + end))
+                                bytes(interim.repeat(17) + finalResponse))
                         .startsWith("400"));
     }
 
     @Test
     void aTooLongBodyIsRejectedAtItsHead() {
-        String told =
+        String result =
                 decodeInPieces(
                         new HttpMessageDecoder(
                                 HttpMessageDecoder.Side.REQUESTS,
                                 HttpMessageDecoder.Limits.DEFAULT),
                         bytes(REQUEST_HEAD + "Content-Length: 62914560\r\n\r\n"));
-        assertTrue(told.startsWith("413"), told);
+        assertTrue(result.startsWith("413"), result);
     }
 
-    /** Many peers each send most of a body and stop: together they get no more than the budget. */
+    /** Many peers each send most of a body and then stop: together they use at most the budget. */
     @Test
     void incompleteBodiesShareABudget() throws HttpParseException {
-        SharedByteBudget allowance = new SharedByteBudget(200 * 1024);
-        byte[] most = bytes(REQUEST_HEAD + "Content-Length: 65536\r\n\r\n" + "x".repeat(60 * 1024));
-        List<HttpMessageDecoder> stopped = new ArrayList<>();
-        int refused = 0;
+        SharedByteBudget budget = new SharedByteBudget(200 * 1024);
+        byte[] incompleteRequest =
+                bytes(REQUEST_HEAD + "Content-Length: 65536\r\n\r\n" + "x".repeat(60 * 1024));
+        List<HttpMessageDecoder> decoders = new ArrayList<>();
+        int rejections = 0;
         for (int i = 0; i < 100; i++) {
             HttpMessageDecoder decoder =
                     new HttpMessageDecoder(
                             HttpMessageDecoder.Side.REQUESTS,
                             HttpMessageDecoder.Limits.DEFAULT,
-                            allowance);
-            stopped.add(decoder);
+                            budget);
+            decoders.add(decoder);
             try {
-                assertNull(decoder.decode(ByteBuffer.wrap(most)));
-            } catch (HttpParseException full) {
-                assertEquals(503, full.status(), "trying again is harmless: it was never taken");
-                refused++;
+                assertNull(decoder.decode(ByteBuffer.wrap(incompleteRequest)));
+            } catch (HttpParseException rejected) {
+                assertEquals(
+                        503,
+                        rejected.status(),
+                        "the request was not processed and is safe to retry");
+                rejections++;
             }
         }
-        assertEquals(97, refused);
-        stopped.forEach(HttpMessageDecoder::discard);
-        assertTrue(allowance.tryAcquire(200 * 1024), "all of it came back");
+        assertEquals(97, rejections);
+        decoders.forEach(HttpMessageDecoder::discard);
+        assertTrue(budget.tryAcquire(200 * 1024), "the whole budget was released");
     }
 
     @Test
@@ -326,9 +334,9 @@
                                 bytes(
                                         REQUEST_HEAD
                                                 + "Content-Length: 5\r\nExpect: 100-continue\r\n\r\n"))));
-        List<Boolean> owed =
+        List<Boolean> expectations =
                 new ArrayList<>(
                         List.of(decoder.takeContinueExpected(), decoder.takeContinueExpected()));
-        assertEquals(List.of(true, false), owed);
+        assertEquals(List.of(true, false), expectations);
     }
 }
--- a/http/src/test/java/milletyoke/http/HttpTransportTest.java
+++ b/http/src/test/java/milletyoke/http/HttpTransportTest.java
@@ -25,8 +25,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * What the transport guarantees to its users: how far a write got, how connections end, and that
- * cancelled ones are released.
+ * Tests what the transport reports about writes and about the end of connections, and that it
+ * releases cancelled connect attempts.
  */
 @Timeout(60)
 class HttpTransportTest {
@@ -35,16 +35,16 @@
         final CompletableFuture<String> closed = new CompletableFuture<>();
 
         @Override
-        public void opened(HttpConnection conn) {
-            opened.complete(conn);
+        public void opened(HttpConnection connection) {
+            opened.complete(connection);
         }
 
         @Override
-        public void read(HttpConnection conn, ByteBuffer in) {}
+        public void read(HttpConnection connection, ByteBuffer in) {}
 
         @Override
-        public void closed(HttpConnection conn, String why) {
-            closed.complete(why);
+        public void closed(HttpConnection connection, String reason) {
+            closed.complete(reason);
         }
     }
 
@@ -57,20 +57,21 @@
         }
 
         @Override
-        public void failed(String why) {
+        public void failed(String reason) {
             isWritten.complete(false);
         }
     }
 
     private static long countOpenSockets() throws IOException {
-        try (Stream<Path> all = Files.list(Path.of("/proc/self/fd"))) {
-            return all.filter(
-                            f -> {
+        try (Stream<Path> descriptors = Files.list(Path.of("/proc/self/fd"))) {
+            return descriptors
+                    .filter(
+                            descriptor -> {
                                 try {
-                                    return Files.readSymbolicLink(f)
+                                    return Files.readSymbolicLink(descriptor)
                                             .toString()
                                             .startsWith("socket");
-                                } catch (IOException gone) {
+                                } catch (IOException closedMeanwhile) {
                                     return false;
                                 }
                             })
@@ -79,31 +80,32 @@
     }
 
     /**
-     * A server whose accept queue is full neither accepts nor refuses, as an unreachable machine.
+     * A server whose accept queue is full neither accepts nor refuses connections, like an
+     * unreachable machine.
      */
     @Test
     void aCancelledConnectAttemptReleasesItsSocket() throws Exception {
         assumeTrue(Files.isDirectory(Path.of("/proc/self/fd")));
-        List<Socket> filling = new ArrayList<>();
-        try (HttpTransport net = new HttpTransport("test");
-                ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+        List<Socket> queueFillers = new ArrayList<>();
+        try (HttpTransport transport = new HttpTransport("test");
+                ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             try {
                 for (int i = 0; i < 20; i++) {
-                    Socket one = new Socket();
-                    filling.add(one);
-                    one.connect(full.getLocalSocketAddress(), 200);
+                    Socket filler = new Socket();
+                    queueFillers.add(filler);
+                    filler.connect(server.getLocalSocketAddress(), 200);
                 }
-            } catch (SocketTimeoutException silent) {
-                // the accept queue is full now
+            } catch (SocketTimeoutException queueIsFull) {
+                // no more connections are accepted
             }
             long before = countOpenSockets();
             List<HttpTransport.ConnectAttempt> attempts = new ArrayList<>();
             CompletableFuture<String> failed = new CompletableFuture<>();
             for (int i = 0; i < 10; i++) {
                 attempts.add(
-                        net.connect(
+                        transport.connect(
                                 "127.0.0.1",
-                                full.getLocalPort(),
+                                server.getLocalPort(),
                                 new RecordingHandler(),
                                 failed::complete));
             }
@@ -114,138 +116,144 @@
                 TimeUnit.MILLISECONDS.sleep(5);
             }
         } finally {
-            for (Socket s : filling) {
-                s.close();
+            for (Socket filler : queueFillers) {
+                filler.close();
             }
         }
     }
 
     @Test
     void anIncompleteWriteIsReportedAsFailed() throws Exception {
-        try (HttpTransport net = new HttpTransport("test");
+        try (HttpTransport transport = new HttpTransport("test");
                 ServerSocket server = new ServerSocket(0)) {
-            RecordingHandler ear = new RecordingHandler();
-            net.connect("127.0.0.1", server.getLocalPort(), ear, why -> {});
+            RecordingHandler handler = new RecordingHandler();
+            transport.connect("127.0.0.1", server.getLocalPort(), handler, reason -> {});
             Socket peer = server.accept();
-            HttpConnection conn = ear.opened.get();
+            HttpConnection connection = handler.opened.get();
             RecordingWriteListener small = new RecordingWriteListener();
-            conn.write(ByteBuffer.allocate(100), small);
-            assertTrue(small.isWritten.get(), "the system took it");
+            connection.write(ByteBuffer.allocate(100), small);
+            assertTrue(small.isWritten.get(), "the operating system accepted all bytes");
             RecordingWriteListener large = new RecordingWriteListener();
-            conn.write(
+            connection.write(
                     ByteBuffer.allocate(64 << 20),
-                    large); // more than any buffers between the two hold
+                    large); // more than the socket buffers of both ends hold
             TimeUnit.MILLISECONDS.sleep(50);
-            assertEquals(false, large.isWritten.isDone(), "the peer does not read");
+            assertEquals(
+                    false,
+                    large.isWritten.isDone(),
+                    "the write is pending while the peer does not read");
             peer.setSoLinger(true, 0);
             peer.close();
             assertEquals(false, large.isWritten.get());
-            ear.closed.get();
+            handler.closed.get();
         }
     }
 
     @Test
     void aRefusedConnectionIsReported() throws Exception {
         int port;
-        try (ServerSocket gone = new ServerSocket(0)) {
-            port = gone.getLocalPort();
+        try (ServerSocket closed = new ServerSocket(0)) {
+            port = closed.getLocalPort();
         }
-        try (HttpTransport net = new HttpTransport("test")) {
+        try (HttpTransport transport = new HttpTransport("test")) {
             CompletableFuture<String> failed = new CompletableFuture<>();
-            net.connect("127.0.0.1", port, new RecordingHandler(), failed::complete);
+            transport.connect("127.0.0.1", port, new RecordingHandler(), failed::complete);
             failed.get();
         }
     }
 
-    /** Accepts one connection, and calls a function on its first bytes. */
+    /** Accepts one connection and calls a function when its first bytes are read. */
     private static final class AcceptedConnection implements HttpTransport.Handler {
         final Consumer<HttpConnection> onFirstRead;
         final AtomicInteger readCount = new AtomicInteger();
         final CompletableFuture<String> closed = new CompletableFuture<>();
         Socket peer;
 
-        AcceptedConnection(HttpTransport net, Consumer<HttpConnection> first) throws IOException {
-            this.onFirstRead = first;
-            int port = net.listen("127.0.0.1", 0, () -> this).port();
+        AcceptedConnection(HttpTransport transport, Consumer<HttpConnection> onFirstRead)
+                throws IOException {
+            this.onFirstRead = onFirstRead;
+            int port = transport.listen("127.0.0.1", 0, () -> this).port();
             peer = new Socket(InetAddress.getLoopbackAddress(), port);
             peer.setSoTimeout(30_000);
         }
 
         @Override
-        public void opened(HttpConnection conn) {}
+        public void opened(HttpConnection connection) {}
 
         @Override
-        public void read(HttpConnection conn, ByteBuffer in) {
+        public void read(HttpConnection connection, ByteBuffer in) {
             if (readCount.incrementAndGet() == 1) {
-                onFirstRead.accept(conn);
+                onFirstRead.accept(connection);
             }
         }
 
         @Override
-        public void closed(HttpConnection conn, String why) {
-            closed.complete(why);
+        public void closed(HttpConnection connection, String reason) {
+            closed.complete(reason);
         }
     }
 
     /**
-     * The peer keeps sending half a megabyte that is never read, over which a close at once would
-     * reset the connection.
+     * The peer sends 512 KiB that are never read. Closing immediately would reset the connection
+     * because of the unread input, and the peer could lose the response.
      */
     @Test
     void aGracefulCloseWithUnreadInputDoesNotReset() throws Exception {
-        try (HttpTransport net = new HttpTransport("test")) {
+        try (HttpTransport transport = new HttpTransport("test")) {
             AcceptedConnection accepted =
                     new AcceptedConnection(
-                            net,
-                            conn -> {
-                                conn.write(
+                            transport,
+                            connection -> {
+                                connection.write(
                                         ByteBuffer.wrap(
-                                                "the last answer".getBytes(StandardCharsets.UTF_8)),
+                                                "the last response"
+                                                        .getBytes(StandardCharsets.UTF_8)),
                                         () -> {});
-                                conn.closeGracefully();
+                                connection.closeGracefully();
                             });
             Socket peer = accepted.peer;
             peer.getOutputStream().write(new byte[512 * 1024]);
             assertEquals(
-                    "the last answer",
+                    "the last response",
                     new String(peer.getInputStream().readAllBytes(), StandardCharsets.UTF_8),
-                    "and then an end, no reset");
+                    "the response is followed by the end of input, not by a reset");
             peer.close();
             accepted.closed.get();
-            assertEquals(1, accepted.readCount.get(), "input after the close is discarded");
+            assertEquals(
+                    1, accepted.readCount.get(), "input after the graceful close is discarded");
         }
     }
 
-    /** Far more than the socket buffers hold is pending when the close begins. */
+    /** Far more bytes than the socket buffers hold are pending when the close begins. */
     @Test
     void aGracefulCloseWaitsForPendingWrites() throws Exception {
         int size = 32 << 20;
-        try (HttpTransport net = new HttpTransport("test")) {
+        try (HttpTransport transport = new HttpTransport("test")) {
             Socket peer =
                     new AcceptedConnection(
-                                    net,
-                                    conn -> {
-                                        conn.write(ByteBuffer.allocate(size), () -> {});
-                                        conn.closeGracefully();
+                                    transport,
+                                    connection -> {
+                                        connection.write(ByteBuffer.allocate(size), () -> {});
+                                        connection.closeGracefully();
                                     })
                             .peer;
             peer.getOutputStream().write(1);
-            long read = 0;
-            for (byte[] some = new byte[1 << 16]; ; ) {
-                int n = peer.getInputStream().read(some);
-                if (n < 0) {
+            long received = 0;
+            for (byte[] buffer = new byte[1 << 16]; ; ) {
+                int count = peer.getInputStream().read(buffer);
+                if (count < 0) {
                     break;
                 }
-                read += n;
+                received += count;
             }
-            assertEquals(size, read);
+            assertEquals(size, received);
         }
     }
 
     @Test
     void aPeerThatNeverStopsSendingIsReset() throws Exception {
-        try (HttpTransport net = new HttpTransport("test")) {
-            Socket peer = new AcceptedConnection(net, HttpConnection::closeGracefully).peer;
+        try (HttpTransport transport = new HttpTransport("test")) {
+            Socket peer = new AcceptedConnection(transport, HttpConnection::closeGracefully).peer;
             assertThrows(
                     IOException.class,
                     () -> {
@@ -256,23 +264,23 @@
         }
     }
 
-    /** A response without a length depends on this. */
+    /** A response without a length is complete at the end of input, but not after a reset. */
     @Test
     void endOfInputIsDistinguishedFromAReset() throws Exception {
-        try (HttpTransport net = new HttpTransport("test");
+        try (HttpTransport transport = new HttpTransport("test");
                 ServerSocket server = new ServerSocket(0)) {
             for (boolean reset : new boolean[] {false, true}) {
-                RecordingHandler ear = new RecordingHandler();
-                net.connect("127.0.0.1", server.getLocalPort(), ear, why -> {});
+                RecordingHandler handler = new RecordingHandler();
+                transport.connect("127.0.0.1", server.getLocalPort(), handler, reason -> {});
                 Socket peer = server.accept();
-                HttpConnection conn = ear.opened.get();
+                HttpConnection connection = handler.opened.get();
                 peer.getOutputStream().write(1);
                 if (reset) {
                     peer.setSoLinger(true, 0);
                 }
                 peer.close();
-                ear.closed.get();
-                assertEquals(!reset, conn.isEndedByPeer());
+                handler.closed.get();
+                assertEquals(!reset, connection.isEndedByPeer());
             }
         }
     }
