--- a/wire/src/main/java/milletyoke/wire/Connection.java
+++ b/wire/src/main/java/milletyoke/wire/Connection.java
@@ -2,37 +2,39 @@
 
 import milletyoke.wire.proto.Frame;
 
-/** A connection as its user sees it: a socket in service, a model of one in the simulation. */
+/**
+ * A connection to a peer: over a socket in production, over a modelled network in the simulation.
+ */
 public interface Connection {
-    /** Unique in this process. */
+    /** Returns an id that is unique in this process. */
     int id();
 
-    /** Whether frames can still be sent. */
+    /** Returns whether frames can still be sent. */
     boolean isOpen();
 
     /**
-     * Hands a frame over without waiting. Any thread may call this.
+     * Sends a frame without waiting. Any thread may call this.
      *
-     * @return false where the connection is known to be closed and nothing of the frame was sent;
-     *     true is no promise that the frame arrives
+     * @return false if the connection is known to be closed and no part of the frame was sent; true
+     *     does not guarantee that the frame arrives
      */
     boolean send(Frame frame);
 
     /**
-     * Like {@link #send}, but the frame may stay here until {@link #flush}, so that the frames of
-     * one pass of a loop leave in one write. Only the thread that also flushes may call this;
-     * frames that other threads send meanwhile may leave earlier.
+     * Like {@link #send}, but may buffer the frame until {@link #flush}, so that the frames of one
+     * event loop pass are sent in one write. Only the thread that also flushes may call this.
+     * Frames that other threads send in the meantime may be sent earlier.
      */
     default boolean enqueue(Frame frame) {
         return send(frame);
     }
 
-    /** Writes what was enqueued. */
+    /** Writes all enqueued frames. */
     default void flush() {}
 
-    /** Sends the reason to the peer and closes; frames not yet written may be lost. */
+    /** Sends the reason to the peer and closes the connection; unwritten frames may be lost. */
     void closeWithReason(String reason);
 
-    /** Closes at once; the listener is called, once. */
+    /** Closes the connection immediately and notifies the listener once. */
     void close(String reason);
 }
--- a/wire/src/main/java/milletyoke/wire/ExecutionEnvironment.java
+++ b/wire/src/main/java/milletyoke/wire/ExecutionEnvironment.java
@@ -4,75 +4,75 @@
 import java.util.concurrent.ScheduledExecutorService;
 
 /**
- * What the product's components run on: clocks, timers, network, and what drives an event loop. In
- * service that is this machine ({@link SocketEnvironment}); in the simulation it is one seeded
- * queue of events in virtual time. All times are microseconds.
+ * Provides clocks, timers, a network and event loop drivers to the product's components. In
+ * production these are the machine's own ({@link SocketEnvironment}); in the simulation they run on
+ * a single seeded event queue in virtual time. All times are in microseconds.
  */
 public interface ExecutionEnvironment {
-    /** The monotonic clock. */
+    /** Returns the time of the monotonic clock. */
     long monotonicMicros();
 
-    /** The time of day, which the start times of targets refer to. */
+    /** Returns the wall-clock time, which the start times of targets refer to. */
     long wallClockMicros();
 
     /**
-     * Opens one participant's network.
+     * Opens the network of one participant.
      *
-     * @param name what the participant calls itself in its hellos
-     * @param threads I/O threads
-     * @throws IOException where the sockets cannot be set up
+     * @param name the participant's name in its hellos
+     * @param threads number of I/O threads
+     * @throws IOException if the sockets cannot be set up
      */
     Network openNetwork(String name, int threads, FrameObserver observer) throws IOException;
 
-    /** Creates timers; with one thread, their tasks run one after another. */
+    /** Creates a timer executor; with a single thread, its tasks run sequentially. */
     ScheduledExecutorService newTimerExecutor(String name, int threads);
 
     /**
-     * Whether time is virtual: nothing may then wait other than by {@link #sleep}, and that only
-     * outside every task.
+     * Returns whether time is virtual. If so, {@link #sleep} is the only permitted way to wait, and
+     * tasks must not call it.
      */
     boolean isVirtual();
 
-    /** Lets time pass. */
+    /** Waits for the given time. */
     void sleep(long micros) throws InterruptedException;
 
     /**
-     * Delays what one participant sends to another, as a partitioned network does; only in virtual
-     * time.
+     * Delays the frames that one participant sends to another, as in a network partition; only in
+     * virtual time.
      *
      * @param attemptsOnly whether only attempts and their replies are delayed
-     * @param micros for how long
+     * @param micros duration of the partition
      */
     default void partition(String from, String to, boolean attemptsOnly, long micros) {
-        throw new UnsupportedOperationException("sockets of this machine cannot be cut");
+        throw new UnsupportedOperationException("sockets of this machine cannot be partitioned");
     }
 
-    /** Moves the time of day forward or back; only in virtual time. */
+    /** Moves the wall clock forward or back; only in virtual time. */
     default void adjustWallClock(long micros) {
         throw new UnsupportedOperationException(
-                "the time of day of this machine is not ours to set");
+                "the wall clock of this machine cannot be adjusted");
     }
 
     /**
-     * Creates what runs an event loop whenever it is woken up or due; null where the loop is to run
-     * on a thread of its own.
+     * Creates the driver that runs an event loop whenever the loop is woken up or due; returns null
+     * if the loop must run on a thread of its own.
      */
     LoopDriver newLoopDriver(LoopTask task);
 
-    /** One pass of an event loop that has no thread of its own. */
+    /** An event loop that has no thread of its own. */
     interface LoopTask {
         /**
-         * Does what is due now.
+         * Runs one pass of the loop: processes all work that is due.
          *
-         * @return when the loop is due again if nothing wakes it up before; {@link Long#MAX_VALUE}
-         *     for never
+         * @return the monotonic time at which the loop is due again unless it is woken up earlier;
+         *     {@link Long#MAX_VALUE} for never
          */
         long runOnce();
     }
 
     /** Runs a {@link LoopTask}. */
     interface LoopDriver {
-        /** Makes the task run soon. Any thread may call this. */
+        /** Schedules a pass of the task as soon as possible. Any thread may call this. */
         void wakeUp();
     }
 }
--- a/wire/src/main/java/milletyoke/wire/FrameFilter.java
+++ b/wire/src/main/java/milletyoke/wire/FrameFilter.java
@@ -15,8 +15,8 @@
 import org.glassfish.grizzly.memory.Buffers;
 
 /**
- * Decodes bytes to frames and encodes frames to bytes. A length prefix over the limit closes the
- * connection before any byte of that frame is buffered. Runs on I/O threads.
+ * Decodes bytes to frames and encodes frames to bytes. Closes the connection if a length prefix
+ * exceeds the limit, before any byte of that frame is buffered. Runs on I/O threads.
  */
 final class FrameFilter extends BaseFilter {
     private static final int LENGTH_PREFIX_BYTES = 4;
@@ -26,7 +26,7 @@
         Buffer bytes = context.getMessage();
         PeerConnection peer = PeerFilter.peerOf(context.getConnection());
         if (peer == null) {
-            bytes.tryDispose(); // refused on accept
+            bytes.tryDispose(); // the connection was refused on accept
             return context.getStopAction();
         }
         if (bytes.remaining() < LENGTH_PREFIX_BYTES) {
@@ -53,7 +53,7 @@
         try {
             context.setMessage(decode(body));
         } catch (InvalidProtocolBufferException malformed) {
-            peer.closeForViolation("a frame that cannot be read: " + malformed.getMessage());
+            peer.closeForViolation("malformed frame: " + malformed.getMessage());
             return context.getStopAction();
         }
         return context.getInvokeAction(remainder);
@@ -68,7 +68,8 @@
     }
 
     /**
-     * Decodes without copying payloads: byte fields are views of the array, never written again.
+     * Decodes a frame without copying payloads: byte fields are views of the array, which is not
+     * modified afterwards.
      */
     private static Frame decode(byte[] body) throws IOException {
         CodedInputStream input = UnsafeByteOperations.unsafeWrap(body).newCodedInput();
@@ -76,33 +77,33 @@
         return Frame.parseFrom(input);
     }
 
-    /** Frames that are written together, in this order. */
+    /** Frames that are written together, in the given order. */
     record FrameBatch(List<Frame> frames) {}
 
     @Override
     public NextAction handleWrite(FilterChainContext context) throws IOException {
-        if (context.getMessage() instanceof FrameBatch frames) {
-            context.setMessage(Buffers.wrap(context.getMemoryManager(), encode(frames.frames())));
+        if (context.getMessage() instanceof FrameBatch batch) {
+            context.setMessage(Buffers.wrap(context.getMemoryManager(), encode(batch.frames())));
         }
         return context.getInvokeAction();
     }
 
-    /** Encodes all frames into one array, so that they leave in one write. */
+    /** Encodes all frames into one array, so that they are sent in one write. */
     private static ByteBuffer encode(List<Frame> frames) throws IOException {
         int size = 0;
         for (Frame frame : frames) {
             size += LENGTH_PREFIX_BYTES + frame.getSerializedSize();
         }
-        ByteBuffer all = ByteBuffer.allocate(size);
+        ByteBuffer encoded = ByteBuffer.allocate(size);
         for (Frame frame : frames) {
             int length = frame.getSerializedSize();
-            all.putInt(length);
+            encoded.putInt(length);
             CodedOutputStream output =
-                    CodedOutputStream.newInstance(all.array(), all.position(), length);
+                    CodedOutputStream.newInstance(encoded.array(), encoded.position(), length);
             frame.writeTo(output);
             output.checkNoSpaceLeft();
-            all.position(all.position() + length);
+            encoded.position(encoded.position() + length);
         }
-        return all.flip();
+        return encoded.flip();
     }
 }
--- a/wire/src/main/java/milletyoke/wire/FrameObserver.java
+++ b/wire/src/main/java/milletyoke/wire/FrameObserver.java
@@ -4,18 +4,18 @@
 import milletyoke.wire.proto.Frame;
 
 /**
- * Observes every frame of one end as it is handed to or received from its connection. Called on
- * whichever thread does so.
+ * Observes every frame that one participant sends or receives. Called on the thread that sends or
+ * receives the frame.
  */
 @FunctionalInterface
 public interface FrameObserver {
-    /** Observes nothing. */
+    /** Ignores all frames. */
     FrameObserver NONE = (peer, direction, frame) -> {};
 
     /**
-     * A frame was sent or received, or the connection opened or closed.
+     * Called when a frame was sent or received, or the connection opened or closed.
      *
-     * @param frame null where the connection opened or closed
+     * @param frame null if the connection opened or closed
      */
     void onFrame(PeerConnection peer, Direction direction, Frame frame);
 }
--- a/wire/src/main/java/milletyoke/wire/MalformedFrameException.java
+++ b/wire/src/main/java/milletyoke/wire/MalformedFrameException.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /**
- * A peer sent something that the protocol does not allow. Its connection is closed; nothing else is
- * affected.
+ * Thrown when a peer violates the protocol. The connection to that peer is closed; other
+ * connections are not affected.
  */
 public final class MalformedFrameException extends IOException {
     private static final long serialVersionUID = 1L;
@@ -12,7 +12,7 @@
     /**
      * Creates the exception.
      *
-     * @param message what is wrong with the frame; also sent to the peer as the reason of the close
+     * @param message a description of the violation; also sent to the peer as the close reason
      */
     public MalformedFrameException(String message) {
         super(message);
--- a/wire/src/main/java/milletyoke/wire/Network.java
+++ b/wire/src/main/java/milletyoke/wire/Network.java
@@ -5,39 +5,39 @@
 import milletyoke.wire.proto.Role;
 
 /**
- * One participant's listening addresses and connections: sockets in service, a model of them in the
- * simulation.
+ * Manages one participant's listening addresses and connections: sockets in production, modelled
+ * connections in the simulation.
  */
 public interface Network extends AutoCloseable {
-    /** A bound address. */
+    /** A bound address that accepts connections. */
     interface Listener {
-        /** The port that is listened on. */
+        /** Returns the port of the bound address. */
         int port();
 
-        /** Accepts no further connections; established ones stay open. */
+        /** Stops accepting connections; established ones stay open. */
         void stop();
     }
 
     /** A connection that is being established. */
     interface ConnectAttempt {
-        /** Gives the attempt up; a connection that was just established is closed. */
+        /** Cancels the attempt; if the connection was established meanwhile, closes it. */
         void cancel();
     }
 
     /**
-     * Listens at an address.
+     * Binds an address and accepts connections.
      *
-     * @param port 0 for any free port
-     * @param role this end's role in its hellos
-     * @throws IOException where the address cannot be bound, with a message that names it
+     * @param port the port, or 0 for any free port
+     * @param role the role of this end, sent in its hellos
+     * @throws IOException if the address cannot be bound; the message contains the address
      */
     Listener listen(String host, int port, Role role, PeerListener listener, FrameLimits limits)
             throws IOException;
 
     /**
-     * Connects without waiting. {@link PeerListener#onReady} reports success.
+     * Opens a connection without waiting for it. {@link PeerListener#onReady} reports success.
      *
-     * @param onFailure is given the reason where the connection cannot be established
+     * @param onFailure receives the reason if the connection cannot be established
      */
     ConnectAttempt connect(
             String host,
@@ -47,10 +47,10 @@
             FrameLimits limits,
             Consumer<String> onFailure);
 
-    /** Resets every connection, as a kill of the process would; no listener here is called. */
+    /** Resets all connections, as if the process were killed; no listener of this end is called. */
     void abort();
 
-    /** Sends every peer a close frame and closes. */
+    /** Sends a close frame to every peer, then closes all connections. */
     @Override
     void close();
 }
--- a/wire/src/main/java/milletyoke/wire/PeerConnection.java
+++ b/wire/src/main/java/milletyoke/wire/PeerConnection.java
@@ -13,9 +13,9 @@
 import milletyoke.wire.proto.Role;
 
 /**
- * One connection and what is known of its peer: hello handshake, limits, close. Subclasses carry
- * the frames. Any thread may send, and the order of sends by one thread is kept; received frames
- * are handled on the I/O thread.
+ * A connection to one peer: performs the hello handshake, enforces the limits and closes the
+ * connection. Subclasses transport the frames. Any thread may send, and frames sent by the same
+ * thread stay in order; received frames are handled on the I/O thread.
  */
 public abstract class PeerConnection implements Connection {
     /** The lowest protocol version that this build supports. */
@@ -24,13 +24,13 @@
     /** The highest protocol version that this build supports. */
     static final int HIGHEST_VERSION = 2;
 
-    /** The first version with the frame that announces a graceful shutdown. */
+    /** The first protocol version with the frame that announces a graceful shutdown. */
     private static final int GOING_AWAY_VERSION = 2;
 
-    /** Counted for each unsent frame besides its bytes: many small frames need memory, too. */
+    /** Memory overhead counted for each unsent frame in addition to its encoded bytes. */
     private static final int FRAME_OVERHEAD_BYTES = 256;
 
-    /** Enqueued frames are flushed at once from this size on. */
+    /** Size of enqueued frames from which they are flushed immediately. */
     private static final int FLUSH_THRESHOLD_BYTES = 256 * 1024;
 
     private static final int MAX_NAME_LENGTH = 200;
@@ -44,7 +44,7 @@
     private final AtomicLong unsentBytes = new AtomicLong();
     private final AtomicBoolean closed = new AtomicBoolean();
 
-    /** Used by the one thread that enqueues and flushes. */
+    /** Used only by the thread that enqueues and flushes. */
     private List<Frame> queuedFrames = new ArrayList<>();
 
     private int queuedBytes;
@@ -59,11 +59,11 @@
     private volatile boolean hasProcessedNothing;
 
     /**
-     * Creates an open connection whose hello is expected.
+     * Creates an open connection that expects the peer's hello.
      *
-     * @param id unique in its environment; it is the hash code, so that iteration over a set of
+     * @param id unique in its environment; also the hash code, so that iteration over a set of
      *     peers has the same order in every run of a simulation
-     * @param clock monotonic, in microseconds
+     * @param clock the monotonic clock, in microseconds
      */
     protected PeerConnection(
             int id,
@@ -77,7 +77,7 @@
         this.limits = limits;
         this.observer = observer;
         lastActivityMicros = clock.getAsLong();
-        incompleteSinceMicros = lastActivityMicros; // the peer's hello is expected
+        incompleteSinceMicros = lastActivityMicros; // the hello counts as incomplete until received
     }
 
     @Override
@@ -85,12 +85,12 @@
         return id;
     }
 
-    /** The name that the peer stated in its hello; empty before it. */
+    /** Returns the name that the peer sent in its hello; empty before the hello. */
     public String name() {
         return name;
     }
 
-    /** The role that the peer stated in its hello. */
+    /** Returns the role that the peer sent in its hello. */
     public Role role() {
         return role;
     }
@@ -100,18 +100,23 @@
         return !closed.get() && isConnected();
     }
 
-    /** The protocol violation that the connection was closed for; null where there was none. */
+    /**
+     * Returns the protocol violation for which the connection was closed, or null if there was
+     * none.
+     */
     public String protocolViolation() {
         return protocolViolation;
     }
 
-    /** Closes because the peer violated the protocol, and sends it the reason. */
+    /**
+     * Closes the connection for a protocol violation of the peer, and sends the reason to the peer.
+     */
     void closeForViolation(String violation) {
         protocolViolation = violation;
         closeWithReason(violation);
     }
 
-    /** Bytes of frames that were handed over and not yet written to the network. */
+    /** Returns the size of all frames that were accepted and not yet written to the network. */
     public long unsentBytes() {
         return unsentBytes.get();
     }
@@ -151,30 +156,30 @@
     }
 
     /**
-     * Reserves a frame's size in the unsent bytes.
+     * Adds a frame's size to the unsent bytes, and closes the connection if the limit is exceeded.
      *
-     * @return the reserved size; 0 where the frame cannot be sent
+     * @return the added size, or 0 if the frame cannot be sent
      */
     private int reserve(Frame frame) {
         if (!isOpen()) {
             return 0;
         }
-        int body = frame.getSerializedSize();
-        int size = body + FRAME_OVERHEAD_BYTES;
-        if (body > limits.maxFrameBytes()) {
+        int frameBytes = frame.getSerializedSize();
+        int size = frameBytes + FRAME_OVERHEAD_BYTES;
+        if (frameBytes > limits.maxFrameBytes()) {
             throw new IllegalArgumentException(
-                    "a frame of "
-                            + body
-                            + " bytes, "
+                    "frame of "
+                            + frameBytes
+                            + " bytes exceeds the limit of "
                             + limits.maxFrameBytes()
-                            + " are the most on this connection");
+                            + " bytes on this connection");
         }
         if (unsentBytes.addAndGet(size) > limits.maxUnsentBytes()) {
             unsentBytes.addAndGet(-size);
-            // Bounds the memory that a peer which does not read can use. It may hit a peer that
-            // was stalled with much data in flight to it; that peer may connect again.
+            // Bounds the memory used for a peer that does not read. This also disconnects a peer
+            // that was merely stalled while much data was in flight to it; it may reconnect.
             protocolViolation =
-                    "reads too slowly: over " + limits.maxUnsentBytes() + " bytes wait for it";
+                    "peer reads too slowly: more than " + limits.maxUnsentBytes() + " bytes unsent";
             close(protocolViolation);
             return 0;
         }
@@ -183,26 +188,29 @@
         return size;
     }
 
-    /** To be called once for each {@link #write}, when it has completed or failed. */
+    /** To be called once for each {@link #write}, after it has completed or failed. */
     protected final void onWritten(int size) {
         unsentBytes.addAndGet(-size);
     }
 
-    /** Whether the underlying transport is connected. */
+    /** Returns whether the underlying transport is connected. */
     protected abstract boolean isConnected();
 
-    /** Writes frames in this order without waiting, and calls {@link #onWritten} afterwards. */
+    /**
+     * Writes frames in the given order without waiting, and calls {@link #onWritten} afterwards.
+     */
     protected abstract void write(List<Frame> frames, int size);
 
-    /** Closes the transport; what was written before may still arrive. */
+    /** Closes the transport; frames written before may still arrive. */
     protected abstract void disconnect();
 
     /** Closes the transport so that the peer sees a reset. */
     protected abstract void disconnectWithReset();
 
     /**
-     * Closes a connection none of whose frames was processed and tells the peer so, which may then
-     * retry elsewhere. Only for a connection that is refused on accept: its frames are ignored.
+     * Closes the connection and informs the peer that none of its frames was processed, so that the
+     * peer may retry elsewhere. Only for a connection that is refused on accept, since its frames
+     * are ignored afterwards.
      */
     public void refuse(String reason) {
         isRefused = true;
@@ -213,7 +221,7 @@
         close(reason);
     }
 
-    /** Whether the peer stated that it processed nothing that was sent on this connection. */
+    /** Returns whether the peer reported that it processed no frame of this connection. */
     public boolean hasProcessedNothing() {
         return hasProcessedNothing;
     }
@@ -225,10 +233,11 @@
     }
 
     /**
-     * Tells the peer that no new requests are accepted here and that it should close once it has
-     * received all responses.
+     * Informs the peer that this end accepts no new requests, and that the peer should close the
+     * connection after it has received all responses.
      *
-     * @return whether the peer supports this; if not, only {@link #closeWithReason} remains
+     * @return whether the announcement was sent; false if the peer's protocol version does not
+     *     support it or the connection is closed
      */
     public boolean announceShutdown(String reason) {
         return supportsGoingAway()
@@ -238,7 +247,9 @@
                                 .build());
     }
 
-    /** Whether the peer's protocol version has the frame that announces a graceful shutdown. */
+    /**
+     * Returns whether the peer's protocol version has the frame that announces a graceful shutdown.
+     */
     public boolean supportsGoingAway() {
         return protocolVersion >= GOING_AWAY_VERSION;
     }
@@ -257,8 +268,8 @@
     }
 
     /**
-     * Closes so that the peer sees a reset, as after a kill of this process. The listener is not
-     * called.
+     * Closes the connection so that the peer sees a reset, as if this process were killed. The
+     * listener is not called.
      */
     public void reset() {
         if (closed.compareAndSet(false, true)) {
@@ -267,20 +278,20 @@
         }
     }
 
-    /** Sends this end's hello, which must be the first frame. */
-    protected final void sendHello(Role own, String ownName) {
+    /** Sends the hello of this end, which must be the first frame. */
+    protected final void sendHello(Role ownRole, String ownName) {
         send(
                 Frame.newBuilder()
                         .setHello(
                                 Hello.newBuilder()
                                         .setLowestVersion(LOWEST_VERSION)
                                         .setHighestVersion(HIGHEST_VERSION)
-                                        .setRole(own)
+                                        .setRole(ownRole)
                                         .setName(ownName))
                         .build());
     }
 
-    /** Handles a received frame; to be called by one thread at a time. */
+    /** Handles a received frame. To be called by one thread at a time. */
     protected final void handleFrame(Frame frame) {
         lastActivityMicros = clock.getAsLong();
         incompleteSinceMicros = 0;
@@ -304,11 +315,10 @@
         switch (frame.getBodyCase()) {
             case CLOSE -> {
                 hasProcessedNothing = frame.getClose().getNothingProcessed();
-                close("the peer left: " + frame.getClose().getReason());
+                close("closed by the peer: " + frame.getClose().getReason());
             }
             case GOING_AWAY -> listener.onGoingAway(this, frame.getGoingAway().getReason());
-            case BODY_NOT_SET ->
-                    throw new MalformedFrameException("a frame with no body this version knows");
+            case BODY_NOT_SET -> throw new MalformedFrameException("frame without a known body");
             default -> listener.onFrame(this, frame);
         }
     }
@@ -316,24 +326,24 @@
     private void acceptHello(Frame frame) throws MalformedFrameException {
         if (frame.getBodyCase() != Frame.BodyCase.HELLO) {
             throw new MalformedFrameException(
-                    "the first frame must be a hello, not " + frame.getBodyCase());
+                    "first frame is not a hello but " + frame.getBodyCase());
         }
         Hello hello = frame.getHello();
         if (hello.getHighestVersion() < LOWEST_VERSION
                 || hello.getLowestVersion() > HIGHEST_VERSION) {
             throw new MalformedFrameException(
-                    "versions "
+                    "no common protocol version: the peer supports "
                             + hello.getLowestVersion()
                             + " to "
                             + hello.getHighestVersion()
-                            + " are offered, "
+                            + ", this end supports "
                             + LOWEST_VERSION
                             + " to "
-                            + HIGHEST_VERSION
-                            + " are spoken here");
+                            + HIGHEST_VERSION);
         }
         if (hello.getName().length() > MAX_NAME_LENGTH) {
-            throw new MalformedFrameException("a name of over " + MAX_NAME_LENGTH + " characters");
+            throw new MalformedFrameException(
+                    "name in hello has more than " + MAX_NAME_LENGTH + " characters");
         }
         name = hello.getName();
         role = hello.getRole();
@@ -341,7 +351,7 @@
         hasReceivedHello = true;
     }
 
-    /** Only a part of a frame has been received so far. */
+    /** Called when a frame has been received in part only. */
     void onPartialFrame() {
         lastActivityMicros = clock.getAsLong();
         incompleteSinceMicros =
@@ -353,15 +363,16 @@
     }
 
     /**
-     * Closes the connection where it has been idle, or a frame or hello incomplete, for too long.
+     * Closes the connection if it has been idle, or a frame or the hello incomplete, for longer
+     * than the timeout.
      *
-     * @param nowMicros on the connection's clock
+     * @param nowMicros the time on the connection's clock
      */
     void closeIfTimedOut(long nowMicros) {
         if (incompleteSinceMicros > 0
                 && nowMicros - incompleteSinceMicros > limits.partialFrameTimeoutMicros()) {
             closeForViolation(
-                    (hasReceivedHello ? "half a frame" : "no hello")
+                    (hasReceivedHello ? "incomplete frame" : "no hello")
                             + " for "
                             + limits.partialFrameTimeoutMicros() / MICROS_PER_MILLI
                             + " ms");
--- a/wire/src/main/java/milletyoke/wire/PeerFilter.java
+++ b/wire/src/main/java/milletyoke/wire/PeerFilter.java
@@ -15,8 +15,8 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * The last filter of the chain: creates the {@link PeerConnection} of each connection and hands
- * frames to it. Runs on I/O threads.
+ * The last filter of the chain: creates the {@link PeerConnection} of each connection and passes
+ * received frames to it. Runs on I/O threads.
  */
 final class PeerFilter extends BaseFilter {
     private static final Attribute<PeerConnection> PEER =
@@ -92,7 +92,7 @@
     public void exceptionOccurred(FilterChainContext context, Throwable cause) {
         PeerConnection peer = peerOf(context.getConnection());
         if (peer != null) {
-            peer.close("reading failed: " + cause);
+            peer.close("read failed: " + cause);
         }
     }
 }
--- a/wire/src/main/java/milletyoke/wire/SocketEnvironment.java
+++ b/wire/src/main/java/milletyoke/wire/SocketEnvironment.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The environment in service: this machine's clocks and sockets, and a thread of its own for every
- * event loop. Stateless.
+ * The production environment: uses the clocks and sockets of this machine, and runs every event
+ * loop on a thread of its own. Stateless.
  */
 public final class SocketEnvironment implements ExecutionEnvironment {
     private static final long MICROS_PER_MILLI = 1_000;
--- a/wire/src/main/java/milletyoke/wire/SocketNetwork.java
+++ b/wire/src/main/java/milletyoke/wire/SocketNetwork.java
@@ -26,14 +26,14 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * One participant's sockets: its listening addresses, its connections, the I/O threads that serve
- * them and one thread that closes connections after a timeout.
+ * Manages one participant's sockets: listening addresses, connections, the I/O threads that serve
+ * them, and one thread that closes connections after a timeout.
  */
 public final class SocketNetwork implements Network {
-    /** How long {@link #close} waits until frames sent before have been written. */
+    /** Maximum time that {@link #close} waits for earlier frames to be written. */
     private static final long CLOSE_FLUSH_TIMEOUT_MICROS = 1_000_000;
 
-    /** Connections of one participant; further ones are closed on accept. */
+    /** Maximum number of connections of one participant; further ones are closed on accept. */
     private static final int DEFAULT_MAX_CONNECTIONS = 16_384;
 
     private static final String SHUTTING_DOWN = "shutting down";
@@ -51,9 +51,9 @@
     /**
      * Starts the I/O threads.
      *
-     * @param name what this participant calls itself in its hellos
-     * @param threads I/O threads
-     * @throws IOException where the transport cannot be started
+     * @param name the participant's name in its hellos
+     * @param threads number of I/O threads
+     * @throws IOException if the transport cannot be started
      */
     public SocketNetwork(String name, int threads, FrameObserver observer) throws IOException {
         this(name, threads, observer, DEFAULT_MAX_CONNECTIONS);
@@ -62,8 +62,9 @@
     /**
      * Starts the I/O threads, with a limit on connections.
      *
-     * @param maxConnections connections at once; a further incoming one is closed on accept
-     * @throws IOException where the transport cannot be started
+     * @param maxConnections maximum number of open connections; further incoming ones are closed on
+     *     accept
+     * @throws IOException if the transport cannot be started
      */
     public SocketNetwork(String name, int threads, FrameObserver observer, int maxConnections)
             throws IOException {
@@ -105,7 +106,7 @@
         return thread;
     }
 
-    /** The monotonic clock of this process, in microseconds. */
+    /** Returns the time of this process's monotonic clock in microseconds. */
     public static long monotonicMicros() {
         return System.nanoTime() / 1000;
     }
@@ -118,9 +119,9 @@
             TCPNIOServerConnection server =
                     binder(role, listener, limits).bind(new InetSocketAddress(host, port));
             return new BoundListener(this, server);
-        } catch (IOException failed) {
+        } catch (IOException cause) {
             throw new IOException(
-                    "cannot listen at " + host + ":" + port + ": " + failed.getMessage(), failed);
+                    "cannot listen at " + host + ":" + port + ": " + cause.getMessage(), cause);
         }
     }
 
@@ -159,7 +160,7 @@
 
                     @Override
                     public void cancelled() {
-                        onFailure.accept("given up");
+                        onFailure.accept("cancelled");
                     }
                 });
         return attempt;
@@ -173,7 +174,10 @@
                 .build();
     }
 
-    /** Bounds memory and file handles against peers that open connections without end. */
+    /**
+     * Returns whether the limit on connections is reached. The limit protects memory and file
+     * descriptors against peers that open connections without bound.
+     */
     boolean isFull() {
         return peers.size() >= maxConnections;
     }
@@ -219,11 +223,11 @@
         try {
             transport.shutdownNow();
         } catch (IOException | RuntimeException ignored) {
-            // the sockets are closed; there is nothing left to release
+            // the sockets are closed even so; nothing else needs to be released
         }
     }
 
-    /** A connection that is being established and may be cancelled meanwhile. */
+    /** A connection that is being established and may be cancelled. */
     private static final class PendingConnect implements Network.ConnectAttempt {
         private Connection<?> connection;
         private boolean isCancelled;
@@ -244,7 +248,7 @@
         }
     }
 
-    /** A bound address. */
+    /** A bound address that accepts connections. */
     private record BoundListener(SocketNetwork network, TCPNIOServerConnection server)
             implements Network.Listener {
         @Override
--- a/wire/src/main/java/milletyoke/wire/SocketPeerConnection.java
+++ b/wire/src/main/java/milletyoke/wire/SocketPeerConnection.java
@@ -52,7 +52,7 @@
                     @Override
                     public void failed(Throwable cause) {
                         onWritten(size);
-                        close("writing failed: " + cause.getMessage());
+                        close("write failed: " + cause.getMessage());
                     }
                 });
     }
@@ -68,7 +68,7 @@
             ((SocketChannel) ((NIOConnection) connection).getChannel())
                     .setOption(StandardSocketOptions.SO_LINGER, 0);
         } catch (IOException | RuntimeException alreadyClosed) {
-            // it is closed below in any case
+            // the connection is closed below in any case
         }
         connection.terminateSilently();
     }
--- a/wire/src/main/java/milletyoke/wire/capture/CaptureWriter.java
+++ b/wire/src/main/java/milletyoke/wire/capture/CaptureWriter.java
@@ -15,24 +15,27 @@
 import milletyoke.wire.proto.Request;
 
 /**
- * Writes captured traffic in blocks. I/O threads only add to a block in memory; another thread
- * writes it. Where {@value #MAX_PENDING_REQUESTS} requests wait for the disk, or too many
- * characters of names, further requests are omitted and counted: a capture never delays requests,
- * and peers that never use a name twice cannot make it use memory without bound. Idempotency keys
- * and payloads are not recorded, only the size of a payload.
+ * Writes a traffic capture in blocks. I/O threads only add to a block in memory; another thread
+ * writes it. While {@value #MAX_PENDING_REQUESTS} requests or {@value #MAX_PENDING_NAME_CHARS}
+ * characters of new names wait for the disk, further requests are omitted and counted. A capture
+ * thus never delays requests, and peers that never use a name twice cannot make it use unbounded
+ * memory. Idempotency keys and payloads are not recorded, only the size of a payload.
  */
 public final class CaptureWriter implements AutoCloseable {
     static final byte[] MAGIC = "MYTRAFF1".getBytes(StandardCharsets.US_ASCII);
     private static final int MAX_PENDING_REQUESTS = 200_000;
 
-    /** Characters of new names in the pending block. */
+    /** Maximum number of characters of new names in the pending block. */
     private static final int MAX_PENDING_NAME_CHARS = 8 << 20;
 
-    /** Characters of names that have a number; beyond, a name gets a new number each time. */
+    /**
+     * Maximum number of characters of names whose numbers are kept; a name beyond this limit gets a
+     * new number at each use.
+     */
     private static final int MAX_KNOWN_NAME_CHARS = 16 << 20;
 
     private final DataOutputStream out;
-    private final Map<String, Integer> names = new HashMap<>();
+    private final Map<String, Integer> nameIndices = new HashMap<>();
     private Block.Builder block;
     private long lastMicros;
     private int nextNameIndex = 1;
@@ -43,15 +46,16 @@
     /**
      * Creates the file.
      *
-     * @param nowMicros the start of the capture
-     * @throws IOException where the file cannot be created or exists already: no capture is
+     * @param initiator the name of the initiator that receives the traffic
+     * @param nowMicros the start time of the capture
+     * @throws IOException if the file cannot be created or already exists, since no capture is
      *     overwritten
      */
     public CaptureWriter(Path file, String initiator, long nowMicros) throws IOException {
-        OutputStream raw =
+        OutputStream fileOut =
                 Files.newOutputStream(
                         file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
-        out = new DataOutputStream(raw);
+        out = new DataOutputStream(fileOut);
         out.write(MAGIC);
         block = Block.newBuilder().setInitiator(initiator);
         lastMicros = nowMicros;
@@ -60,7 +64,7 @@
     /**
      * Records a request. Called on I/O threads; does not wait for the disk.
      *
-     * @param nowMicros on one clock for all calls and the constructor
+     * @param nowMicros the current time, on the same clock in all calls and the constructor
      */
     public synchronized void record(long nowMicros, Request request) {
         if (block.getRequestCount() >= MAX_PENDING_REQUESTS
@@ -89,13 +93,13 @@
         if (name.isEmpty()) {
             return 0;
         }
-        Integer known = names.get(name);
-        if (known != null) {
-            return known;
+        Integer knownIndex = nameIndices.get(name);
+        if (knownIndex != null) {
+            return knownIndex;
         }
         if (knownNameChars < MAX_KNOWN_NAME_CHARS) {
             knownNameChars += name.length();
-            names.put(name, nextNameIndex);
+            nameIndices.put(name, nextNameIndex);
         }
         pendingNameChars += name.length();
         block.addName(name);
@@ -103,17 +107,17 @@
     }
 
     /**
-     * Writes the pending block. Waits for the disk, so not to be called on an I/O thread.
+     * Writes the pending block. Waits for the disk, so it must not be called on an I/O thread.
      *
-     * @throws IOException where the block cannot be written; nothing is written afterwards
+     * @throws IOException if the block cannot be written; no further block is written afterwards
      */
     public void flush() throws IOException {
         synchronized (out) { // one block at a time
-            write();
+            writePendingBlock();
         }
     }
 
-    private void write() throws IOException {
+    private void writePendingBlock() throws IOException {
         Block pending;
         synchronized (this) {
             if (failure != null || isEmpty(block)) {
@@ -133,7 +137,7 @@
             out.flush();
         } catch (IOException cause) {
             synchronized (this) {
-                failure = cause; // a later block would refer to names of the lost one
+                failure = cause; // later blocks would refer to names in the lost block
             }
             throw cause;
         }
--- a/wire/src/main/java/milletyoke/wire/capture/CapturedTraffic.java
+++ b/wire/src/main/java/milletyoke/wire/capture/CapturedTraffic.java
@@ -16,12 +16,13 @@
 import milletyoke.wire.capture.proto.RequestRecord;
 
 /**
- * Captured traffic of one initiator, read whole.
+ * The complete contents of one initiator's traffic capture.
  *
- * @param initiator its name
- * @param requests in the order of their arrival
- * @param omitted requests that were received and are not in the capture
- * @param complete false where the end was cut off or damaged; what precedes it is used
+ * @param initiator the name of the initiator
+ * @param requests the captured requests, in the order of their arrival
+ * @param omitted number of requests that were received but not captured
+ * @param complete false if the end of the file is truncated or damaged; the preceding blocks are
+ *     used
  */
 public record CapturedTraffic(
         String initiator, List<CapturedRequest> requests, long omitted, boolean complete) {
@@ -29,10 +30,10 @@
     private static final int BUFFER_BYTES = 1 << 16;
 
     /**
-     * One request.
+     * A captured request.
      *
-     * @param atMicros microseconds since the capture began
-     * @param shard -1 for a new object
+     * @param atMicros arrival time in microseconds since the start of the capture
+     * @param shard the shard, or -1 for a new object
      */
     public record CapturedRequest(
             long atMicros,
@@ -50,15 +51,16 @@
     /**
      * Reads a capture.
      *
-     * @throws IOException where the file is no capture of a known version, or a complete block is
-     *     inconsistent
+     * @throws IOException if the file is not a capture of a supported version, or an intact block
+     *     refers to an undefined name
      */
     public static CapturedTraffic read(Path file) throws IOException {
-        InputStream raw = Files.newInputStream(file);
-        try (DataInputStream in = new DataInputStream(new BufferedInputStream(raw, BUFFER_BYTES))) {
+        InputStream fileIn = Files.newInputStream(file);
+        try (DataInputStream in =
+                new DataInputStream(new BufferedInputStream(fileIn, BUFFER_BYTES))) {
             byte[] magic = in.readNBytes(CaptureWriter.MAGIC.length);
             if (!Arrays.equals(magic, CaptureWriter.MAGIC)) {
-                throw new IOException(file + ": not captured traffic of version 1");
+                throw new IOException(file + ": not a traffic capture of version 1");
             }
             Reader reader = new Reader(file);
             boolean isComplete = reader.readBlocks(in);
@@ -67,7 +69,7 @@
         }
     }
 
-    /** What has been read of a file so far. */
+    /** Collects the contents of the blocks read so far. */
     private static final class Reader {
         private final Path file;
         private final List<String> names = new ArrayList<>(List.of(""));
@@ -80,9 +82,9 @@
             this.file = file;
         }
 
-        /** Reads up to the end or the first damaged block; whether it was the end. */
+        /** Reads up to the end of the file or the first damaged block; returns false if damaged. */
         boolean readBlocks(DataInputStream in) throws IOException {
-            for (int number = 0; ; number++) {
+            for (int blockNumber = 0; ; blockNumber++) {
                 Block block;
                 try {
                     block = readBlock(in);
@@ -92,12 +94,12 @@
                 if (block == null) {
                     return true;
                 }
-                add(block, number);
+                add(block, blockNumber);
             }
         }
 
-        private void add(Block block, int number) throws IOException {
-            initiator = number == 0 ? block.getInitiator() : initiator;
+        private void add(Block block, int blockNumber) throws IOException {
+            initiator = blockNumber == 0 ? block.getInitiator() : initiator;
             names.addAll(block.getNameList());
             omitted += block.getOmittedCount();
             for (RequestRecord record : block.getRequestList()) {
@@ -105,10 +107,10 @@
                 requests.add(
                         new CapturedRequest(
                                 atMicros,
-                                name(record.getVolume(), number),
-                                name(record.getPlan(), number),
-                                name(record.getRequestClass(), number),
-                                name(record.getExtent(), number),
+                                name(record.getVolume(), blockNumber),
+                                name(record.getPlan(), blockNumber),
+                                name(record.getRequestClass(), blockNumber),
+                                name(record.getExtent(), blockNumber),
                                 record.getShard() - 1,
                                 record.getInitiatorCount(),
                                 record.getUnits(),
@@ -118,15 +120,15 @@
             }
         }
 
-        private String name(int index, int block) throws IOException {
+        private String name(int index, int blockNumber) throws IOException {
             if (index < 0 || index >= names.size()) {
                 throw new IOException(
                         file
                                 + ": block "
-                                + block
-                                + " names what was never told, number "
+                                + blockNumber
+                                + " refers to undefined name number "
                                 + Integer.toUnsignedString(index)
-                                + " of "
+                                + ", number of names: "
                                 + names.size());
             }
             return names.get(index);
@@ -134,16 +136,16 @@
     }
 
     /**
-     * Reads one block; null at the end of the file.
+     * Reads one block; returns null at the end of the file.
      *
-     * @throws EOFException where the block is cut off or fails its checksum
+     * @throws EOFException if the block is truncated, has an invalid length or fails its checksum
      */
     private static Block readBlock(DataInputStream in) throws IOException {
-        int first = in.read();
-        if (first < 0) {
+        int firstByte = in.read();
+        if (firstByte < 0) {
             return null;
         }
-        int length = first << 24 | in.readUnsignedByte() << 16 | in.readUnsignedShort();
+        int length = firstByte << 24 | in.readUnsignedByte() << 16 | in.readUnsignedShort();
         if (length < 0 || length > MAX_BLOCK_BYTES) {
             throw new EOFException();
         }
--- a/wire/src/main/java/milletyoke/wire/capture/package-info.java
+++ b/wire/src/main/java/milletyoke/wire/capture/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Captured traffic: the requests that one initiator received, without their payloads, in a compact
- * file that can be replayed.
+ * Reads and writes traffic captures: the requests that one initiator received, without their
+ * payloads, in a compact file for replay.
  *
  * <p>I/O threads add requests to a block in memory; a background thread of the owner writes blocks.
  */
--- a/wire/src/main/java/milletyoke/wire/recording/Recorder.java
+++ b/wire/src/main/java/milletyoke/wire/recording/Recorder.java
@@ -28,9 +28,9 @@
 import milletyoke.wire.proto.Response;
 
 /**
- * Writes the frames that the ends of connections sent and received to a file, without payloads, in
- * the order of the observers' calls. Nothing is dropped: where the disk is slower than the sockets,
- * observers block. One writer thread for each recorder.
+ * Writes the frames that participants sent and received to a file, without payloads, in the order
+ * of the observers' calls. No record is dropped: if the disk is slower than the sockets, observers
+ * block. Each recorder has one writer thread.
  */
 public final class Recorder implements AutoCloseable {
     private static final int QUEUE_CAPACITY = 1 << 16;
@@ -48,28 +48,28 @@
     /**
      * Creates or overwrites a file and starts the writer thread.
      *
-     * @param clock monotonic, in microseconds, of the environment that is recorded
-     * @throws IOException where the file cannot be opened
+     * @param clock the monotonic clock of the recorded environment, in microseconds
+     * @throws IOException if the file cannot be opened
      */
     public Recorder(Path file, LongSupplier clock) throws IOException {
         this.clock = clock;
         out = new BufferedOutputStream(Files.newOutputStream(file), BUFFER_BYTES);
-        writer = new Thread(this::write, "recorder");
+        writer = new Thread(this::writeRecords, "recorder");
         writer.setDaemon(true);
         writer.start();
     }
 
-    /** An observer that records a participant's frames under the given name. */
-    public FrameObserver observer(String observer) {
-        return (peer, direction, frame) -> recordFrame(observer, peer, direction, frame);
+    /** Returns an observer that records a participant's frames under the participant's name. */
+    public FrameObserver observer(String participant) {
+        return (peer, direction, frame) -> recordFrame(participant, peer, direction, frame);
     }
 
     private void recordFrame(
-            String observer, PeerConnection peer, Direction direction, Frame frame) {
+            String participant, PeerConnection peer, Direction direction, Frame frame) {
         Record.Builder record =
                 Record.newBuilder()
                         .setAtMicros(clock.getAsLong())
-                        .setObserver(observer)
+                        .setObserver(participant)
                         .setPeer(peer.name())
                         .setConnection(peer.id())
                         .setDirection(direction);
@@ -93,40 +93,40 @@
         if (request.getPayload().isEmpty()) {
             return frame;
         }
-        Request.Builder bare = request.toBuilder().setPayload(ByteString.EMPTY);
-        return frame.toBuilder().setRequest(bare).build();
+        Request.Builder stripped = request.toBuilder().setPayload(ByteString.EMPTY);
+        return frame.toBuilder().setRequest(stripped).build();
     }
 
     private static Frame withoutPayload(Frame frame, Attempt attempt) {
         if (attempt.getPayload().isEmpty()) {
             return frame;
         }
-        Attempt.Builder bare = attempt.toBuilder().setPayload(ByteString.EMPTY);
-        return frame.toBuilder().setAttempt(bare).build();
+        Attempt.Builder stripped = attempt.toBuilder().setPayload(ByteString.EMPTY);
+        return frame.toBuilder().setAttempt(stripped).build();
     }
 
     private static Frame withoutPayload(Frame frame, Response response) {
         if (response.getPayload().isEmpty()) {
             return frame;
         }
-        Response.Builder bare = response.toBuilder().setPayload(ByteString.EMPTY);
-        return frame.toBuilder().setResponse(bare).build();
+        Response.Builder stripped = response.toBuilder().setPayload(ByteString.EMPTY);
+        return frame.toBuilder().setResponse(stripped).build();
     }
 
     private static Frame withoutPayload(Frame frame, AttemptReply reply) {
         if (reply.getPayload().isEmpty()) {
             return frame;
         }
-        AttemptReply.Builder bare = reply.toBuilder().setPayload(ByteString.EMPTY);
-        return frame.toBuilder().setAttemptReply(bare).build();
+        AttemptReply.Builder stripped = reply.toBuilder().setPayload(ByteString.EMPTY);
+        return frame.toBuilder().setAttemptReply(stripped).build();
     }
 
-    /** Records an event of a participant that is no frame, such as its start. */
-    public void note(String observer, Note.Kind kind, String text, double value) {
+    /** Records an event of a participant other than a frame, such as its start. */
+    public void note(String participant, Note.Kind kind, String text, double value) {
         put(
                 Record.newBuilder()
                         .setAtMicros(clock.getAsLong())
-                        .setObserver(observer)
+                        .setObserver(participant)
                         .setNote(Note.newBuilder().setKind(kind).setText(text).setFigure(value))
                         .build());
     }
@@ -142,8 +142,8 @@
         }
     }
 
-    @SuppressWarnings("ReferenceEquality") // END is a marker, not a value
-    private void write() {
+    @SuppressWarnings("ReferenceEquality") // END is compared by identity
+    private void writeRecords() {
         try (out) {
             for (Record record = queue.take(); record != END; record = queue.take()) {
                 record.writeDelimitedTo(out);
@@ -157,16 +157,16 @@
     }
 
     /**
-     * Writes what is queued and closes the file.
+     * Writes all queued records and closes the file.
      *
-     * @throws IOException where any record could not be written: the recording is incomplete then
+     * @throws IOException if a record could not be written, so that the recording is incomplete
      */
     @Override
     public void close() throws IOException {
         try {
             while (failure == null
                     && !queue.offer(END, OFFER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
-                // the queue is full; the writer makes room or fails
+                // the queue is full until the writer removes records or fails
             }
             writer.join(WRITER_JOIN_MILLIS);
         } catch (InterruptedException interrupted) {
@@ -178,22 +178,24 @@
     }
 
     /**
-     * Reads a recording record by record. A record that is cut off at the end, as after a kill of
-     * the writing process, ends the reading without an error.
+     * Passes the records of a recording to a consumer, one by one. A truncated last record, as left
+     * by a killed process, ends the recording without an error.
      *
-     * @throws IOException where the file cannot be read or is no recording
+     * @throws IOException if the file cannot be read or is not a recording
      */
     public static void read(Path file, Consumer<Record> consumer) throws IOException {
         try (InputStream in = new BufferedInputStream(Files.newInputStream(file), BUFFER_BYTES)) {
-            for (Record record = next(in, file); record != null; record = next(in, file)) {
+            for (Record record = readRecord(in, file);
+                    record != null;
+                    record = readRecord(in, file)) {
                 consumer.accept(record);
             }
-        } catch (UncheckedIOException failedConsumer) {
-            throw failedConsumer.getCause();
+        } catch (UncheckedIOException fromConsumer) {
+            throw fromConsumer.getCause();
         }
     }
 
-    private static Record next(InputStream in, Path file) throws IOException {
+    private static Record readRecord(InputStream in, Path file) throws IOException {
         try {
             return Record.parseDelimitedFrom(in);
         } catch (InvalidProtocolBufferException malformed) {
@@ -206,13 +208,13 @@
     }
 
     /**
-     * Reads a whole recording into memory.
+     * Reads an entire recording into memory.
      *
-     * @throws IOException as {@link #read}
+     * @throws IOException as for {@link #read}
      */
     public static List<Record> readAll(Path file) throws IOException {
-        List<Record> all = new ArrayList<>();
-        read(file, all::add);
-        return all;
+        List<Record> records = new ArrayList<>();
+        read(file, records::add);
+        return records;
     }
 }
--- a/wire/src/main/java/milletyoke/wire/recording/package-info.java
+++ b/wire/src/main/java/milletyoke/wire/recording/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Recordings of the frames that the ends of connections sent and received, for the audit.
+ * Reads and writes recordings of the frames that participants sent and received, for the audit.
  *
- * <p>Observers are called on the threads that send and receive; one writer thread for each recorder
+ * <p>Observers are called on the threads that send and receive. Each recorder has one thread that
  * writes the file.
  */
 package milletyoke.wire.recording;
--- a/wire/src/test/java/milletyoke/wire/CaptureTest.java
+++ b/wire/src/test/java/milletyoke/wire/CaptureTest.java
@@ -21,15 +21,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Captured traffic is read as it was written, up to where a kill or a bad disk cut it off. */
+/**
+ * Tests that a traffic capture is read as written, up to the point where it is truncated or
+ * damaged.
+ */
 class CaptureTest {
     @TempDir Path folder;
 
-    private Path writeCapture(int blocks, int requestsPerBlock) throws IOException {
-        Path file = folder.resolve("traffic" + blocks);
+    private Path writeCapture(int blockCount, int requestsPerBlock) throws IOException {
+        Path file = folder.resolve("traffic" + blockCount);
         SplittableRandom random = new SplittableRandom(9);
         try (CaptureWriter writer = new CaptureWriter(file, "i-1", 5_000)) {
-            for (int b = 0; b < blocks; b++) {
+            for (int block = 0; block < blockCount; block++) {
                 for (int n = 0; n < requestsPerBlock; n++) {
                     Request.Builder request =
                             Request.newBuilder()
@@ -41,7 +44,7 @@
                                     .setTimeLeftMicros(100 + n)
                                     .setPayload(ByteString.copyFrom(new byte[n]));
                     writer.record(
-                            5_000 + b * 1_000L + n,
+                            5_000 + block * 1_000L + n,
                             n % 3 == 0
                                     ? request.build()
                                     : request.setShard(n).setExtent("x" + n).build());
@@ -58,16 +61,16 @@
         assertEquals("i-1", traffic.initiator());
         assertTrue(traffic.complete());
         assertEquals(150, traffic.requests().size());
-        CapturedTraffic.CapturedRequest one = traffic.requests().get(101);
-        assertEquals(2_001, one.atMicros());
-        assertEquals(1, one.shard());
-        assertEquals("x1", one.extent());
-        assertEquals(1, one.payloadBytes());
+        CapturedTraffic.CapturedRequest request = traffic.requests().get(101);
+        assertEquals(2_001, request.atMicros());
+        assertEquals(1, request.shard());
+        assertEquals("x1", request.extent());
+        assertEquals(1, request.payloadBytes());
         assertEquals(-1, traffic.requests().get(100).shard());
         assertEquals("", traffic.requests().get(100).extent());
     }
 
-    /** Peers that invent long names cannot make the writer use memory without bound. */
+    /** Peers that send many long names cannot make the writer use unbounded memory. */
     @Test
     void requestsOverTheNameLimitAreOmittedAndCounted() throws IOException {
         Path file = folder.resolve("long");
@@ -87,17 +90,20 @@
         assertEquals(requestCount, traffic.requests().size() + traffic.omitted());
         assertTrue(
                 traffic.omitted() > requestCount / 2 && Files.size(file) < 9 << 20,
-                "8 MiB of names wait at the most");
+                "at most 8 MiB of names are pending");
     }
 
     @Test
     void aTruncatedFileEndsWithACompleteBlock() throws IOException {
-        byte[] all = Files.readAllBytes(writeCapture(4, 20));
-        for (int length = 8; length < all.length; length++) {
-            Path cut = folder.resolve("cut");
-            Files.write(cut, Arrays.copyOf(all, length));
-            CapturedTraffic traffic = CapturedTraffic.read(cut);
-            assertEquals(0, traffic.requests().size() % 20, "blocks are complete or absent");
+        byte[] intactBytes = Files.readAllBytes(writeCapture(4, 20));
+        for (int length = 8; length < intactBytes.length; length++) {
+            Path truncated = folder.resolve("truncated");
+            Files.write(truncated, Arrays.copyOf(intactBytes, length));
+            CapturedTraffic traffic = CapturedTraffic.read(truncated);
+            assertEquals(
+                    0,
+                    traffic.requests().size() % 20,
+                    "each block is read completely or not at all");
             assertTrue(traffic.requests().size() < 80);
         }
     }
@@ -105,10 +111,10 @@
     @Test
     void aFlippedBitIsDetected() throws IOException {
         Path file = writeCapture(2, 20);
-        byte[] all = Files.readAllBytes(file);
+        byte[] intactBytes = Files.readAllBytes(file);
         CapturedTraffic intact = CapturedTraffic.read(file);
-        for (int at = 8; at < all.length; at++) {
-            byte[] damaged = all.clone();
+        for (int at = 8; at < intactBytes.length; at++) {
+            byte[] damaged = intactBytes.clone();
             damaged[at] = (byte) (damaged[at] ^ (1 << (at % 8)));
             Files.write(folder.resolve("damaged"), damaged);
             CapturedTraffic traffic = CapturedTraffic.read(folder.resolve("damaged"));
@@ -125,7 +131,7 @@
                 "an existing capture is not overwritten");
     }
 
-    /** A capture as version 1 wrote it before the names of the format's messages were changed. */
+    /** Reads a version 1 capture written before the messages of the format were renamed. */
     @Test
     void readsACaptureOfAnEarlierBuild() throws IOException {
         Path file = folder.resolve("earlier");
--- a/wire/src/test/java/milletyoke/wire/SocketNetworkTest.java
+++ b/wire/src/test/java/milletyoke/wire/SocketNetworkTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The connection limit and the order of enqueued frames, over loopback sockets. */
+/** Tests the connection limit and the order of enqueued frames, over loopback sockets. */
 @Timeout(30)
 class SocketNetworkTest implements PeerListener {
     @Override
@@ -36,7 +36,7 @@
     private static boolean receivesHello(Socket socket) throws Exception {
         socket.setSoTimeout(5_000);
         try {
-            return socket.getInputStream().read() >= 0; // the first byte of a hello, or the end
+            return socket.getInputStream().read() >= 0; // first byte of the hello, or end of input
         } catch (SocketException reset) {
             return false;
         }
@@ -64,34 +64,35 @@
                     isAcceptedAgain = receivesHello(next);
                 }
             }
-            assertTrue(isAcceptedAgain, "a closed connection makes room for another");
+            assertTrue(isAcceptedAgain, "a new connection is accepted after another was closed");
             open.get(1).close();
         }
     }
 
-    /** No enqueued frame is lost, changed or reordered, whatever the sizes of the frames. */
+    /** Enqueued frames of any size are neither lost nor changed nor reordered. */
     @Test
     void enqueuedFramesArriveCompleteAndInOrder() throws Exception {
         RecordingListener receiver = new RecordingListener();
         RecordingListener sender = new RecordingListener();
-        FrameLimits wide = new FrameLimits(1 << 20, 1L << 30, 5_000_000, 0);
+        FrameLimits highLimits = new FrameLimits(1 << 20, 1L << 30, 5_000_000, 0);
         try (SocketNetwork server = new SocketNetwork("server", 1, FrameObserver.NONE, 4);
                 SocketNetwork client = new SocketNetwork("client", 1, FrameObserver.NONE, 4)) {
-            int port = server.listen("127.0.0.1", 0, Role.INITIATOR, receiver, wide).port();
-            client.connect("127.0.0.1", port, Role.CLIENT, sender, wide, reason -> {});
+            int port = server.listen("127.0.0.1", 0, Role.INITIATOR, receiver, highLimits).port();
+            client.connect("127.0.0.1", port, Role.CLIENT, sender, highLimits, reason -> {});
             PeerConnection peer = sender.ready.poll(5, TimeUnit.SECONDS);
-            assertTrue(peer != null, "connected");
+            assertTrue(peer != null, "the connection is ready");
             for (Frame expected : sendFrames(peer, 5_000)) {
                 assertEquals(expected, receiver.frames.poll(10, TimeUnit.SECONDS));
             }
             for (int i = 0; i < 500 && peer.unsentBytes() > 0; i++) {
                 Thread.sleep(10);
             }
-            assertEquals(0, peer.unsentBytes(), "all bytes were counted as written");
+            assertEquals(
+                    0, peer.unsentBytes(), "no bytes are pending after all frames were written");
         }
     }
 
-    /** Enqueues frames of random sizes, sends some of them directly and flushes now and then. */
+    /** Enqueues frames of random sizes, sends some directly instead and flushes at random times. */
     private static List<Frame> sendFrames(PeerConnection peer, int count) {
         SplittableRandom random = new SplittableRandom(1);
         List<Frame> sent = new ArrayList<>();
