--- a/wire/src/main/java/milletyoke/wire/FrameFilter.java
+++ b/wire/src/main/java/milletyoke/wire/FrameFilter.java
@@ -60,11 +60,11 @@
     }
 
     private static String tooLong(int length, int maxFrameBytes) {
-        return "a frame of "
+        return "frame of "
                 + Integer.toUnsignedString(length)
-                + " bytes is announced, "
+                + " bytes exceeds the limit of "
                 + maxFrameBytes
-                + " are the most";
+                + " bytes";
     }
 
     /**
