--- a/lifecycle/src/main/java/milletyoke/admission/Admission.java
+++ b/lifecycle/src/main/java/milletyoke/admission/Admission.java
@@ -4,29 +4,30 @@
 import java.util.Map;
 
 /**
- * Decides which requests get an admission slot. Slots and payload bytes are bounded for the whole
- * process and for each connection, and for each volume by a bound that moves: a volume may hold at
- * most {@code volumeShareFactor} times what is free (the dynamic threshold of Choudhury and Hahne,
- * IEEE/ACM Transactions on Networking 6(2), 1998). With factor f, one volume's flood takes at most
- * f/(1+f) of the slots, n floods together leave 1/(1+n·f) free, and a volume that holds little
- * finds a slot whenever there is one.
+ * Decides which requests get an admission slot. Slots and payload bytes are limited for the whole
+ * process, for each connection, and for each volume. The limit for volumes is dynamic: a volume may
+ * hold at most {@code volumeShareFactor} times the free capacity (the dynamic threshold of
+ * Choudhury and Hahne, IEEE/ACM Transactions on Networking 6(2), 1998). With factor f, a flood of
+ * one volume takes at most f/(1+f) of the slots, floods of n volumes together leave 1/(1+n·f) free,
+ * and a volume that holds few slots gets another whenever one is free.
  *
- * <p>Knows no clock and no I/O. Not thread-safe: the caller serializes the calls.
+ * <p>Does not read a clock or perform I/O. Not thread-safe: the caller serializes the calls.
  */
 public final class Admission {
-    /** Weight of the newest stay in the moving average. */
-    private static final double MEAN_STAY_SMOOTHING = 1.0 / 64;
+    /** Weight of the latest hold time in the moving average. */
+    private static final double MEAN_HOLD_SMOOTHING = 1.0 / 64;
 
     private static final long MIN_RETRY_AFTER_MICROS = 1_000;
 
     /**
-     * The capacity to be shared.
+     * The total capacity and its shares.
      *
-     * @param slots requests admitted at once, from 1
-     * @param bytes of their payloads, from 1
-     * @param connectionShare of both for one connection, over 0 to 1
-     * @param volumeShareFactor how many times the free capacity one volume may hold, from 1
-     * @param maxRetryAfterMicros the longest time that a rejection suggests
+     * @param slots maximum number of admitted requests, at least 1
+     * @param bytes maximum number of payload bytes of admitted requests, at least 1
+     * @param connectionShare share of both that one connection may hold, greater than 0 and at most
+     *     1
+     * @param volumeShareFactor multiple of the free capacity that one volume may hold, at least 1
+     * @param maxRetryAfterMicros maximum retry delay that a rejection suggests
      */
     public record CapacityLimits(
             int slots,
@@ -34,7 +35,7 @@
             double connectionShare,
             double volumeShareFactor,
             long maxRetryAfterMicros) {
-        /** Checks the limits. */
+        /** Validates the limits. */
         public CapacityLimits {
             if (slots < 1
                     || bytes < 1
@@ -42,53 +43,55 @@
                     || !(volumeShareFactor >= 1)
                     || maxRetryAfterMicros < 0) {
                 throw new IllegalArgumentException(
-                        "expected slots and bytes from 1, a connection share over 0 to 1, a volume"
-                                + " share factor from 1 and a retry time from 0, not "
+                        "slots, bytes and volumeShareFactor must be at least 1, connectionShare"
+                                + " greater than 0 and at most 1, maxRetryAfterMicros at least 0:"
+                                + " slots="
                                 + slots
-                                + ", "
+                                + ", bytes="
                                 + bytes
-                                + ", "
+                                + ", connectionShare="
                                 + connectionShare
-                                + ", "
+                                + ", volumeShareFactor="
                                 + volumeShareFactor
-                                + ", "
+                                + ", maxRetryAfterMicros="
                                 + maxRetryAfterMicros);
             }
         }
     }
 
-    /** Which bound left no slot. */
+    /** The limit for which a request was rejected. */
     public enum CapacityBound {
-        /** None: the request is admitted. */
+        /** No limit: the request is admitted. */
         NONE,
         /** The slots of the process. */
-        DAEMON_PLACES,
+        PROCESS_SLOTS,
         /** The payload bytes of the process. */
-        DAEMON_BYTES,
-        /** The connection's share. */
+        PROCESS_BYTES,
+        /** The connection's share of slots or bytes. */
         CONNECTION,
-        /** The volume's share. */
+        /** The volume's share of slots or bytes. */
         VOLUME,
-        /** The number of volumes in use. */
+        /** The number of volume names in use. */
         NAMES
     }
 
     /**
-     * The answer to one request.
+     * The decision on one request.
      *
-     * @param bound NONE where it is admitted
-     * @param retryAfterMicros after which a slot is likely, 0 where it is admitted
+     * @param bound the exceeded limit; NONE if the request is admitted
+     * @param retryAfterMicros suggested delay after which a slot is likely to be free; 0 if the
+     *     request is admitted
      */
     public record Verdict(CapacityBound bound, long retryAfterMicros) {
         private static final Verdict ADMITTED = new Verdict(CapacityBound.NONE, 0);
 
-        /** Whether the request has its slot. */
+        /** Returns whether the request is admitted. */
         public boolean admitted() {
             return bound == CapacityBound.NONE;
         }
     }
 
-    /** What one holder has acquired. */
+    /** The slots and bytes held by a connection, by a volume or in total. */
     private static final class Usage {
         private int slots;
         private long bytes;
@@ -103,18 +106,18 @@
     private final Usage total = new Usage();
     private final Map<Integer, Usage> usageByConnection = new HashMap<>();
     private final Map<String, Usage> usageByVolume = new HashMap<>();
-    private double meanStayMicros;
+    private double meanHeldMicros;
 
-    /** Creates an admission with all its capacity free. */
+    /** Creates an admission with its entire capacity free. */
     public Admission(CapacityLimits limits) {
         this.limits = limits;
     }
 
-    /** Acquires a slot where there is one. */
+    /** Acquires a slot for a request unless a limit is exceeded. */
     public Verdict tryAcquire(int connection, String volume, long bytes) {
         CapacityBound bound = exceededBound(connection, volume, bytes);
         if (bound != CapacityBound.NONE) {
-            return new Verdict(bound, retryAfterMicros());
+            return new Verdict(bound, suggestedRetryAfterMicros());
         }
         total.add(1, bytes);
         usageByConnection.computeIfAbsent(connection, c -> new Usage()).add(1, bytes);
@@ -124,10 +127,10 @@
 
     private CapacityBound exceededBound(int connection, String volume, long bytes) {
         if (total.slots >= limits.slots()) {
-            return CapacityBound.DAEMON_PLACES;
+            return CapacityBound.PROCESS_SLOTS;
         }
         if (total.bytes + bytes > limits.bytes()) {
-            return CapacityBound.DAEMON_BYTES;
+            return CapacityBound.PROCESS_BYTES;
         }
         if (exceedsConnectionShare(usageByConnection.get(connection), bytes)) {
             return CapacityBound.CONNECTION;
@@ -159,68 +162,71 @@
     /**
      * Releases a slot.
      *
-     * @param stayMicros for how long it was held
-     * @throws IllegalStateException where no such slot is held: one that is released twice would
-     *     admit too many
+     * @param heldMicros time for which the slot was held
+     * @throws IllegalStateException if no such slot is held; releasing a slot twice would admit too
+     *     many requests
      */
-    public void release(int connection, String volume, long bytes, long stayMicros) {
-        Usage ofConnection = usageByConnection.get(connection);
-        Usage ofVolume = usageByVolume.get(volume);
-        if (ofConnection == null
-                || ofVolume == null
-                || ofVolume.bytes < bytes
-                || ofConnection.bytes < bytes) {
+    public void release(int connection, String volume, long bytes, long heldMicros) {
+        Usage connectionUsage = usageByConnection.get(connection);
+        Usage volumeUsage = usageByVolume.get(volume);
+        if (connectionUsage == null
+                || volumeUsage == null
+                || volumeUsage.bytes < bytes
+                || connectionUsage.bytes < bytes) {
             throw new IllegalStateException(
-                    "no slot of connection " + connection + " and volume " + volume + " is held");
+                    "no slot is held by connection " + connection + " and volume " + volume);
         }
         total.add(-1, -bytes);
-        ofConnection.add(-1, -bytes);
-        ofVolume.add(-1, -bytes);
-        if (ofConnection.slots == 0) {
+        connectionUsage.add(-1, -bytes);
+        volumeUsage.add(-1, -bytes);
+        if (connectionUsage.slots == 0) {
             usageByConnection.remove(connection);
         }
-        if (ofVolume.slots == 0) {
+        if (volumeUsage.slots == 0) {
             usageByVolume.remove(volume);
         }
-        updateMeanStay(stayMicros);
+        updateMeanHeld(heldMicros);
     }
 
-    private void updateMeanStay(long stayMicros) {
-        double weight = meanStayMicros == 0 ? 1 : MEAN_STAY_SMOOTHING;
-        meanStayMicros += (stayMicros - meanStayMicros) * weight;
+    private void updateMeanHeld(long heldMicros) {
+        double weight = meanHeldMicros == 0 ? 1 : MEAN_HOLD_SMOOTHING;
+        meanHeldMicros += (heldMicros - meanHeldMicros) * weight;
     }
 
-    /** Half the mean stay: slots become free one mean stay apart each. */
-    private long retryAfterMicros() {
-        long likelyMicros = Math.max(MIN_RETRY_AFTER_MICROS, (long) meanStayMicros / 2);
-        return Math.min(limits.maxRetryAfterMicros(), likelyMicros);
+    /**
+     * Returns half the mean hold time: the expected time until a slot in use is released, since
+     * each slot is released once per mean hold time.
+     */
+    private long suggestedRetryAfterMicros() {
+        long delayMicros = Math.max(MIN_RETRY_AFTER_MICROS, (long) meanHeldMicros / 2);
+        return Math.min(limits.maxRetryAfterMicros(), delayMicros);
     }
 
-    /** Slots in use. */
+    /** Returns the number of slots in use. */
     public int acquired() {
         return total.slots;
     }
 
-    /** Payload bytes of the requests that hold a slot. */
+    /** Returns the number of payload bytes of all admitted requests. */
     public long bytes() {
         return total.bytes;
     }
 
-    /** Slots that one volume holds. */
+    /** Returns the number of slots that a volume holds. */
     public int acquired(String volume) {
         Usage usage = usageByVolume.get(volume);
         return usage == null ? 0 : usage.slots;
     }
 
-    /** Connections and volumes that hold a slot: what memory is kept for. */
-    public int remembered() {
+    /** Returns the number of connections and volumes for which state is kept. */
+    public int trackedHolders() {
         return usageByConnection.size() + usageByVolume.size();
     }
 
-    /** The part of the slots or bytes in use, whichever is more, 0 to 1. */
+    /** Returns the larger of the utilizations of slots and of bytes, from 0 to 1. */
     public double utilization() {
-        double slotsInUse = total.slots / (double) limits.slots();
-        double bytesInUse = total.bytes / (double) limits.bytes();
-        return Math.max(slotsInUse, bytesInUse);
+        double slotUtilization = total.slots / (double) limits.slots();
+        double byteUtilization = total.bytes / (double) limits.bytes();
+        return Math.max(slotUtilization, byteUtilization);
     }
 }
--- a/lifecycle/src/main/java/milletyoke/admission/NameTable.java
+++ b/lifecycle/src/main/java/milletyoke/admission/NameTable.java
@@ -3,13 +3,13 @@
 import java.util.LinkedHashMap;
 
 /**
- * Bounds the names in use. A name costs memory for some time after its last use, whoever made it
- * up, so a new one is admitted only while the table has room, or once the one longest unused has
- * been so for the retention time. That protects the memory against peers that never use a name
- * twice. The bound must be set over the number of volumes of a deployment; a peer that fills the
- * table keeps out names that were not used lately.
+ * Limits the number of names in use. State for a name occupies memory for the retention time after
+ * its last use, so a new name is admitted only if the table has a free entry or its least recently
+ * used name has been unused for the retention time. This protects the memory against peers that
+ * never use a name twice. The limit must exceed the number of volumes of a deployment: a peer that
+ * fills the table excludes names that were not used recently.
  *
- * <p>Knows no clock. Not thread-safe: the caller serializes the calls.
+ * <p>Does not read a clock. Not thread-safe: the caller serializes the calls.
  */
 public final class NameTable {
     private static final int INITIAL_CAPACITY = 16;
@@ -18,22 +18,23 @@
     private final int maxNames;
     private final long retentionMicros;
 
-    /** When each name was last used, the one longest unused first. */
-    private final LinkedHashMap<String, Long> lastUses =
+    /** The time of each name's last use, least recently used first. */
+    private final LinkedHashMap<String, Long> lastUseMicros =
             new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
     /**
      * Creates an empty table.
      *
-     * @param maxNames names in use at once, from 1
-     * @param retentionMicros how long state of a name is kept after its last use, from 0
+     * @param maxNames maximum number of names in use, at least 1
+     * @param retentionMicros time for which the state of a name is kept after its last use, at
+     *     least 0
      */
     public NameTable(int maxNames, long retentionMicros) {
         if (maxNames < 1 || retentionMicros < 0) {
             throw new IllegalArgumentException(
-                    "expected at least one name and a retention from 0, not "
+                    "maxNames must be at least 1 and retentionMicros at least 0: maxNames="
                             + maxNames
-                            + ", "
+                            + ", retentionMicros="
                             + retentionMicros);
         }
         this.maxNames = maxNames;
@@ -41,33 +42,34 @@
     }
 
     /**
-     * Whether a name may be used: it is in use, or there is room for one more.
+     * Returns whether a name may be used: it is in use already, or a new name is admitted.
      *
-     * @param nowMicros never less than in an earlier call
+     * @param nowMicros the current time, which must not decrease between calls
      */
     public boolean admits(String name, long nowMicros) {
-        return lastUses.containsKey(name)
-                || lastUses.size() < maxNames
-                || nowMicros - lastUses.values().iterator().next() >= retentionMicros;
+        return lastUseMicros.containsKey(name)
+                || lastUseMicros.size() < maxNames
+                || nowMicros - lastUseMicros.values().iterator().next() >= retentionMicros;
     }
 
     /**
-     * Uses a name.
+     * Records a use of a name. A new name replaces the least recently used one if the table is
+     * full.
      *
-     * @throws IllegalStateException where the name is not admitted
+     * @throws IllegalStateException if the name is not admitted
      */
     public void acquire(String name, long nowMicros) {
         if (!admits(name, nowMicros)) {
-            throw new IllegalStateException("there is no room for the name " + name);
+            throw new IllegalStateException("name table is full, cannot add name " + name);
         }
-        if (!lastUses.containsKey(name) && lastUses.size() >= maxNames) {
-            lastUses.remove(lastUses.keySet().iterator().next());
+        if (!lastUseMicros.containsKey(name) && lastUseMicros.size() >= maxNames) {
+            lastUseMicros.remove(lastUseMicros.keySet().iterator().next());
         }
-        lastUses.put(name, nowMicros);
+        lastUseMicros.put(name, nowMicros);
     }
 
-    /** Names in use. */
+    /** Returns the number of names in use. */
     public int inUse() {
-        return lastUses.size();
+        return lastUseMicros.size();
     }
 }
--- a/lifecycle/src/main/java/milletyoke/admission/package-info.java
+++ b/lifecycle/src/main/java/milletyoke/admission/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Bounds what one process admits: slots, payload bytes and names in use.
+ * Limits the requests that one process admits, by slots, payload bytes and volume names in use.
  *
- * <p>Threads: none of its own; the caller serializes the calls.
+ * <p>The package has no threads of its own; the caller serializes the calls.
  */
 package milletyoke.admission;
--- a/lifecycle/src/main/java/milletyoke/lifecycle/Lifecycle.java
+++ b/lifecycle/src/main/java/milletyoke/lifecycle/Lifecycle.java
@@ -5,47 +5,48 @@
 import java.util.List;
 
 /**
- * Determines a process's lifecycle state from events. It says whether new requests are admitted and
- * never what becomes of one that was.
+ * Determines the lifecycle state of a process from events. The state decides whether new requests
+ * are admitted; it does not affect requests that were admitted before.
  *
- * <p>Knows no clock: each event comes with its time in microseconds. Not thread-safe.
+ * <p>Does not read a clock: each event is passed with its time in microseconds. Not thread-safe.
  */
 public final class Lifecycle {
     private static final int MAX_TRANSITIONS = 64;
 
-    /** Stands for the time of something that has not happened. */
+    /** The time of an event that has not occurred. */
     private static final long NEVER = -1;
 
     /**
-     * When a state is entered and left.
+     * The conditions for entering and leaving states.
      *
-     * @param listTimeoutMicros without discovery for so long, the endpoint list counts as lost
-     * @param saturatedFrom utilization from which the process is saturated, up to 1
-     * @param relievedBelow utilization below which it no longer is; less than {@code saturatedFrom}
-     *     so that the state does not flap
-     * @param minSaturatedMicros how long it stays saturated at least
+     * @param listTimeoutMicros time without discovery after which the endpoint list counts as lost
+     * @param saturatedFrom utilization from which the process is saturated, at most 1
+     * @param relievedBelow utilization below which the process is no longer saturated; less than
+     *     {@code saturatedFrom}, so that the state does not flap
+     * @param minSaturatedMicros minimum time for which the process stays saturated
      */
     public record Thresholds(
             long listTimeoutMicros,
             double saturatedFrom,
             double relievedBelow,
             long minSaturatedMicros) {
-        /** Defaults. */
+        /** The default thresholds. */
         public static final Thresholds DEFAULT = new Thresholds(10_000_000, 0.9, 0.7, 1_000_000);
 
-        /** Checks the thresholds. */
+        /** Validates the thresholds. */
         public Thresholds {
             if (!(saturatedFrom > relievedBelow && relievedBelow >= 0 && saturatedFrom <= 1)) {
                 throw new IllegalArgumentException(
-                        "expected saturatedFrom over relievedBelow, both from 0 to 1, not "
+                        "saturatedFrom must be greater than relievedBelow, and both from 0 to 1:"
+                                + " saturatedFrom="
                                 + saturatedFrom
-                                + ", "
+                                + ", relievedBelow="
                                 + relievedBelow);
             }
         }
     }
 
-    /** One change of state; {@code reason} is for people. */
+    /** A change of state; {@code reason} is a description for operators. */
     public record Transition(
             long atMicros, LifecycleState from, LifecycleState to, String reason) {}
 
@@ -58,7 +59,7 @@
     private boolean isSaturated;
     private long saturatedAtMicros;
 
-    /** The operator who drained the process; null where it is not drained. */
+    /** The operator who drained the process; null if the process is not drained. */
     private String drainedBy;
 
     private boolean isShuttingDown;
@@ -68,12 +69,12 @@
         this.thresholds = thresholds;
     }
 
-    /** The current state. */
+    /** Returns the current state. */
     public LifecycleState state() {
         return state;
     }
 
-    /** A copy of the latest transitions, oldest first. */
+    /** Returns a copy of the latest transitions, oldest first. */
     public List<Transition> transitions() {
         return new ArrayList<>(transitions);
     }
@@ -92,40 +93,43 @@
         return state;
     }
 
-    /** Updates the fields and returns what happened, as the reason of a transition. */
+    /**
+     * Updates the fields and returns a description of the event, used as the reason of a
+     * transition.
+     */
     private String handle(long nowMicros, LifecycleEvent event) {
         if (event instanceof LifecycleEvent.EndpointListReceived list) {
             return handleList(nowMicros, list);
         }
         if (event instanceof LifecycleEvent.DiscoveryUnavailable) {
             listLostAtMicros = listLostAtMicros < 0 ? nowMicros : listLostAtMicros;
-            return "discovery is lost";
+            return "discovery unavailable";
         }
         if (event instanceof LifecycleEvent.UtilizationMeasured measured) {
             return handleUtilization(nowMicros, measured.utilization());
         }
         if (event instanceof LifecycleEvent.DrainRequested requested) {
-            drainedBy = requested.who();
-            return "drained by " + requested.who();
+            drainedBy = requested.operator();
+            return "drained by " + requested.operator();
         }
         if (event instanceof LifecycleEvent.DrainCancelled cancelled) {
             drainedBy = null;
-            return "put back by " + cancelled.who();
+            return "returned to service by " + cancelled.operator();
         }
         if (event instanceof LifecycleEvent.ShutdownRequested) {
             isShuttingDown = true;
-            return "asked to end";
+            return "shutdown requested";
         }
-        return "time passed";
+        return "endpoint list timeout expired";
     }
 
     private String handleList(long nowMicros, LifecycleEvent.EndpointListReceived list) {
-        hasList |= !list.restored() || list.usable() > 0;
-        usableTargets = list.usable();
-        // A restored list counts as old until discovery confirms it.
+        hasList |= !list.restored() || list.usableTargets() > 0;
+        usableTargets = list.usableTargets();
+        // For a restored list, the timeout runs until discovery sends a list.
         listLostAtMicros = list.restored() ? nowMicros : NEVER;
-        String origin = list.restored() ? ", as known before the start" : "";
-        return list.usable() + " targets may be sent to" + origin;
+        String origin = list.restored() ? " in the list restored at start" : "";
+        return list.usableTargets() + " usable targets" + origin;
     }
 
     private String handleUtilization(long nowMicros, double utilization) {
@@ -137,7 +141,7 @@
                 && nowMicros - saturatedAtMicros >= thresholds.minSaturatedMicros()) {
             isSaturated = false;
         }
-        return Math.round(100 * utilization) + "% of the room is used";
+        return Math.round(100 * utilization) + "% of the capacity in use";
     }
 
     private LifecycleState nextState(long nowMicros) {
--- a/lifecycle/src/main/java/milletyoke/lifecycle/LifecycleEvent.java
+++ b/lifecycle/src/main/java/milletyoke/lifecycle/LifecycleEvent.java
@@ -1,25 +1,30 @@
 package milletyoke.lifecycle;
 
-/** What can change a process's lifecycle state. */
+/** An event that can change the lifecycle state of a process. */
 public sealed interface LifecycleEvent {
-    /** The endpoint list came, or was restored; {@code usable} targets in it may be sent to. */
-    record EndpointListReceived(int usable, boolean restored) implements LifecycleEvent {}
+    /**
+     * An endpoint list was received from discovery, or restored at the start of the process.
+     *
+     * @param usableTargets number of targets in the list that attempts may be sent to
+     * @param restored whether the list was restored and not received from discovery
+     */
+    record EndpointListReceived(int usableTargets, boolean restored) implements LifecycleEvent {}
 
-    /** Discovery cannot be reached, or has no list. */
+    /** Discovery is unreachable or has no endpoint list. */
     record DiscoveryUnavailable() implements LifecycleEvent {}
 
-    /** The part of the capacity in use, 0 to 1. */
+    /** The utilization of the admission capacity, from 0 to 1. */
     record UtilizationMeasured(double utilization) implements LifecycleEvent {}
 
-    /** An operator took the process out of service. */
-    record DrainRequested(String who) implements LifecycleEvent {}
+    /** An operator drained the process. */
+    record DrainRequested(String operator) implements LifecycleEvent {}
 
-    /** An operator put the process back into service. */
-    record DrainCancelled(String who) implements LifecycleEvent {}
+    /** An operator returned the process to service. */
+    record DrainCancelled(String operator) implements LifecycleEvent {}
 
-    /** The process was asked to shut down. */
+    /** Shutdown of the process was requested. */
     record ShutdownRequested() implements LifecycleEvent {}
 
-    /** Time passed. */
+    /** Triggers the check of timeouts. */
     record Tick() implements LifecycleEvent {}
 }
--- a/lifecycle/src/main/java/milletyoke/lifecycle/LifecycleState.java
+++ b/lifecycle/src/main/java/milletyoke/lifecycle/LifecycleState.java
@@ -1,46 +1,46 @@
 package milletyoke.lifecycle;
 
 /**
- * The state of a process, the least severe first: where several apply, the process is in the last
- * of them. The names and texts are shown by the console.
+ * The lifecycle state of a process, least severe first: if several states apply, the process is in
+ * the last of them. The console shows the names and descriptions.
  */
 public enum LifecycleState {
-    /** Knows its targets and has capacity. */
-    READY(true, true, "takes accesses"),
-    /** Knows targets, but discovery has been away for so long that the list may be out of date. */
-    LIST_LOST(true, true, "takes accesses by a list that may be old"),
-    /** Little capacity is left; what exceeds it is rejected at once. */
-    SATURATED(true, true, "takes accesses as far as there is room"),
-    /** Started, and has no endpoint list yet. */
-    STARTING(false, false, "waits for its first list"),
-    /** Knows no target that it may send to, so it could not answer a request. */
-    WITHOUT_LIST(false, false, "knows no target"),
-    /** An operator drained it; requests that were admitted are finished. */
-    DRAINING(false, false, "takes nothing new, finishes what it holds"),
-    /** Shutting down: ends once the requests that were admitted are finished. Final. */
-    LEAVING(false, false, "takes nothing new and ends");
+    /** Has usable targets and free capacity. */
+    READY(true, true, "accepts requests"),
+    /** Has usable targets, but discovery has been unavailable for longer than the list timeout. */
+    LIST_LOST(true, true, "accepts requests; endpoint list may be out of date"),
+    /** Little capacity is left; requests that exceed it are rejected immediately. */
+    SATURATED(true, true, "accepts requests as capacity permits"),
+    /** Has not received an endpoint list yet. */
+    STARTING(false, false, "waiting for the first endpoint list"),
+    /** Has no usable target, so requests could not be executed. */
+    WITHOUT_LIST(false, false, "no usable target"),
+    /** Drained by an operator; pending requests are completed. */
+    DRAINING(false, false, "rejects new requests, completes pending ones"),
+    /** Shutting down: exits after pending requests are completed. Final. */
+    LEAVING(false, false, "rejects new requests and shuts down");
 
     private final boolean admits;
-    private final boolean isFit;
+    private final boolean isReadyForTraffic;
     private final String description;
 
-    LifecycleState(boolean admits, boolean isFit, String description) {
+    LifecycleState(boolean admits, boolean isReadyForTraffic, String description) {
         this.admits = admits;
-        this.isFit = isFit;
+        this.isReadyForTraffic = isReadyForTraffic;
         this.description = description;
     }
 
-    /** Whether new requests are admitted, as far as there is capacity. */
+    /** Returns whether new requests are admitted as far as capacity permits. */
     public boolean admits() {
         return admits;
     }
 
-    /** Whether load balancers should send new requests here. */
-    public boolean isFit() {
-        return isFit;
+    /** Returns whether load balancers should send new requests to this process. */
+    public boolean isReadyForTraffic() {
+        return isReadyForTraffic;
     }
 
-    /** A description for people, as the console shows it. */
+    /** Returns the description that the console shows. */
     public String tells() {
         return description;
     }
--- a/lifecycle/src/main/java/milletyoke/lifecycle/package-info.java
+++ b/lifecycle/src/main/java/milletyoke/lifecycle/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The lifecycle of one process: from its events to its state.
+ * Determines the lifecycle state of one process from its events.
  *
- * <p>Threads: none of its own; one thread owns each lifecycle.
+ * <p>The package has no threads of its own; each lifecycle is confined to one thread.
  */
 package milletyoke.lifecycle;
--- a/lifecycle/src/test/java/milletyoke/admission/AdmissionTest.java
+++ b/lifecycle/src/test/java/milletyoke/admission/AdmissionTest.java
@@ -17,7 +17,9 @@
 import net.jqwik.api.state.ActionChain;
 import net.jqwik.api.state.Transformer;
 
-/** Random orders of acquiring and releasing slots, against a model that only counts. */
+/**
+ * Tests random sequences of acquiring and releasing slots against a model that only counts slots.
+ */
 class AdmissionTest {
     private static final int SLOTS = 24;
     private static final long BYTES = 2_000;
@@ -26,7 +28,7 @@
 
     private record Slot(int connection, String volume, long bytes) {}
 
-    /** The admission and a plain list of the slots that it granted. */
+    /** The admission, and as its model a list of the slots that it granted. */
     private static final class AdmissionAndModel {
         final Admission admission = new Admission(LIMITS);
         final List<Slot> heldSlots = new ArrayList<>();
@@ -41,16 +43,16 @@
             assertEquals(bytes(), admission.bytes());
             assertTrue(
                     heldSlots.size() <= SLOTS && bytes() <= BYTES,
-                    "a bound of the process was exceeded");
-            for (int c = 0; c < 4; c++) {
-                int connection = c;
+                    "a limit of the process was exceeded");
+            for (int id = 0; id < 4; id++) {
+                int connection = id;
                 assertTrue(
-                        heldSlots.stream().filter(p -> p.connection() == connection).count()
+                        heldSlots.stream().filter(slot -> slot.connection() == connection).count()
                                 <= 0.75 * SLOTS);
             }
             assertTrue(
-                    admission.remembered() <= 2 * heldSlots.size(),
-                    "memory is kept for what holds no slot");
+                    admission.trackedHolders() <= 2 * heldSlots.size(),
+                    "state is kept for holders without a slot");
         }
     }
 
@@ -84,21 +86,24 @@
                                             pair -> acquire(pair, connection, volume, bytes)));
         }
 
-        private static void acquire(AdmissionAndModel pair, int c, String v, long bytes) {
-            long mine = pair.heldSlots.stream().filter(p -> p.volume().equals(v)).count();
-            boolean free =
+        private static void acquire(
+                AdmissionAndModel pair, int connection, String volume, long bytes) {
+            long volumeSlots =
+                    pair.heldSlots.stream().filter(slot -> slot.volume().equals(volume)).count();
+            boolean hasCapacity =
                     pair.heldSlots.size() < SLOTS
                             && pair.bytes() + bytes <= BYTES
-                            && pair.heldSlots.stream().noneMatch(p -> p.connection() == c);
-            Admission.Verdict verdict = pair.admission.tryAcquire(c, v, bytes);
+                            && pair.heldSlots.stream()
+                                    .noneMatch(slot -> slot.connection() == connection);
+            Admission.Verdict verdict = pair.admission.tryAcquire(connection, volume, bytes);
             assertTrue(
-                    mine > 0 || !free || verdict.admitted(),
-                    "a volume that holds nothing found no slot");
+                    volumeSlots > 0 || !hasCapacity || verdict.admitted(),
+                    "a volume without slots was rejected despite free capacity");
             assertTrue(
                     verdict.admitted() == (verdict.retryAfterMicros() == 0)
                             && verdict.retryAfterMicros() <= 500_000);
             if (verdict.admitted()) {
-                pair.heldSlots.add(new Slot(c, v, bytes));
+                pair.heldSlots.add(new Slot(connection, volume, bytes));
             }
             pair.check();
         }
@@ -111,17 +116,17 @@
         }
 
         @Override
-        public Arbitrary<Transformer<AdmissionAndModel>> transformer(AdmissionAndModel now) {
+        public Arbitrary<Transformer<AdmissionAndModel>> transformer(AdmissionAndModel current) {
             return Arbitraries.integers()
-                    .between(0, now.heldSlots.size() - 1)
+                    .between(0, current.heldSlots.size() - 1)
                     .map(
-                            i ->
+                            index ->
                                     Transformer.mutate(
-                                            "release " + i,
+                                            "release " + index,
                                             pair -> {
                                                 Slot slot =
                                                         pair.heldSlots.remove(
-                                                                i % pair.heldSlots.size());
+                                                                index % pair.heldSlots.size());
                                                 pair.admission.release(
                                                         slot.connection(),
                                                         slot.volume(),
@@ -138,26 +143,28 @@
     }
 
     /**
-     * However many volumes flood, one that holds nothing finds a slot, and its share grows as they
-     * release theirs.
+     * However many volumes flood the admission, the share of capacity that their limits leave free
+     * is available to a volume that holds no slot.
      */
     @Property(tries = 100, seed = "20261201")
     void floodsLeaveCapacityForOthers(@ForAll @IntRange(min = 1, max = 20) int floods) {
         Admission admission = new Admission(new Admission.CapacityLimits(1000, 1 << 30, 1, 1, 0));
         for (int round = 0; round < 1000; round++) {
-            for (int f = 0; f < floods; f++) {
-                admission.tryAcquire(f, "flood-" + f, 1);
+            for (int flood = 0; flood < floods; flood++) {
+                admission.tryAcquire(flood, "flood-" + flood, 1);
             }
         }
-        int left = 1000 - admission.acquired();
+        int freeSlots = 1000 - admission.acquired();
         assertTrue(
-                left >= 1000 / (1 + floods) - floods,
-                left + " slots are left beside " + floods + " floods");
-        int quiet = 0;
+                freeSlots >= 1000 / (1 + floods) - floods,
+                freeSlots + " slots are free with " + floods + " floods");
+        int quietSlots = 0;
         while (admission.tryAcquire(99, "quiet", 1).admitted()) {
-            quiet++;
+            quietSlots++;
         }
-        assertTrue(quiet >= left / 2 - 1, "the quiet volume got " + quiet + " of " + left);
+        assertTrue(
+                quietSlots >= freeSlots / 2 - 1,
+                "the quiet volume got " + quietSlots + " of " + freeSlots);
     }
 
     @Example
--- a/lifecycle/src/test/java/milletyoke/admission/NameTableTest.java
+++ b/lifecycle/src/test/java/milletyoke/admission/NameTableTest.java
@@ -25,7 +25,7 @@
             rejected += tryUse(names, "made-up-" + now, now) ? 0 : 1;
             assertTrue(
                     tryUse(names, "ours-" + random.nextInt(10), now) || now < 100,
-                    "a name in use is admitted");
+                    "a recently used name is admitted");
             assertTrue(names.inUse() <= 100);
         }
         assertTrue(rejected > 100_000, "most of the flood is rejected");
@@ -38,7 +38,7 @@
         assertFalse(tryUse(names, "c", 1_009), "b is still within its retention");
         assertTrue(tryUse(names, "c", 1_010));
         assertEquals(2, names.inUse());
-        assertFalse(tryUse(names, "b", 1_011), "and b is new now");
-        assertTrue(tryUse(names, "a", 1_012), "a was used since");
+        assertFalse(tryUse(names, "b", 1_011), "b was removed and counts as new");
+        assertTrue(tryUse(names, "a", 1_012), "a is still in use");
     }
 }
--- a/lifecycle/src/test/java/milletyoke/lifecycle/LifecycleTest.java
+++ b/lifecycle/src/test/java/milletyoke/lifecycle/LifecycleTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** The lifecycle state after events in any order. */
+/** Tests the lifecycle state after sequences of events. */
 class LifecycleTest {
     private static final long SECOND_MICROS = 1_000_000;
     private final Lifecycle lifecycle = new Lifecycle(Lifecycle.Thresholds.DEFAULT);
@@ -84,14 +84,20 @@
 
     @Provide
     Arbitrary<List<LifecycleEvent>> events() {
-        Arbitrary<LifecycleEvent> any =
+        Arbitrary<LifecycleEvent> event =
                 Arbitraries.oneOf(
                         Arbitraries.integers()
                                 .between(0, 3)
-                                .map(n -> new LifecycleEvent.EndpointListReceived(n, false)),
+                                .map(
+                                        usable ->
+                                                new LifecycleEvent.EndpointListReceived(
+                                                        usable, false)),
                         Arbitraries.integers()
                                 .between(0, 3)
-                                .map(n -> new LifecycleEvent.EndpointListReceived(n, true)),
+                                .map(
+                                        usable ->
+                                                new LifecycleEvent.EndpointListReceived(
+                                                        usable, true)),
                         Arbitraries.just(new LifecycleEvent.DiscoveryUnavailable()),
                         Arbitraries.just(new LifecycleEvent.Tick()),
                         Arbitraries.doubles()
@@ -100,34 +106,37 @@
                         Arbitraries.just(new LifecycleEvent.DrainRequested("x")),
                         Arbitraries.just(new LifecycleEvent.DrainCancelled("x")),
                         Arbitraries.just(new LifecycleEvent.ShutdownRequested()));
-        return any.list().ofMaxSize(200);
+        return event.list().ofMaxSize(200);
     }
 
     /**
-     * In any order: shutting down is final, nothing is admitted without a usable target, and each
-     * transition is recorded in order.
+     * After events in any order: shutdown is final, no request is admitted without a usable target,
+     * and the latest transition is recorded last.
      */
     @Property(tries = 500, seed = "20261201")
-    void invariantsHoldInAnyOrderOfEvents(@ForAll("events") List<LifecycleEvent> history) {
-        Lifecycle any = new Lifecycle(Lifecycle.Thresholds.DEFAULT);
-        int usable = 0;
+    void invariantsHoldInAnyOrderOfEvents(@ForAll("events") List<LifecycleEvent> events) {
+        Lifecycle process = new Lifecycle(Lifecycle.Thresholds.DEFAULT);
+        int usableTargets = 0;
         boolean isShuttingDown = false;
-        LifecycleState before = any.state();
-        for (LifecycleEvent event : history) {
+        LifecycleState before = process.state();
+        for (LifecycleEvent event : events) {
             nowMicros += SECOND_MICROS / 3;
-            usable = event instanceof LifecycleEvent.EndpointListReceived l ? l.usable() : usable;
+            usableTargets =
+                    event instanceof LifecycleEvent.EndpointListReceived list
+                            ? list.usableTargets()
+                            : usableTargets;
             isShuttingDown |= event instanceof LifecycleEvent.ShutdownRequested;
-            LifecycleState after = any.apply(nowMicros, event);
+            LifecycleState after = process.apply(nowMicros, event);
             assertTrue(!isShuttingDown || after == LifecycleState.LEAVING);
-            assertTrue(usable > 0 || !after.admits());
+            assertTrue(usableTargets > 0 || !after.admits());
             if (after != before) {
-                var last = any.transitions().get(any.transitions().size() - 1);
+                var last = process.transitions().get(process.transitions().size() - 1);
                 assertEquals(
                         List.of(before, after, nowMicros),
                         List.of(last.from(), last.to(), last.atMicros()));
             }
             before = after;
         }
-        assertTrue(any.transitions().size() <= 64);
+        assertTrue(process.transitions().size() <= 64);
     }
 }
