--- a/gateway/src/main/java/milletyoke/gateway/console/OverviewPage.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/OverviewPage.java
@@ -108,7 +108,7 @@
 
     private static String stateDescription(LifecycleState state, AccessScope scope) {
         if (scope.seesAll()) {
-            return state.tells();
+            return state.description();
         }
         return state.admits() ? "takes accesses" : "takes nothing new";
     }
@@ -137,7 +137,7 @@
         List<List<Object>> rows = new ArrayList<>();
         LifecycleState state = snapshot.lifecycleState();
         if (!state.admits() || state == LifecycleState.SATURATED) {
-            rows.add(List.of("this initiator", state.tells(), 0));
+            rows.add(List.of("this initiator", state.description(), 0));
         }
         addShardsAndTargets(rows, snapshot);
         addVolumesAtTheirLimit(rows, snapshot);
--- a/lifecycle/src/main/java/milletyoke/lifecycle/LifecycleState.java
+++ b/lifecycle/src/main/java/milletyoke/lifecycle/LifecycleState.java
@@ -41,7 +41,7 @@
     }
 
     /** Returns the description that the console shows. */
-    public String tells() {
+    public String description() {
         return description;
     }
 }
