--- a/scenario/src/test/java/milletyoke/scenario/HardCasesTest.java
+++ b/scenario/src/test/java/milletyoke/scenario/HardCasesTest.java
@@ -88,7 +88,7 @@
             large.getOutputStream().write(ByteBuffer.allocate(4).putInt(65_537).array());
             large.setSoTimeout(5000);
             String said = new String(large.getInputStream().readAllBytes(), "ISO-8859-1");
-            assertTrue(said.contains("exceeds the limit of 65536 bytes"), said);
+            assertTrue(said.contains("65536 are the most"), said);
             p.ask(p.client, "read", 0, 2000);
             ScriptedPeers.reply(a.nextRelay(), Outcome.SUCCEEDED);
             assertEquals(ResponseStatus.ANSWERED, p.client.nextAnswer(3000).getStatus());
--- a/wire/src/main/java/milletyoke/wire/FrameFilter.java
+++ b/wire/src/main/java/milletyoke/wire/FrameFilter.java
@@ -53,18 +53,18 @@
         try {
             context.setMessage(decode(body));
         } catch (InvalidProtocolBufferException malformed) {
-            peer.closeForViolation("malformed frame: " + malformed.getMessage());
+            peer.closeForViolation("a frame that cannot be read: " + malformed.getMessage());
             return context.getStopAction();
         }
         return context.getInvokeAction(remainder);
     }
 
     private static String tooLong(int length, int maxFrameBytes) {
-        return "frame of "
+        return "a frame of "
                 + Integer.toUnsignedString(length)
-                + " bytes exceeds the limit of "
+                + " bytes is announced, "
                 + maxFrameBytes
-                + " bytes";
+                + " are the most";
     }
 
     /**
--- a/wire/src/main/java/milletyoke/wire/PeerConnection.java
+++ b/wire/src/main/java/milletyoke/wire/PeerConnection.java
@@ -318,7 +318,8 @@
                 close("closed by the peer: " + frame.getClose().getReason());
             }
             case GOING_AWAY -> listener.onGoingAway(this, frame.getGoingAway().getReason());
-            case BODY_NOT_SET -> throw new MalformedFrameException("frame without a known body");
+            case BODY_NOT_SET ->
+                    throw new MalformedFrameException("a frame with no body this version knows");
             default -> listener.onFrame(this, frame);
         }
     }
@@ -326,24 +327,24 @@
     private void acceptHello(Frame frame) throws MalformedFrameException {
         if (frame.getBodyCase() != Frame.BodyCase.HELLO) {
             throw new MalformedFrameException(
-                    "first frame is not a hello but " + frame.getBodyCase());
+                    "the first frame must be a hello, not " + frame.getBodyCase());
         }
         Hello hello = frame.getHello();
         if (hello.getHighestVersion() < LOWEST_VERSION
                 || hello.getLowestVersion() > HIGHEST_VERSION) {
             throw new MalformedFrameException(
-                    "no common protocol version: the peer supports "
+                    "versions "
                             + hello.getLowestVersion()
                             + " to "
                             + hello.getHighestVersion()
-                            + ", this end supports "
+                            + " are offered, "
                             + LOWEST_VERSION
                             + " to "
-                            + HIGHEST_VERSION);
+                            + HIGHEST_VERSION
+                            + " are spoken here");
         }
         if (hello.getName().length() > MAX_NAME_LENGTH) {
-            throw new MalformedFrameException(
-                    "name in hello has more than " + MAX_NAME_LENGTH + " characters");
+            throw new MalformedFrameException("a name of over " + MAX_NAME_LENGTH + " characters");
         }
         name = hello.getName();
         role = hello.getRole();
@@ -372,7 +373,7 @@
         if (incompleteSinceMicros > 0
                 && nowMicros - incompleteSinceMicros > limits.partialFrameTimeoutMicros()) {
             closeForViolation(
-                    (hasReceivedHello ? "incomplete frame" : "no hello")
+                    (hasReceivedHello ? "half a frame" : "no hello")
                             + " for "
                             + limits.partialFrameTimeoutMicros() / MICROS_PER_MILLI
                             + " ms");
