--- a/gateway/src/main/java/milletyoke/gateway/loop/ActionSink.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/ActionSink.java
@@ -2,9 +2,9 @@
 
 import milletyoke.wire.proto.Attempt;
 
-/** Carries out what the scheduler decided; called on the loop's thread. */
+/** Executes the scheduler's actions. Called on the event loop's thread. */
 interface ActionSink {
-    /** Sends an attempt; {@code deadlineMicros} is when waiting for its reply ends. */
+    /** Sends an attempt, which times out at {@code deadlineMicros} if it has no reply by then. */
     void sendAttempt(
             String target,
             String requestId,
@@ -12,18 +12,18 @@
             long deadlineMicros,
             Attempt.Builder attempt);
 
-    /** Stops waiting for an attempt, and tells its target so. */
+    /** Cancels an attempt and notifies its target. */
     void cancelAttempt(String requestId, int attemptNumber);
 
-    /** Drops an attempt that has not been sent, for its request is over. */
+    /** Drops an attempt that has not been sent, because its request is closed. */
     void dropUnsent(String requestId, int attemptNumber);
 
-    /** Sends a probe for a target's load. */
+    /** Sends a probe that asks a target for its load. */
     void sendProbe(String target);
 
-    /** Wakes the scheduler up after a delay from the start of this turn. */
+    /** Schedules a wake-up of the scheduler; the delay starts at the start of this turn. */
     void scheduleWakeUp(long delayMicros);
 
-    /** Asks discovery for changes of the endpoint list. */
+    /** Watches discovery for changes of the endpoint list. */
     void watchEndpoints();
 }
--- a/gateway/src/main/java/milletyoke/gateway/loop/Counter.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/Counter.java
@@ -1,8 +1,10 @@
 package milletyoke.gateway.loop;
 
-/** What an initiator counts, for logs and the console. */
+/**
+ * The counters of an initiator, for logs and the console. Each name is written out in lower case.
+ */
 public enum Counter {
-    /** Requests that reached the loop and are tracked. */
+    /** Requests that the event loop started to track. */
     REQUESTS,
 
     /** Requests that a target answered. */
@@ -11,25 +13,25 @@
     /** Requests that the scheduler rejected. */
     REJECTED,
 
-    /** Requests that were failed, their effect unknown. */
+    /** Requests that failed with unknown effect. */
     FAILED,
 
-    /** Requests rejected for lack of capacity, before the scheduler. */
+    /** Requests rejected for lack of capacity before they reached the scheduler. */
     REJECTED_CAPACITY,
 
     /** Requests rejected because of the lifecycle state. */
     REJECTED_STATE,
 
-    /** Requests that are not valid. */
+    /** Requests rejected as invalid. */
     INVALID,
 
-    /** Requests whose deadline had passed when the loop got to them. */
+    /** Requests whose deadline had passed before the event loop handled them. */
     EXPIRED,
 
-    /** Cancellations by clients, and disconnects of clients with requests. */
+    /** Requests cancelled by clients, and disconnects of clients that had requests pending. */
     CANCELLED_BY_CLIENT,
 
-    /** Requests for which the scheduler decided no response in time. */
+    /** Requests closed without a response because the scheduler decided none in time. */
     OVERDUE,
 
     /** First attempts. */
@@ -41,30 +43,30 @@
     /** Attempts that the scheduler cancelled. */
     CANCELS,
 
-    /** Probes for load. */
+    /** Probes sent. */
     PROBES,
 
-    /** Tries to connect to targets. */
+    /** Connects started to targets. */
     CONNECTS,
 
-    /** Tries to connect that failed or timed out. */
+    /** Connects to targets that failed or timed out. */
     CONNECTS_FAILED,
 
-    /** Connections to targets that ended with something in flight. */
+    /** Connections to targets that ended with attempts or probes in flight. */
     CONNECTIONS_LOST,
 
-    /** Replies to what was no longer in flight. */
+    /** Replies to attempts or probes that were no longer in flight. */
     LATE_REPLIES,
 
-    /** Connections closed because the peer broke the protocol. */
+    /** Connections closed because the peer violated the protocol. */
     MALFORMED_PEERS,
 
-    /** Endpoint lists and updates from discovery. */
+    /** Endpoint lists and updates received from discovery. */
     ENDPOINT_LISTS,
 
-    /** Times that discovery was lost or had no list. */
+    /** Times that discovery became unreachable or had no endpoint list. */
     DISCOVERY_UNAVAILABLE,
 
-    /** Turns in which the scheduler decided. */
+    /** Turns of the event loop in which the scheduler ran. */
     TURNS
 }
--- a/gateway/src/main/java/milletyoke/gateway/loop/Counters.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/Counters.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
 
-/** One initiator's counters since its start. Any thread may increment and read them. */
+/** The counters of one initiator since its start. Thread-safe. */
 public final class Counters {
     private final Map<Counter, LongAdder> adders = new EnumMap<>(Counter.class);
 
@@ -16,17 +16,17 @@
         }
     }
 
-    /** Adds one. */
+    /** Increments a counter by one. */
     public void increment(Counter counter) {
         adders.get(counter).increment();
     }
 
-    /** The count since the start. */
+    /** Returns a counter's value. */
     public long get(Counter counter) {
         return adders.get(counter).sum();
     }
 
-    /** The counters that are not zero, as {@code name=value} separated by blanks. */
+    /** Returns the counters that are not zero as {@code name=value}, separated by spaces. */
     @Override
     public String toString() {
         StringBuilder text = new StringBuilder();
--- a/gateway/src/main/java/milletyoke/gateway/loop/DecisionLog.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/DecisionLog.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import milletyoke.gateway.status.StatusSnapshot.DecisionRecord;
 
-/** A ring buffer of the scheduler's latest decisions, for the console. Owned by the event loop. */
+/** Ring buffer of the scheduler's latest decisions, for the console. Owned by the event loop. */
 final class DecisionLog {
     private static final int CAPACITY = 64;
 
@@ -16,7 +16,7 @@
         recordedCount++;
     }
 
-    /** The latest decisions, the newest first. */
+    /** Returns the latest decisions, newest first. */
     List<DecisionRecord> newestFirst() {
         List<DecisionRecord> latest = new ArrayList<>();
         for (long i = recordedCount - 1; i >= Math.max(0, recordedCount - CAPACITY); i--) {
--- a/gateway/src/main/java/milletyoke/gateway/loop/EndpointRegistry.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/EndpointRegistry.java
@@ -14,23 +14,26 @@
 import milletyoke.wire.proto.Target;
 
 /**
- * The targets as discovery listed them, with times on this initiator's clock, and those that an
- * operator drained here. A target's start time is converted from discovery's clock once and then
- * kept: one that moved a little with each list would be read as a restart. Owned by the event loop.
+ * Holds the targets of the endpoint list, with times on this initiator's clock, and the targets
+ * that an operator drained on this initiator. A target's start time is converted from discovery's
+ * clock once and then kept: converted anew with each list it would vary slightly, and the scheduler
+ * would take each variation for a restart of the target. Owned by the event loop.
  */
 final class EndpointRegistry {
-    /** Bounds what is remembered; more targets than an endpoint list of one frame can hold. */
-    private static final int MAX_START_TIMES = 1 << 17;
+    /**
+     * Bound on remembered start times and drained targets; exceeds what one endpoint list can hold.
+     */
+    private static final int MAX_REMEMBERED_TARGETS = 1 << 17;
 
-    /** Is notified of targets whose address or health changes. */
+    /** Listens for targets that are listed, drain or are removed from the list. */
     interface TargetListener {
-        /** The target is in the list, at this address. */
+        /** Called when a target is listed, with its current address. */
         void onListed(String target, Address address);
 
-        /** The target is to be sent nothing new; it finishes what it has. */
+        /** Called when a target drains: it is sent no new attempts and finishes those it has. */
         void onDraining(String target);
 
-        /** The target is no longer in the list. */
+        /** Called when a target is no longer listed. */
         void onUnlisted(String target);
     }
 
@@ -40,7 +43,10 @@
     private final Map<String, Target> targetsById = new LinkedHashMap<>();
     private final Map<String, StartTime> startTimes = new LinkedHashMap<>();
 
-    /** Targets that an operator drained here; they stay so over new lists until put back. */
+    /**
+     * Targets that an operator drained on this initiator; kept across endpoint lists until
+     * undrained.
+     */
     private final Set<String> drainedByOperator = new TreeSet<>();
 
     private long revision;
@@ -50,16 +56,16 @@
         this.listener = listener;
     }
 
-    /** The revision of the list that is in force. */
+    /** Returns the revision of the current endpoint list. */
     long revision() {
         return revision;
     }
 
     /**
-     * Applies a list or an update of it.
+     * Applies an endpoint list or an update of it.
      *
-     * @param nowMicros when the list came, on this initiator's clock
-     * @param isRestored the list was saved before a restart
+     * @param nowMicros when the list was received, on this initiator's clock
+     * @param isRestored whether the list was read from the cache at startup
      * @return the event for the scheduler
      */
     Event.EndpointListReceived apply(long nowMicros, EndpointList list, boolean isRestored) {
@@ -111,15 +117,15 @@
     }
 
     /**
-     * Drains a target for this initiator alone, or puts it back.
+     * Drains a target on this initiator only, or undrains it.
      *
-     * @return the event for the scheduler, as if discovery had sent the change; null where nothing
+     * @return the event for the scheduler, as if discovery had sent the change; null if nothing
      *     changes or the target is not listed
      */
     Event.EndpointListReceived setDrained(long nowMicros, String targetId, boolean isDrained) {
         boolean isChanged =
                 isDrained
-                        ? drainedByOperator.size() < MAX_START_TIMES
+                        ? drainedByOperator.size() < MAX_REMEMBERED_TARGETS
                                 && drainedByOperator.add(targetId)
                         : drainedByOperator.remove(targetId);
         Target target = targetsById.get(targetId);
@@ -145,7 +151,7 @@
         return targetsById.containsKey(targetId);
     }
 
-    /** The console's word for the health that discovery lists; null where it is not listed. */
+    /** Returns the health in the endpoint list as the console shows it; null if not listed. */
     String healthLabel(String targetId) {
         Target target = targetsById.get(targetId);
         if (target == null) {
@@ -154,7 +160,7 @@
         return target.getHealth() == Health.ACTIVE ? "on" : "draining";
     }
 
-    /** How many targets may be sent to. */
+    /** Returns the number of targets that may be sent new attempts. */
     int usableCount() {
         int usableCount = 0;
         for (Target target : targetsById.values()) {
@@ -166,7 +172,10 @@
         return usableCount;
     }
 
-    /** A health that this version does not know counts as draining: then no rule can be broken. */
+    /**
+     * Converts a health. A value unknown to this version counts as draining, so that nothing new is
+     * sent to the target.
+     */
     private static Event.Health health(Target target, boolean isDrainedByOperator) {
         return switch (target.getHealth()) {
             case ACTIVE -> isDrainedByOperator ? Event.Health.DRAINING : Event.Health.ACTIVE;
@@ -185,13 +194,13 @@
         }
         long ageMicros = Math.max(0, list.getNow() - target.getStartedAtMicros());
         long localMicros = Math.max(1, nowMicros - ageMicros);
-        if (startTimes.size() < MAX_START_TIMES) {
+        if (startTimes.size() < MAX_REMEMBERED_TARGETS) {
             startTimes.put(target.getId(), new StartTime(target.getStartedAtMicros(), localMicros));
         }
         return localMicros;
     }
 
-    /** The whole list as it is in force, to be saved for a restart. */
+    /** Returns the complete current list, for the cache that is read at the next start. */
     EndpointList snapshot() {
         return EndpointList.newBuilder()
                 .setRevision(revision)
--- a/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
@@ -27,64 +27,68 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread that owns the {@link RequestScheduler} and all state that it decides on. Other
- * threads reach it through a bounded queue without locks; it never waits for a socket or a disk.
+ * Single-threaded event loop that owns the {@link RequestScheduler} and all state that it decides
+ * on. Other threads send it messages through a bounded lock-free queue. The loop never blocks on a
+ * socket or a disk.
  *
- * <p>A turn handles the queued messages, ends what has timed out, publishes a status snapshot where
- * one is due, lets the scheduler decide on the events collected, executes its actions, and flushes
- * the frames written.
+ * <p>A turn handles the queued messages, ends timed-out attempts, publishes a status snapshot if
+ * one is due, passes the collected events to the scheduler, executes the actions it returns, and
+ * flushes the enqueued frames.
  *
- * <p>Shutdown, in this order:
+ * <p>Shutdown proceeds in this order:
  *
  * <ol>
- *   <li>{@link LoopMessage.BeginShutdown} moves the lifecycle to its last state, in which nothing
- *       is admitted;
- *   <li>turns go on until every tracked request has its response and no event is left;
- *   <li>the loop ends, which {@link #awaitEnd} reports;
- *   <li>requests that are in the queue by then or are offered later are rejected.
+ *   <li>{@link LoopMessage.BeginShutdown} moves the lifecycle to its final state, in which no
+ *       request is admitted;
+ *   <li>turns continue until every tracked request is resolved and no event is pending;
+ *   <li>the loop ends, and {@link #awaitEnd} returns;
+ *   <li>requests still queued or offered later are rejected.
  * </ol>
  *
- * <p>{@link #kill} ends the loop after the turn in progress and answers nothing.
+ * <p>{@link #kill} ends the loop after the turn in progress without any further response.
  */
 public final class EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
 
-    /** How long a thread waits before it tries again to post to a full queue. */
+    /** How long a thread waits before it posts to a full queue again. */
     private static final long POST_RETRY_NANOS = 20_000;
 
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** How often {@link #awaitEnd} looks whether a loop in virtual time has ended. */
+    /** How often {@link #awaitEnd} checks whether a loop in virtual time has ended. */
     private static final long END_POLL_MICROS = 1_000;
 
-    /** What the loop needs of the process around it; called on the loop's thread. */
+    /** Services of the surrounding process. Called on the loop's thread. */
     public interface LoopEnvironment extends Connector {
-        /** Asks discovery for every change after this revision. */
+        /** Watches discovery for every change after this revision. */
         void watchEndpoints(long revision);
 
-        /** The endpoint list changed; it is to be saved by another thread, if at all. */
+        /**
+         * Called when the endpoint list changed. An implementation that saves it must do so on
+         * another thread.
+         */
         void endpointListChanged(EndpointList list);
 
         /**
-         * A request no longer occupies an admission slot.
+         * Releases the admission slot of a request.
          *
-         * @param stayMicros since the request was received
+         * @param stayMicros time since the request was received
          */
         void releaseSlot(Connection client, Request request, long stayMicros);
 
-        /** The scheduler knows new request classes and plans; requests may name them now. */
+        /**
+         * Called when the scheduler has new request classes and plans, so that requests may name
+         * them.
+         */
         void settingsApplied(SchedulerSettings settings);
 
-        /** The part of the capacity that is in use, 0 to 1. */
+        /** Returns the share of the capacity that is in use, 0 to 1. */
         double utilization();
 
-        /** Admission slots in use. */
+        /** Returns the number of admission slots in use. */
         int slotsInUse();
 
-        /**
-         * Whether anybody can read snapshots and statistics; where nobody can, none are made and
-         * nothing is kept for them.
-         */
+        /** Whether snapshots and statistics can be read; if not, neither is collected. */
         default boolean isWatched() {
             return true;
         }
@@ -106,11 +110,11 @@
     private volatile Throwable fault;
 
     /**
-     * Creates a loop that is not started.
+     * Creates a loop; {@link #start} starts it.
      *
-     * @param execution its clock, and what runs its turns where time is virtual
-     * @param schedulerFactory makes the scheduler to use in place of {@link RequestScheduler}; null
-     *     in service
+     * @param execution provides the clock and, in virtual time, runs the turns
+     * @param schedulerFactory creates a scheduler to use instead of {@link RequestScheduler}; null
+     *     in production
      */
     public EventLoop(
             InitiatorConfig config,
@@ -138,8 +142,8 @@
     /**
      * Starts the loop.
      *
-     * @param seed of the scheduler's random choices
-     * @param restored the endpoint list as last saved, null for none
+     * @param seed of the scheduler's random generator
+     * @param restored the endpoint list that was last saved, null if none
      */
     public void start(long seed, EndpointList restored) {
         tracker.addEvent(new Event.Started(seed, config.deployment().scheduler()));
@@ -156,14 +160,15 @@
 
     // ---- Any thread ----
 
-    /** Offers a request; false where the queue has no room for it, and nothing was done. */
+    /** Offers a request; returns false, without any effect, if the queue has no room for it. */
     public boolean offer(LoopMessage.RequestReceived request) {
         if (!queue.offerRequest(request)) {
             return false;
         }
         thread.wakeUp();
         if (hasEnded()) {
-            rejectQueuedRequests(); // the loop may have polled for the last time before
+            // The loop may have polled the queue for the last time before the offer.
+            rejectQueuedRequests();
         }
         return true;
     }
@@ -175,13 +180,13 @@
     }
 
     /**
-     * Posts a message that must not be lost. Where the queue is full the caller waits until the
-     * loop has handled some, which applies back pressure to its peer; the last quarter of the queue
-     * is kept free of requests for this.
+     * Posts a message that must not be lost. If the queue is full, the caller blocks until the loop
+     * has handled some messages, which applies back pressure to the caller's peer. A quarter of the
+     * queue is reserved for these messages and never holds requests.
      */
     public void post(LoopMessage message) {
         if (thread.isCurrent()) {
-            queue.addLocal(message); // the loop cannot wait for itself
+            queue.addLocal(message); // blocking on its own queue would deadlock the loop
             thread.wakeUp();
             return;
         }
@@ -195,13 +200,13 @@
         thread.wakeUp();
     }
 
-    /** Stops at once, as a kill of the process would: no tracked request is answered. */
+    /** Stops the loop without responding to tracked requests, as a kill of the process would. */
     public void kill() {
         isKilled = true;
         thread.unpark();
     }
 
-    /** Waits for the loop's end; false where it has not ended by then. */
+    /** Waits for the loop's end; returns false if it has not ended within the given time. */
     public boolean awaitEnd(long millis) throws InterruptedException {
         long untilMicros = clock.getAsLong() + millis * MICROS_PER_MILLI;
         while (thread.isDriven() && !hasEnded()) {
@@ -213,48 +218,46 @@
         return ended.await(millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Whether the loop has ended, for whatever reason. */
+    /** Whether the loop has ended, whether by shutdown, kill or failure. */
     public boolean hasEnded() {
         return ended.getCount() == 0;
     }
 
     /**
-     * Stalls the loop, as a long pause of the process would.
+     * Stalls the loop, as a long pause of the process would; for scenarios.
      *
-     * @param afterwards is run on the loop's thread when the stall ends
+     * @param onEnd runs on the loop's thread when the stall ends
      */
-    public void stall(long micros, Runnable afterwards) {
-        post(
-                new LoopMessage.RunTask(
-                        () -> turns.beginStall(clock.getAsLong() + micros, afterwards)));
+    public void stall(long micros, Runnable onEnd) {
+        post(new LoopMessage.RunTask(() -> turns.beginStall(clock.getAsLong() + micros, onEnd)));
     }
 
-    /** What made the loop fail; null where it did not. */
+    /** Returns the exception that ended the loop; null if there was none. */
     public Throwable fault() {
         return fault;
     }
 
-    /** The initiator's current lifecycle state. */
+    /** Returns the initiator's current lifecycle state. */
     public LifecycleState lifecycleState() {
         return status.lifecycleState();
     }
 
-    /** The latest status snapshot; reading it does not disturb the loop. */
+    /** Returns the latest status snapshot, without involving the loop's thread. */
     public StatusSnapshot snapshot() {
         return status.snapshot();
     }
 
-    /** Statistics of the last seconds, oldest first. */
+    /** Returns the statistics of the last seconds, oldest first. */
     public List<ServiceStatistics.Row> rows(int seconds) {
         return components.statistics.rows(clock.getAsLong(), seconds);
     }
 
-    /** Whether the endpoint list has such a target, as of the latest snapshot. */
+    /** Whether the endpoint list contains the target, as of the latest snapshot. */
     public boolean knows(String target) {
-        return snapshot().targets().stream().anyMatch(t -> t.view().id().equals(target));
+        return snapshot().targets().stream().anyMatch(listed -> listed.view().id().equals(target));
     }
 
-    /** Passes the loop's figures to a reader, on the loop's thread. */
+    /** Passes the loop's metrics to a reader on the loop's thread. */
     public void show(Consumer<Figures> reader) {
         post(new LoopMessage.RunTask(() -> reader.accept(figures())));
     }
@@ -262,7 +265,7 @@
     private Figures figures() {
         return new Figures(
                 tracker.trackedCount(),
-                tracker.unansweredCount(),
+                tracker.unresolvedCount(),
                 components.dispatcher.outstandingCount(),
                 components.registry.size(),
                 components.registry.revision(),
@@ -273,7 +276,7 @@
 
     private void run() {
         try {
-            while (!isOver()) {
+            while (!shouldEnd()) {
                 if (turns.runTurn()) {
                     sleep(clock.getAsLong());
                 }
@@ -286,9 +289,10 @@
     }
 
     /**
-     * As {@link #run}, for a driver: runs turns until there is nothing to do now.
+     * Runs turns until the loop is idle; the counterpart of {@link #run} for a driver in virtual
+     * time.
      *
-     * @return when to run again (microseconds); Long.MAX_VALUE for never
+     * @return time of the next run in microseconds; Long.MAX_VALUE for never
      */
     private long runWhileBusy() {
         if (hasEnded() || isKilled) {
@@ -296,10 +300,10 @@
         }
         try {
             boolean isIdle = false;
-            while (!isOver() && !isIdle) {
+            while (!shouldEnd() && !isIdle) {
                 isIdle = turns.runTurn();
             }
-            if (!isOver()) {
+            if (!shouldEnd()) {
                 return Math.max(clock.getAsLong() + 1, turns.nextDueMicros(clock.getAsLong()));
             }
         } catch (RuntimeException | Error thrown) {
@@ -309,17 +313,17 @@
         return Long.MAX_VALUE;
     }
 
-    private boolean isOver() {
-        return isKilled || (components.handler.isShutdownRequested() && hasAnsweredAll());
+    private boolean shouldEnd() {
+        return isKilled || (components.handler.isShutdownRequested() && hasResolvedAll());
     }
 
-    private boolean hasAnsweredAll() {
-        return tracker.unansweredCount() == 0 && !tracker.hasEvents();
+    private boolean hasResolvedAll() {
+        return tracker.unresolvedCount() == 0 && !tracker.hasEvents();
     }
 
     private void fail(Throwable thrown) {
         fault = thrown;
-        LOG.error("the loop failed; every unanswered request is failed", thrown);
+        LOG.error("event loop failed; failing all pending requests", thrown);
         tracker.failAll();
         components.writeBatch.flush();
     }
@@ -338,18 +342,18 @@
     }
 
     /**
-     * The loop at one moment.
+     * Metrics of the loop at one moment.
      *
-     * @param pendingRequests requests that are tracked
-     * @param unanswered those of them without a response
+     * @param pendingRequests tracked requests
+     * @param unresolved tracked requests that need a response
      * @param out attempts and probes without an outcome
-     * @param targets targets in the endpoint list
+     * @param targets number of targets in the endpoint list
      * @param version revision of the endpoint list
-     * @param turnTimes microseconds that each turn's decisions and their execution took
+     * @param turnTimes microseconds that each turn took to decide and to execute its actions
      */
     public record Figures(
             int pendingRequests,
-            int unanswered,
+            int unresolved,
             int out,
             int targets,
             long version,
--- a/gateway/src/main/java/milletyoke/gateway/loop/LateRequestRejector.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/LateRequestRejector.java
@@ -3,8 +3,8 @@
 import milletyoke.wire.proto.Reason;
 
 /**
- * Rejects the requests that came too late for a loop that has ended. Without it a request that is
- * handed over just as the loop ends, or after it failed, would get no response.
+ * Rejects requests that are queued when the event loop has ended. Without it, a request that is
+ * queued just as the loop ends, or after the loop failed, would get no response.
  */
 final class LateRequestRejector {
     private final MessageQueue queue;
@@ -18,7 +18,7 @@
         this.counters = counters;
     }
 
-    /** Empties the queue; by one thread at a time, once the loop has ended. */
+    /** Empties the queue. Called only after the loop has ended, by one thread at a time. */
     void rejectQueued() {
         LoopMessage message = queue.pollShared();
         while (message != null) {
--- a/gateway/src/main/java/milletyoke/gateway/loop/LoopActionSink.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/LoopActionSink.java
@@ -4,7 +4,10 @@
 import milletyoke.gateway.dispatch.AttemptDispatcher;
 import milletyoke.wire.proto.Attempt;
 
-/** Passes the scheduler's actions on to what carries them out. Owned by the event loop. */
+/**
+ * Passes the scheduler's actions to the dispatcher, the wake-up timers and discovery. Owned by the
+ * event loop.
+ */
 final class LoopActionSink implements ActionSink {
     private final EventLoop.LoopEnvironment environment;
     private final LongSupplier clock;
--- a/gateway/src/main/java/milletyoke/gateway/loop/LoopComponents.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/LoopComponents.java
@@ -10,9 +10,9 @@
 import milletyoke.lifecycle.Lifecycle;
 import milletyoke.scheduler.RequestScheduler;
 
-/** Creates the parts of one event loop and connects them. All of them are owned by the loop. */
+/** Creates and connects the components of one event loop. The loop owns all of them. */
 final class LoopComponents {
-    /** How long the initiator stays saturated at least. */
+    /** Minimum time that the initiator stays in the saturated state. */
     private static final long MIN_SATURATED_MICROS = 1_000_000;
 
     final WriteBatch writeBatch = new WriteBatch();
@@ -31,10 +31,10 @@
     private final Counters counters;
 
     /**
-     * Creates the parts.
+     * Creates the components.
      *
-     * @param requestScheduler what the status snapshots show
-     * @param isVirtual time is virtual
+     * @param requestScheduler the scheduler whose state the status snapshots show
+     * @param isVirtual whether time is virtual
      */
     LoopComponents(
             InitiatorConfig config,
@@ -99,7 +99,7 @@
                 environment, clock, counters, tracker, dispatcher, registry, statistics, status);
     }
 
-    /** Passes changes of the endpoint list on to the dispatcher. */
+    /** Passes changes of the endpoint list to the dispatcher. */
     private final class DispatcherUpdates implements EndpointRegistry.TargetListener {
         @Override
         public void onListed(String target, Address address) {
--- a/gateway/src/main/java/milletyoke/gateway/loop/LoopMessage.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/LoopMessage.java
@@ -8,16 +8,16 @@
 import milletyoke.wire.proto.Request;
 
 /**
- * A message from another thread to the event loop. Messages of one thread are handled in the order
- * in which that thread posted them. Times are microseconds on the loop's clock.
+ * A message from another thread to the event loop. Messages from one thread are handled in the
+ * order in which it posted them. Times are microseconds on the loop's clock.
  */
 public sealed interface LoopMessage {
-    /** Calls the visitor's method for this kind of message. */
+    /** Calls the visitor's method for this type of message. */
     void accept(Visitor visitor);
 
-    /** One method for each kind of message; called on the loop's thread. */
+    /** Has one method for each type of message. Called on the loop's thread. */
     interface Visitor {
-        /** Handles a request of a client. */
+        /** Handles a request from a client. */
         void onRequestReceived(RequestReceived message);
 
         /** Handles a client's cancellation of one request. */
@@ -26,10 +26,10 @@
         /** Handles the end of a client's connection. */
         void onClientDisconnected(ClientDisconnected message);
 
-        /** Handles a connection to a target that is ready. */
+        /** Handles a connection to a target that was established. */
         void onConnectSucceeded(ConnectSucceeded message);
 
-        /** Handles a failed try to connect to a target. */
+        /** Handles a failed connect to a target. */
         void onConnectFailed(ConnectFailed message);
 
         /** Handles the end of a connection to a target. */
@@ -44,16 +44,16 @@
         /** Handles an endpoint list or an update of it. */
         void onEndpointListReceived(EndpointListReceived message);
 
-        /** Handles the loss of discovery. */
+        /** Handles discovery being unreachable or without a list. */
         void onDiscoveryUnavailable(DiscoveryUnavailable message);
 
-        /** Handles the request to shut down. */
+        /** Handles the start of the shutdown. */
         void onBeginShutdown(BeginShutdown message);
 
-        /** Handles an operator's drain of this initiator. */
+        /** Handles an operator's drain or undrain of this initiator. */
         void onDrainInitiator(DrainInitiator message);
 
-        /** Handles an operator's drain of one target. */
+        /** Handles an operator's drain or undrain of one target. */
         void onDrainTarget(DrainTarget message);
 
         /** Handles new settings. */
@@ -66,8 +66,8 @@
     /**
      * A client sent a request.
      *
-     * @param receivedAtMicros when it arrived; its deadline counts from then, however long it waits
-     *     for the loop
+     * @param receivedAtMicros when the request was received; its deadline counts from then, however
+     *     long it is queued
      */
     record RequestReceived(Connection client, Request request, long receivedAtMicros)
             implements LoopMessage {
@@ -77,7 +77,7 @@
         }
     }
 
-    /** The client no longer waits for one request. */
+    /** A client cancelled one request. */
     record RequestCancelled(Connection client, long number) implements LoopMessage {
         @Override
         public void accept(Visitor visitor) {
@@ -85,7 +85,7 @@
         }
     }
 
-    /** The client's connection is closed. */
+    /** A client's connection closed. */
     record ClientDisconnected(Connection client) implements LoopMessage {
         @Override
         public void accept(Visitor visitor) {
@@ -93,7 +93,7 @@
         }
     }
 
-    /** A connection to a target is ready; {@code connectNumber} is the one it was ordered with. */
+    /** A connection to a target was established; {@code connectNumber} identifies the connect. */
     record ConnectSucceeded(String target, long connectNumber, Connection connection)
             implements LoopMessage {
         @Override
@@ -113,9 +113,9 @@
     /**
      * A connection to a target ended.
      *
-     * @param refused the target stated that it processed nothing of what was sent there
+     * @param refused whether the target stated that it processed nothing sent on the connection
      * @param unwritten frame number of the attempt or probe whose last byte provably never left
-     *     this machine; 0 for none
+     *     this machine; 0 if none
      */
     record ConnectionLost(
             String target, Connection connection, String reason, boolean refused, long unwritten)
@@ -160,7 +160,7 @@
         }
     }
 
-    /** Discovery cannot be reached, or has no list. */
+    /** Discovery is unreachable or has no endpoint list. */
     record DiscoveryUnavailable(String reason) implements LoopMessage {
         @Override
         public void accept(Visitor visitor) {
@@ -168,7 +168,10 @@
         }
     }
 
-    /** Admit nothing new; the loop ends once every tracked request has its response. */
+    /**
+     * Begins the shutdown: no request is admitted, and the loop ends once every tracked request is
+     * resolved.
+     */
     record BeginShutdown() implements LoopMessage {
         @Override
         public void accept(Visitor visitor) {
@@ -176,7 +179,7 @@
         }
     }
 
-    /** An operator drains this initiator, or puts it back into service. */
+    /** An operator drains or undrains this initiator. */
     record DrainInitiator(boolean drained, String operator) implements LoopMessage {
         @Override
         public void accept(Visitor visitor) {
@@ -184,7 +187,7 @@
         }
     }
 
-    /** An operator drains a target for this initiator alone, or puts it back into service. */
+    /** An operator drains or undrains a target on this initiator only. */
     record DrainTarget(String target, boolean drained, String operator) implements LoopMessage {
         @Override
         public void accept(Visitor visitor) {
@@ -192,7 +195,7 @@
         }
     }
 
-    /** New settings are in force from now on. */
+    /** Applies new settings. */
     record ApplySettings(SchedulerSettings settings) implements LoopMessage {
         @Override
         public void accept(Visitor visitor) {
--- a/gateway/src/main/java/milletyoke/gateway/loop/LoopStall.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/LoopStall.java
@@ -1,18 +1,18 @@
 package milletyoke.gateway.loop;
 
 /**
- * A deliberate stall of the event loop, as a long pause of the process would cause; for scenarios.
+ * Deliberate stall of the event loop that simulates a long pause of the process, for scenarios.
  * Owned by the event loop.
  */
 final class LoopStall {
-    /** 0 where the loop is not stalled. */
+    /** 0 if the loop is not stalled. */
     private long untilMicros;
 
-    private Runnable afterwards;
+    private Runnable onEnd;
 
-    void begin(long untilMicros, Runnable afterwards) {
+    void begin(long untilMicros, Runnable onEnd) {
         this.untilMicros = untilMicros;
-        this.afterwards = afterwards;
+        this.onEnd = onEnd;
     }
 
     boolean isActive() {
@@ -25,6 +25,6 @@
 
     void end() {
         untilMicros = 0;
-        afterwards.run();
+        onEnd.run();
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/loop/LoopThread.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/LoopThread.java
@@ -5,26 +5,25 @@
 import milletyoke.wire.ExecutionEnvironment;
 
 /**
- * What runs the event loop's turns: a daemon thread in service, or the environment's {@link
- * ExecutionEnvironment.LoopDriver} where time is virtual. Also puts the thread to sleep and wakes
- * it up.
+ * Runs the event loop's turns on a daemon thread or, in virtual time, on the environment's {@link
+ * ExecutionEnvironment.LoopDriver}. Also parks and wakes up the thread.
  */
 final class LoopThread {
     private static final long NANOS_PER_MICRO = 1_000;
 
-    /** Runs the turns where there is no thread; null in service. */
+    /** Runs the turns in virtual time; null in production. */
     private final ExecutionEnvironment.LoopDriver driver;
 
-    /** Null where a driver runs the turns. */
+    /** Null if a driver runs the turns. */
     private final Thread thread;
 
     private volatile boolean isParked;
 
     /**
-     * Creates a thread, or none where the environment has a driver.
+     * Creates the thread, or none if the environment has a driver.
      *
-     * @param driver null in service
-     * @param body what the thread runs
+     * @param driver runs the turns in virtual time; null in production
+     * @param body the thread's main function
      */
     LoopThread(ExecutionEnvironment.LoopDriver driver, Runnable body, String name) {
         this.driver = driver;
@@ -36,7 +35,7 @@
         return driver != null;
     }
 
-    /** Whether the caller is the loop itself, which must not wait for its own progress. */
+    /** Whether the caller is the loop itself, which must not block on its own progress. */
     boolean isCurrent() {
         return isDriven() || Thread.currentThread() == thread;
     }
@@ -50,7 +49,7 @@
         }
     }
 
-    /** Ends the loop's sleep where it sleeps. Any thread. */
+    /** Wakes up the loop if it is parked. Any thread. */
     void wakeUp() {
         if (isDriven()) {
             driver.wakeUp();
@@ -59,14 +58,14 @@
         }
     }
 
-    /** Unparks the thread whether it sleeps or is about to. Any thread. */
+    /** Unparks the thread, whether it is parked or about to park. Any thread. */
     void unpark() {
         LockSupport.unpark(thread);
     }
 
     /**
-     * Sleeps until woken up, for {@code micros} at most. The condition is evaluated after this
-     * thread counts as parked, so that a wake-up between the two is not lost.
+     * Parks the thread until it is woken up or {@code micros} have passed. The condition is
+     * evaluated after {@code isParked} is set, so that a concurrent wake-up is not lost.
      */
     void parkIf(BooleanSupplier mayPark, long micros) {
         isParked = true;
--- a/gateway/src/main/java/milletyoke/gateway/loop/MessageHandler.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/MessageHandler.java
@@ -10,11 +10,11 @@
 import milletyoke.wire.proto.EndpointList;
 
 /**
- * Applies each message to the part of the loop that it concerns; what the scheduler must know
- * becomes an event of this turn. Owned by the event loop.
+ * Dispatches each message to the component that handles it, and collects the resulting events for
+ * the scheduler. Owned by the event loop.
  */
 final class MessageHandler implements LoopMessage.Visitor {
-    /** Kinds of events on the console. */
+    /** Event kinds that the console shows. */
     private static final String LIST_EVENT = "list";
 
     private static final String CONFIGURATION_EVENT = "configuration";
@@ -30,7 +30,7 @@
     private final StatusPublisher status;
     private boolean isShutdownRequested;
 
-    /** When the message in hand is handled. */
+    /** When the current message was taken from the queue. */
     private long nowMicros;
 
     MessageHandler(
@@ -123,7 +123,12 @@
         status.recordEvent(
                 nowMicros,
                 LIST_EVENT,
-                "version " + list.getRevision() + ", " + scope + " of " + list.getTargetCount());
+                "revision "
+                        + list.getRevision()
+                        + ", "
+                        + scope
+                        + ", targets: "
+                        + list.getTargetCount());
         status.apply(new LifecycleEvent.EndpointListReceived(registry.usableCount(), false));
         environment.endpointListChanged(registry.snapshot());
     }
@@ -132,7 +137,7 @@
     public void onDiscoveryUnavailable(LoopMessage.DiscoveryUnavailable message) {
         counters.increment(Counter.DISCOVERY_UNAVAILABLE);
         tracker.addEvent(new Event.EndpointListReceived(Event.ListScope.UNAVAILABLE, List.of()));
-        status.recordEvent(nowMicros, LIST_EVENT, "unavailable: " + message.reason());
+        status.recordEvent(nowMicros, LIST_EVENT, "discovery unavailable: " + message.reason());
         status.apply(new LifecycleEvent.DiscoveryUnavailable());
     }
 
@@ -146,7 +151,7 @@
     public void onApplySettings(LoopMessage.ApplySettings message) {
         statistics.applySettings(message.settings());
         tracker.addEvent(new Event.SettingsChanged(message.settings()));
-        status.recordEvent(nowMicros, CONFIGURATION_EVENT, "a new version holds");
+        status.recordEvent(nowMicros, CONFIGURATION_EVENT, "a new version is in force");
         environment.settingsApplied(message.settings());
     }
 
@@ -166,8 +171,8 @@
             return;
         }
         tracker.addEvent(change);
-        String what = message.drained() ? " drained here by " : " put back by ";
-        status.recordEvent(nowMicros, OPERATOR_EVENT, message.target() + what + message.operator());
+        String verb = message.drained() ? " drained here by " : " put back by ";
+        status.recordEvent(nowMicros, OPERATOR_EVENT, message.target() + verb + message.operator());
         status.apply(new LifecycleEvent.EndpointListReceived(registry.usableCount(), false));
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/loop/MessageQueue.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/MessageQueue.java
@@ -4,12 +4,12 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * The messages that wait for the event loop: a bounded lock-free queue from other threads, and a
- * list of those that the loop's thread posts to itself, which are handled first.
+ * Queue of messages for the event loop: a bounded lock-free queue for other threads, and an
+ * unbounded local queue for messages that the loop posts to itself, which are handled first.
  */
 final class MessageQueue {
-    /** One part in so many of the shared queue is kept free of requests. */
-    private static final int RESERVED_FRACTION = 4;
+    /** The shared queue reserves one part in this many for messages other than requests. */
+    private static final int RESERVED_DIVISOR = 4;
 
     private final MpscArrayQueue<LoopMessage> shared;
     private final ArrayDeque<LoopMessage> local = new ArrayDeque<>();
@@ -17,35 +17,38 @@
 
     MessageQueue(int capacity) {
         shared = new MpscArrayQueue<>(capacity);
-        requestCapacity = shared.capacity() - shared.capacity() / RESERVED_FRACTION;
+        requestCapacity = shared.capacity() - shared.capacity() / RESERVED_DIVISOR;
     }
 
     /**
-     * Adds a request unless only the part that is reserved for other messages is left. Any thread.
+     * Adds a request unless only the reserved part of the queue is free. Any thread.
      *
-     * @return false where the request was not added
+     * @return false if the request was not added
      */
     boolean offerRequest(LoopMessage.RequestReceived request) {
         return shared.size() <= requestCapacity && shared.offer(request);
     }
 
-    /** Adds a message; false where the queue is full. Any thread. */
+    /** Adds a message; returns false if the queue is full. Any thread. */
     boolean offer(LoopMessage message) {
         return shared.offer(message);
     }
 
-    /** Adds a message of the loop's own thread, without bound. */
+    /** Adds a message from the loop's own thread, without a bound. */
     void addLocal(LoopMessage message) {
         local.add(message);
     }
 
-    /** Removes the next message; null where there is none. Loop's thread. */
+    /** Removes the next message; returns null if there is none. Loop's thread only. */
     LoopMessage poll() {
         LoopMessage message = local.poll();
         return message != null ? message : shared.poll();
     }
 
-    /** Removes the next message of another thread; null where there is none. One caller a time. */
+    /**
+     * Removes the next message from another thread; returns null if there is none. The queue has a
+     * single consumer: one caller at a time.
+     */
     LoopMessage pollShared() {
         return shared.poll();
     }
--- a/gateway/src/main/java/milletyoke/gateway/loop/RequestIndex.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/RequestIndex.java
@@ -7,12 +7,12 @@
 import java.util.PriorityQueue;
 import milletyoke.wire.Connection;
 
-/** The tracked requests by id, by client and by expiry. Owned by the event loop. */
+/** Indexes the tracked requests by id, by client and by expiry. Owned by the event loop. */
 final class RequestIndex {
     private final Map<String, TrackedRequest> byId = new LinkedHashMap<>();
     private final Map<Connection, Map<Long, TrackedRequest>> byClient = new LinkedHashMap<>();
 
-    /** May hold requests that are removed already; they are dropped when they come to the front. */
+    /** May contain requests that were removed; these are dropped when they reach the head. */
     private final PriorityQueue<TrackedRequest> byExpiry =
             new PriorityQueue<>(Comparator.comparingLong(tracked -> tracked.expiresAtMicros));
 
@@ -23,14 +23,14 @@
         byExpiry.add(tracked);
     }
 
-    /** Removes a request; false where it was removed before. */
+    /** Removes a request; returns false if it was already removed. */
     boolean remove(TrackedRequest tracked) {
         if (byId.remove(tracked.id) == null) {
             return false;
         }
-        Map<Long, TrackedRequest> ofClient = byClient.get(tracked.client);
-        ofClient.remove(tracked.request.getNumber());
-        if (ofClient.isEmpty()) {
+        Map<Long, TrackedRequest> clientRequests = byClient.get(tracked.client);
+        clientRequests.remove(tracked.request.getNumber());
+        if (clientRequests.isEmpty()) {
             byClient.remove(tracked.client);
         }
         return true;
@@ -40,31 +40,34 @@
         return byId.containsKey(id);
     }
 
-    /** Null where there is none. */
+    /** Returns the request with this id; null if there is none. */
     TrackedRequest find(String id) {
         return byId.get(id);
     }
 
-    /** Null where there is none. */
+    /** Returns the client's request with this number; null if there is none. */
     TrackedRequest find(Connection client, long number) {
-        Map<Long, TrackedRequest> ofClient = byClient.get(client);
-        return ofClient == null ? null : ofClient.get(number);
+        Map<Long, TrackedRequest> clientRequests = byClient.get(client);
+        return clientRequests == null ? null : clientRequests.get(number);
     }
 
-    /** A copy of the client's requests; empty where it has none. */
+    /** Returns a copy of the client's requests; empty if it has none. */
     List<TrackedRequest> copyOfClient(Connection client) {
-        Map<Long, TrackedRequest> ofClient = byClient.get(client);
-        return ofClient == null ? List.of() : List.copyOf(ofClient.values());
+        Map<Long, TrackedRequest> clientRequests = byClient.get(client);
+        return clientRequests == null ? List.of() : List.copyOf(clientRequests.values());
     }
 
     List<TrackedRequest> copyOfAll() {
         return List.copyOf(byId.values());
     }
 
-    /** Takes the next request that is answered or expired off the expiry order; null for none. */
-    TrackedRequest pollAnsweredOrExpired(long nowMicros) {
-        TrackedRequest front = byExpiry.peek();
-        boolean canPoll = front != null && (front.isAnswered || front.expiresAtMicros < nowMicros);
+    /**
+     * Removes the head of the expiry queue and returns it if it is resolved or expired; returns
+     * null otherwise.
+     */
+    TrackedRequest pollResolvedOrExpired(long nowMicros) {
+        TrackedRequest head = byExpiry.peek();
+        boolean canPoll = head != null && (head.isResolved || head.expiresAtMicros < nowMicros);
         return canPoll ? byExpiry.poll() : null;
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/loop/RequestTracker.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/RequestTracker.java
@@ -22,23 +22,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The admitted requests, between the sockets and the scheduler: what happens to one becomes an
- * event, an action becomes a frame. It decides nothing. It ensures that each request gets at most
- * one response, and that each attempt that the scheduler ordered gets exactly one outcome.
+ * Tracks admitted requests between the sockets and the scheduler: it turns what happens to a
+ * request into events for the scheduler, and the scheduler's actions into frames. It makes no
+ * scheduling decisions. It ensures that each request gets at most one response, and that each
+ * attempt that the scheduler ordered gets exactly one outcome.
  *
- * <p>Owned by the event loop; free of sockets and clocks.
+ * <p>Owned by the event loop. Does no socket I/O and takes its clock as a parameter.
  */
 final class RequestTracker implements AttemptListener {
     private static final Logger LOG = LoggerFactory.getLogger(RequestTracker.class);
 
-    /** Is notified when a request no longer occupies an admission slot. */
+    /** Listens for requests that no longer occupy an admission slot. */
     interface SlotListener {
-        /** Releases the slot; {@code stayMicros} is the time since the request was received. */
+        /** Called with the time since the request was received. */
         void onSlotReleased(Connection client, Request request, long stayMicros);
     }
 
     private final String idempotencyKeyPrefix;
-    private final long answerSlackMicros;
+    private final long slackMicros;
     private final Counters counters;
     private final SlotListener slotListener;
     private final ServiceStatistics statistics;
@@ -48,25 +49,25 @@
     private final DecisionLog decisionLog = new DecisionLog();
     private ActionSink actionSink;
     private List<Event> events = new ArrayList<>();
-    private int unansweredCount;
+    private int unresolvedCount;
 
     /**
-     * Creates a tracker without requests.
+     * Creates a tracker.
      *
      * @param idempotencyKeyPrefix makes this incarnation's idempotency keys unique, for requests
      *     whose client gave none
-     * @param answerSlackMicros how long past its deadline a request is kept for its response
+     * @param slackMicros how long after its deadline a request may still get its response
      */
     RequestTracker(
             String idempotencyKeyPrefix,
-            long answerSlackMicros,
+            long slackMicros,
             Counters counters,
             SlotListener slotListener,
             ServiceStatistics statistics,
             LongSupplier clock,
             WriteBatch writeBatch) {
         this.idempotencyKeyPrefix = idempotencyKeyPrefix;
-        this.answerSlackMicros = answerSlackMicros;
+        this.slackMicros = slackMicros;
         this.counters = counters;
         this.slotListener = slotListener;
         this.statistics = statistics;
@@ -88,7 +89,7 @@
         return !events.isEmpty();
     }
 
-    /** Returns the events collected and starts a new list. */
+    /** Returns the collected events and starts a new list. */
     List<Event> drainEvents() {
         List<Event> drained = events;
         events = new ArrayList<>();
@@ -98,13 +99,13 @@
     // ---- Clients ----
 
     /**
-     * Starts to track a request. The time that it waited for the loop counts against its deadline,
-     * and one that has none left is rejected at once as never run; without that, requests that came
-     * during a stall were answered late by the stall's length.
+     * Starts to track a request. Its time in the queue counts against its deadline, and a request
+     * whose deadline has passed is rejected at once as never run. Otherwise requests received
+     * during a stall would be answered late by the length of the stall.
      */
     void receive(long nowMicros, long receivedAtMicros, Connection client, Request request) {
         if (!client.isOpen()) {
-            // Disconnected while the request was queued: nobody waits for the response.
+            // The client disconnected while the request was queued.
             slotListener.onSlotReleased(client, request, nowMicros - receivedAtMicros);
             return;
         }
@@ -120,9 +121,9 @@
         }
         TrackedRequest tracked =
                 new TrackedRequest(
-                        id, client, request, receivedAtMicros, deadlineMicros + answerSlackMicros);
+                        id, client, request, receivedAtMicros, deadlineMicros + slackMicros);
         requests.add(tracked);
-        unansweredCount++;
+        unresolvedCount++;
         counters.increment(Counter.REQUESTS);
         statistics.onRequest(
                 nowMicros, request.getRequestClass(), request.getPlan(), request.getVolume());
@@ -137,27 +138,27 @@
 
     private void closeForDuplicateNumber(Connection client, Request request, long stayMicros) {
         slotListener.onSlotReleased(client, request, stayMicros);
-        writeBatch.flush(); // responses of this turn go before the reason for the close
+        writeBatch.flush(); // send the responses of this turn before the reason for the close
         client.closeWithReason("access number " + request.getNumber() + " is used twice");
     }
 
-    /** The client cancelled one request. */
+    /** Closes a request that its client cancelled. */
     void requestCancelled(Connection client, long number) {
         TrackedRequest tracked = requests.find(client, number);
-        if (tracked != null && !tracked.isAnswered) {
+        if (tracked != null && !tracked.isResolved) {
             counters.increment(Counter.CANCELLED_BY_CLIENT);
             closeRequest(tracked);
         }
     }
 
-    /** The client's connection closed: all its requests are cancelled. */
+    /** Closes all requests of a client whose connection closed. */
     void clientDisconnected(Connection client) {
         List<TrackedRequest> cancelled = requests.copyOfClient(client);
         if (cancelled.isEmpty()) {
             return;
         }
         for (TrackedRequest tracked : cancelled) {
-            if (!tracked.isAnswered) {
+            if (!tracked.isResolved) {
                 closeRequest(tracked);
             }
         }
@@ -165,23 +166,23 @@
     }
 
     /**
-     * Closes requests past their deadline for which the scheduler decided no response. That would
-     * be a fault of the scheduler, so it is counted; closing them bounds the memory.
+     * Closes requests past their deadline for which the scheduler decided no response. This would
+     * be a scheduler fault, so it is counted and logged; closing bounds the memory.
      */
     void closeOverdue(long nowMicros) {
-        TrackedRequest tracked = requests.pollAnsweredOrExpired(nowMicros);
+        TrackedRequest tracked = requests.pollResolvedOrExpired(nowMicros);
         while (tracked != null) {
-            if (!tracked.isAnswered) {
+            if (!tracked.isResolved) {
                 closeOverdue(tracked);
             }
-            tracked = requests.pollAnsweredOrExpired(nowMicros);
+            tracked = requests.pollResolvedOrExpired(nowMicros);
         }
     }
 
     private void closeOverdue(TrackedRequest tracked) {
         counters.increment(Counter.OVERDUE);
         LOG.error(
-                "no answer was decided in time request={} volume={} attempts={} inFlight={}",
+                "scheduler decided no response in time request={} volume={} attempts={} inFlight={}",
                 tracked.id,
                 tracked.request.getVolume(),
                 tracked.attemptCount,
@@ -192,7 +193,7 @@
     /** Ends a request without a response. */
     private void closeRequest(TrackedRequest tracked) {
         events.add(new Event.RequestClosed(tracked.id));
-        markAnswered(tracked, ServiceStatistics.Outcome.CANCELLED);
+        markResolved(tracked, ServiceStatistics.Outcome.CANCELLED);
         if (tracked.hasAttemptInFlight) {
             actionSink.dropUnsent(tracked.id, tracked.latestAttemptNumber());
         }
@@ -212,22 +213,22 @@
         if (tracked == null
                 || !tracked.hasAttemptInFlight
                 || tracked.latestAttemptNumber() != attemptNumber) {
-            return; // its request is over and no longer tracked
+            return; // its request is closed and no longer tracked
         }
         tracked.hasAttemptInFlight = false;
         statistics.onAttemptEnd(
-                clock.getAsLong(), tracked.target, attemptEnd(outcome), latencyMicros);
-        if (outcome == Outcome.SUCCEEDED && !tracked.isAnswered) {
+                clock.getAsLong(), tracked.target, attemptResult(outcome), latencyMicros);
+        if (outcome == Outcome.SUCCEEDED && !tracked.isResolved) {
             respond(tracked, ResponseStatus.ANSWERED, 0, payload);
             counters.increment(Counter.ANSWERED);
         }
         events.add(
                 new Event.AttemptEnded(
-                        requestId, attemptNumber, tracked.isAnswered, outcome, latencyMicros));
+                        requestId, attemptNumber, tracked.isResolved, outcome, latencyMicros));
         removeIfComplete(tracked);
     }
 
-    private static ServiceStatistics.Outcome attemptEnd(Outcome outcome) {
+    private static ServiceStatistics.Outcome attemptResult(Outcome outcome) {
         return switch (outcome) {
             case SUCCEEDED -> ServiceStatistics.Outcome.ANSWERED;
             case OVERLOADED, NOT_STARTED, NO_CONNECTION -> ServiceStatistics.Outcome.REJECTED;
@@ -298,16 +299,16 @@
         return action instanceof Action.CancelAttempt cancel ? cancel.id() : null;
     }
 
-    /** The latest decisions, the newest first. */
+    /** Returns the latest decisions, newest first. */
     List<DecisionRecord> latestDecisions() {
         return decisionLog.newestFirst();
     }
 
     private void sendAttempt(long nowMicros, Action.SendAttempt send) {
         TrackedRequest tracked = requests.find(send.id());
-        if (tracked == null || tracked.isAnswered) {
+        if (tracked == null || tracked.isResolved) {
             throw new IllegalStateException(
-                    "an attempt was decided for request " + send.id() + ", which is over");
+                    "scheduler ordered an attempt for request " + send.id() + ", which is closed");
         }
         int attemptNumber = tracked.beginAttempt(send.target());
         statistics.onAttempt(nowMicros, send.target());
@@ -321,10 +322,10 @@
                 tracked.attemptFrame(attemptNumber, timeLeftMicros, idempotencyKeyPrefix));
     }
 
-    /** Responds to a request that is still unanswered. */
+    /** Responds to a request unless it is resolved. */
     private void finish(String id, ResponseStatus status, long retryAfterMicros, Counter counter) {
         TrackedRequest tracked = requests.find(id);
-        if (tracked != null && !tracked.isAnswered) {
+        if (tracked != null && !tracked.isResolved) {
             counters.increment(counter);
             respond(tracked, status, retryAfterMicros, null);
         }
@@ -345,10 +346,10 @@
             response.setPayload(payload);
         }
         writeBatch.enqueue(tracked.client, Frame.newBuilder().setResponse(response).build());
-        markAnswered(tracked, requestEnd(status));
+        markResolved(tracked, requestResult(status));
     }
 
-    private static ServiceStatistics.Outcome requestEnd(ResponseStatus status) {
+    private static ServiceStatistics.Outcome requestResult(ResponseStatus status) {
         return switch (status) {
             case ANSWERED -> ServiceStatistics.Outcome.ANSWERED;
             case REJECTED -> ServiceStatistics.Outcome.REJECTED;
@@ -356,17 +357,17 @@
         };
     }
 
-    private void markAnswered(TrackedRequest tracked, ServiceStatistics.Outcome end) {
+    private void markResolved(TrackedRequest tracked, ServiceStatistics.Outcome result) {
         long nowMicros = clock.getAsLong();
         statistics.onRequestEnd(
                 nowMicros,
                 tracked.request.getRequestClass(),
                 tracked.request.getPlan(),
                 tracked.request.getVolume(),
-                end,
+                result,
                 nowMicros - tracked.receivedAtMicros);
-        tracked.isAnswered = true;
-        unansweredCount--;
+        tracked.isResolved = true;
+        unresolvedCount--;
         removeIfComplete(tracked);
     }
 
@@ -378,19 +379,19 @@
                 tracked.client, tracked.request, clock.getAsLong() - tracked.receivedAtMicros);
     }
 
-    /** Fails every unanswered request, for the scheduler failed; that promises nothing. */
+    /** Fails every unresolved request, with unknown effect, after a failure of the loop. */
     void failAll() {
         for (TrackedRequest tracked : requests.copyOfAll()) {
             finish(tracked.id, ResponseStatus.FAILED, 0, Counter.FAILED);
         }
     }
 
-    /** Requests without a response. */
-    int unansweredCount() {
-        return unansweredCount;
+    /** Returns the number of requests that still need a response. */
+    int unresolvedCount() {
+        return unresolvedCount;
     }
 
-    /** Requests without a response or with an attempt in flight. */
+    /** Returns the number of requests that need a response or have an attempt in flight. */
     int trackedCount() {
         return requests.size();
     }
--- a/gateway/src/main/java/milletyoke/gateway/loop/ResponseFrames.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/ResponseFrames.java
@@ -5,15 +5,15 @@
 import milletyoke.wire.proto.Response;
 import milletyoke.wire.proto.ResponseStatus;
 
-/** Builds the responses to requests that never reach the scheduler. */
+/** Builds responses to requests that never reach the scheduler. */
 public final class ResponseFrames {
     private ResponseFrames() {}
 
     /**
      * Builds a rejection.
      *
-     * @param requestNumber the client's number of the request
-     * @param retryAfterMicros 0 where no time is suggested
+     * @param requestNumber the number that the client gave the request
+     * @param retryAfterMicros suggested delay before a retry; 0 if none
      */
     public static Frame rejected(long requestNumber, Reason reason, long retryAfterMicros) {
         return Frame.newBuilder()
--- a/gateway/src/main/java/milletyoke/gateway/loop/StatusPublisher.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/StatusPublisher.java
@@ -9,8 +9,8 @@
 import milletyoke.lifecycle.LifecycleState;
 
 /**
- * Keeps the initiator's lifecycle state and publishes status snapshots. Updated on the loop's
- * thread; the published values may be read by any thread.
+ * Maintains the initiator's lifecycle state and publishes status snapshots. Updated on the loop's
+ * thread; any thread may read the published values.
  */
 final class StatusPublisher {
     private static final long SNAPSHOT_INTERVAL_MICROS = 250_000;
@@ -29,9 +29,9 @@
     private long nextSnapshotMicros;
 
     /**
-     * Creates a publisher of what the given parts of the loop hold.
+     * Creates a publisher of the state of the given components.
      *
-     * @param isVirtual time is virtual: one snapshot is made at the start and none later
+     * @param isVirtual whether time is virtual; if so, only the snapshot at the start is published
      */
     StatusPublisher(
             EventLoop.LoopEnvironment environment,
@@ -58,7 +58,7 @@
         lifecycleState = lifecycle.apply(clock.getAsLong(), event);
     }
 
-    /** Adds an event to the console's list of events. */
+    /** Adds an event to the list that the console shows. */
     void recordEvent(long nowMicros, String kind, String description) {
         snapshotBuilder.addEvent(nowMicros, kind, description, null);
     }
@@ -67,20 +67,24 @@
         return nextSnapshotMicros;
     }
 
-    /** Updates the lifecycle and publishes a snapshot; its cost is shown by the next one. */
+    /**
+     * Updates the lifecycle and publishes a snapshot; the next snapshot includes the cost of this
+     * one.
+     */
     void publish(long nowMicros) {
         long startNanos = System.nanoTime();
         nextSnapshotMicros = nowMicros + SNAPSHOT_INTERVAL_MICROS;
         apply(new LifecycleEvent.UtilizationMeasured(environment.utilization()));
         apply(new LifecycleEvent.Tick());
         if (snapshot != null && (isVirtual || !environment.isWatched())) {
-            return; // nobody reads it, and its cost grows with the targets and volumes
+            // Nobody reads snapshots, and their cost grows with the targets and volumes.
+            return;
         }
-        snapshot = snapshotBuilder.build(nowMicros, loopState());
+        snapshot = snapshotBuilder.build(nowMicros, loopStatus());
         timings.recordSnapshot(nowMicros, System.nanoTime() - startNanos);
     }
 
-    private SnapshotBuilder.LoopStatus loopState() {
+    private SnapshotBuilder.LoopStatus loopStatus() {
         return new SnapshotBuilder.LoopStatus(
                 lifecycle,
                 environment.slotsInUse(),
--- a/gateway/src/main/java/milletyoke/gateway/loop/TrackedRequest.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/TrackedRequest.java
@@ -5,7 +5,7 @@
 import milletyoke.wire.proto.Attempt;
 import milletyoke.wire.proto.Request;
 
-/** One admitted request: its client, and the state of its attempts. Owned by the event loop. */
+/** One admitted request with its client and the state of its attempts. Owned by the event loop. */
 final class TrackedRequest {
     /** The scheduler's value for a request that names no shard. */
     private static final int NO_SHARD = -1;
@@ -15,16 +15,18 @@
     final Request request;
     final long receivedAtMicros;
 
-    /** After this nothing is of use to the client any more. */
+    /** When the request is closed if it has no response. */
     final long expiresAtMicros;
 
     int attemptCount;
 
-    /** Where the latest attempt went. */
+    /** The target of the latest attempt; null before the first. */
     String target;
 
     boolean hasAttemptInFlight;
-    boolean isAnswered;
+
+    /** Whether the request has its response, or needs none after a cancellation or disconnect. */
+    boolean isResolved;
 
     TrackedRequest(
             String id,
@@ -39,7 +41,7 @@
         this.expiresAtMicros = expiresAtMicros;
     }
 
-    /** The event that makes the request known to the scheduler. */
+    /** Builds the event that submits the request to the scheduler. */
     Event receivedEvent(long timeLeftMicros) {
         return new Event.RequestReceived(
                 id,
@@ -53,7 +55,7 @@
                 request.getUnits());
     }
 
-    /** Notes an attempt that is about to be sent; returns its number, from 0. */
+    /** Records an attempt that is about to be sent; returns its number, counted from 0. */
     int beginAttempt(String attemptTarget) {
         hasAttemptInFlight = true;
         target = attemptTarget;
@@ -64,15 +66,16 @@
         return attemptCount - 1;
     }
 
-    /** Whether it has its response, or needs none, and no attempt is in flight. */
+    /** Whether the request is resolved and no attempt is in flight. */
     boolean isComplete() {
-        return isAnswered && !hasAttemptInFlight;
+        return isResolved && !hasAttemptInFlight;
     }
 
     /**
-     * Builds what is sent to the target.
+     * Builds the attempt that is sent to the target.
      *
-     * @param idempotencyKeyPrefix makes a key of the request's id where the client gave none
+     * @param idempotencyKeyPrefix is prepended to the request's id to form the key if the client
+     *     gave none
      */
     Attempt.Builder attemptFrame(
             int attemptNumber, long timeLeftMicros, String idempotencyKeyPrefix) {
--- a/gateway/src/main/java/milletyoke/gateway/loop/TurnRunner.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/TurnRunner.java
@@ -9,14 +9,14 @@
 import milletyoke.scheduler.api.Scheduler;
 
 /**
- * One turn of the event loop: what is handled in it, in which order, and when the next one is due.
- * Owned by the event loop.
+ * Runs single turns of the event loop and determines when the next one is due. Owned by the event
+ * loop.
  */
 final class TurnRunner {
-    /** Bounds a turn, so that a flood of messages does not keep responses from being sent. */
+    /** Bounds a turn, so that a flood of messages does not delay responses. */
     private static final int MAX_MESSAGES_PER_TURN = 1024;
 
-    /** The longest sleep, and how often the loop looks for requests past their deadline. */
+    /** Longest sleep, and interval between checks for requests past their deadline. */
     private static final long MAX_SLEEP_MICROS = 50_000;
 
     private final LongSupplier clock;
@@ -53,12 +53,12 @@
     }
 
     /**
-     * Stalls the loop, as a long pause of the process would.
+     * Stalls the loop; messages wait in the queue until the stall ends.
      *
-     * @param afterwards is run when the stall ends
+     * @param onEnd runs when the stall ends
      */
-    void beginStall(long untilMicros, Runnable afterwards) {
-        stall.begin(untilMicros, afterwards);
+    void beginStall(long untilMicros, Runnable onEnd) {
+        stall.begin(untilMicros, onEnd);
     }
 
     boolean isStalled() {
@@ -66,7 +66,8 @@
     }
 
     /**
-     * Runs one turn; true where there is nothing to do before a message comes or a timer is due.
+     * Runs one turn; returns true if there is nothing to do until a message arrives or a timer is
+     * due.
      */
     boolean runTurn() {
         if (stall.isActive()) {
@@ -90,7 +91,7 @@
 
     /**
      * Handles queued messages up to the bound of a turn. The bound is checked before a message is
-     * polled: one that is polled and not handled would be lost.
+     * polled, because a message that is polled and not handled is lost.
      */
     private int handleMessages() {
         int handledCount = 0;
@@ -127,7 +128,7 @@
         timings.recordTurn(clock.getAsLong() - nowMicros);
     }
 
-    /** When the next turn has something to do, if no message comes before. */
+    /** Returns when the next turn is due if no message arrives before. */
     long nextDueMicros(long nowMicros) {
         if (stall.isActive()) {
             return stall.untilMicros();
--- a/gateway/src/main/java/milletyoke/gateway/loop/TurnTimings.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/TurnTimings.java
@@ -3,15 +3,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How long the loop's turns take, and the part of time that status snapshots cost. Owned by the
- * event loop.
+ * Measures the duration of the loop's turns, and the share of time spent on status snapshots. Owned
+ * by the event loop.
  */
 final class TurnTimings {
     private static final long MAX_TURN_MICROS = 60_000_000;
     private static final int DIGITS_SINCE_START = 3;
     private static final int DIGITS_RECENT = 2;
 
-    /** Recent turns and snapshot costs are those since the last full period. */
+    /** Length of the periods after which the recent turns and the snapshot cost start anew. */
     private static final long PERIOD_MICROS = 5_000_000;
 
     private static final double NANOS_PER_MICRO = 1e3;
@@ -40,17 +40,17 @@
         }
     }
 
-    /** Microseconds of each recent turn; the loop's own histogram, not a copy. */
+    /** Returns the durations of recent turns in microseconds; the live histogram, not a copy. */
     Histogram recent() {
         return recent;
     }
 
-    /** The part of time that snapshots cost in the last full period, 0 to 1. */
+    /** Returns the share of time spent on snapshots in the last full period, 0 to 1. */
     double snapshotCost() {
         return snapshotCost;
     }
 
-    /** Microseconds of each turn since the start; a copy. */
+    /** Returns a copy of the durations of all turns since the start, in microseconds. */
     Histogram copySinceStart() {
         return sinceStart.copy();
     }
--- a/gateway/src/test/java/milletyoke/gateway/loop/EndpointRegistryTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/loop/EndpointRegistryTest.java
@@ -11,7 +11,7 @@
 import milletyoke.wire.proto.Target;
 import org.junit.jupiter.api.Test;
 
-/** Which targets the listener is notified of when a list is applied. */
+/** Checks which targets the listener is notified of when an endpoint list is applied. */
 class EndpointRegistryTest implements EndpointRegistry.TargetListener {
     private final List<String> calls = new ArrayList<>();
     private final EndpointRegistry registry = new EndpointRegistry(this);
@@ -31,7 +31,7 @@
         calls.add("unlisted " + target);
     }
 
-    private void list(Scope scope, String... targets) {
+    private void applyList(Scope scope, String... targets) {
         EndpointList.Builder list = EndpointList.newBuilder().setScope(scope);
         for (String target : targets) {
             String[] parts = target.split(" ", 2);
@@ -48,13 +48,13 @@
 
     @Test
     void listenerIsNotifiedOfDrainingAndMissingTargets() {
-        list(Scope.REPLACE, "a ACTIVE", "b ACTIVE", "c ACTIVE");
+        applyList(Scope.REPLACE, "a ACTIVE", "b ACTIVE", "c ACTIVE");
         assertEquals(List.of("listed a", "listed b", "listed c"), calls);
-        list(Scope.REPLACE, "a ACTIVE", "b DRAINING");
+        applyList(Scope.REPLACE, "a ACTIVE", "b DRAINING");
         assertEquals(List.of("listed a", "listed b", "draining b", "unlisted c"), calls);
-        list(Scope.UPDATE, "a REMOVED");
+        applyList(Scope.UPDATE, "a REMOVED");
         assertEquals(List.of("unlisted a"), calls);
-        list(Scope.REPLACE);
+        applyList(Scope.REPLACE);
         assertEquals(List.of("unlisted b"), calls);
         assertEquals(0, registry.size());
     }
--- a/gateway/src/test/java/milletyoke/gateway/loop/RequestTrackerTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/loop/RequestTrackerTest.java
@@ -15,7 +15,7 @@
 import milletyoke.wire.proto.Request;
 import org.junit.jupiter.api.Test;
 
-/** What the tracker does when a client disconnects; without sockets and without a clock. */
+/** Checks that a disconnect closes the client's requests. Uses no sockets and a constant clock. */
 class RequestTrackerTest implements ActionSink {
     private final List<String> calls = new ArrayList<>();
     private int releasedSlots;
@@ -24,7 +24,7 @@
                     "m",
                     50_000,
                     new Counters(),
-                    (client, access, stay) -> releasedSlots++,
+                    (client, request, stayMicros) -> releasedSlots++,
                     new ServiceStatistics(
                             new SchedulerSettings(1, List.of(), List.of(), null, null, false),
                             false),
@@ -49,10 +49,10 @@
                 }
 
                 @Override
-                public void closeWithReason(String why) {}
+                public void closeWithReason(String reason) {}
 
                 @Override
-                public void close(String why) {}
+                public void close(String reason) {}
             };
 
     @Override
@@ -79,7 +79,7 @@
                 Outcome.NOT_STARTED,
                 0,
                 null,
-                null); // as the dispatcher does with an unsent attempt
+                null); // as the dispatcher reports for an unsent attempt
     }
 
     @Override
@@ -91,7 +91,7 @@
     @Override
     public void watchEndpoints() {}
 
-    /** An attempt that waits for its connection when its client disconnects must not be sent. */
+    /** An attempt that waits for a connection must not be sent after its client disconnected. */
     @Test
     void disconnectDropsUnsentAttemptsAndReleasesSlots() {
         tracker.setActionSink(this);
