--- a/gateway/src/main/java/milletyoke/gateway/dispatch/AttemptDispatcher.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/AttemptDispatcher.java
@@ -15,13 +15,12 @@
 import milletyoke.wire.proto.Load;
 
 /**
- * Attempts and probes from the order to send them to their outcome. It decides nothing on requests:
- * it sends, cancels and probes as ordered, and reports for each the one outcome that is true of it.
- * What was never handed to a connection is NO_CONNECTION or NOT_STARTED; what was handed over and
- * got no reply is RESET, CANCELLED or TIMED_OUT. The rule that nothing runs twice rests on that
- * distinction.
+ * Dispatches attempts and probes to targets, and reports exactly one outcome for each. It makes no
+ * scheduling decisions. The outcome is NO_CONNECTION or NOT_STARTED if the attempt was never handed
+ * to a connection, and RESET, CANCELLED or TIMED_OUT if it was handed over and got no reply. The
+ * guarantee that no request is executed twice relies on this distinction.
  *
- * <p>Owned by the event loop; free of sockets and clocks, so that a simulation can run it.
+ * <p>Owned by the event loop. Uses no sockets and no clock, so that a simulation can run it.
  */
 public final class AttemptDispatcher {
     private static final long MIN_SWEEP_INTERVAL_MICROS = 1_000;
@@ -36,7 +35,7 @@
     private final OutstandingAttempts outstanding;
     private final AttemptTimeouts timeouts = new AttemptTimeouts();
 
-    /** When the call in progress was made. */
+    /** Time of the current call. */
     private long nowMicros;
 
     private long nextFrameNumber = 1;
@@ -44,9 +43,9 @@
     private long nextSweepMicros;
 
     /**
-     * Creates a dispatcher that knows no target.
+     * Creates a dispatcher without targets.
      *
-     * @param writeBatch is flushed by the caller at the end of its turn
+     * @param writeBatch collects the frames; the caller flushes it at the end of its turn
      */
     public AttemptDispatcher(
             Transport transport,
@@ -63,12 +62,12 @@
 
     // ---- Endpoint list ----
 
-    /** Sets a target's address; connections to an earlier address finish what is in flight. */
+    /** Sets a target's address; attempts in flight to an earlier address continue. */
     public void targetListed(String target, Address address) {
         pools.computeIfAbsent(target, id -> new ConnectionPool(id, transport)).setListed(address);
     }
 
-    /** The target left the list: what is in flight there goes on, then the target is forgotten. */
+    /** Handles the removal of a target: attempts in flight continue, then its pool is dropped. */
     public void targetUnlisted(long now, String target) {
         ConnectionPool pool = pools.get(target);
         if (pool != null) {
@@ -78,8 +77,8 @@
     }
 
     /**
-     * The target drains or left the list: attempts that wait for a connection to it end as never
-     * sent. A connection may take longer to come up than the target's grace period lasts.
+     * Ends the attempts that wait for a connection to a target that drains or left the list. A
+     * connection may take longer to establish than the grace period of the target.
      */
     public void targetDraining(long now, String target) {
         nowMicros = now;
@@ -90,14 +89,14 @@
     }
 
     private void failWaiting(ConnectionPool pool) {
-        for (OutboundAttempt attempt : pool.takeWaiting()) {
+        for (OutboundAttempt attempt : pool.removeAllWaiting()) {
             end(attempt, Outcome.NO_CONNECTION);
         }
     }
 
-    // ---- Orders ----
+    // ---- Actions of the scheduler ----
 
-    /** Sends an attempt; its outcome comes at {@code deadlineMicros} at the latest. */
+    /** Sends an attempt; its outcome is reported at {@code deadlineMicros} at the latest. */
     public void sendAttempt(
             long now,
             String target,
@@ -120,7 +119,7 @@
         dispatch(outbound);
     }
 
-    /** Sends a probe for the target's load. */
+    /** Sends a probe that asks the target for its load. */
     public void sendProbe(long now, String target) {
         nowMicros = now;
         dispatch(
@@ -132,9 +131,7 @@
                         now + transport.connectTimeoutMicros()));
     }
 
-    /**
-     * Stops waiting for an attempt: NOT_STARTED where it was never sent, CANCELLED where it was.
-     */
+    /** Cancels an attempt, with outcome CANCELLED if it was sent and NOT_STARTED if not. */
     public void cancelAttempt(long now, String requestId, int attemptNumber) {
         nowMicros = now;
         OutboundAttempt attempt = outstanding.find(requestId, attemptNumber);
@@ -152,8 +149,8 @@
     }
 
     /**
-     * Ends an attempt that still waits for a connection, for its request is over: it must have no
-     * effect after its client left. One that was sent goes on.
+     * Ends an attempt that still waits for a connection, because its request is closed and must
+     * have no effect any more. An attempt that was sent continues.
      */
     public void dropUnsent(long now, String requestId, int attemptNumber) {
         nowMicros = now;
@@ -184,15 +181,15 @@
     }
 
     /**
-     * Whether a connection carries one attempt at a time. Then an attempt is given up by closing
-     * its connection, and one that finds none free waits for one, for as long as it may wait for a
-     * new one.
+     * Whether a connection carries only one attempt at a time. If so, an attempt is abandoned by
+     * closing its connection, and an attempt without a free connection waits for one, up to the
+     * connect timeout.
      */
     private boolean isExclusive() {
         return transport.maxAttemptsPerConnection() == 1;
     }
 
-    /** Sends on one of the pool's connections; false where none takes it. */
+    /** Sends an attempt on one of the pool's connections; returns false if none accepts it. */
     private boolean transmit(ConnectionPool pool, OutboundAttempt attempt) {
         PooledConnection available = pool.findAvailable(nowMicros);
         if (available == null
@@ -208,27 +205,27 @@
     private void sendWaiting(ConnectionPool pool) {
         while (pool.hasWaiting()) {
             OutboundAttempt attempt = pool.firstWaiting();
-            boolean isDue = nowMicros >= attempt.nextDueMicros(); // ended later in this turn
-            boolean canSend = !attempt.isEnded && !isDue;
-            if (canSend && !transmit(pool, attempt)) {
+            boolean isDue = nowMicros >= attempt.nextDueMicros(); // handleTimeouts ends it
+            boolean isSendable = !attempt.isEnded && !isDue;
+            if (isSendable && !transmit(pool, attempt)) {
                 return;
             }
             pool.removeFirstWaiting();
-            if (canSend) {
+            if (isSendable) {
                 timeouts.update(attempt);
             }
         }
     }
 
-    // ---- Events of connections ----
+    // ---- Connection events ----
 
-    /** A connection is ready; it is closed where its connect was given up before. */
+    /** Handles an established connection; closes it if its connect was already cancelled. */
     public void connectSucceeded(
             long now, String target, long connectNumber, Connection connection) {
         nowMicros = now;
         ConnectionPool pool = pools.get(target);
         if (pool == null || !pool.removePendingConnect(connectNumber)) {
-            connection.close("came too late"); // what waited for it has its outcome
+            connection.close("connect was already cancelled"); // attempts that waited have ended
             return;
         }
         PooledConnection pooled = new PooledConnection(connection, now);
@@ -237,7 +234,7 @@
         sendWaiting(pool);
     }
 
-    /** A connect failed; what waits for it ends unless another connect is pending. */
+    /** Handles a failed connect; ends the waiting attempts unless another connect is pending. */
     public void connectFailed(long now, String target, long connectNumber, String reason) {
         nowMicros = now;
         ConnectionPool pool = pools.get(target);
@@ -254,12 +251,12 @@
     }
 
     /**
-     * A connection ended.
+     * Handles the end of a connection.
      *
-     * @param refused the target stated that it processed nothing of what was sent there, so that
-     *     non-idempotent requests need not fail as unknown. It is not believed of a connection on
-     *     which the target has replied.
-     * @param unwritten frame number of the attempt whose last byte never left this machine; 0 for
+     * @param refused whether the target stated that it processed nothing sent on the connection, so
+     *     that non-idempotent requests need not fail with unknown effect; ignored if the target has
+     *     replied on the connection
+     * @param unwritten frame number of the attempt whose last byte never left this machine; 0 if
      *     none
      */
     public void connectionLost(
@@ -280,11 +277,11 @@
             end(attempt, neverArrived ? Outcome.NO_CONNECTION : Outcome.RESET);
         }
         if (pool.hasWaiting() && !pool.hasOpenConnection()) {
-            failWaitingUnlessConnecting(pool); // no connection is left that could become free
+            failWaitingUnlessConnecting(pool); // no open connection is left to wait for
         }
     }
 
-    /** A reply to an attempt; dropped where the attempt is no longer in flight. */
+    /** Handles a reply to an attempt; ignored if the attempt is no longer in flight. */
     public void attemptReplied(
             long now, long receivedAtMicros, Connection connection, AttemptReply reply) {
         nowMicros = now;
@@ -297,7 +294,7 @@
         outstanding.endReplied(nowMicros, attempt, reply);
     }
 
-    /** A reply to a probe; dropped where the probe is no longer in flight. */
+    /** Handles a reply to a probe; ignored if the probe is no longer in flight. */
     public void probeReplied(
             long now, long receivedAtMicros, Connection connection, long number, Load load) {
         nowMicros = now;
@@ -310,7 +307,7 @@
         outstanding.end(nowMicros, probe, Outcome.SUCCEEDED, load, null);
     }
 
-    /** What a reply on this connection answers; null where that is no longer in flight. */
+    /** Returns the attempt or probe that a reply belongs to; null if it is no longer in flight. */
     private OutboundAttempt findReplied(Connection connection, long frameNumber) {
         PooledConnection pooled = connections.get(connection);
         if (pooled == null) {
@@ -325,19 +322,19 @@
         attempt.repliedAtMicros = receivedAtMicros;
     }
 
-    // ---- Time ----
+    // ---- Timeouts ----
 
-    /** When {@link #handleTimeouts} has something to do next; Long.MAX_VALUE for never. */
+    /** Returns when {@link #handleTimeouts} must run next; Long.MAX_VALUE for never. */
     public long nextDueMicros() {
         long nextSweep = pools.isEmpty() ? Long.MAX_VALUE : nextSweepMicros;
         return Math.min(Math.min(nextReusableMicros(), timeouts.nextDueMicros()), nextSweep);
     }
 
-    /** When the first awaited connection may be reused; Long.MAX_VALUE for never. */
+    /** Returns when the first awaited connection may be reused; Long.MAX_VALUE for never. */
     private long nextReusableMicros() {
         long next = Long.MAX_VALUE;
         if (!isExclusive()) {
-            return next; // each turn asks: no walk over all targets where there is no reuse delay
+            return next; // without a reuse delay, avoid iterating over all pools in every turn
         }
         for (ConnectionPool pool : pools.values()) {
             next = Math.min(next, pool.nextReusableMicros());
@@ -345,7 +342,9 @@
         return next;
     }
 
-    /** Ends what has timed out, gives up connects, and closes idle connections. */
+    /**
+     * Ends timed-out attempts and probes, cancels overdue connects, and closes idle connections.
+     */
     public void handleTimeouts(long now) {
         nowMicros = now;
         if (isExclusive() && nextReusableMicros() <= now) {
@@ -384,7 +383,9 @@
         outstanding.end(nowMicros, attempt, outcome);
     }
 
-    /** Attempts and probes without an outcome, and those whose end the next sweep removes. */
+    /**
+     * Counts attempts and probes without an outcome, and ended ones that the next sweep removes.
+     */
     public int outstandingCount() {
         int outstandingCount = 0;
         for (PooledConnection connection : connections.values()) {
--- a/gateway/src/main/java/milletyoke/gateway/dispatch/AttemptListener.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/AttemptListener.java
@@ -4,14 +4,17 @@
 import milletyoke.scheduler.api.Outcome;
 import milletyoke.wire.proto.Load;
 
-/** Is notified once, on the loop's thread, of how each attempt and each probe ended. */
+/**
+ * Listener that is called exactly once, on the loop's thread, for the end of each attempt and
+ * probe.
+ */
 public interface AttemptListener {
     /**
-     * An attempt ended.
+     * Called when an attempt ended.
      *
-     * @param latencyMicros since the attempt was ordered
-     * @param load what the target reported of its load; null where it did not
-     * @param payload of the reply; null where there was none
+     * @param latencyMicros time since the attempt was ordered
+     * @param load load that the target reported; null if none
+     * @param payload of the reply; null if there was no reply
      */
     void onAttemptEnded(
             String requestId,
@@ -22,10 +25,10 @@
             ByteString payload);
 
     /**
-     * A probe ended.
+     * Called when a probe ended.
      *
-     * @param latencyMicros since the probe was ordered
-     * @param queueLength requests that the target reports as queued, -1 where it does not
+     * @param latencyMicros time since the probe was ordered
+     * @param queueLength number of queued requests that the target reported; -1 if none
      */
     void onProbeEnded(String target, Outcome outcome, long latencyMicros, double queueLength);
 }
--- a/gateway/src/main/java/milletyoke/gateway/dispatch/AttemptTimeouts.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/AttemptTimeouts.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Attempts and probes without an outcome, by when they time out. Owned by the event loop. */
+/** Queue of attempts and probes without an outcome, ordered by timeout. Owned by the event loop. */
 final class AttemptTimeouts {
     private final PriorityQueue<OutboundAttempt> byDueTime =
             new PriorityQueue<>(Comparator.comparingLong(OutboundAttempt::nextDueMicros));
@@ -12,19 +12,19 @@
         byDueTime.add(attempt);
     }
 
-    /** Sorts an attempt in anew whose due time changed when it was sent. */
+    /** Reorders an attempt whose due time changed because it was sent. */
     void update(OutboundAttempt attempt) {
         byDueTime.remove(attempt);
         byDueTime.add(attempt);
     }
 
-    /** When the first is due; Long.MAX_VALUE for never. */
+    /** Returns when the first timeout is due; Long.MAX_VALUE for never. */
     long nextDueMicros() {
         dropEnded();
         return byDueTime.isEmpty() ? Long.MAX_VALUE : byDueTime.peek().nextDueMicros();
     }
 
-    /** Removes and returns the next that is due; null for none. */
+    /** Removes and returns the next attempt or probe that is due; null if none. */
     OutboundAttempt pollDue(long nowMicros) {
         return nextDueMicros() <= nowMicros ? byDueTime.poll() : null;
     }
--- a/gateway/src/main/java/milletyoke/gateway/dispatch/ConnectionPool.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/ConnectionPool.java
@@ -10,27 +10,27 @@
 import milletyoke.gateway.config.InitiatorConfig.Transport;
 
 /**
- * One target's connections: those that are established, those that are pending, and the attempts
- * that wait for one. It sends nothing and gives no outcomes. Owned by the event loop.
+ * Pool of the established and pending connections to one target, and the attempts that wait for
+ * one. It neither sends attempts nor reports outcomes. Owned by the event loop.
  */
 final class ConnectionPool {
     /**
-     * How long a connection that carries one attempt at a time is not reused after a reply. A
-     * target may send a second copy of the reply some milliseconds late, and nothing in it says
-     * which attempt it answers: within this time it arrives when nothing is in flight, and closes
-     * the connection. Copies were seen 1 to 5 ms late; this is twice that.
+     * Delay after a reply before a connection that carries one attempt at a time is reused. A
+     * target may send a duplicate of the reply, which does not identify its attempt. If it arrives
+     * within the delay, nothing is in flight, and the connection is closed. Duplicates arrive 1 to
+     * 5 ms after the reply; the delay is twice the longest.
      */
     static final long REUSE_DELAY_MICROS = 10_000;
 
-    private record PendingEntry(Connector.PendingConnect connect, long deadlineMicros) {}
+    private record PendingConnectEntry(Connector.PendingConnect connect, long deadlineMicros) {}
 
     private final String target;
     private final Transport transport;
     private final List<PooledConnection> connections = new ArrayList<>();
-    private final Map<Long, PendingEntry> pendingConnects = new LinkedHashMap<>();
+    private final Map<Long, PendingConnectEntry> pendingConnects = new LinkedHashMap<>();
     private final ArrayDeque<OutboundAttempt> waiting = new ArrayDeque<>();
 
-    /** Null until the target was listed. */
+    /** Null until the target is listed. */
     private Address address;
 
     private boolean isListed;
@@ -40,9 +40,9 @@
         this.transport = transport;
     }
 
-    // ---- The target ----
+    // ---- Target ----
 
-    /** Sets the address; connections to an earlier one are kept until they end. */
+    /** Sets the address; connections to an earlier address are kept until they end. */
     void setListed(Address newAddress) {
         address = newAddress;
         isListed = true;
@@ -52,14 +52,16 @@
         isListed = false;
     }
 
-    /** Whether nothing of the target is left and the pool can be dropped. */
+    /**
+     * Whether the target is unlisted and has no connections left, so that the pool can be dropped.
+     */
     boolean isDisposable() {
         return !isListed && connections.isEmpty() && pendingConnects.isEmpty();
     }
 
     // ---- Established connections ----
 
-    /** Whether a connection carries one attempt at a time. */
+    /** Whether a connection carries only one attempt at a time. */
     private boolean isExclusive() {
         return transport.maxAttemptsPerConnection() == 1;
     }
@@ -82,9 +84,10 @@
     }
 
     /**
-     * Finds the connection to send on next; null where none has room. That is the one with the
-     * fewest in flight; of exclusive ones the least recently used, so that a target that sends more
-     * replies than it owes is noticed there before the next attempt could take one for its own.
+     * Returns the connection to send on next, or null if none is available. This is the connection
+     * with the fewest attempts in flight. Among exclusive connections it is the least recently
+     * used, so that a surplus reply is detected there before it can be mistaken for the reply to
+     * the next attempt.
      */
     PooledConnection findAvailable(long nowMicros) {
         PooledConnection best = null;
@@ -108,14 +111,14 @@
                 || (isExclusive() && candidate.lastUsedMicros < best.lastUsedMicros);
     }
 
-    /** From when on a connection may be used; 0 where there is no delay. */
+    /** Returns when a connection may be reused; 0 if there is no delay. */
     private long reusableAtMicros(PooledConnection connection) {
         return isExclusive() && connection.hasReceivedReply
                 ? connection.lastUsedMicros + REUSE_DELAY_MICROS
                 : 0;
     }
 
-    /** Idle connections that only wait for their reuse delay. */
+    /** Returns the number of idle connections in their reuse delay. */
     private int countInReuseDelay(long nowMicros) {
         int count = 0;
         for (PooledConnection connection : connections) {
@@ -130,7 +133,7 @@
     }
 
     /**
-     * When the first idle connection that an attempt waits for may be reused; Long.MAX_VALUE for
+     * Returns when the first idle connection may be reused by a waiting attempt; Long.MAX_VALUE for
      * never.
      */
     long nextReusableMicros() {
@@ -146,9 +149,7 @@
         return next;
     }
 
-    /**
-     * Closes the connections that were idle for longer than the transport's bound, if it has one.
-     */
+    /** Closes connections that were idle for longer than the idle timeout, if there is one. */
     void closeIdle(long nowMicros) {
         if (transport.idleTimeoutMicros() <= 0) {
             return;
@@ -163,7 +164,7 @@
 
     // ---- Pending connects ----
 
-    /** Whether one more waiting attempt calls for a new connection, and the bound allows one. */
+    /** Whether one more waiting attempt requires a new connection and the limit allows one. */
     boolean needsConnect(long nowMicros) {
         return countInReuseDelay(nowMicros) <= waiting.size()
                 && connections.size() + pendingConnects.size()
@@ -173,7 +174,7 @@
     void connect(Connector connector, long connectNumber, long nowMicros) {
         pendingConnects.put(
                 connectNumber,
-                new PendingEntry(
+                new PendingConnectEntry(
                         connector.connect(target, address, connectNumber),
                         nowMicros + transport.connectTimeoutMicros()));
     }
@@ -182,7 +183,7 @@
         return address != null;
     }
 
-    /** Whether a waiting attempt can hope for a connection. */
+    /** Whether a connection may become available to a waiting attempt. */
     boolean canWait() {
         return hasPendingConnect() || (isExclusive() && hasOpenConnection());
     }
@@ -191,17 +192,17 @@
         return !pendingConnects.isEmpty();
     }
 
-    /** Removes a pending connect that ended; false where it was given up before. */
+    /** Removes a pending connect that ended; returns false if it was already cancelled. */
     boolean removePendingConnect(long connectNumber) {
         return pendingConnects.remove(connectNumber) != null;
     }
 
-    /** Cancels the pending connects that are past their deadline; returns how many. */
+    /** Cancels pending connects past their deadline and returns their number. */
     int cancelExpiredConnects(long nowMicros) {
         int cancelledCount = 0;
-        Iterator<PendingEntry> entries = pendingConnects.values().iterator();
+        Iterator<PendingConnectEntry> entries = pendingConnects.values().iterator();
         while (entries.hasNext()) {
-            PendingEntry entry = entries.next();
+            PendingConnectEntry entry = entries.next();
             if (nowMicros >= entry.deadlineMicros()) {
                 entry.connect().cancel();
                 entries.remove();
@@ -217,7 +218,7 @@
         waiting.add(attempt);
     }
 
-    /** The attempt that waits for longest; null for none. */
+    /** Returns the attempt that has waited longest; null if none. */
     OutboundAttempt firstWaiting() {
         return waiting.peekFirst();
     }
@@ -234,8 +235,8 @@
         return waiting.size();
     }
 
-    /** Removes and returns all that wait. */
-    List<OutboundAttempt> takeWaiting() {
+    /** Removes and returns all waiting attempts. */
+    List<OutboundAttempt> removeAllWaiting() {
         List<OutboundAttempt> removed = new ArrayList<>(waiting);
         waiting.clear();
         return removed;
--- a/gateway/src/main/java/milletyoke/gateway/dispatch/Connector.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/Connector.java
@@ -3,16 +3,16 @@
 import milletyoke.gateway.config.Address;
 
 /**
- * Opens connections to targets. The result is posted to the event loop with the connect's number,
- * as {@code ConnectSucceeded} or {@code ConnectFailed}.
+ * Opens connections to targets. The result is posted to the event loop as {@code ConnectSucceeded}
+ * or {@code ConnectFailed} with the number of the connect.
  */
 public interface Connector {
-    /** Starts to connect and returns at once; called on the loop's thread. */
+    /** Starts a connect without blocking. Called on the loop's thread. */
     PendingConnect connect(String target, Address address, long connectNumber);
 
-    /** A connection that is not established yet. */
+    /** Handle of a connect that is in progress. */
     interface PendingConnect {
-        /** Gives up; a result that is posted all the same is ignored by the loop. */
+        /** Cancels the connect; the loop ignores a result that is posted nevertheless. */
         void cancel();
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/dispatch/OutboundAttempt.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/OutboundAttempt.java
@@ -6,35 +6,35 @@
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Probe;
 
-/** One attempt or probe from the order to send it to its outcome. Owned by the event loop. */
+/** State of one attempt or probe from its order to its outcome. Owned by the event loop. */
 final class OutboundAttempt {
     final String target;
 
-    /** The request; null for a probe. */
+    /** Id of the request; null for a probe. */
     final String requestId;
 
     final int attemptNumber;
 
-    /** Identifies it on its connection. */
+    /** Identifies the attempt or probe on its connection. */
     final long frameNumber;
 
     final long orderedAtMicros;
 
-    /** When waiting for its reply ends. */
+    /** When the attempt or probe times out. */
     final long deadlineMicros;
 
-    /** When waiting for a connection ends. */
+    /** When the wait for a connection times out. */
     final long connectDeadlineMicros;
 
-    /** What it was sent on; null until it is sent. */
+    /** The connection that it was sent on; null until then. */
     PooledConnection connection;
 
     boolean isEnded;
 
-    /** When its reply was received; 0 where none was. */
+    /** When the reply was received; 0 if there is none. */
     long repliedAtMicros;
 
-    /** Null once it is sent or ended. */
+    /** Null once sent or ended. */
     private Frame frame;
 
     private OutboundAttempt(
@@ -93,7 +93,7 @@
                 connectDeadlineMicros);
     }
 
-    /** The frame to send now: it states the time that is left now, not when it was ordered. */
+    /** Returns the frame to send at the given time, with the time left updated. */
     Frame frameAt(long nowMicros) {
         if (isProbe() || nowMicros == orderedAtMicros) {
             return frame;
@@ -104,15 +104,15 @@
                 .build();
     }
 
-    /** The frame that tells the target that nobody waits for its reply any more. */
+    /** Returns the frame that cancels the attempt at its target. */
     Frame cancelFrame() {
         return Frame.newBuilder()
                 .setCancelAttempt(CancelAttempt.newBuilder().setNumber(frameNumber))
                 .build();
     }
 
-    void markSent(PooledConnection on) {
-        connection = on;
+    void markSent(PooledConnection usedConnection) {
+        connection = usedConnection;
         frame = null;
     }
 
@@ -129,20 +129,22 @@
         return connection != null;
     }
 
-    /** Microseconds from the order to the reply, or to now where there was none. */
+    /** Returns the time from the order to the reply, or until now if there is none. */
     long latencyMicros(long nowMicros) {
         long endMicros = repliedAtMicros > 0 ? repliedAtMicros : nowMicros;
         return Math.max(0, endMicros - orderedAtMicros);
     }
 
-    /** When it times out, in the state that it is in. */
+    /**
+     * Returns when it times out: at its deadline, or before at its connect deadline if not sent.
+     */
     long nextDueMicros() {
         return isSent() ? deadlineMicros : Math.min(deadlineMicros, connectDeadlineMicros);
     }
 
     /**
-     * What becomes of it when it times out now: unsent at its deadline it is NOT_STARTED, unsent at
-     * its connect deadline NO_CONNECTION.
+     * Returns its outcome if it times out now: TIMED_OUT if sent, otherwise NO_CONNECTION at the
+     * connect deadline and NOT_STARTED at the deadline.
      */
     Outcome timeoutOutcome(long nowMicros) {
         if (isSent()) {
--- a/gateway/src/main/java/milletyoke/gateway/dispatch/OutstandingAttempts.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/OutstandingAttempts.java
@@ -8,8 +8,8 @@
 import milletyoke.wire.proto.Load;
 
 /**
- * The attempts without an outcome, by request and attempt number. Ends each attempt and probe once
- * and reports its outcome. Owned by the event loop.
+ * Holds the attempts without an outcome by request id and attempt number. Ends each attempt and
+ * probe once and reports its outcome. Owned by the event loop.
  */
 final class OutstandingAttempts {
     private static final double UNKNOWN_QUEUE_LENGTH = -1;
@@ -21,7 +21,7 @@
     /**
      * Creates an empty collection.
      *
-     * @param isExclusive a connection carries one attempt at a time
+     * @param isExclusive whether a connection carries only one attempt at a time
      */
     OutstandingAttempts(AttemptListener listener, boolean isExclusive) {
         this.listener = listener;
@@ -32,23 +32,25 @@
         attemptsByKey.put(key(attempt.requestId, attempt.attemptNumber), attempt);
     }
 
-    /** Null where there is none. */
+    /** Returns an attempt without an outcome; null if there is none. */
     OutboundAttempt find(String requestId, int attemptNumber) {
         return attemptsByKey.get(key(requestId, attemptNumber));
     }
 
-    /** Ends an attempt or probe to which there was no reply; does nothing if it has ended. */
+    /** Ends an attempt or probe without a reply; does nothing if it has ended. */
     void end(long nowMicros, OutboundAttempt attempt, Outcome outcome) {
         end(nowMicros, attempt, outcome, null, null);
     }
 
-    /** Ends an attempt with its target's reply; does nothing if it has ended. */
+    /** Ends an attempt with the target's reply; does nothing if it has ended. */
     void endReplied(long nowMicros, OutboundAttempt attempt, AttemptReply reply) {
         Load load = reply.hasLoad() ? reply.getLoad() : null;
         end(nowMicros, attempt, outcome(reply), load, reply.getPayload());
     }
 
-    /** An outcome that only this end can determine is an error when a target claims it. */
+    /**
+     * Converts an outcome. One that only the initiator can determine counts as ERROR in a reply.
+     */
     private static Outcome outcome(AttemptReply reply) {
         return switch (reply.getOutcome()) {
             case SUCCEEDED -> Outcome.SUCCEEDED;
@@ -61,8 +63,8 @@
     /**
      * Ends an attempt or probe; does nothing if it has ended.
      *
-     * @param load null where the target reported none
-     * @param payload null where there was no reply to an attempt
+     * @param load null if the target reported none
+     * @param payload null if there was no reply to an attempt
      */
     void end(
             long nowMicros,
@@ -78,22 +80,22 @@
             attempt.connection.inFlight.remove(attempt.frameNumber);
         }
         if (attempt.isProbe()) {
-            reportProbe(nowMicros, attempt, outcome, load);
+            reportProbeEnd(nowMicros, attempt, outcome, load);
         } else {
-            reportAttempt(nowMicros, attempt, outcome, load, payload);
+            reportAttemptEnd(nowMicros, attempt, outcome, load, payload);
         }
         if (isExclusive && attempt.isSent()) {
-            closeIfGivenUp(attempt, outcome);
+            closeIfAbandoned(attempt, outcome);
         }
     }
 
-    private void reportProbe(long nowMicros, OutboundAttempt probe, Outcome outcome, Load load) {
+    private void reportProbeEnd(long nowMicros, OutboundAttempt probe, Outcome outcome, Load load) {
         boolean hasQueueLength = load != null && load.hasQueueLength();
         double queueLength = hasQueueLength ? load.getQueueLength() : UNKNOWN_QUEUE_LENGTH;
         listener.onProbeEnded(probe.target, outcome, probe.latencyMicros(nowMicros), queueLength);
     }
 
-    private void reportAttempt(
+    private void reportAttemptEnd(
             long nowMicros,
             OutboundAttempt attempt,
             Outcome outcome,
@@ -109,10 +111,10 @@
                 payload);
     }
 
-    /** Closes the connection of an attempt that was given up, for its reply may yet come. */
-    private static void closeIfGivenUp(OutboundAttempt attempt, Outcome outcome) {
+    /** Closes the connection of an abandoned attempt, because its reply may still arrive. */
+    private static void closeIfAbandoned(OutboundAttempt attempt, Outcome outcome) {
         if (outcome == Outcome.CANCELLED || outcome == Outcome.TIMED_OUT) {
-            attempt.connection.connection.close("what was sent there was given up");
+            attempt.connection.connection.close("attempt in flight was cancelled or timed out");
         }
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/dispatch/WriteBatch.java
+++ b/gateway/src/main/java/milletyoke/gateway/dispatch/WriteBatch.java
@@ -6,8 +6,8 @@
 import milletyoke.wire.proto.Frame;
 
 /**
- * The frames of one turn of the event loop: those for one connection are sent with one write. Owned
- * by the event loop.
+ * Collects the frames of one turn of the event loop, so that each connection gets them in one
+ * write. Owned by the event loop.
  */
 public final class WriteBatch {
     private final Set<Connection> connections = new LinkedHashSet<>();
@@ -15,7 +15,7 @@
     /**
      * Adds a frame that {@link #flush} will send.
      *
-     * @return false where the connection takes no frame, as {@link Connection#enqueue}
+     * @return false if the connection does not accept the frame, see {@link Connection#enqueue}
      */
     public boolean enqueue(Connection connection, Frame frame) {
         boolean isEnqueued = connection.enqueue(frame);
@@ -25,7 +25,7 @@
         return isEnqueued;
     }
 
-    /** Sends all frames, in the order in which their connections were first written to. */
+    /** Sends all frames; connections are flushed in the order of their first frame. */
     public void flush() {
         if (!connections.isEmpty()) {
             connections.forEach(Connection::flush);
--- a/gateway/src/test/java/milletyoke/gateway/dispatch/AttemptDispatcherTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/dispatch/AttemptDispatcherTest.java
@@ -24,13 +24,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Each attempt gets the one outcome that is true of it, whatever the connections do; without
- * sockets and without a clock.
+ * Checks that each attempt gets exactly one, correct outcome, however its connections behave. Uses
+ * no sockets and no clock.
  */
 class AttemptDispatcherTest implements AttemptListener, Connector {
-    private static final long CONNECT = 1000;
-    private static final long IDLE = 100_000;
-    private static final long PROBE = 5000;
+    private static final long CONNECT_TIMEOUT_MICROS = 1000;
+    private static final long IDLE_TIMEOUT_MICROS = 100_000;
+    private static final long PROBE_TIMEOUT_MICROS = 5000;
 
     private final Map<String, Outcome> outcomes = new LinkedHashMap<>();
     private final List<String> probeResults = new ArrayList<>();
@@ -38,13 +38,22 @@
     private final List<FakeConnection> connections = new ArrayList<>();
     private final AttemptDispatcher dispatcher =
             new AttemptDispatcher(
-                    new Transport(CONNECT, IDLE, 2, 3, PROBE, 1 << 20, 1 << 20, 1, 1),
+                    new Transport(
+                            CONNECT_TIMEOUT_MICROS,
+                            IDLE_TIMEOUT_MICROS,
+                            2,
+                            3,
+                            PROBE_TIMEOUT_MICROS,
+                            1 << 20,
+                            1 << 20,
+                            1,
+                            1),
                     this,
                     this,
                     new Counters(),
                     new WriteBatch());
 
-    /** A connection that keeps what was sent on it. */
+    /** Connection that records the frames sent on it. */
     private static final class FakeConnection implements Connection {
         final int id;
         final String target;
@@ -76,12 +85,12 @@
         }
 
         @Override
-        public void closeWithReason(String why) {
+        public void closeWithReason(String reason) {
             open = false;
         }
 
         @Override
-        public void close(String why) {
+        public void close(String reason) {
             open = false;
         }
     }
@@ -94,14 +103,14 @@
 
     @Override
     public void onAttemptEnded(
-            String id,
-            int attempt,
+            String requestId,
+            int attemptNumber,
             Outcome outcome,
             long latencyMicros,
             Load load,
             ByteString payload) {
-        Outcome before = outcomes.put(id, outcome);
-        assertEquals(null, before, id + " ended twice");
+        Outcome previous = outcomes.put(requestId, outcome);
+        assertEquals(null, previous, requestId + " ended twice");
     }
 
     @Override
@@ -119,7 +128,7 @@
     }
 
     private long lastConnectNumber() {
-        return pendingConnects.keySet().stream().reduce((a, b) -> b).orElseThrow();
+        return pendingConnects.keySet().stream().reduce((first, second) -> second).orElseThrow();
     }
 
     private void sendAttempt(long now, String id) {
@@ -159,13 +168,14 @@
         dispatcher.targetListed("a", new Address("h", 1));
         sendAttempt(0, "r");
         long connectNumber = lastConnectNumber();
-        dispatcher.handleTimeouts(CONNECT - 1);
+        dispatcher.handleTimeouts(CONNECT_TIMEOUT_MICROS - 1);
         assertEquals(Map.of(), outcomes);
-        dispatcher.handleTimeouts(CONNECT);
+        dispatcher.handleTimeouts(CONNECT_TIMEOUT_MICROS);
         assertEquals(Map.of("r", Outcome.NO_CONNECTION), outcomes);
-        dispatcher.handleTimeouts(CONNECT * 300);
+        dispatcher.handleTimeouts(CONNECT_TIMEOUT_MICROS * 300);
         assertTrue(
-                !establish(CONNECT * 300, connectNumber).open, "its connect was given up before");
+                !establish(CONNECT_TIMEOUT_MICROS * 300, connectNumber).open,
+                "its connect was cancelled before");
     }
 
     @Test
@@ -193,7 +203,7 @@
         assertEquals(
                 1,
                 connection.sent.stream().filter(Frame::hasAttempt).count(),
-                "what was cancelled is never sent");
+                "a cancelled attempt must not be sent");
     }
 
     @Test
@@ -201,7 +211,7 @@
         dispatcher.targetListed("a", new Address("h", 1));
         sendAttempt(0, "sent");
         FakeConnection connection = establish(10, lastConnectNumber());
-        connection.refuses = true; // known to be closed, though nobody was told yet
+        connection.refuses = true; // already closed, but the dispatcher has not been notified yet
         sendAttempt(11, "unsent");
         dispatcher.connectionLost(20, "a", connection, false, 0);
         assertEquals(Map.of("sent", Outcome.RESET), outcomes);
@@ -210,7 +220,7 @@
     }
 
     /**
-     * A target over its connection limit refuses a new connection: what was sent on it never ran.
+     * A target over its connection limit refuses a new connection: attempts sent on it never ran.
      */
     @Test
     void refusedConnectionEndsAsNoConnectionUnlessItHadReplied() {
@@ -257,12 +267,12 @@
         dispatcher.targetListed("a", new Address("h", 1));
         sendAttempt(0, "r");
         FakeConnection connection = establish(1, lastConnectNumber());
-        dispatcher.sendAttempt(2, "a", "long", 0, 10 * IDLE, Attempt.newBuilder());
+        dispatcher.sendAttempt(2, "a", "long", 0, 10 * IDLE_TIMEOUT_MICROS, Attempt.newBuilder());
         reply(3, connection, 0, milletyoke.wire.proto.Outcome.SUCCEEDED);
-        dispatcher.handleTimeouts(2 * IDLE);
+        dispatcher.handleTimeouts(2 * IDLE_TIMEOUT_MICROS);
         assertTrue(connection.open);
-        reply(2 * IDLE + 1, connection, 1, milletyoke.wire.proto.Outcome.SUCCEEDED);
-        dispatcher.handleTimeouts(5 * IDLE);
+        reply(2 * IDLE_TIMEOUT_MICROS + 1, connection, 1, milletyoke.wire.proto.Outcome.SUCCEEDED);
+        dispatcher.handleTimeouts(5 * IDLE_TIMEOUT_MICROS);
         assertTrue(!connection.open);
     }
 
@@ -278,7 +288,7 @@
                 connection.sent.get(0).getProbe().getNumber(),
                 Load.newBuilder().setQueueLength(7).build());
         dispatcher.sendProbe(10, "a");
-        dispatcher.handleTimeouts(10 + PROBE);
+        dispatcher.handleTimeouts(10 + PROBE_TIMEOUT_MICROS);
         dispatcher.sendProbe(20_000, "b");
         assertEquals(
                 List.of("a SUCCEEDED 7.0", "a TIMED_OUT -1.0", "b NO_CONNECTION -1.0"),
@@ -286,8 +296,8 @@
     }
 
     /**
-     * In random orders of all calls each attempt ends once, and none that was sent is reported as
-     * NO_CONNECTION.
+     * For random sequences of calls each attempt ends exactly once, and no attempt that was sent is
+     * reported as NO_CONNECTION.
      */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8})
@@ -300,7 +310,7 @@
             now += random.nextInt(200);
             randomCall(random, now, step, ordered);
             assertTrue(
-                    connections.stream().filter(l -> l.open).count() <= 2,
+                    connections.stream().filter(connection -> connection.open).count() <= 2,
                     "at most two connections are open");
         }
         dispatcher.handleTimeouts(now + 1_000_000);
@@ -309,12 +319,16 @@
             for (Frame frame : connection.sent) {
                 Outcome reported =
                         frame.hasAttempt() ? outcomes.get(frame.getAttempt().getRequestId()) : null;
-                assertTrue(reported != Outcome.NO_CONNECTION, "it was sent on a connection");
+                assertTrue(
+                        reported != Outcome.NO_CONNECTION,
+                        "an attempt that was sent ended as NO_CONNECTION");
             }
         }
     }
 
-    /** One call of the dispatcher, drawn at random; a request that is sent is noted in ordered. */
+    /**
+     * Makes one random call to the dispatcher; adds the id of a sent request to {@code ordered}.
+     */
     private void randomCall(
             SplittableRandom random, long now, int step, Map<String, Integer> ordered) {
         FakeConnection connection =
@@ -375,11 +389,20 @@
         }
     }
 
-    // ---- One attempt at a time on a connection ----
+    // ---- Exclusive connections: one attempt at a time ----
 
     private final AttemptDispatcher exclusiveDispatcher =
             new AttemptDispatcher(
-                    new Transport(30 * CONNECT, IDLE, 2, 1, PROBE, 1 << 20, 1 << 20, 1, 1),
+                    new Transport(
+                            30 * CONNECT_TIMEOUT_MICROS,
+                            IDLE_TIMEOUT_MICROS,
+                            2,
+                            1,
+                            PROBE_TIMEOUT_MICROS,
+                            1 << 20,
+                            1 << 20,
+                            1,
+                            1),
                     this,
                     this,
                     new Counters(),
@@ -398,7 +421,7 @@
                 now, "a", id, 0, deadlineMicros, Attempt.newBuilder().setRequestId(id));
     }
 
-    /** Establishes the most connections allowed, with an attempt in flight on each. */
+    /** Establishes the maximum number of connections, with an attempt in flight on each. */
     private FakeConnection[] establishTwoBusy() {
         exclusiveDispatcher.targetListed("a", new Address("127.0.0.1", 1));
         sendExclusive(0, "x", 50_000);
@@ -437,8 +460,8 @@
     }
 
     /**
-     * With the most connections allowed, an attempt waits for one to become free, and no longer
-     * than for a new one.
+     * At the maximum number of connections, an attempt waits for a free one, up to the connect
+     * timeout.
      */
     @Test
     void attemptWaitsForNextFreeExclusiveConnection() {
@@ -449,21 +472,21 @@
         sendExclusive(10, "late", 90_000);
         assertTrue(pendingConnects.isEmpty());
         replyExclusive(20, two, 0);
-        assertEquals(1, two.sent.size(), "a second copy of that reply may be right behind it");
+        assertEquals(1, two.sent.size(), "a duplicate of that reply may follow");
         exclusiveDispatcher.handleTimeouts(21);
         assertEquals(1, two.sent.size());
         assertEquals(20 + ConnectionPool.REUSE_DELAY_MICROS, exclusiveDispatcher.nextDueMicros());
         exclusiveDispatcher.handleTimeouts(20 + ConnectionPool.REUSE_DELAY_MICROS);
         assertEquals(2, two.sent.size());
         assertEquals("z", two.sent.get(1).getAttempt().getRequestId());
-        exclusiveDispatcher.handleTimeouts(10 + 30 * CONNECT);
+        exclusiveDispatcher.handleTimeouts(10 + 30 * CONNECT_TIMEOUT_MICROS);
         assertEquals(Outcome.NO_CONNECTION, outcomes.get("late"));
         assertEquals(1, one.sent.size());
     }
 
     /**
-     * The least recently used connection is preferred: a surplus reply of the target arrives there
-     * before the next attempt is sent.
+     * The least recently used connection is preferred, so that a surplus reply arrives before the
+     * next attempt is sent there.
      */
     @Test
     void leastRecentlyUsedConnectionIsPreferred() {
@@ -476,7 +499,7 @@
         assertEquals(2, two.sent.size());
     }
 
-    /** An attempt waits for a connection in its reuse delay; no new one is opened for it. */
+    /** An attempt waits for a connection in its reuse delay instead of opening a new one. */
     @Test
     void reuseDelayOpensNoNewConnection() {
         exclusiveDispatcher.targetListed("a", new Address("127.0.0.1", 1));
@@ -492,7 +515,8 @@
     }
 
     /**
-     * The client left while the attempt waits for a connection: it is not sent when there is one.
+     * An attempt dropped while it waits for a connection is not sent once the connection is
+     * established.
      */
     @Test
     void droppedWaitingAttemptIsNeverSent() {
@@ -505,7 +529,7 @@
         assertEquals(List.of(), connection.sent);
         sendExclusive(30, "y", 50_000);
         exclusiveDispatcher.dropUnsent(40, "y", 0);
-        assertEquals(null, outcomes.get("y"), "what was sent goes on");
+        assertEquals(null, outcomes.get("y"), "an attempt that was sent continues");
     }
 
     @Test
@@ -541,19 +565,30 @@
         assertEquals(Outcome.RESET, outcomes.get("y"));
     }
 
-    /** The loop may handle a reply long after it was read: the latency is the target's alone. */
+    /**
+     * The loop may handle a reply long after it was read; the latency must not include that delay.
+     */
     @Test
     void latencyEndsWhenReplyWasRead() {
         List<Long> latencies = new ArrayList<>();
         AttemptDispatcher timed =
                 new AttemptDispatcher(
-                        new Transport(CONNECT, IDLE, 2, 1, PROBE, 1 << 20, 1 << 20, 1, 1),
+                        new Transport(
+                                CONNECT_TIMEOUT_MICROS,
+                                IDLE_TIMEOUT_MICROS,
+                                2,
+                                1,
+                                PROBE_TIMEOUT_MICROS,
+                                1 << 20,
+                                1 << 20,
+                                1,
+                                1),
                         this,
                         new AttemptListener() {
                             @Override
                             public void onAttemptEnded(
-                                    String id,
-                                    int attempt,
+                                    String requestId,
+                                    int attemptNumber,
                                     Outcome outcome,
                                     long latencyMicros,
                                     Load load,
@@ -587,14 +622,17 @@
 
     // ---- Attempts that end while they wait for a connection ----
 
-    /** The connection is established after its target drains or left the list: nothing is sent. */
+    /**
+     * An attempt is not sent on a connection that is established after its target drained or was
+     * unlisted.
+     */
     @Test
     void waitingAttemptOfDrainingOrUnlistedTargetIsNeverSent() {
-        for (boolean gone : new boolean[] {false, true}) {
+        for (boolean isUnlisted : new boolean[] {false, true}) {
             outcomes.clear();
             dispatcher.targetListed("a", new Address("127.0.0.1", 1));
             sendAttempt(0, "x");
-            if (gone) {
+            if (isUnlisted) {
                 dispatcher.targetUnlisted(1, "a");
             } else {
                 dispatcher.targetDraining(1, "a");
@@ -607,29 +645,31 @@
     }
 
     /**
-     * The connection is established in the turn in which the attempt's time is over, before the
-     * timeouts are handled.
+     * An attempt is not sent on a connection that is established in the turn in which the attempt
+     * times out, before timeouts are handled.
      */
     @Test
     void connectionAtTheDeadlineCarriesNothing() {
         dispatcher.targetListed("a", new Address("127.0.0.1", 1));
         sendAttempt(0, "x");
-        FakeConnection late = establish(CONNECT, lastConnectNumber());
-        dispatcher.handleTimeouts(CONNECT);
+        FakeConnection late = establish(CONNECT_TIMEOUT_MICROS, lastConnectNumber());
+        dispatcher.handleTimeouts(CONNECT_TIMEOUT_MICROS);
         assertEquals(List.of(), late.sent);
         assertEquals(Map.of("x", Outcome.NO_CONNECTION), outcomes);
     }
 
-    /** An attempt whose time is over does not keep those behind it from a new connection. */
+    /** An attempt that timed out does not block the attempts queued behind it. */
     @Test
     void expiredWaitingAttemptDoesNotBlockOthers() {
         dispatcher.targetListed("a", new Address("127.0.0.1", 1));
         sendAttempt(0, "x");
         sendAttempt(500, "y");
-        FakeConnection late = establish(CONNECT, pendingConnects.keySet().iterator().next());
-        dispatcher.handleTimeouts(CONNECT);
+        FakeConnection late =
+                establish(CONNECT_TIMEOUT_MICROS, pendingConnects.keySet().iterator().next());
+        dispatcher.handleTimeouts(CONNECT_TIMEOUT_MICROS);
         assertEquals(
-                List.of("y"), late.sent.stream().map(f -> f.getAttempt().getRequestId()).toList());
+                List.of("y"),
+                late.sent.stream().map(frame -> frame.getAttempt().getRequestId()).toList());
         assertEquals(Map.of("x", Outcome.NO_CONNECTION), outcomes);
     }
 }
