--- a/gateway/src/main/java/milletyoke/gateway/Initiator.java
+++ b/gateway/src/main/java/milletyoke/gateway/Initiator.java
@@ -37,16 +37,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One initiator on its sockets: creates the parts, starts them and stops them.
+ * One initiator with its sockets. Creates, starts and stops the components.
  *
- * <p>Shutdown, in this order: clients are asked to close and nothing is admitted; the listening
- * socket closes; the event loop answers what it has and ends; clients get a moment to close; then
- * the capture, discovery, the console and the network are closed.
+ * <p>Shutdown proceeds in this order: requests are no longer admitted and clients are asked to
+ * close; the listening socket closes; the event loop resolves its requests and ends; clients get
+ * time to close; then the capture, discovery, the console and the network are closed.
  */
 public final class Initiator implements EventLoop.LoopEnvironment {
     private static final Logger LOG = LoggerFactory.getLogger(Initiator.class);
 
-    /** How long clients have to close after their last response. */
+    /** How long to wait for clients to close after the event loop has ended. */
     private static final long CLIENT_CLOSE_TIMEOUT_MILLIS = 1_000;
 
     private static final long SHUTDOWN_POLL_MILLIS = 5;
@@ -67,13 +67,13 @@
     private final FrameLimits frameLimits;
     private final TrafficCapture capture;
 
-    /** Null where the list is not saved. */
+    /** Null if the endpoint list is not saved. */
     private final EndpointListCache endpointListCache;
 
-    /** Null where there is no configuration to watch. */
+    /** Null if there is no configuration to watch. */
     private final ConfigWatcher configWatcher;
 
-    /** Null where there is none. */
+    /** Null if no console is configured. */
     private Console console;
 
     private Initiator(
@@ -145,8 +145,8 @@
     /**
      * Starts an initiator.
      *
-     * @throws IOException where an address or its folder is not available; nothing is left running
-     * @throws ConfigException where the console's tokens cannot be used; nothing is left running
+     * @throws IOException if an address or directory is unavailable; nothing is left running
+     * @throws ConfigException if the console's tokens are invalid; nothing is left running
      */
     public static Initiator start(InitiatorConfig config, FrameObserver frameObserver)
             throws IOException, ConfigException {
@@ -161,10 +161,10 @@
     /**
      * Starts an initiator in an execution environment.
      *
-     * @param seed of all its random choices: the scheduler's, and the backoff of reconnects
-     * @param schedulerFactory makes the scheduler to use in place of the product's; null in service
-     * @throws IOException where an address or its folder is not available; nothing is left running
-     * @throws ConfigException where the console's tokens cannot be used; nothing is left running
+     * @param seed of the random generators of the scheduler and of the reconnect backoff
+     * @param schedulerFactory creates a scheduler to replace the default one; null in production
+     * @throws IOException if an address or directory is unavailable; nothing is left running
+     * @throws ConfigException if the console's tokens are invalid; nothing is left running
      */
     public static Initiator start(
             InitiatorConfig config,
@@ -211,43 +211,43 @@
         }
     }
 
-    /** Applies a new version; the scheduler knows its plans before a request can name one. */
+    /** Applies a new version. The scheduler must have a plan before a request can name it. */
     private void applyConfig(Fleet fleet) {
         SchedulerSettings settings = FleetConverter.deployment(fleet).scheduler();
         eventLoop.post(new LoopMessage.ApplySettings(settings));
         eventLoop.post(new LoopMessage.RunTask(() -> clientListener.configure(fleet)));
     }
 
-    /** The initiator's name. */
+    /** Returns the initiator's name. */
     public String name() {
         return config.name();
     }
 
-    /** The port where clients connect. */
+    /** Returns the port on which clients connect. */
     public int port() {
         return listener.port();
     }
 
-    /** The port where the console listens; 0 where there is none. */
+    /** Returns the port on which the console listens; 0 if there is no console. */
     public int consolePort() {
         return console == null ? 0 : console.port();
     }
 
-    /** The counters since the start. */
+    /** Returns the counters since the start. */
     public Counters counts() {
         return counters;
     }
 
-    /** The event loop. */
+    /** Returns the event loop. */
     public EventLoop eventLoop() {
         return eventLoop;
     }
 
     /**
-     * Records the valid requests that are received from now on, for replay. It delays nothing: what
-     * a slow disk cannot take is left out and counted in the file.
+     * Starts to record the valid requests that are received, for replay. A slow disk delays no
+     * request: requests that cannot be buffered are left out of the file, which counts them.
      *
-     * @throws IOException where the file cannot be created, or exists already
+     * @throws IOException if the file cannot be created or already exists
      */
     public void captureTo(Path file) throws IOException {
         capture.start(file, config.name(), execution.monotonicMicros());
@@ -256,10 +256,10 @@
     // ---- Shutdown ----
 
     /**
-     * Shuts down gracefully and waits for that.
+     * Shuts down gracefully and waits for the end.
      *
-     * @param millis the longest to wait for the responses; each request has its own by its deadline
-     * @return whether every request had its response and the loop did not fail
+     * @param millis maximum time to wait for pending requests; each is resolved by its deadline
+     * @return whether every request was resolved and the event loop did not fail
      */
     public boolean shutDown(long millis) throws InterruptedException {
         stopAdmitting();
@@ -275,30 +275,30 @@
     }
 
     /**
-     * As {@link #shutDown}, but returns at once and polls on the side thread.
+     * Shuts down like {@link #shutDown}, but returns at once and polls on the side thread.
      *
-     * @param afterwards is run when the initiator has ended
+     * @param onEnd runs when the initiator has ended
      */
-    public void beginShutdown(long millis, Runnable afterwards) {
+    public void beginShutdown(long millis, Runnable onEnd) {
         stopAdmitting();
-        pollLoopEnd(execution.monotonicMicros() + millis * MICROS_PER_MILLI, afterwards);
+        pollLoopEnd(execution.monotonicMicros() + millis * MICROS_PER_MILLI, onEnd);
     }
 
-    private void pollLoopEnd(long untilMicros, Runnable afterwards) {
+    private void pollLoopEnd(long untilMicros, Runnable onEnd) {
         if (!eventLoop.hasEnded() && execution.monotonicMicros() < untilMicros) {
-            pollAgain(() -> pollLoopEnd(untilMicros, afterwards));
+            pollAgain(() -> pollLoopEnd(untilMicros, onEnd));
         } else {
             long closeTimeoutMicros = CLIENT_CLOSE_TIMEOUT_MILLIS * MICROS_PER_MILLI;
-            pollClientsClosed(execution.monotonicMicros() + closeTimeoutMicros, afterwards);
+            pollClientsClosed(execution.monotonicMicros() + closeTimeoutMicros, onEnd);
         }
     }
 
-    private void pollClientsClosed(long untilMicros, Runnable afterwards) {
+    private void pollClientsClosed(long untilMicros, Runnable onEnd) {
         if (clientListener.hasClientsToClose() && execution.monotonicMicros() < untilMicros) {
-            pollAgain(() -> pollClientsClosed(untilMicros, afterwards));
+            pollAgain(() -> pollClientsClosed(untilMicros, onEnd));
         } else {
             close(eventLoop.hasEnded());
-            afterwards.run();
+            onEnd.run();
         }
     }
 
@@ -323,7 +323,7 @@
         return isClean && eventLoop.fault() == null;
     }
 
-    /** Ends as a kill of the process would: connections are reset and nothing is answered. */
+    /** Ends as a kill of the process would: connections are reset and requests get no response. */
     public void kill() {
         eventLoop.kill();
         discoveryWatch.stop();
@@ -337,13 +337,13 @@
     /**
      * Stalls the event loop, as a long pause of the process would; for scenarios.
      *
-     * @param afterwards is run on the loop's thread when the stall ends
+     * @param onEnd runs on the loop's thread when the stall ends
      */
-    public void stall(long millis, Runnable afterwards) {
-        eventLoop.stall(millis * MICROS_PER_MILLI, afterwards);
+    public void stall(long millis, Runnable onEnd) {
+        eventLoop.stall(millis * MICROS_PER_MILLI, onEnd);
     }
 
-    // ---- What the event loop needs ----
+    // ---- EventLoop.LoopEnvironment ----
 
     @Override
     public PendingConnect connect(String target, Address address, long connectNumber) {
--- a/gateway/src/main/java/milletyoke/gateway/TargetConnectionListener.java
+++ b/gateway/src/main/java/milletyoke/gateway/TargetConnectionListener.java
@@ -12,13 +12,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Posts what happens on one connection to a target to the event loop, from the connect to its end.
+ * Posts the events of one connection to a target to the event loop, from the connect to the close.
  * Runs on the threads that serve sockets.
  */
 final class TargetConnectionListener implements PeerListener {
     private static final Logger LOG = LoggerFactory.getLogger(TargetConnectionListener.class);
 
-    /** This network does not know which frames were written when a connection ends. */
+    /** The network does not report which frames were unwritten when a connection ended. */
     private static final long NO_UNWRITTEN_FRAME = 0;
 
     private final String target;
@@ -68,13 +68,17 @@
     }
 
     @Override
-    public void onClosed(PeerConnection peer, String why) {
-        LOG.debug("target connection closed target={} reason={}", target, why);
+    public void onClosed(PeerConnection peer, String reason) {
+        LOG.debug("target connection closed target={} reason={}", target, reason);
         violationLog.closed("target " + target, peer);
         eventLoop.post(
                 isReady
                         ? new LoopMessage.ConnectionLost(
-                                target, peer, why, peer.hasProcessedNothing(), NO_UNWRITTEN_FRAME)
-                        : new LoopMessage.ConnectFailed(target, connectNumber, why));
+                                target,
+                                peer,
+                                reason,
+                                peer.hasProcessedNothing(),
+                                NO_UNWRITTEN_FRAME)
+                        : new LoopMessage.ConnectFailed(target, connectNumber, reason));
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/TrafficCapture.java
+++ b/gateway/src/main/java/milletyoke/gateway/TrafficCapture.java
@@ -10,9 +10,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Records the valid requests of clients in a file, for replay. The sockets' threads record them and
- * the side thread writes them, so that a slow disk delays nobody: what it cannot take is left out
- * and counted in the file.
+ * Records the valid requests of clients in a file, for replay. Socket threads record requests in
+ * memory and the side thread writes them, so that a slow disk delays no request. Requests that
+ * cannot be buffered are left out of the file, which counts them.
  */
 final class TrafficCapture {
     private static final Logger LOG = LoggerFactory.getLogger(TrafficCapture.class);
@@ -21,7 +21,7 @@
     private final ClientListener clientListener;
     private final ScheduledExecutorService sideExecutor;
 
-    /** Null where nothing is captured. */
+    /** Null if no capture is running. */
     private CaptureWriter currentWriter;
 
     TrafficCapture(ClientListener clientListener, ScheduledExecutorService sideExecutor) {
@@ -30,14 +30,14 @@
     }
 
     /**
-     * Starts to record.
+     * Starts a capture.
      *
-     * @throws IOException where the file cannot be created, or exists already
+     * @throws IOException if the file cannot be created or already exists
      */
     synchronized void start(Path file, String initiatorName, long nowMicros) throws IOException {
         CaptureWriter writer = new CaptureWriter(file, initiatorName, nowMicros);
         currentWriter = writer;
-        clientListener.capture(writer);
+        clientListener.setCapture(writer);
         var unused =
                 sideExecutor.scheduleWithFixedDelay(
                         () -> flush(writer),
@@ -51,20 +51,20 @@
             writer.flush();
         } catch (IOException failed) {
             LOG.warn("traffic capture stopped reason={}", failed.toString());
-            clientListener.capture(null);
+            clientListener.setCapture(null);
         }
     }
 
-    /** Stops recording and closes the file, if there is one. */
+    /** Stops the capture, if one is running, and closes its file. */
     synchronized void stop() {
         if (currentWriter == null) {
             return;
         }
-        clientListener.capture(null);
+        clientListener.setCapture(null);
         try {
             currentWriter.close();
         } catch (IOException failed) {
-            LOG.warn("end of traffic capture could not be written reason={}", failed.toString());
+            LOG.warn("traffic capture could not be completed reason={}", failed.toString());
         }
         currentWriter = null;
     }
--- a/gateway/src/main/java/milletyoke/gateway/ingress/ClientListener.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/ClientListener.java
@@ -23,16 +23,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Serves the clients' connections. A request that is invalid or finds no capacity is rejected here
- * at once and never reaches the scheduler; every other one does. Runs on the threads that serve
- * sockets.
+ * Serves the connections of clients. Rejects invalid requests and requests that exceed the capacity
+ * at once; all other requests are passed to the event loop. Runs on the threads that serve sockets.
  */
 public final class ClientListener implements PeerListener {
     private static final Logger LOG = LoggerFactory.getLogger(ClientListener.class);
     private static final long MICROS_PER_MILLI = 1_000;
     private static final long CLOSE_POLL_MICROS = 1_000;
 
-    /** Sent to clients that are asked to close. */
+    /** Reason sent to clients that are asked to close. */
     private static final String SHUTDOWN_REASON = "this initiator leaves";
 
     private final ExecutionEnvironment execution;
@@ -43,13 +42,13 @@
     private final Set<PeerConnection> clients = ConcurrentHashMap.newKeySet();
     private volatile boolean isShuttingDown;
 
-    /** Null where volumes are not configured. */
+    /** Null if volumes are not configured. */
     private volatile Fleet fleet;
 
-    /** Null where nothing is captured. */
+    /** Null if no capture is running. */
     private volatile CaptureWriter capture;
 
-    /** Creates a listener that serves no client yet. */
+    /** Creates a listener without clients. */
     public ClientListener(
             InitiatorConfig config,
             ExecutionEnvironment execution,
@@ -65,14 +64,14 @@
     }
 
     /**
-     * Sets the configuration. A volume's plan and number of hosts are what it says, whatever the
-     * client sends.
+     * Sets the configuration. It determines the plan and number of initiators of each configured
+     * volume, overriding the values that the client sends.
      */
     public void configure(Fleet newFleet) {
         fleet = newFleet;
     }
 
-    private Request withConfiguredPlan(Request request) {
+    private Request withConfiguredVolume(Request request) {
         Fleet.Block volume = fleet == null ? null : fleet.volume(request.getVolume());
         if (volume == null) {
             return request;
@@ -83,17 +82,20 @@
                 .build();
     }
 
-    /** Requests may name these classes and plans from now on; the scheduler knows them already. */
+    /**
+     * Sets the request classes and plans that requests may name; the scheduler must have them
+     * already.
+     */
     public void applySettings(SchedulerSettings settings) {
         admission.applySettings(settings);
     }
 
-    /** Records every valid request there, admitted or not; null to stop. */
-    public void capture(CaptureWriter writer) {
+    /** Starts to record every valid request, admitted or not; null stops the capture. */
+    public void setCapture(CaptureWriter writer) {
         capture = writer;
     }
 
-    /** Admits nothing from now on, and asks every client to close once it has its responses. */
+    /** Stops admitting requests, and asks every client to close once it has its responses. */
     public void beginShutdown() {
         isShuttingDown = true;
         admission.stopAdmitting();
@@ -101,10 +103,10 @@
     }
 
     /**
-     * Waits until the clients that were asked to have closed, for {@code millis} at most; requests
-     * that they still send are rejected meanwhile. A connection that is closed before its last
-     * request is read gives that request no response, and the reset that follows may take responses
-     * with it that are still on their way.
+     * Waits until all clients that were asked to close have closed, for {@code millis} at most.
+     * Requests that arrive meanwhile are rejected. If this side closed a connection before it has
+     * read the last request, that request would get no response, and the resulting reset could
+     * destroy responses in transit.
      */
     public void awaitClientsClosed(long millis) throws InterruptedException {
         long untilMicros = execution.monotonicMicros() + millis * MICROS_PER_MILLI;
@@ -113,7 +115,7 @@
         }
     }
 
-    /** Whether a client that was asked to close has not. */
+    /** Whether a client that supports the announced shutdown is still connected. */
     public boolean hasClientsToClose() {
         return clients.stream().anyMatch(client -> client.isOpen() && client.supportsGoingAway());
     }
@@ -122,7 +124,7 @@
     public void onReady(PeerConnection peer) {
         LOG.debug("client connected peer={}", peer);
         clients.add(peer);
-        if (isShuttingDown) { // it connected while the others were asked to close
+        if (isShuttingDown) { // the client connected after beginShutdown announced the shutdown
             peer.announceShutdown(SHUTDOWN_REASON);
         }
     }
@@ -130,7 +132,7 @@
     @Override
     public void onFrame(PeerConnection peer, Frame frame) throws MalformedFrameException {
         switch (frame.getBodyCase()) {
-            case REQUEST -> handleRequest(peer, withConfiguredPlan(frame.getRequest()));
+            case REQUEST -> handleRequest(peer, withConfiguredVolume(frame.getRequest()));
             case CANCEL_REQUEST ->
                     loop.post(
                             new LoopMessage.RequestCancelled(
@@ -173,8 +175,8 @@
     }
 
     @Override
-    public void onClosed(PeerConnection peer, String why) {
-        LOG.debug("client disconnected peer={} reason={}", peer, why);
+    public void onClosed(PeerConnection peer, String reason) {
+        LOG.debug("client disconnected peer={} reason={}", peer, reason);
         clients.remove(peer);
         violationLog.closed("client", peer);
         loop.post(new LoopMessage.ClientDisconnected((Connection) peer));
--- a/gateway/src/main/java/milletyoke/gateway/ingress/ConcurrentAdmission.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/ConcurrentAdmission.java
@@ -6,12 +6,15 @@
 import milletyoke.wire.proto.Request;
 
 /**
- * The process's one {@link Admission} behind a lock: the sockets' threads acquire slots and the
- * event loop releases them, each with a few look-ups under the lock. So a request is rejected at
- * once, without a turn of the loop, which may be the very thing that is overloaded.
+ * Guards the process's {@link Admission} with a lock. Socket threads acquire slots and the event
+ * loop releases them; each holds the lock for a few look-ups. Thus a request can be rejected
+ * without a turn of the event loop, which may itself be overloaded.
  */
 public final class ConcurrentAdmission {
-    /** State of a volume is kept ten to twenty minutes past its last use; this is the maximum. */
+    /**
+     * The scheduler keeps a volume's state for 10 to 20 minutes after its last use; this is the
+     * maximum.
+     */
     private static final long VOLUME_RETENTION_MICROS = 1_200_000_000L;
 
     private static final int DEFAULT_MAX_VOLUMES = 1 << 18;
@@ -19,7 +22,7 @@
     private final Admission admission;
     private final NameTable volumes;
 
-    /** Creates an admission with the usual bound on the number of volumes in use. */
+    /** Creates an admission with the default limit on the number of volumes in use. */
     public ConcurrentAdmission(Admission.CapacityLimits limits) {
         this(limits, DEFAULT_MAX_VOLUMES);
     }
@@ -27,7 +30,7 @@
     /**
      * Creates an admission.
      *
-     * @param maxVolumes that may be in use, where there is less memory than usual
+     * @param maxVolumes limit on the number of volumes in use, for processes with little memory
      */
     public ConcurrentAdmission(Admission.CapacityLimits limits, int maxVolumes) {
         admission = new Admission(limits);
@@ -35,8 +38,8 @@
     }
 
     /**
-     * Acquires a slot where there is one. Only an admitted request counts as a use of its volume's
-     * name: what is rejected costs no memory.
+     * Acquires a slot if one is free. Only an admitted request counts as a use of its volume's
+     * name, so that rejected requests take up no memory.
      */
     public synchronized Admission.Verdict tryAcquire(
             Connection client, Request request, long nowMicros) {
@@ -55,19 +58,19 @@
     /**
      * Releases a slot.
      *
-     * @param stayMicros for how long it was occupied
+     * @param stayMicros how long the slot was occupied
      */
     public synchronized void release(Connection client, Request request, long stayMicros) {
         admission.release(
                 client.id(), request.getVolume(), request.getPayload().size(), stayMicros);
     }
 
-    /** The part of the slots or bytes in use, whichever is more, 0 to 1. */
+    /** Returns the share of the slots or of the bytes in use, whichever is larger, 0 to 1. */
     public synchronized double utilization() {
         return admission.utilization();
     }
 
-    /** Slots in use. */
+    /** Returns the number of slots in use. */
     public synchronized int acquired() {
         return admission.acquired();
     }
--- a/gateway/src/main/java/milletyoke/gateway/ingress/ProtocolViolationLog.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/ProtocolViolationLog.java
@@ -8,9 +8,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Counts and logs connections that were closed because the peer broke the protocol. The log is
- * limited to some lines a second, against a peer that reconnects again and again; what is left out
- * is counted. Any thread may call it.
+ * Counts and logs connections that were closed because the peer violated the protocol. The log is
+ * limited to a number of lines per second, in case a peer reconnects repeatedly; suppressed lines
+ * are counted. Thread-safe.
  */
 public final class ProtocolViolationLog {
     private static final Logger LOG = LoggerFactory.getLogger(ProtocolViolationLog.class);
@@ -24,9 +24,9 @@
     private int suppressedCount;
 
     /**
-     * Creates a log without lines.
+     * Creates a log.
      *
-     * @param clock microseconds
+     * @param clock time in microseconds
      */
     public ProtocolViolationLog(Counters counters, LongSupplier clock) {
         this.counters = counters;
@@ -34,9 +34,9 @@
     }
 
     /**
-     * Counts and logs a connection that ended, if the peer broke the protocol.
+     * Counts and logs a closed connection if its peer violated the protocol.
      *
-     * @param role what the peer is, for the log
+     * @param role role of the peer, for the log
      */
     public void closed(String role, PeerConnection peer) {
         if (peer.protocolViolation() != null) {
@@ -63,7 +63,7 @@
 
     private void startSecond(long second) {
         if (suppressedCount > 0) {
-            LOG.warn("protocol violations not logged count={}", suppressedCount);
+            LOG.warn("protocol violations suppressed from the log count={}", suppressedCount);
         }
         currentSecond = second;
         lineCount = 0;
--- a/gateway/src/main/java/milletyoke/gateway/ingress/RequestAdmission.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/RequestAdmission.java
@@ -14,14 +14,14 @@
 import milletyoke.wire.proto.Request;
 
 /**
- * Validates and admits requests before the scheduler sees them. A request that is rejected here was
- * never run, so its client may safely retry it. Any thread may call it.
+ * Validates requests and admits them to the event loop. A request that is rejected here was never
+ * executed, so its client may safely retry it. Thread-safe.
  */
 public final class RequestAdmission {
     private static final int MAX_NAME_LENGTH = 512;
     private static final int MAX_INITIATOR_COUNT = 100_000;
 
-    /** Why a request was not admitted; {@code retryAfterMicros} is 0 for no suggestion. */
+    /** Why a request was not admitted; {@code retryAfterMicros} is 0 if no delay is suggested. */
     public record Rejection(Reason reason, Counter counter, long retryAfterMicros) {}
 
     private final InitiatorConfig config;
@@ -31,7 +31,7 @@
     private volatile Set<String> plans;
     private volatile boolean isStopped;
 
-    /** Creates an admission for the request classes and plans that the configuration names. */
+    /** Creates an admission for the request classes and plans of the configuration. */
     public RequestAdmission(InitiatorConfig config, EventLoop loop, ConcurrentAdmission admission) {
         this.config = config;
         this.loop = loop;
@@ -39,7 +39,10 @@
         applySettings(config.deployment().scheduler());
     }
 
-    /** Requests may name these classes and plans from now on; the scheduler knows them already. */
+    /**
+     * Sets the request classes and plans that requests may name; the scheduler must have them
+     * already.
+     */
     public void applySettings(SchedulerSettings settings) {
         requestClasses =
                 settings.requestClasses().stream()
@@ -51,14 +54,14 @@
                         .collect(Collectors.toSet());
     }
 
-    /** Rejects every request from now on, as the process shuts down. */
+    /** Rejects all further requests, because the process shuts down. */
     public void stopAdmitting() {
         isStopped = true;
     }
 
     /**
-     * Whether the request is one that the scheduler can handle: known names, values in range, and
-     * nothing that would make it keep state without bound.
+     * Whether a request is valid: its class and plan are configured, its values are in range, and
+     * its names are bounded in length, which bounds the state kept for them.
      */
     public boolean validate(Request request) {
         return hasKnownNames(request) && hasBoundedNames(request) && hasValuesInRange(request);
@@ -89,10 +92,10 @@
     }
 
     /**
-     * Admits a valid request where there is a slot, and passes it to the event loop.
+     * Admits a valid request if a slot is free, and passes it to the event loop.
      *
-     * @param receivedAtMicros when it was received; its deadline counts from then
-     * @return null where it was admitted
+     * @param receivedAtMicros when the request was received; its deadline counts from then
+     * @return null if the request was admitted
      */
     public Rejection admit(Connection client, Request request, long receivedAtMicros) {
         LifecycleState state = isStopped ? LifecycleState.LEAVING : loop.lifecycleState();
@@ -101,7 +104,7 @@
         }
         Admission.Verdict verdict = admission.tryAcquire(client, request, receivedAtMicros);
         if (!verdict.admitted()) {
-            return noCapacity(suggestedRetryAfter(verdict));
+            return noCapacity(suggestedRetryAfterMicros(verdict));
         }
         if (!loop.offer(new LoopMessage.RequestReceived(client, request, receivedAtMicros))) {
             admission.release(client, request, 0);
@@ -114,7 +117,7 @@
         return new Rejection(Reason.NO_CAPACITY, Counter.REJECTED_CAPACITY, retryAfterMicros);
     }
 
-    private long suggestedRetryAfter(Admission.Verdict verdict) {
+    private long suggestedRetryAfterMicros(Admission.Verdict verdict) {
         boolean canSuggest = config.deployment().scheduler().capabilities().canSuggestRetryAfter();
         return canSuggest ? verdict.retryAfterMicros() : 0;
     }
--- a/gateway/src/main/java/milletyoke/gateway/ingress/package-info.java
+++ b/gateway/src/main/java/milletyoke/gateway/ingress/package-info.java
@@ -1,8 +1,7 @@
 /**
- * The clients' side: validates and admits requests, or rejects them, before the event loop sees
- * them.
+ * Serves clients: validates requests and admits them to the event loop or rejects them.
  *
  * <p>Threads: everything here runs on the threads that serve sockets; {@link
- * milletyoke.gateway.ingress.ConcurrentAdmission} is called by the event loop too.
+ * milletyoke.gateway.ingress.ConcurrentAdmission} is also called by the event loop.
  */
 package milletyoke.gateway.ingress;
--- a/gateway/src/main/java/milletyoke/gateway/package-info.java
+++ b/gateway/src/main/java/milletyoke/gateway/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The initiator process: puts the event loop, the sockets, discovery, the console and the
- * configuration's watcher together.
+ * The initiator process, which connects the event loop, the sockets, discovery, the console and the
+ * configuration watcher.
  *
- * <p>Threads: sockets' threads, one event loop, and one side thread for whatever may wait for a
- * disk or a timer.
+ * <p>Threads: the threads that serve sockets, one event loop, and one side thread for disk I/O and
+ * timers.
  */
 package milletyoke.gateway;
