--- a/gateway/src/main/java/milletyoke/gateway/Initiator.java
+++ b/gateway/src/main/java/milletyoke/gateway/Initiator.java
@@ -373,7 +373,7 @@
 
     @Override
     public void endpointListChanged(EndpointList list) {
-        if (endpointListCache != null && endpointListCache.note(list)) {
+        if (endpointListCache != null && endpointListCache.replacePending(list)) {
             sideExecutor.execute(endpointListCache::save);
         }
     }
--- a/gateway/src/main/java/milletyoke/gateway/discovery/DiscoveryWatch.java
+++ b/gateway/src/main/java/milletyoke/gateway/discovery/DiscoveryWatch.java
@@ -20,9 +20,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The connection to discovery, which is reconnected with exponential backoff for as long as the
- * initiator runs. Where the scheduler asks for endpoint lists, it says when; where discovery pushes
- * them, each new connection starts a watch by itself. Any thread may call it.
+ * Maintains the connection to discovery, reconnecting with exponential backoff while the initiator
+ * runs. Depending on the settings, watches are started by the scheduler, or by each new connection,
+ * after which discovery pushes every change. Thread-safe.
  */
 public final class DiscoveryWatch implements PeerListener {
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryWatch.class);
@@ -30,8 +30,8 @@
     private static final long INITIAL_BACKOFF_MILLIS = 50;
     private static final long MAX_BACKOFF_MILLIS = 2_000;
 
-    /** An endpoint list may be larger than other frames. */
-    private static final int MIN_FRAME_BYTES = 16 << 20;
+    /** Minimum frame size limit, because an endpoint list may be larger than other frames. */
+    private static final int MIN_FRAME_LIMIT_BYTES = 16 << 20;
 
     private final InitiatorConfig config;
     private final Network network;
@@ -39,17 +39,17 @@
     private final ScheduledExecutorService sideExecutor;
     private final SplittableRandom random;
 
-    /** Whether the scheduler asks for lists; else discovery pushes them. */
-    private final boolean mustAsk;
+    /** Whether the scheduler starts each watch; if not, discovery pushes the endpoint lists. */
+    private final boolean isSchedulerWatching;
 
-    /** Null where there is no connection. */
+    /** Null if there is no connection. */
     private PeerConnection peer;
 
     private long backoffMillis = INITIAL_BACKOFF_MILLIS;
     private boolean isStopped;
 
     /**
-     * Creates a watch that is not connected.
+     * Creates a watch without a connection.
      *
      * @param sideExecutor runs the reconnects
      * @param seed of the random part of the backoff
@@ -65,10 +65,10 @@
         this.loop = loop;
         this.sideExecutor = sideExecutor;
         random = new SplittableRandom(seed);
-        mustAsk = config.deployment().scheduler().mustWatchEndpoints();
+        isSchedulerWatching = config.deployment().scheduler().mustWatchEndpoints();
     }
 
-    /** Starts to connect, unless stopped. */
+    /** Starts a connect unless stopped. */
     public synchronized void connect() {
         if (isStopped) {
             return;
@@ -76,7 +76,7 @@
         InitiatorConfig.Transport transport = config.transport();
         FrameLimits limits =
                 new FrameLimits(
-                        Math.max(transport.maxFrameBytes(), MIN_FRAME_BYTES),
+                        Math.max(transport.maxFrameBytes(), MIN_FRAME_LIMIT_BYTES),
                         transport.maxUnsentBytes(),
                         transport.partialFrameTimeoutMicros(),
                         0);
@@ -90,12 +90,15 @@
                 this::handleDisconnect);
     }
 
-    /** Reconnects no more; the network closes the connection. */
+    /** Stops reconnecting. The connection itself is closed with the network. */
     public synchronized void stop() {
         isStopped = true;
     }
 
-    /** Asks for every change after a revision, or reports to the loop that discovery is away. */
+    /**
+     * Requests every change after a revision; notifies the event loop if discovery is not
+     * connected.
+     */
     public synchronized void watch(long revision) {
         boolean isSent = peer != null && peer.send(watchFrame(revision));
         if (!isSent) {
@@ -111,7 +114,7 @@
     public synchronized void onReady(PeerConnection connected) {
         peer = connected;
         backoffMillis = INITIAL_BACKOFF_MILLIS;
-        if (!mustAsk) {
+        if (!isSchedulerWatching) {
             connected.send(watchFrame(0));
         }
     }
@@ -122,15 +125,15 @@
             throw new MalformedFrameException("discovery sends lists, not " + frame.getBodyCase());
         }
         if (frame.getEndpointList().getScope() == Scope.UNAVAILABLE) {
-            loop.post(new LoopMessage.DiscoveryUnavailable("discovery could not serve"));
+            loop.post(new LoopMessage.DiscoveryUnavailable("discovery has no endpoint list"));
         } else {
             loop.post(new LoopMessage.EndpointListReceived(frame.getEndpointList()));
         }
     }
 
     @Override
-    public void onClosed(PeerConnection closed, String why) {
-        handleDisconnect(why);
+    public void onClosed(PeerConnection closed, String reason) {
+        handleDisconnect(reason);
     }
 
     private void handleDisconnect(String reason) {
--- a/gateway/src/main/java/milletyoke/gateway/discovery/EndpointListCache.java
+++ b/gateway/src/main/java/milletyoke/gateway/discovery/EndpointListCache.java
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The last endpoint list in a file: eight bytes of CRC-32C, then the list. It is written to a
- * second file, forced to the disk and renamed, so that a kill leaves the old list or the new one. A
- * file whose checksum is wrong is not used.
+ * Stores the latest endpoint list in a file: eight bytes of CRC-32C, then the list. The list is
+ * written to a temporary file, forced to disk and renamed, so that a crash leaves either the old or
+ * the new list. A file with a wrong checksum is ignored.
  */
 public final class EndpointListCache {
     private static final Logger LOG = LoggerFactory.getLogger(EndpointListCache.class);
@@ -29,13 +29,13 @@
     private final Path file;
     private final boolean isForced;
 
-    /** The list to be saved next; null where none is pending. */
+    /** The list to be saved next; null if none is pending. */
     private final AtomicReference<EndpointList> pending = new AtomicReference<>();
 
     /**
-     * Creates a cache whose writes are forced to the disk.
+     * Creates a cache whose writes are forced to disk.
      *
-     * @throws IOException where the folder cannot be created
+     * @throws IOException if the folder cannot be created
      */
     public EndpointListCache(Path folder) throws IOException {
         this(folder, true);
@@ -44,9 +44,9 @@
     /**
      * Creates a cache.
      *
-     * @param isForced whether writes are forced to the disk; false in a simulation, where no power
-     *     can fail
-     * @throws IOException where the folder cannot be created
+     * @param isForced whether writes are forced to disk; false in a simulation, which has no power
+     *     failures
+     * @throws IOException if the folder cannot be created
      */
     public EndpointListCache(Path folder, boolean isForced) throws IOException {
         this.isForced = isForced;
@@ -54,13 +54,13 @@
         file = folder.resolve(FILE_NAME);
     }
 
-    /** Reads the list last saved; null where there is none that can be trusted. */
+    /** Reads the list that was last saved; returns null if there is none or it is corrupt. */
     public EndpointList load() {
         try {
             byte[] content = Files.readAllBytes(file);
             ByteBuffer buffer = ByteBuffer.wrap(content);
             if (content.length < CHECKSUM_BYTES || buffer.getLong() != checksum(content)) {
-                LOG.warn("endpoint list cache not used, wrong checksum file={}", file);
+                LOG.warn("endpoint list cache ignored, wrong checksum file={}", file);
                 return null;
             }
             return EndpointList.parseFrom(buffer);
@@ -68,13 +68,13 @@
             return null;
         } catch (InvalidProtocolBufferException malformed) {
             LOG.warn(
-                    "endpoint list cache not used, malformed file={} reason={}",
+                    "endpoint list cache ignored, malformed file={} reason={}",
                     file,
                     malformed.getMessage());
             return null;
         } catch (IOException unreadable) {
             LOG.warn(
-                    "endpoint list cache not used, unreadable file={} reason={}",
+                    "endpoint list cache ignored, unreadable file={} reason={}",
                     file,
                     unreadable.getMessage());
             return null;
@@ -88,15 +88,17 @@
     }
 
     /**
-     * Notes a list that is to be saved, in place of one that is pending. Any thread.
+     * Sets the list to be saved next, replacing one that is pending. Any thread.
      *
-     * @return true where none was pending, so that a call of {@link #save} is needed
+     * @return true if none was pending, so that {@link #save} must be called
      */
-    public boolean note(EndpointList list) {
+    public boolean replacePending(EndpointList list) {
         return pending.getAndSet(list) == null;
     }
 
-    /** Saves the list that is pending. It waits for the disk: never on the event loop's thread. */
+    /**
+     * Saves the pending list. Blocks on the disk, so must not be called on the event loop's thread.
+     */
     public void save() {
         EndpointList list = pending.getAndSet(null);
         if (list == null) {
--- a/gateway/src/main/java/milletyoke/gateway/discovery/package-info.java
+++ b/gateway/src/main/java/milletyoke/gateway/discovery/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Watches discovery for the endpoint list and saves the list for a restart.
+ * Watches discovery for endpoint lists and caches the latest list for a restart.
  *
- * <p>Threads: the sockets' threads and the initiator's side thread; the event loop only asks for a
- * watch and never waits.
+ * <p>Threads: the threads that serve sockets and the initiator's side thread. The event loop only
+ * starts watches, without blocking.
  */
 package milletyoke.gateway.discovery;
