--- a/gateway/src/main/java/milletyoke/gateway/reload/ConfigUpdate.java
+++ b/gateway/src/main/java/milletyoke/gateway/reload/ConfigUpdate.java
@@ -6,33 +6,36 @@
 import milletyoke.config.FleetDiff;
 
 /**
- * What becomes of a new version of the configuration: all of it is applied, or nothing. Free of I/O
- * and clocks.
+ * Decision on a new version of the configuration, which is applied completely or not at all. Uses
+ * no I/O and no clock.
  */
 public sealed interface ConfigUpdate {
-    /** It means the same as the version in force. */
+    /** The new version is equivalent to the version in force. */
     record Unchanged() implements ConfigUpdate {}
 
-    /** It can be applied while the initiator runs. */
+    /** The new version can be applied while the initiator runs. */
     record Apply(Fleet fleet, List<FleetDiff.Change> changes) implements ConfigUpdate {}
 
-    /** It cannot be applied; {@code why} names each change that prevents that. */
-    record Rejected(List<FleetDiff.Change> changes, List<String> why) implements ConfigUpdate {}
+    /** The new version cannot be applied; {@code reasons} names each change that prevents it. */
+    record Rejected(List<FleetDiff.Change> changes, List<String> reasons) implements ConfigUpdate {}
 
     /** Compares a new version with the one in force. */
-    static ConfigUpdate judge(Fleet inForce, Fleet next) {
+    static ConfigUpdate compare(Fleet inForce, Fleet next) {
         List<FleetDiff.Change> changes = FleetDiff.between(inForce, next);
         if (changes.isEmpty()) {
             return new Unchanged();
         }
-        List<String> why = new ArrayList<>();
+        List<String> reasons = new ArrayList<>();
         for (FleetDiff.Change change : changes) {
             switch (change.taken()) {
-                case RESTART -> why.add(change.text() + ": needs a restart");
-                case REFUSED -> why.add(change.text() + ": accesses of it may be held");
+                case RESTART -> reasons.add(change.text() + ": needs a restart");
+                case REFUSED ->
+                        reasons.add(
+                                change.text()
+                                        + ": cannot be removed, requests of it may be pending");
                 case IN_SERVICE -> {}
             }
         }
-        return why.isEmpty() ? new Apply(next, changes) : new Rejected(changes, why);
+        return reasons.isEmpty() ? new Apply(next, changes) : new Rejected(changes, reasons);
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/reload/ConfigWatcher.java
+++ b/gateway/src/main/java/milletyoke/gateway/reload/ConfigWatcher.java
@@ -21,33 +21,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Watches the configuration's files in service: at each check it compares their times, reads a
- * changed configuration whole, and applies it or leaves everything as it was. Runs on the
- * initiator's side thread, never on the event loop's.
+ * Watches the configuration files while the initiator runs. Each check compares modification times,
+ * reads a changed configuration completely, and applies it completely or not at all. Runs on the
+ * initiator's side thread, never on the event loop's thread.
  */
 public final class ConfigWatcher {
     private static final Logger LOG = LoggerFactory.getLogger(ConfigWatcher.class);
 
-    /** How many changes or errors of a version are shown. */
+    /** Maximum number of changes or errors of a version that are shown. */
     private static final int MAX_SHOWN = 20;
 
     private static final String SAVED_FILE_NAME = "fleet.in-force";
     private static final String TEMPORARY_FILE_NAME = "fleet.in-force.new";
 
-    /** Stands for the time of a file that cannot be read. */
+    /** Modification time assumed for a file that cannot be read. */
     private static final FileTime NO_TIME = FileTime.fromMillis(0);
 
     /**
-     * The state of the configuration.
+     * Status of the configuration.
      *
      * @param fleet the version in force
-     * @param version counts the versions applied since the start, from 1
-     * @param since when it was applied
-     * @param applied its changes to the version before
-     * @param refused what prevented the last version that was rejected; empty where the last one
-     *     was applied
-     * @param candidate what the rejected version would have changed, where it could be read
-     * @param refusedAt when it was rejected; null where none was
+     * @param version number of the version in force, counted from 1 at the start
+     * @param since when the version in force was applied
+     * @param applied changes from the previous version to the version in force
+     * @param refused why the latest version was rejected; empty if it was applied
+     * @param candidate changes that the rejected version would have made; empty if it was invalid
+     * @param refusedAt when the latest version was rejected; null if it was not
      */
     public record Status(
             Fleet fleet,
@@ -66,8 +65,8 @@
                     newFleet, version + 1, Instant.now(), changes, List.of(), List.of(), null);
         }
 
-        private Status withRejected(List<String> why, List<String> changes) {
-            return new Status(fleet, version, since, applied, why, changes, Instant.now());
+        private Status withRejected(List<String> reasons, List<String> changes) {
+            return new Status(fleet, version, since, applied, reasons, changes, Instant.now());
         }
 
         private Status withoutRejection() {
@@ -77,20 +76,20 @@
 
     private final String file;
 
-    /** Where the version in force is saved; null for nowhere. */
+    /** Where the version in force is saved; null if it is not saved. */
     private final Path savedFile;
 
     private final Consumer<Fleet> applier;
-    private Map<String, FileTime> knownTimes = new HashMap<>();
+    private Map<String, FileTime> lastModificationTimes = new HashMap<>();
     private volatile Status standing;
 
     /**
      * Creates a watcher of a configuration that is in force.
      *
-     * @param file as the source provider names it
-     * @param folder where the version in force is saved, null for nowhere
-     * @param files the files that the configuration was read from
-     * @param applier puts a new version into force, soon after the call
+     * @param file name of the main file, as the source provider returns it
+     * @param folder where the version in force is saved; null if it is not saved
+     * @param files files that the configuration was read from
+     * @param applier applies a new version, possibly asynchronously
      */
     public ConfigWatcher(
             String file, Path folder, Fleet fleet, List<String> files, Consumer<Fleet> applier) {
@@ -98,12 +97,12 @@
         this.savedFile = folder == null ? null : folder.resolve(SAVED_FILE_NAME);
         this.applier = applier;
         standing = Status.initial(fleet);
-        // A file may have changed since it was read: the first check reads all of them again.
-        files.forEach(name -> knownTimes.put(name, NO_TIME));
+        // A file may have changed since it was read, so the first check reads all files again.
+        files.forEach(name -> lastModificationTimes.put(name, NO_TIME));
         save(fleet);
     }
 
-    /** The current status. Any thread. */
+    /** Returns the current status. Any thread. */
     public Status standing() {
         return standing;
     }
@@ -124,19 +123,20 @@
         }
     }
 
-    /** Checks the files once, and applies or rejects a new version where there is one. */
+    /** Checks the files once, and applies or rejects a new version if there is one. */
     public void checkForChanges() {
-        List<String> knownFiles = List.copyOf(knownTimes.keySet());
+        List<String> knownFiles = List.copyOf(lastModificationTimes.keySet());
         Map<String, FileTime> times = modificationTimes(knownFiles);
-        if (times.equals(knownTimes)) {
+        if (times.equals(lastModificationTimes)) {
             return;
         }
         Checker.Result checked = Checker.check(new FileSourceProvider(), file);
         Map<String, FileTime> timesAfter =
                 modificationTimes(checked.files().isEmpty() ? knownFiles : checked.files());
         times.keySet().retainAll(timesAfter.keySet());
-        timesAfter.putAll(times); // a file that changed while it was read is read again next time
-        knownTimes = timesAfter;
+        // A file that changed while it was read is read again at the next check.
+        timesAfter.putAll(times);
+        lastModificationTimes = timesAfter;
         if (checked.isValid()) {
             update(checked.fleet());
         } else {
@@ -152,9 +152,9 @@
     }
 
     private void update(Fleet fleet) {
-        ConfigUpdate update = ConfigUpdate.judge(standing.fleet(), fleet);
+        ConfigUpdate update = ConfigUpdate.compare(standing.fleet(), fleet);
         if (update instanceof ConfigUpdate.Rejected rejected) {
-            reject(rejected.why(), rejected.changes());
+            reject(rejected.reasons(), rejected.changes());
         } else if (update instanceof ConfigUpdate.Apply apply) {
             apply(apply);
         } else if (!standing.refused().isEmpty()) {
@@ -163,7 +163,7 @@
     }
 
     private void apply(ConfigUpdate.Apply update) {
-        List<String> changes = shown(update.changes());
+        List<String> changes = describe(update.changes());
         applier.accept(update.fleet());
         save(update.fleet());
         standing = standing.withApplied(update.fleet(), changes);
@@ -174,21 +174,21 @@
                 changes);
     }
 
-    private void reject(List<String> why, List<FleetDiff.Change> changes) {
-        List<String> reasons = why.stream().limit(MAX_SHOWN).toList();
-        standing = standing.withRejected(reasons, shown(changes));
+    private void reject(List<String> reasons, List<FleetDiff.Change> changes) {
+        List<String> shownReasons = reasons.stream().limit(MAX_SHOWN).toList();
+        standing = standing.withRejected(shownReasons, describe(changes));
         LOG.error(
                 "configuration rejected file={} versionInForce={} reasons={}",
                 file,
                 standing.version(),
-                reasons);
+                shownReasons);
     }
 
-    private static List<String> shown(List<FleetDiff.Change> changes) {
+    private static List<String> describe(List<FleetDiff.Change> changes) {
         return changes.stream().map(FleetDiff.Change::text).limit(MAX_SHOWN).toList();
     }
 
-    /** Saves the version in force, so that it stays readable whatever becomes of its files. */
+    /** Saves the version in force, so that it can be read even after its source files changed. */
     private void save(Fleet fleet) {
         if (savedFile == null) {
             return;
@@ -211,9 +211,9 @@
     }
 
     /**
-     * The source provider's name of a file.
+     * Returns the source provider's name of a file.
      *
-     * @throws IOException where there is no such file
+     * @throws IOException if there is no such file
      */
     public static String name(Path path) throws IOException {
         try {
--- a/gateway/src/main/java/milletyoke/gateway/reload/package-info.java
+++ b/gateway/src/main/java/milletyoke/gateway/reload/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Watches the configuration's files in service and decides whether a new version can be applied.
+ * Watches the configuration files while the initiator runs, and decides whether a new version can
+ * be applied.
  *
- * <p>Threads: the initiator's side thread; the status may be read by any thread.
+ * <p>Threads: the initiator's side thread. Any thread may read the status.
  */
 package milletyoke.gateway.reload;
--- a/gateway/src/test/java/milletyoke/gateway/reload/ConfigWatcherTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/reload/ConfigWatcherTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A version is applied whole or not at all, and one that is rejected changes nothing. */
+/**
+ * Checks that a version is applied completely or not at all, and that a rejected version changes
+ * nothing.
+ */
 class ConfigWatcherTest {
     private static final String FIRST =
             "fleet { initiators 3; }\ninclude \"plans.fleet\";\n"
@@ -64,16 +67,16 @@
                         checked.files(),
                         applied::add);
         watcher.checkForChanges();
-        assertEquals(0, applied.size(), "the same as it was read");
+        assertEquals(0, applied.size(), "an unchanged configuration must not be applied");
     }
 
     private Path write(String file, String text) throws Exception {
         Path temporary = folder.resolve(file + ".new");
         Files.writeString(temporary, text);
-        Path to = folder.resolve(file);
-        Files.move(temporary, to, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
-        Thread.sleep(40); // so that the next change has a later modification time
-        return to;
+        Path destination = folder.resolve(file);
+        Files.move(temporary, destination, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+        Thread.sleep(40); // gives the next change a later modification time
+        return destination;
     }
 
     private double rate() {
@@ -99,7 +102,7 @@
         String saved = Files.readString(folder.resolve("state/fleet.in-force"));
         assertTrue(saved.contains("limit-rate 30u/s;"), saved);
         watcher.checkForChanges();
-        assertEquals(1, applied.size(), "and only once");
+        assertEquals(1, applied.size(), "the change must be applied only once");
     }
 
     @Test
@@ -128,7 +131,7 @@
         assertEquals(
                 List.of(),
                 watcher.standing().refused(),
-                "once corrected, nothing is rejected any more");
+                "the reasons are cleared once the file is corrected");
         assertEquals(0, applied.size());
     }
 
@@ -143,14 +146,18 @@
         assertEquals(
                 3,
                 watcher.standing().candidate().size(),
-                "two figures of the plan and the initiators");
+                "two settings of the plan and the number of initiators");
         write("main.fleet", FIRST.replaceAll("category write.*\n", ""));
         watcher.checkForChanges();
         assertTrue(
                 watcher.standing().refused().stream()
-                        .anyMatch(r -> r.endsWith("accesses of it may be held")),
+                        .anyMatch(
+                                reason ->
+                                        reason.endsWith(
+                                                "cannot be removed, requests of it may be pending")),
                 watcher.standing().refused().toString());
-        assertEquals(40, rate(), "the limit that stood beside it is not applied either");
+        assertEquals(
+                40, rate(), "the limit changed in the same version must not be applied either");
         assertEquals(0, applied.size());
     }
 
@@ -184,7 +191,7 @@
         write("plans.fleet", "plan basic { weight 0; }\n");
         try {
             InitiatorConfig.of(SettingsReader.of("i.json5", text), folder);
-            throw new AssertionError("it was accepted");
+            throw new AssertionError("an invalid fleet file was accepted");
         } catch (ConfigException rejected) {
             assertTrue(
                     rejected.getMessage().contains("plans.fleet:1:21: error [range]"),
