--- a/gateway/src/main/java/milletyoke/gateway/Initiator.java
+++ b/gateway/src/main/java/milletyoke/gateway/Initiator.java
@@ -234,7 +234,7 @@
     }
 
     /** Returns the counters since the start. */
-    public Counters counts() {
+    public Counters counters() {
         return counters;
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/console/ConfigurationPage.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/ConfigurationPage.java
@@ -30,20 +30,20 @@
             Map<String, Object> source = Map.of("in", "the setup itself, read at the start");
             return new PageView(TITLE, source, List.of(), List.of());
         }
-        ConfigWatcher.Status status = configWatcher.standing();
+        ConfigWatcher.Status status = configWatcher.status();
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("version", status.version());
         figures.put("in force since", status.since().toString());
         figures.put(
                 "last refused",
-                status.refusedAt() == null ? "none" : status.refusedAt().toString());
+                status.rejectedAt() == null ? "none" : status.rejectedAt().toString());
         List<String> inForce = status.fleet().show().lines().toList();
         List<PageView.Table> tables = new ArrayList<>();
-        tables.add(lines("refused, and why", status.refused(), PageQuery.FIRST));
+        tables.add(lines("refused, and why", status.rejectionReasons(), PageQuery.FIRST));
         tables.add(
                 lines(
                         "what the refused version would change",
-                        status.candidate(),
+                        status.rejectedChanges(),
                         PageQuery.FIRST));
         tables.add(lines("changed by this version", status.applied(), PageQuery.FIRST));
         tables.add(lines("in force", inForce, query));
--- a/gateway/src/main/java/milletyoke/gateway/console/OperatorActions.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/OperatorActions.java
@@ -48,7 +48,7 @@
 
     private void drainTarget(String operator, String action, String target, boolean isDrained)
             throws HttpProblemException, IOException {
-        if (!loop.knows(target)) {
+        if (!loop.hasTarget(target)) {
             throw HttpProblemException.notFound();
         }
         auditLog.write(operator, action, target);
--- a/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/EventLoop.java
@@ -89,7 +89,7 @@
         int slotsInUse();
 
         /** Whether snapshots and statistics can be read; if not, neither is collected. */
-        default boolean isWatched() {
+        default boolean hasStatusReaders() {
             return true;
         }
     }
@@ -253,17 +253,17 @@
     }
 
     /** Whether the endpoint list contains the target, as of the latest snapshot. */
-    public boolean knows(String target) {
+    public boolean hasTarget(String target) {
         return snapshot().targets().stream().anyMatch(listed -> listed.view().id().equals(target));
     }
 
     /** Passes the loop's metrics to a reader on the loop's thread. */
-    public void show(Consumer<Figures> reader) {
-        post(new LoopMessage.RunTask(() -> reader.accept(figures())));
+    public void readMetrics(Consumer<Metrics> reader) {
+        post(new LoopMessage.RunTask(() -> reader.accept(metrics())));
     }
 
-    private Figures figures() {
-        return new Figures(
+    private Metrics metrics() {
+        return new Metrics(
                 tracker.trackedCount(),
                 tracker.unresolvedCount(),
                 components.dispatcher.outstandingCount(),
@@ -346,16 +346,16 @@
      *
      * @param pendingRequests tracked requests
      * @param unresolved tracked requests that need a response
-     * @param out attempts and probes without an outcome
+     * @param outstanding attempts and probes without an outcome
      * @param targets number of targets in the endpoint list
-     * @param version revision of the endpoint list
+     * @param revision revision of the endpoint list
      * @param turnTimes microseconds that each turn took to decide and to execute its actions
      */
-    public record Figures(
+    public record Metrics(
             int pendingRequests,
             int unresolved,
-            int out,
+            int outstanding,
             int targets,
-            long version,
+            long revision,
             Histogram turnTimes) {}
 }
--- a/gateway/src/main/java/milletyoke/gateway/loop/LoopComponents.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/LoopComponents.java
@@ -48,7 +48,8 @@
         this.clock = clock;
         this.counters = counters;
         statistics =
-                new ServiceStatistics(config.deployment().scheduler(), environment.isWatched());
+                new ServiceStatistics(
+                        config.deployment().scheduler(), environment.hasStatusReaders());
         tracker = newTracker();
         dispatcher =
                 new AttemptDispatcher(
--- a/gateway/src/main/java/milletyoke/gateway/loop/StatusPublisher.java
+++ b/gateway/src/main/java/milletyoke/gateway/loop/StatusPublisher.java
@@ -76,7 +76,7 @@
         nextSnapshotMicros = nowMicros + SNAPSHOT_INTERVAL_MICROS;
         apply(new LifecycleEvent.UtilizationMeasured(environment.utilization()));
         apply(new LifecycleEvent.Tick());
-        if (snapshot != null && (isVirtual || !environment.isWatched())) {
+        if (snapshot != null && (isVirtual || !environment.hasStatusReaders())) {
             // Nobody reads snapshots, and their cost grows with the targets and volumes.
             return;
         }
--- a/gateway/src/main/java/milletyoke/gateway/reload/ConfigWatcher.java
+++ b/gateway/src/main/java/milletyoke/gateway/reload/ConfigWatcher.java
@@ -44,18 +44,19 @@
      * @param version number of the version in force, counted from 1 at the start
      * @param since when the version in force was applied
      * @param applied changes from the previous version to the version in force
-     * @param refused why the latest version was rejected; empty if it was applied
-     * @param candidate changes that the rejected version would have made; empty if it was invalid
-     * @param refusedAt when the latest version was rejected; null if it was not
+     * @param rejectionReasons why the latest version was rejected; empty if it was applied
+     * @param rejectedChanges changes that the rejected version would have made; empty if it was
+     *     invalid
+     * @param rejectedAt when the latest version was rejected; null if it was not
      */
     public record Status(
             Fleet fleet,
             int version,
             Instant since,
             List<String> applied,
-            List<String> refused,
-            List<String> candidate,
-            Instant refusedAt) {
+            List<String> rejectionReasons,
+            List<String> rejectedChanges,
+            Instant rejectedAt) {
         private static Status initial(Fleet fleet) {
             return new Status(fleet, 1, Instant.now(), List.of(), List.of(), List.of(), null);
         }
@@ -81,7 +82,7 @@
 
     private final Consumer<Fleet> applier;
     private Map<String, FileTime> lastModificationTimes = new HashMap<>();
-    private volatile Status standing;
+    private volatile Status status;
 
     /**
      * Creates a watcher of a configuration that is in force.
@@ -96,15 +97,15 @@
         this.file = file;
         this.savedFile = folder == null ? null : folder.resolve(SAVED_FILE_NAME);
         this.applier = applier;
-        standing = Status.initial(fleet);
+        status = Status.initial(fleet);
         // A file may have changed since it was read, so the first check reads all files again.
         files.forEach(name -> lastModificationTimes.put(name, NO_TIME));
         save(fleet);
     }
 
     /** Returns the current status. Any thread. */
-    public Status standing() {
-        return standing;
+    public Status status() {
+        return status;
     }
 
     private static Map<String, FileTime> modificationTimes(List<String> files) {
@@ -152,13 +153,13 @@
     }
 
     private void update(Fleet fleet) {
-        ConfigUpdate update = ConfigUpdate.compare(standing.fleet(), fleet);
+        ConfigUpdate update = ConfigUpdate.compare(status.fleet(), fleet);
         if (update instanceof ConfigUpdate.Rejected rejected) {
             reject(rejected.reasons(), rejected.changes());
         } else if (update instanceof ConfigUpdate.Apply apply) {
             apply(apply);
-        } else if (!standing.refused().isEmpty()) {
-            standing = standing.withoutRejection();
+        } else if (!status.rejectionReasons().isEmpty()) {
+            status = status.withoutRejection();
         }
     }
 
@@ -166,21 +167,21 @@
         List<String> changes = describe(update.changes());
         applier.accept(update.fleet());
         save(update.fleet());
-        standing = standing.withApplied(update.fleet(), changes);
+        status = status.withApplied(update.fleet(), changes);
         LOG.info(
                 "configuration applied file={} version={} changes={}",
                 file,
-                standing.version(),
+                status.version(),
                 changes);
     }
 
     private void reject(List<String> reasons, List<FleetDiff.Change> changes) {
         List<String> shownReasons = reasons.stream().limit(MAX_SHOWN).toList();
-        standing = standing.withRejected(shownReasons, describe(changes));
+        status = status.withRejected(shownReasons, describe(changes));
         LOG.error(
                 "configuration rejected file={} versionInForce={} reasons={}",
                 file,
-                standing.version(),
+                status.version(),
                 shownReasons);
     }
 
--- a/gateway/src/test/java/milletyoke/gateway/reload/ConfigWatcherTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/reload/ConfigWatcherTest.java
@@ -80,7 +80,7 @@
     }
 
     private double rate() {
-        return FleetConverter.deployment(watcher.standing().fleet())
+        return FleetConverter.deployment(watcher.status().fleet())
                 .scheduler()
                 .plans()
                 .get(0)
@@ -93,12 +93,12 @@
         watcher.checkForChanges();
         assertEquals(1, applied.size());
         assertEquals(30, rate());
-        assertEquals(2, watcher.standing().version());
+        assertEquals(2, watcher.status().version());
         assertTrue(
-                watcher.standing()
+                watcher.status()
                         .applied()
                         .contains("plan basic: limit-rate 40u/s -> 30u/s, 0 volumes  [in service]"),
-                watcher.standing().applied().toString());
+                watcher.status().applied().toString());
         String saved = Files.readString(folder.resolve("state/fleet.in-force"));
         assertTrue(saved.contains("limit-rate 30u/s;"), saved);
         watcher.checkForChanges();
@@ -124,13 +124,16 @@
         assertEquals(0, applied.size());
         assertEquals(40, rate());
         assertTrue(
-                watcher.standing().refused().get(0).contains("plans.fleet:1:25: error [unit]"),
-                watcher.standing().refused().toString());
+                watcher.status()
+                        .rejectionReasons()
+                        .get(0)
+                        .contains("plans.fleet:1:25: error [unit]"),
+                watcher.status().rejectionReasons().toString());
         write("plans.fleet", "plan basic { limit-rate 40u/s; limit-depth 40u; }\n");
         watcher.checkForChanges();
         assertEquals(
                 List.of(),
-                watcher.standing().refused(),
+                watcher.status().rejectionReasons(),
                 "the reasons are cleared once the file is corrected");
         assertEquals(0, applied.size());
     }
@@ -141,21 +144,21 @@
         write("plans.fleet", "plan basic { limit-rate 30u/s; limit-depth 30u; }\n");
         watcher.checkForChanges();
         assertTrue(
-                watcher.standing().refused().get(0).endsWith("needs a restart"),
-                watcher.standing().refused().toString());
+                watcher.status().rejectionReasons().get(0).endsWith("needs a restart"),
+                watcher.status().rejectionReasons().toString());
         assertEquals(
                 3,
-                watcher.standing().candidate().size(),
+                watcher.status().rejectedChanges().size(),
                 "two settings of the plan and the number of initiators");
         write("main.fleet", FIRST.replaceAll("category write.*\n", ""));
         watcher.checkForChanges();
         assertTrue(
-                watcher.standing().refused().stream()
+                watcher.status().rejectionReasons().stream()
                         .anyMatch(
                                 reason ->
                                         reason.endsWith(
                                                 "cannot be removed, requests of it may be pending")),
-                watcher.standing().refused().toString());
+                watcher.status().rejectionReasons().toString());
         assertEquals(
                 40, rate(), "the limit changed in the same version must not be applied either");
         assertEquals(0, applied.size());
@@ -167,8 +170,8 @@
         watcher.checkForChanges();
         assertEquals(0, applied.size());
         assertTrue(
-                watcher.standing().refused().get(0).contains("there is no such file"),
-                watcher.standing().refused().toString());
+                watcher.status().rejectionReasons().get(0).contains("there is no such file"),
+                watcher.status().rejectionReasons().toString());
     }
 
     @Test
--- a/scenario/src/main/java/milletyoke/scenario/ScenarioRunner.java
+++ b/scenario/src/main/java/milletyoke/scenario/ScenarioRunner.java
@@ -244,7 +244,7 @@
                         String.format(
                                 "%s: %s; turns p50 %d us, p99 %d us; pictures take %.2f%% of the loop's time",
                                 i.name(),
-                                i.counts(),
+                                i.counters(),
                                 p.loopP50Micros(),
                                 p.loopP99Micros(),
                                 100 * p.snapshotCostShare()));
--- a/scenario/src/test/java/milletyoke/scenario/ScriptedPeers.java
+++ b/scenario/src/test/java/milletyoke/scenario/ScriptedPeers.java
@@ -173,8 +173,10 @@
     }
 
     void list(String id, int shard, int port, Health health) throws Exception {
-        long lists = initiator.counts().get(Counter.ENDPOINT_LISTS);
-        until(() -> initiator.counts().get(Counter.ENDPOINT_LISTS) > 0, "the first list has come");
+        long lists = initiator.counters().get(Counter.ENDPOINT_LISTS);
+        until(
+                () -> initiator.counters().get(Counter.ENDPOINT_LISTS) > 0,
+                "the first list has come");
         discovery.update(
                 Target.newBuilder()
                         .setId(id)
@@ -184,7 +186,7 @@
                         .setHost("127.0.0.1")
                         .setPort(port)
                         .build());
-        until(() -> initiator.counts().get(Counter.ENDPOINT_LISTS) > lists, "the list has come");
+        until(() -> initiator.counters().get(Counter.ENDPOINT_LISTS) > lists, "the list has come");
         Thread.sleep(20);
     }
 
@@ -218,13 +220,13 @@
     }
 
     long count(Counter count) {
-        return initiator.counts().get(count);
+        return initiator.counters().get(count);
     }
 
     /** What the loop holds now. */
     int held() throws InterruptedException {
         LinkedBlockingQueue<Integer> shown = new LinkedBlockingQueue<>();
-        initiator.eventLoop().show(f -> shown.add(f.pendingRequests()));
+        initiator.eventLoop().readMetrics(f -> shown.add(f.pendingRequests()));
         return shown.take();
     }
 
