--- a/gateway/src/test/java/milletyoke/gateway/reload/ConfigWatcherTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/reload/ConfigWatcherTest.java
@@ -20,7 +20,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A version is applied whole or not at all, and one that is rejected changes nothing. */
+/**
+ * Checks that a version is applied completely or not at all, and that a rejected version changes
+ * nothing.
+ */
 class ConfigWatcherTest {
     private static final String FIRST =
             "fleet { initiators 3; }\ninclude \"plans.fleet\";\n"
@@ -64,20 +67,20 @@
                         checked.files(),
                         applied::add);
         watcher.checkForChanges();
-        assertEquals(0, applied.size(), "the same as it was read");
+        assertEquals(0, applied.size(), "an unchanged configuration must not be applied");
     }
 
     private Path write(String file, String text) throws Exception {
         Path temporary = folder.resolve(file + ".new");
         Files.writeString(temporary, text);
-        Path to = folder.resolve(file);
-        Files.move(temporary, to, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
-        Thread.sleep(40); // so that the next change has a later modification time
-        return to;
+        Path destination = folder.resolve(file);
+        Files.move(temporary, destination, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
+        Thread.sleep(40); // gives the next change a later modification time
+        return destination;
     }
 
     private double rate() {
-        return FleetConverter.deployment(watcher.standing().fleet())
+        return FleetConverter.deployment(watcher.status().fleet())
                 .scheduler()
                 .plans()
                 .get(0)
@@ -90,16 +93,16 @@
         watcher.checkForChanges();
         assertEquals(1, applied.size());
         assertEquals(30, rate());
-        assertEquals(2, watcher.standing().version());
+        assertEquals(2, watcher.status().version());
         assertTrue(
-                watcher.standing()
+                watcher.status()
                         .applied()
                         .contains("plan basic: limit-rate 40u/s -> 30u/s, 0 volumes  [in service]"),
-                watcher.standing().applied().toString());
+                watcher.status().applied().toString());
         String saved = Files.readString(folder.resolve("state/fleet.in-force"));
         assertTrue(saved.contains("limit-rate 30u/s;"), saved);
         watcher.checkForChanges();
-        assertEquals(1, applied.size(), "and only once");
+        assertEquals(1, applied.size(), "the change must be applied only once");
     }
 
     @Test
@@ -121,14 +124,17 @@
         assertEquals(0, applied.size());
         assertEquals(40, rate());
         assertTrue(
-                watcher.standing().refused().get(0).contains("plans.fleet:1:25: error [unit]"),
-                watcher.standing().refused().toString());
+                watcher.status()
+                        .rejectionReasons()
+                        .get(0)
+                        .contains("plans.fleet:1:25: error [unit]"),
+                watcher.status().rejectionReasons().toString());
         write("plans.fleet", "plan basic { limit-rate 40u/s; limit-depth 40u; }\n");
         watcher.checkForChanges();
         assertEquals(
                 List.of(),
-                watcher.standing().refused(),
-                "once corrected, nothing is rejected any more");
+                watcher.status().rejectionReasons(),
+                "the reasons are cleared once the file is corrected");
         assertEquals(0, applied.size());
     }
 
@@ -138,19 +144,23 @@
         write("plans.fleet", "plan basic { limit-rate 30u/s; limit-depth 30u; }\n");
         watcher.checkForChanges();
         assertTrue(
-                watcher.standing().refused().get(0).endsWith("needs a restart"),
-                watcher.standing().refused().toString());
+                watcher.status().rejectionReasons().get(0).endsWith("needs a restart"),
+                watcher.status().rejectionReasons().toString());
         assertEquals(
                 3,
-                watcher.standing().candidate().size(),
-                "two figures of the plan and the initiators");
+                watcher.status().rejectedChanges().size(),
+                "two settings of the plan and the number of initiators");
         write("main.fleet", FIRST.replaceAll("category write.*\n", ""));
         watcher.checkForChanges();
         assertTrue(
-                watcher.standing().refused().stream()
-                        .anyMatch(r -> r.endsWith("accesses of it may be held")),
-                watcher.standing().refused().toString());
-        assertEquals(40, rate(), "the limit that stood beside it is not applied either");
+                watcher.status().rejectionReasons().stream()
+                        .anyMatch(
+                                reason ->
+                                        reason.endsWith(
+                                                "cannot be removed, requests of it may be pending")),
+                watcher.status().rejectionReasons().toString());
+        assertEquals(
+                40, rate(), "the limit changed in the same version must not be applied either");
         assertEquals(0, applied.size());
     }
 
@@ -160,8 +170,8 @@
         watcher.checkForChanges();
         assertEquals(0, applied.size());
         assertTrue(
-                watcher.standing().refused().get(0).contains("there is no such file"),
-                watcher.standing().refused().toString());
+                watcher.status().rejectionReasons().get(0).contains("there is no such file"),
+                watcher.status().rejectionReasons().toString());
     }
 
     @Test
@@ -184,7 +194,7 @@
         write("plans.fleet", "plan basic { weight 0; }\n");
         try {
             InitiatorConfig.of(SettingsReader.of("i.json5", text), folder);
-            throw new AssertionError("it was accepted");
+            throw new AssertionError("an invalid fleet file was accepted");
         } catch (ConfigException rejected) {
             assertTrue(
                     rejected.getMessage().contains("plans.fleet:1:21: error [range]"),
