--- a/gateway/src/main/java/milletyoke/gateway/config/Address.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/Address.java
@@ -3,7 +3,7 @@
 /**
  * A host and a TCP port to listen on or to connect to.
  *
- * @param port 0 stands for any free port
+ * @param port 0 selects any free port
  */
 public record Address(String host, int port) {
     private static final int MAX_PORT = 65_535;
@@ -23,7 +23,7 @@
                 return new Address(host, port);
             }
         } catch (NumberFormatException notAPort) {
-            // reported below, with the whole text
+            // the exception below quotes the whole text
         }
         throw new IllegalArgumentException(
                 "an address as \"127.0.0.1:7400\" is expected, not \"" + text + "\"");
--- a/gateway/src/main/java/milletyoke/gateway/config/ConfigException.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/ConfigException.java
@@ -1,8 +1,8 @@
 package milletyoke.gateway.config;
 
 /**
- * Settings that cannot be used. The message names the file, the line and the field, and says what
- * is expected there.
+ * Thrown when settings cannot be used. The message names the file, the line and the field, and
+ * states the expected value.
  */
 public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1L;
@@ -10,7 +10,7 @@
     /**
      * Creates the exception.
      *
-     * @param message for the operator: place, field and what is expected
+     * @param message shown to the operator: file, line, field and expected value
      */
     public ConfigException(String message) {
         super(message);
--- a/gateway/src/main/java/milletyoke/gateway/config/DeploymentSettings.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/DeploymentSettings.java
@@ -13,12 +13,13 @@
 import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 
 /**
- * What all initiators and clients of one deployment share: the scheduler's settings and two times
- * of the protocol.
+ * The settings that all initiators and clients of a deployment share: the scheduler's settings and
+ * two time limits of the protocol.
  *
- * @param responseSlackMicros how long beyond the time left of a request its response still counts
+ * @param responseSlackMicros how long after a request's time left has run out its response still
+ *     counts
  * @param drainGraceMicros how long after a target was reported draining or removed an attempt may
- *     still be sent to it; the scheduler does not use it, the audit of recordings does
+ *     still be sent to it; used by the audit of recordings, not by the scheduler
  */
 public record DeploymentSettings(
         SchedulerSettings scheduler, long responseSlackMicros, long drainGraceMicros) {
@@ -26,14 +27,14 @@
     /**
      * Reads the deployment section of a setup file.
      *
-     * @throws ConfigException that names file, line and field
+     * @throws ConfigException if the section is invalid; names file, line and field
      */
     public static DeploymentSettings read(SettingsReader reader) throws ConfigException {
-        List<RequestClass> requestClasses = requestClasses(reader);
-        List<ServicePlan> plans = servicePlans(reader);
-        Capabilities capabilities = capabilities(reader.optionalObject("allowances"));
+        List<RequestClass> requestClasses = readRequestClasses(reader);
+        List<ServicePlan> plans = readServicePlans(reader);
+        Capabilities capabilities = readCapabilities(reader.optionalObject("allowances"));
         SettingsReader limitsReader = reader.optionalObject("bounds");
-        RuleLimits limits = ruleLimits(limitsReader);
+        RuleLimits limits = readRuleLimits(limitsReader);
         long responseSlackMicros = limitsReader.timeMicros("answerSlack", "50 ms");
         long drainGraceMicros = limitsReader.timeMicros("drainGrace", "500 ms");
         limitsReader.rejectUnknown();
@@ -51,23 +52,25 @@
         return new DeploymentSettings(scheduler, responseSlackMicros, drainGraceMicros);
     }
 
-    private static List<RequestClass> requestClasses(SettingsReader reader) throws ConfigException {
+    private static List<RequestClass> readRequestClasses(SettingsReader reader)
+            throws ConfigException {
         List<RequestClass> requestClasses = new ArrayList<>();
         for (SettingsReader element : reader.objects("categories", true)) {
-            requestClasses.add(requestClass(element));
+            requestClasses.add(readRequestClass(element));
         }
         if (requestClasses.isEmpty()) {
-            throw reader.error("categories", "at least one is needed");
+            throw reader.error("categories", "at least one category is expected");
         }
         List<String> names = requestClasses.stream().map(RequestClass::name).toList();
         rejectDuplicates(reader, "categories", names);
         return List.copyOf(requestClasses);
     }
 
-    private static List<ServicePlan> servicePlans(SettingsReader reader) throws ConfigException {
+    private static List<ServicePlan> readServicePlans(SettingsReader reader)
+            throws ConfigException {
         List<ServicePlan> plans = new ArrayList<>();
         for (SettingsReader element : reader.objects("plans", true)) {
-            plans.add(servicePlan(element));
+            plans.add(readServicePlan(element));
         }
         rejectDuplicates(reader, "plans", plans.stream().map(ServicePlan::name).toList());
         return List.copyOf(plans);
@@ -78,12 +81,12 @@
         Set<String> seen = new HashSet<>();
         for (String name : names) {
             if (!seen.add(name)) {
-                throw reader.error(field, "\"" + name + "\" stands there twice");
+                throw reader.error(field, "\"" + name + "\" is defined more than once");
             }
         }
     }
 
-    private static RequestClass requestClass(SettingsReader reader) throws ConfigException {
+    private static RequestClass readRequestClass(SettingsReader reader) throws ConfigException {
         Idempotency idempotency = reader.keyword("repeats", Idempotency.class, null);
         RequestClass requestClass =
                 new RequestClass(
@@ -95,19 +98,19 @@
                         reader.timeMicros("agreedTime", null),
                         reader.number("importance", 1, 0, 1e6));
         if (requestClass.latencyObjectiveMicros() == 0) {
-            throw reader.error("agreedTime", "must be over 0");
+            throw reader.error("agreedTime", "must be greater than 0");
         }
         if (idempotency == Idempotency.IDEMPOTENCY_KEY
                 && requestClass.deduplicationWindowMicros() == 0) {
             throw reader.error(
                     "repeatWindow",
-                    "a stamped category needs the time for which targets know its marks");
+                    "a stamped category needs the time for which targets remember its keys");
         }
         reader.rejectUnknown();
         return requestClass;
     }
 
-    private static ServicePlan servicePlan(SettingsReader reader) throws ConfigException {
+    private static ServicePlan readServicePlan(SettingsReader reader) throws ConfigException {
         ServicePlan plan =
                 new ServicePlan(
                         reader.text("name", null),
@@ -117,13 +120,14 @@
                         reader.number("limitDepth", 0, 0, 1e9),
                         reader.number("limitSlack", 0, 0, 1e9));
         if (plan.limitRate() > 0 && plan.limitBurst() == 0) {
-            throw reader.error("limitDepth", "a limit needs the units that its store holds");
+            throw reader.error(
+                    "limitDepth", "a limit needs the capacity of its token bucket, in units");
         }
         reader.rejectUnknown();
         return plan;
     }
 
-    private static Capabilities capabilities(SettingsReader reader) throws ConfigException {
+    private static Capabilities readCapabilities(SettingsReader reader) throws ConfigException {
         Capabilities capabilities =
                 new Capabilities(
                         reader.integer("maxRelays", 3, 1, 100),
@@ -135,7 +139,7 @@
         return capabilities;
     }
 
-    private static RuleLimits ruleLimits(SettingsReader reader) throws ConfigException {
+    private static RuleLimits readRuleLimits(SettingsReader reader) throws ConfigException {
         return new RuleLimits(
                 reader.timeMicros("keyQuiet", "0"),
                 reader.timeMicros("cold", "0"),
--- a/gateway/src/main/java/milletyoke/gateway/config/FleetConverter.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/FleetConverter.java
@@ -17,7 +17,7 @@
 public final class FleetConverter {
     private FleetConverter() {}
 
-    /** The settings that a checked fleet configuration stands for. */
+    /** Returns the settings that a checked fleet configuration describes. */
     public static DeploymentSettings deployment(Fleet fleet) {
         Fleet.Block fleetBlock = fleet.single("fleet");
         Fleet.Block bounds = fleet.single("bounds");
@@ -100,7 +100,7 @@
         return keyword.toUpperCase(Locale.ROOT).replace('-', '_');
     }
 
-    /** The settings written in the configuration language: what {@code config convert} prints. */
+    /** Returns settings in the configuration language, as {@code config convert} prints them. */
     public static String text(DeploymentSettings deployment) {
         return new FleetWriter().write(deployment);
     }
--- a/gateway/src/main/java/milletyoke/gateway/config/FleetWriter.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/FleetWriter.java
@@ -10,124 +10,124 @@
 import milletyoke.scheduler.api.SchedulerSettings.RuleLimits;
 import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 
-/** Writes {@link DeploymentSettings} in the fleet configuration language. One use an instance. */
+/** Writes {@link DeploymentSettings} in the fleet configuration language. For a single use. */
 final class FleetWriter {
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** Names of this form need no quotes in the language. */
+    /** Names of this form are written without quotes. */
     private static final String BARE_NAME = "[a-zA-Z]([a-zA-Z0-9_]|-[a-zA-Z0-9])*";
 
-    /** Rounds away what a product such as {@code 0.29 * 100} adds in the last place. */
+    /** Rounds off the floating-point error of products such as {@code 0.29 * 100}. */
     private static final MathContext PRECISION = new MathContext(15);
 
     private final StringBuilder out = new StringBuilder();
 
     String write(DeploymentSettings deployment) {
         SchedulerSettings scheduler = deployment.scheduler();
-        open("fleet");
-        setting("initiators", Integer.toString(scheduler.initiatorCount()));
-        setting("list", scheduler.mustWatchEndpoints() ? "asked" : "pushed");
-        close();
+        openBlock("fleet");
+        writeSetting("initiators", Integer.toString(scheduler.initiatorCount()));
+        writeSetting("list", scheduler.mustWatchEndpoints() ? "asked" : "pushed");
+        closeBlock();
         out.append('\n');
-        bounds(deployment);
+        writeBounds(deployment);
         out.append('\n');
-        allowances(scheduler.capabilities());
+        writeAllowances(scheduler.capabilities());
         for (RequestClass requestClass : scheduler.requestClasses()) {
             out.append('\n');
-            category(requestClass);
+            writeCategory(requestClass);
         }
         for (ServicePlan plan : scheduler.plans()) {
             out.append('\n');
-            plan(plan);
+            writePlan(plan);
         }
         return out.toString();
     }
 
-    private void bounds(DeploymentSettings deployment) {
+    private void writeBounds(DeploymentSettings deployment) {
         RuleLimits limits = deployment.scheduler().limits();
-        open("bounds");
-        time("answer-slack", deployment.responseSlackMicros());
-        time("drain-grace", deployment.drainGraceMicros());
-        time("key-quiet", limits.keyQuietMicros());
-        time("cold", limits.warmUpMicros());
-        percentage("cold-share", limits.initialFraction());
-        setting("cold-bears", number(limits.warmUpBudgetUnits()) + "u");
-        time("fall", limits.overloadWindowMicros());
-        setting("tip-multiple", number(limits.overloadFactor()));
-        setting("relay-budget-free", number(limits.freeRetries()));
-        percentage("relay-budget-share", limits.retryShare());
-        time("relay-budget-span", limits.retryWindowMicros());
-        time("must-ask-in", limits.watchDeadlineMicros());
-        close();
+        openBlock("bounds");
+        writeTime("answer-slack", deployment.responseSlackMicros());
+        writeTime("drain-grace", deployment.drainGraceMicros());
+        writeTime("key-quiet", limits.keyQuietMicros());
+        writeTime("cold", limits.warmUpMicros());
+        writePercentage("cold-share", limits.initialFraction());
+        writeSetting("cold-bears", formatNumber(limits.warmUpBudgetUnits()) + "u");
+        writeTime("fall", limits.overloadWindowMicros());
+        writeSetting("tip-multiple", formatNumber(limits.overloadFactor()));
+        writeSetting("relay-budget-free", formatNumber(limits.freeRetries()));
+        writePercentage("relay-budget-share", limits.retryShare());
+        writeTime("relay-budget-span", limits.retryWindowMicros());
+        writeTime("must-ask-in", limits.watchDeadlineMicros());
+        closeBlock();
     }
 
-    private void allowances(Capabilities capabilities) {
-        open("allowances");
-        setting("max-relays", number(capabilities.maxAttempts()));
-        flag("probes", capabilities.canProbe());
-        flag("cancels", capabilities.canCancel());
-        flag("advice", capabilities.canSuggestRetryAfter());
-        time("longest-advice", capabilities.maxRetryAfterMicros());
-        close();
+    private void writeAllowances(Capabilities capabilities) {
+        openBlock("allowances");
+        writeSetting("max-relays", formatNumber(capabilities.maxAttempts()));
+        writeFlag("probes", capabilities.canProbe());
+        writeFlag("cancels", capabilities.canCancel());
+        writeFlag("advice", capabilities.canSuggestRetryAfter());
+        writeTime("longest-advice", capabilities.maxRetryAfterMicros());
+        closeBlock();
     }
 
-    private void category(RequestClass requestClass) {
-        open("category " + label(requestClass.name()));
-        setting("repeats", Keyword.of(requestClass.idempotency()));
-        setting("group", requestClass.deduplicationScope().name().toLowerCase(Locale.ROOT));
-        time("repeat-window", requestClass.deduplicationWindowMicros());
-        flag("key-ordered", requestClass.keyOrdered());
-        time("agreed", requestClass.latencyObjectiveMicros());
-        setting("importance", number(requestClass.priorityWeight()));
-        close();
+    private void writeCategory(RequestClass requestClass) {
+        openBlock("category " + quoteIfNeeded(requestClass.name()));
+        writeSetting("repeats", Keyword.of(requestClass.idempotency()));
+        writeSetting("group", requestClass.deduplicationScope().name().toLowerCase(Locale.ROOT));
+        writeTime("repeat-window", requestClass.deduplicationWindowMicros());
+        writeFlag("key-ordered", requestClass.keyOrdered());
+        writeTime("agreed", requestClass.latencyObjectiveMicros());
+        writeSetting("importance", formatNumber(requestClass.priorityWeight()));
+        closeBlock();
     }
 
-    private void plan(ServicePlan plan) {
-        open("plan " + label(plan.name()));
-        setting("reserve", number(plan.reservationRate()) + "u/s");
-        setting("weight", number(plan.weight()));
-        setting("limit-rate", number(plan.limitRate()) + "u/s");
-        setting("limit-depth", number(plan.limitBurst()) + "u");
-        setting("limit-slack", number(plan.limitSlack()) + "u");
-        close();
+    private void writePlan(ServicePlan plan) {
+        openBlock("plan " + quoteIfNeeded(plan.name()));
+        writeSetting("reserve", formatNumber(plan.reservationRate()) + "u/s");
+        writeSetting("weight", formatNumber(plan.weight()));
+        writeSetting("limit-rate", formatNumber(plan.limitRate()) + "u/s");
+        writeSetting("limit-depth", formatNumber(plan.limitBurst()) + "u");
+        writeSetting("limit-slack", formatNumber(plan.limitSlack()) + "u");
+        closeBlock();
     }
 
-    private void open(String header) {
+    private void openBlock(String header) {
         out.append(header).append(" {\n");
     }
 
-    private void close() {
+    private void closeBlock() {
         out.append("}\n");
     }
 
-    private void setting(String name, String value) {
+    private void writeSetting(String name, String value) {
         out.append("    ").append(name).append(' ').append(value).append(";\n");
     }
 
-    private void flag(String name, boolean value) {
-        setting(name, value ? "yes" : "no");
+    private void writeFlag(String name, boolean value) {
+        writeSetting(name, value ? "yes" : "no");
     }
 
-    private void percentage(String name, double fraction) {
-        setting(name, number(fraction * 100) + "%");
+    private void writePercentage(String name, double fraction) {
+        writeSetting(name, formatNumber(fraction * 100) + "%");
     }
 
-    private void time(String name, long micros) {
+    private void writeTime(String name, long micros) {
         if (micros % MICROS_PER_SECOND == 0) {
-            setting(name, micros / MICROS_PER_SECOND + "s");
+            writeSetting(name, micros / MICROS_PER_SECOND + "s");
         } else if (micros % MICROS_PER_MILLI == 0) {
-            setting(name, micros / MICROS_PER_MILLI + "ms");
+            writeSetting(name, micros / MICROS_PER_MILLI + "ms");
         } else {
-            setting(name, micros + "us");
+            writeSetting(name, micros + "us");
         }
     }
 
-    private static String label(String name) {
+    private static String quoteIfNeeded(String name) {
         return name.matches(BARE_NAME) ? name : "\"" + name + "\"";
     }
 
-    private static String number(double number) {
+    private static String formatNumber(double number) {
         return new BigDecimal(Double.toString(number))
                 .round(PRECISION)
                 .stripTrailingZeros()
--- a/gateway/src/main/java/milletyoke/gateway/config/InitiatorConfig.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/InitiatorConfig.java
@@ -5,17 +5,18 @@
 import milletyoke.config.Fleet;
 
 /**
- * Everything that one initiator is started with.
+ * The configuration of one initiator.
  *
- * @param name the initiator's name in hellos, logs and status pages
- * @param number its number among the initiators of the deployment, from 1
- * @param listen where clients connect
- * @param discovery where the discovery service listens
- * @param stateDirectory where the endpoint list cache and the audit log are kept; null keeps none
- * @param deployment what all initiators of the deployment share
- * @param transport how connections are kept
+ * @param name the initiator's name in hello messages, logs and status pages
+ * @param number the initiator's number within the deployment, from 1
+ * @param listen the address on which clients connect
+ * @param discovery the address of the discovery service
+ * @param stateDirectory directory of the endpoint list cache and the audit log; null where neither
+ *     is stored
+ * @param deployment settings shared by all initiators of the deployment
+ * @param transport settings of connections and I/O threads
  * @param capacity bounds on pending requests and their payloads
- * @param console null where the initiator has none
+ * @param console settings of the web console; null where the initiator has none
  * @param fleet the fleet configuration that the deployment was read from; null where the setup file
  *     holds the deployment itself
  */
@@ -31,7 +32,7 @@
         Console console,
         FleetFile fleet) {
 
-    /** A configuration without a console and without a fleet file. */
+    /** Creates a configuration without a console and without a fleet file. */
     public InitiatorConfig(
             String name,
             int number,
@@ -57,29 +58,29 @@
     /**
      * A checked fleet configuration.
      *
-     * @param file the file that the setup names
-     * @param fleet what it means
-     * @param files all files that it was read from, with those it includes
+     * @param file the file that the setup file refers to
+     * @param fleet the parsed and checked content
+     * @param files all files that were read, included ones too
      */
     public record FleetFile(String file, Fleet fleet, List<String> files) {}
 
     /**
-     * The operators' console.
+     * Settings of the operators' web console.
      *
-     * @param listen where it serves HTTP
-     * @param tokenFile holds the access tokens
+     * @param listen the address on which it serves HTTP
+     * @param tokenFile the file of access tokens
      * @param requestsPerSecond rate limit of each token
      */
     public record Console(Address listen, Path tokenFile, double requestsPerSecond) {}
 
     /**
-     * How connections are kept.
+     * Settings of connections and I/O threads.
      *
-     * @param connectTimeoutMicros after which a connection attempt fails
-     * @param idleTimeoutMicros after which an unused connection is closed
-     * @param maxConnectionsPerTarget connections to one target at once
+     * @param connectTimeoutMicros time after which a connection attempt fails
+     * @param idleTimeoutMicros time after which an unused connection is closed
+     * @param maxConnectionsPerTarget concurrent connections to one target
      * @param maxAttemptsPerConnection attempts in flight on one connection
-     * @param probeTimeoutMicros how long a probe may stay without a reply
+     * @param probeTimeoutMicros how long to wait for the reply to a probe
      * @param maxFrameBytes largest frame sent or received
      * @param maxUnsentBytes bytes that may wait for one peer before its connection is closed
      * @param partialFrameTimeoutMicros how long a frame may stay half received
@@ -97,20 +98,20 @@
             int ioThreads) {}
 
     /**
-     * Bounds on what this initiator admits.
+     * Limits of what this initiator admits.
      *
      * @param maxRequests requests admitted at once, each until its last attempt has ended
-     * @param queueCapacity entries between the I/O threads and the event loop
-     * @param shardCount shards are numbered below this
-     * @param maxRequestUnits largest size of one request, in units
+     * @param queueCapacity entries of the queue between the I/O threads and the event loop
+     * @param shardCount upper bound, exclusive, of shard numbers
+     * @param maxRequestUnits largest size of a request, in units
      * @param maxTimeLeftMicros largest time left that a request may state
      * @param maxPayloadBytes bytes of payloads held at once
      * @param connectionShare largest share of requests and bytes for one connection
-     * @param volumeShare how many times the free capacity one volume may use
-     * @param saturationThreshold utilization from which on the initiator reports itself saturated
-     * @param recoveryThreshold utilization below which it no longer does
-     * @param endpointListTimeoutMicros without a message from discovery for so long the endpoint
-     *     list counts as lost
+     * @param volumeShare largest usage of one volume, as a multiple of the free capacity
+     * @param saturationThreshold utilization from which the initiator reports itself saturated
+     * @param recoveryThreshold utilization below which it is no longer saturated
+     * @param endpointListTimeoutMicros time without a message from discovery after which the
+     *     endpoint list counts as lost
      */
     public record CapacityLimits(
             int maxRequests,
@@ -131,7 +132,7 @@
         static final double DEFAULT_RECOVERY_THRESHOLD = 0.7;
         static final long DEFAULT_ENDPOINT_LIST_TIMEOUT_MICROS = 10_000_000;
 
-        /** Limits with the defaults for what is not stated. */
+        /** Creates limits with the defaults for the remaining components. */
         public CapacityLimits(
                 int maxRequests,
                 int queueCapacity,
@@ -154,19 +155,19 @@
     }
 
     /**
-     * Reads a setup file. Paths in it are relative to its folder.
+     * Reads a setup file. Relative paths in it are resolved against its directory.
      *
-     * @throws ConfigException that names file, line and field
+     * @throws ConfigException if the setup is invalid; names file, line and field
      */
     public static InitiatorConfig read(Path file) throws ConfigException {
         return of(SettingsReader.read(file), file.toAbsolutePath().getParent());
     }
 
     /**
-     * Reads a setup that was parsed already.
+     * Reads the configuration from an already parsed setup file.
      *
-     * @param baseDirectory what relative paths in the setup are relative to
-     * @throws ConfigException that names file, line and field
+     * @param baseDirectory directory against which relative paths are resolved
+     * @throws ConfigException if the setup is invalid; names file, line and field
      */
     public static InitiatorConfig of(SettingsReader settings, Path baseDirectory)
             throws ConfigException {
--- a/gateway/src/main/java/milletyoke/gateway/config/Json5Parser.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/Json5Parser.java
@@ -16,7 +16,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Parses JSON5 into a tree in which every value knows its line, so that errors can name it. */
+/** Parses JSON5 into a tree whose values carry their line numbers for error messages. */
 final class Json5Parser {
     private static final JsonFactory JSON5 =
             new JsonFactoryBuilder()
@@ -31,7 +31,7 @@
                     .configure(StreamReadFeature.STRICT_DUPLICATE_DETECTION, true)
                     .build();
 
-    /** Settings are written by hand; a larger file is some other file. */
+    /** Settings files are written by hand and are far smaller; a larger file is something else. */
     private static final long MAX_FILE_BYTES = 4 << 20;
 
     private final String source;
@@ -45,13 +45,13 @@
     /**
      * Parses a file.
      *
-     * @throws ConfigException where the file cannot be read or is not one JSON5 value
+     * @throws ConfigException if the file cannot be read or is not a single JSON5 value
      */
     static Json5Value read(Path file) throws ConfigException {
         try {
             if (Files.size(file) > MAX_FILE_BYTES) {
                 throw new ConfigException(
-                        file + ": over " + MAX_FILE_BYTES + " bytes, not a setup");
+                        file + ": larger than " + MAX_FILE_BYTES + " bytes, not a settings file");
             }
             return read(file.toString(), Files.readString(file));
         } catch (NoSuchFileException missing) {
@@ -62,14 +62,14 @@
     }
 
     /**
-     * Parses a text.
+     * Parses a string.
      *
-     * @param source names the text in error messages
-     * @throws ConfigException where the text is not one JSON5 value
+     * @param source name of the text in error messages
+     * @throws ConfigException if the text is not a single JSON5 value
      */
     static Json5Value read(String source, String text) throws ConfigException {
         try (JsonParser parser = JSON5.createParser(text)) {
-            return new Json5Parser(source, parser).document();
+            return new Json5Parser(source, parser).parseDocument();
         } catch (JsonProcessingException malformed) {
             int line = malformed.getLocation() == null ? 1 : malformed.getLocation().getLineNr();
             String message = malformed.getOriginalMessage().replaceAll("\\s+", " ");
@@ -79,27 +79,31 @@
         }
     }
 
-    private Json5Value document() throws IOException, ConfigException {
+    private Json5Value parseDocument() throws IOException, ConfigException {
         parser.nextToken();
         if (parser.currentToken() == null) {
-            throw new ConfigException(source + ":1: empty");
+            throw new ConfigException(source + ":1: the document is empty");
         }
-        Json5Value root = value();
+        Json5Value root = parseValue();
         if (parser.nextToken() != null) {
-            throw new ConfigException(source + ":" + line() + ": something stands behind the end");
+            throw new ConfigException(
+                    source
+                            + ":"
+                            + currentLine()
+                            + ": unexpected content after the end of the document");
         }
         return root;
     }
 
-    private int line() {
+    private int currentLine() {
         return parser.currentTokenLocation().getLineNr();
     }
 
-    private Json5Value value() throws IOException, ConfigException {
-        int line = line();
+    private Json5Value parseValue() throws IOException, ConfigException {
+        int line = currentLine();
         return switch (parser.currentToken()) {
-            case START_OBJECT -> Json5Value.ofObject(line, object());
-            case START_ARRAY -> Json5Value.ofList(line, list());
+            case START_OBJECT -> Json5Value.ofObject(line, parseObject());
+            case START_ARRAY -> Json5Value.ofList(line, parseList());
             case VALUE_STRING -> Json5Value.ofScalar(line, parser.getText());
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT ->
                     Json5Value.ofScalar(line, parser.getDoubleValue());
@@ -107,24 +111,24 @@
             case VALUE_NULL -> Json5Value.ofScalar(line, null);
             default ->
                     throw new ConfigException(
-                            source + ":" + line + ": unexpected " + parser.getText());
+                            source + ":" + line + ": unexpected token " + parser.getText());
         };
     }
 
-    private Map<String, Json5Value> object() throws IOException, ConfigException {
+    private Map<String, Json5Value> parseObject() throws IOException, ConfigException {
         Map<String, Json5Value> fields = new LinkedHashMap<>();
         while (parser.nextToken() != JsonToken.END_OBJECT) {
             String name = parser.currentName();
             parser.nextToken();
-            fields.put(name, value());
+            fields.put(name, parseValue());
         }
         return fields;
     }
 
-    private List<Json5Value> list() throws IOException, ConfigException {
+    private List<Json5Value> parseList() throws IOException, ConfigException {
         List<Json5Value> values = new ArrayList<>();
         while (parser.nextToken() != JsonToken.END_ARRAY) {
-            values.add(value());
+            values.add(parseValue());
         }
         return values;
     }
--- a/gateway/src/main/java/milletyoke/gateway/config/Json5Value.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/Json5Value.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * One value of a JSON5 document and the line it begins on. Exactly one of object, list and scalar
- * is set; none of them for {@code null}.
+ * A value of a JSON5 document and the line on which it begins. Exactly one of object, list and
+ * scalar is set, or none of them for the JSON value {@code null}.
  *
  * @param line counted from 1
  * @param scalar a {@link String}, {@link Double} or {@link Boolean}
@@ -24,7 +24,7 @@
         return new Json5Value(line, null, null, scalar);
     }
 
-    /** The type of the value, as error messages name it. */
+    /** Returns the type of the value as error messages name it. */
     String kind() {
         if (object != null) {
             return "an object";
--- a/gateway/src/main/java/milletyoke/gateway/config/SettingsReader.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/SettingsReader.java
@@ -12,11 +12,11 @@
 import milletyoke.scheduler.api.Keyword;
 
 /**
- * Reads one object of a settings file field by field. Each field is read once with its type, range
- * and default; {@link #rejectUnknown} then fails on every field that was never read. Times are text
- * with a unit and are returned in microseconds.
+ * Reads an object of a settings file field by field. Each field is read once with its type, range
+ * and default; {@link #rejectUnknown} then fails on the first field that was never read. Times are
+ * strings with a unit and are returned in microseconds.
  *
- * <p>An instance is used by one thread.
+ * <p>Not thread-safe.
  */
 public final class SettingsReader {
     private static final Pattern TIME_PATTERN =
@@ -26,7 +26,7 @@
     private static final double MAX_TIME_MICROS = 100 * 3600e6;
     private static final int MAX_TEXT_LENGTH = 4096;
 
-    /** From here on a double no longer holds every integer, and is printed as a double. */
+    /** Integers below this are exact in a double and are printed without a fraction. */
     private static final double MAX_EXACT_INTEGER = 1e15;
 
     private final String source;
@@ -41,35 +41,38 @@
         if (object.object() == null) {
             throw error(
                     object,
-                    path.isEmpty() ? "the setup" : path,
+                    path.isEmpty() ? "the document" : path,
                     "an object is expected, not " + object.kind());
         }
     }
 
     /**
-     * Reads the object that a file holds.
+     * Reads the object in a file.
      *
-     * @throws ConfigException where the file cannot be read or holds no object
+     * @throws ConfigException if the file cannot be read or does not hold an object
      */
     public static SettingsReader read(Path file) throws ConfigException {
         return new SettingsReader(file.toString(), "", Json5Parser.read(file));
     }
 
     /**
-     * Reads the object that a text holds.
+     * Reads the object in a string.
      *
-     * @param source names the text in error messages
-     * @throws ConfigException where the text holds no object
+     * @param source name of the text in error messages
+     * @throws ConfigException if the text does not hold an object
      */
     public static SettingsReader of(String source, String text) throws ConfigException {
         return new SettingsReader(source, "", Json5Parser.read(source, text));
     }
 
-    private ConfigException error(Json5Value place, String field, String message) {
-        return new ConfigException(source + ":" + place.line() + ": " + field + ": " + message);
+    private ConfigException error(Json5Value location, String field, String message) {
+        return new ConfigException(source + ":" + location.line() + ": " + field + ": " + message);
     }
 
-    /** An error at a field of this object, or at the object where the field is absent. */
+    /**
+     * Returns an error located at a field of this object, or at the object itself where the field
+     * is absent.
+     */
     public ConfigException error(String field, String message) {
         return error(object.object().getOrDefault(field, object), path + field, message);
     }
@@ -83,13 +86,13 @@
         return value;
     }
 
-    /** Whether the field is present, whatever its value. */
+    /** Returns whether the field is present, whatever its value. */
     public boolean has(String field) {
         return object.object().containsKey(field);
     }
 
     /**
-     * Reads a text of 1 to {@value #MAX_TEXT_LENGTH} characters.
+     * Reads a string of 1 to {@value #MAX_TEXT_LENGTH} characters.
      *
      * @param defaultValue null where the field is required
      */
@@ -111,7 +114,7 @@
     }
 
     /**
-     * Reads one of an enum's keywords.
+     * Reads a keyword of an enum and returns its constant.
      *
      * @param defaultValue null where the field is required
      */
@@ -164,7 +167,7 @@
             throw error(
                     value,
                     path + field,
-                    formatNumber(number) + " is out of range, " + range + " is");
+                    formatNumber(number) + " is out of range, " + range + " is expected");
         }
         return number;
     }
@@ -186,7 +189,7 @@
     /**
      * Reads a time of at most 100 hours, such as {@code "250 ms"}; {@code "0"} needs no unit.
      *
-     * @param defaultValue as it would be written in the file; null where the field is required
+     * @param defaultValue in the notation of the file; null where the field is required
      * @return microseconds
      */
     public long timeMicros(String field, String defaultValue) throws ConfigException {
@@ -197,13 +200,13 @@
         }
         Matcher matcher = TIME_PATTERN.matcher(text);
         if (!matcher.matches()) {
-            Json5Value place = value == null ? object : value;
-            throw error(place, path + field, timeExpected(value));
+            Json5Value location = value == null ? object : value;
+            throw error(location, path + field, timeExpectedMessage(value));
         }
         double number = Double.parseDouble(matcher.group(1));
         double micros = number * MICROS_PER_UNIT.get(matcher.group(2));
         if (micros > MAX_TIME_MICROS) {
-            throw error(field, text + " is over 100 h");
+            throw error(field, text + " exceeds the maximum of 100 h");
         }
         return Math.round(micros);
     }
@@ -212,7 +215,7 @@
         return value.scalar() instanceof String text ? text : "";
     }
 
-    private static String timeExpected(Json5Value value) {
+    private static String timeExpectedMessage(Json5Value value) {
         Object found = value.scalar() == null ? value.kind() : value.scalar();
         return "a time with its unit is expected, as \"250 ms\" (us, ms, s, min, h), not " + found;
     }
@@ -222,7 +225,7 @@
         return new SettingsReader(source, path + field + ".", lookUp(field, true));
     }
 
-    /** Reads an object that may be absent: all of its fields then have their defaults. */
+    /** Reads an optional object; where it is absent, all of its fields have their defaults. */
     public SettingsReader optionalObject(String field) throws ConfigException {
         Json5Value value = lookUp(field, false);
         Json5Value present = value == null ? Json5Value.ofObject(object.line(), Map.of()) : value;
@@ -232,7 +235,7 @@
     /**
      * Reads a list of objects.
      *
-     * @param isRequired false where an absent field stands for an empty list
+     * @param isRequired false where an absent field means an empty list
      */
     public List<SettingsReader> objects(String field, boolean isRequired) throws ConfigException {
         Json5Value value = lookUp(field, isRequired);
@@ -265,9 +268,9 @@
     }
 
     /**
-     * Fails on the first field that was never read. To be called after all others.
+     * Fails on the first field that was never read. Must be called after all fields were read.
      *
-     * @throws ConfigException that names the field and the known ones
+     * @throws ConfigException if there is such a field; names it and the known fields
      */
     public void rejectUnknown() throws ConfigException {
         for (Map.Entry<String, Json5Value> field : object.object().entrySet()) {
@@ -275,7 +278,7 @@
                 throw error(
                         field.getValue(),
                         path + field.getKey(),
-                        "is not known here; known are "
+                        "unknown field; known fields are "
                                 + String.join(", ", new TreeSet<>(knownFields)));
             }
         }
--- a/gateway/src/main/java/milletyoke/gateway/config/package-info.java
+++ b/gateway/src/main/java/milletyoke/gateway/config/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Reading of an initiator's settings: the JSON5 setup file, the deployment section or the fleet
- * configuration it refers to, and their conversion into the scheduler's settings.
+ * Reads an initiator's settings: the JSON5 setup file with its deployment section, or the fleet
+ * configuration that the setup file refers to, and converts them into the scheduler's settings.
  *
- * <p>Everything here runs once at start, and again on the configuration watcher's thread when a
- * file changed. The results are immutable and may be read by any thread.
+ * <p>The readers run once at start, and again on the configuration watcher's thread when a file
+ * changes. Their results are immutable and may be read by any thread.
  */
 package milletyoke.gateway.config;
--- a/gateway/src/test/java/milletyoke/gateway/config/CheckSpeedTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/config/CheckSpeedTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Checks a fleet of 50,000 volumes and parses the same content as JSON5. Prints both times; asserts
- * the counts only.
+ * Checks a fleet configuration of 50,000 volumes and parses the same content as JSON5. Prints both
+ * times; asserts only the number of volumes.
  */
 @Timeout(120)
 class CheckSpeedTest {
@@ -31,7 +31,7 @@
     @Test
     void fiftyThousandVolumes() throws Exception {
         Sources sources = writeSources();
-        Thread.sleep(60); // a file that was just written is read again
+        Thread.sleep(60); // FileSourceProvider waits for files modified less than 30 ms ago
         double checkMillis = Double.MAX_VALUE;
         double parseMillis = Double.MAX_VALUE;
         for (int round = 0; round < 5; round++) {
@@ -39,8 +39,8 @@
             parseMillis = Math.min(parseMillis, timeParse(sources.json()));
         }
         System.out.printf(
-                "50,000 volumes: checked in %.0f ms, read as JSON5 in %.0f ms, ratio %.1f; "
-                        + "heap at most %d MiB%n",
+                "50,000 volumes: checked in %.0f ms, parsed as JSON5 in %.0f ms, ratio %.1f; "
+                        + "peak heap %d MiB%n",
                 checkMillis, parseMillis, checkMillis / parseMillis, peakHeapBytes() >> 20);
     }
 
@@ -78,8 +78,8 @@
         Checker.Result result =
                 Checker.check(new FileSourceProvider(), file.toRealPath().toString());
         double millis = (System.nanoTime() - startNanos) / 1e6;
-        int shown = Math.min(3, result.diagnostics().size());
-        assertTrue(result.isValid(), () -> result.diagnostics().subList(0, shown).toString());
+        int shownCount = Math.min(3, result.diagnostics().size());
+        assertTrue(result.isValid(), () -> result.diagnostics().subList(0, shownCount).toString());
         assertEquals(VOLUMES, result.fleet().blocksOfKind("volume").size());
         return millis;
     }
--- a/gateway/src/test/java/milletyoke/gateway/config/InitiatorConfigTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/config/InitiatorConfigTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A setup file is read completely or rejected with file, line and field. */
+/** Tests that a setup file is read completely, or rejected with file, line and field. */
 class InitiatorConfigTest {
     private static final String VALID_SETUP =
             """
-            { // remarks may stand anywhere
+            { // comments are allowed anywhere
               name: 'i1', listen: "127.0.0.1:0", discovery: "127.0.0.1:7300", folder: "state",
               deployment: {
                 initiators: 3,
@@ -65,7 +65,7 @@
                 "coldShare: .29            | coldShare: 29             | "
                         + "i.json5:7: deployment.bounds.coldShare: 29 is out of range",
                 "connectTime               | conectTime                | "
-                        + "i.json5:9: transport.conectTime: is not known here",
+                        + "i.json5:9: transport.conectTime: unknown field; known fields are",
                 "name: 'i1',               | name: 'i1', name: 'i2',   | "
                         + "i.json5:2: Duplicate field",
                 "coldBears: 11,            | coldBears: 11             | " + "i.json5:7: ",
