--- a/gateway/src/main/java/milletyoke/gateway/status/LatencySample.java
+++ b/gateway/src/main/java/milletyoke/gateway/status/LatencySample.java
@@ -4,9 +4,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The latencies of one second: an array while they are few, a histogram beyond. To read and clear
- * hundreds of histograms with a few values each would delay the event loop by milliseconds at the
- * end of every second; the array costs a few hundred bytes a series. Used by one thread.
+ * Holds the latencies of one second: up to {@value #MAX_IN_ARRAY} in an array, more in a histogram.
+ * Reading and clearing hundreds of histograms with a few values each would delay the event loop by
+ * milliseconds at the end of every second; the array costs a few hundred bytes per series. Not
+ * thread-safe.
  */
 final class LatencySample {
     private static final int MAX_MICROS = 60_000_000;
@@ -38,12 +39,12 @@
         }
     }
 
-    /** To be called once before {@link #percentile}. */
+    /** Sorts the values; must be called before {@link #percentile}. */
     void sort() {
         Arrays.sort(values, 0, count);
     }
 
-    /** By nearest rank, as the histogram has it; 0 where there is no value. */
+    /** Returns a percentile by nearest rank, as the histogram does; 0 if there are no values. */
     int percentile(int percent) {
         if (usesHistogram) {
             return (int) histogram.getValueAtPercentile(percent);
--- a/gateway/src/main/java/milletyoke/gateway/status/SecondAccumulator.java
+++ b/gateway/src/main/java/milletyoke/gateway/status/SecondAccumulator.java
@@ -2,7 +2,7 @@
 
 import milletyoke.gateway.status.StatusSnapshot.SecondSummary;
 
-/** The counts and latencies of one series in the current second. Used by the event loop alone. */
+/** Counts and latencies of one series in the current second. Used only by the event loop. */
 final class SecondAccumulator {
     int requests;
     int answered;
@@ -11,7 +11,7 @@
     int failed;
     final LatencySample latencies = new LatencySample();
 
-    /** Returns the summary of the second and starts the next. */
+    /** Returns the summary of the current second and resets the accumulator for the next. */
     SecondSummary finish() {
         latencies.sort();
         SecondSummary summary =
--- a/gateway/src/main/java/milletyoke/gateway/status/SeriesGroup.java
+++ b/gateway/src/main/java/milletyoke/gateway/status/SeriesGroup.java
@@ -5,11 +5,11 @@
 import milletyoke.gateway.status.StatusSnapshot.SecondSummary;
 
 /**
- * The series of one kind by name, bounded in number. A lookup of a known name allocates nothing.
- * Used by the event loop alone.
+ * Holds the series of one kind by name, up to a maximum number. Looking up an existing series
+ * allocates nothing. Used only by the event loop.
  */
 final class SeriesGroup {
-    /** What exceeds the bound is counted under this name. */
+    /** Name of the series that counts the events of all series beyond the maximum. */
     private static final String OTHERS = "others";
 
     private final String prefix;
@@ -20,7 +20,7 @@
     /**
      * Creates an empty group.
      *
-     * @param prefix of the series' keys in a row
+     * @param prefix prefix of the series' keys in a row
      */
     SeriesGroup(String prefix, int maxSeries) {
         this.prefix = prefix;
@@ -28,20 +28,20 @@
     }
 
     SecondAccumulator series(String name) {
-        SecondAccumulator known = seriesByName.get(name);
-        if (known == null && (seriesByName.size() >= maxSeries || name.equals(OTHERS))) {
+        SecondAccumulator accumulator = seriesByName.get(name);
+        if (accumulator == null && (seriesByName.size() >= maxSeries || name.equals(OTHERS))) {
             return others;
         }
-        if (known == null) {
-            known = new SecondAccumulator();
-            seriesByName.put(name, known);
+        if (accumulator == null) {
+            accumulator = new SecondAccumulator();
+            seriesByName.put(name, accumulator);
         }
-        return known;
+        return accumulator;
     }
 
     /**
-     * Adds the summaries of the second to a row. A series without any event in the second is
-     * removed and makes room for another.
+     * Adds the summaries of the current second to a row. A series without an event in that second
+     * is removed, so that another can take its place.
      */
     void finishSecond(Map<String, SecondSummary> row) {
         seriesByName.forEach(
--- a/gateway/src/main/java/milletyoke/gateway/status/ServiceStatistics.java
+++ b/gateway/src/main/java/milletyoke/gateway/status/ServiceStatistics.java
@@ -16,17 +16,17 @@
 import milletyoke.scheduler.api.SchedulerSettings;
 
 /**
- * Requests and attempts and how they ended, by request class, plan, volume and target: totals since
- * the start, and a ring of seconds for fifteen minutes. Written by the event loop alone; the rows
- * of the ring are immutable and may be read by any thread. Times are microseconds of the monotonic
- * clock.
+ * Counts requests and attempts and their outcomes by request class, plan, volume and target: totals
+ * since the start, and a ring buffer with one row per second for fifteen minutes. Written only by
+ * the event loop; the rows are immutable and may be read by any thread. Times are microseconds of
+ * the monotonic clock.
  *
- * <p>Memory is bounded whatever clients name: {@value #MAX_VOLUMES} volumes have totals, the least
- * recently used is evicted; {@value #MAX_SERIES} volumes and as many targets have a series, further
- * ones of the same second are counted under {@code others}.
+ * <p>Memory is bounded, whatever volumes clients name: totals are kept for {@value #MAX_VOLUMES}
+ * volumes, of which the least recently used is evicted. In each second {@value #MAX_SERIES} volumes
+ * and as many targets have a series; further ones are counted under {@code others}.
  */
 public final class ServiceStatistics {
-    /** How many seconds of rows are kept. */
+    /** Number of seconds for which rows are kept. */
     public static final int RETAINED_SECONDS = 900;
 
     static final int MAX_VOLUMES = 10_000;
@@ -39,7 +39,7 @@
     private final Map<String, Totals> plans = new LinkedHashMap<>();
     private final Map<String, Totals> targets = new LinkedHashMap<>();
 
-    /** In the order of their last use. */
+    /** In order of last use, least recently used first. */
     private final LinkedHashMap<String, VolumeStatistics> volumes =
             new LinkedHashMap<>(64, 0.75f, true);
 
@@ -55,7 +55,7 @@
     private final boolean isEnabled;
     private long currentSecond = -1;
 
-    /** How one request ended for its client, or one attempt at its target. */
+    /** How a request ended for its client, or an attempt at its target. */
     public enum Outcome {
         ANSWERED,
         REJECTED,
@@ -66,14 +66,14 @@
     }
 
     /**
-     * One second of all series.
+     * The summaries of all series in one second.
      *
-     * @param series keys are {@code category:}, {@code plan:}, {@code volume:} or {@code target:}
-     *     followed by a name
+     * @param series summaries by key; keys are {@code category:}, {@code plan:}, {@code volume:} or
+     *     {@code target:} followed by a name
      */
     public record Row(long second, Map<String, SecondSummary> series) {}
 
-    /** A volume's totals and its latest use. */
+    /** The totals and the last use of one volume. */
     static final class VolumeStatistics {
         final String plan;
         final Totals totals = new Totals();
@@ -89,22 +89,22 @@
         }
     }
 
-    /** Statistics for the request classes and plans of the settings. */
+    /** Creates statistics for the request classes and plans of the settings. */
     public ServiceStatistics(SchedulerSettings settings) {
         this(settings, true);
     }
 
     /**
-     * Statistics that may be switched off.
+     * Creates statistics that may be disabled.
      *
-     * @param isEnabled false where nobody reads them: nothing is then counted
+     * @param isEnabled false where nothing reads the statistics; nothing is then counted
      */
     public ServiceStatistics(SchedulerSettings settings, boolean isEnabled) {
         this.isEnabled = isEnabled;
         applySettings(settings);
     }
 
-    /** Adds new request classes and plans; known ones keep their totals. */
+    /** Adds the new request classes and plans; existing ones keep their totals. */
     public void applySettings(SchedulerSettings settings) {
         for (SchedulerSettings.RequestClass requestClass : settings.requestClasses()) {
             latencyObjectives.put(requestClass.name(), requestClass.latencyObjectiveMicros());
@@ -115,7 +115,7 @@
         }
     }
 
-    /** A request was admitted. */
+    /** Counts an admitted request. */
     public void onRequest(long nowMicros, String requestClass, String plan, String volume) {
         if (!isEnabled) {
             return;
@@ -133,9 +133,9 @@
     }
 
     /**
-     * A request ended.
+     * Counts the end of a request.
      *
-     * @param latencyMicros since its arrival
+     * @param latencyMicros time since its arrival
      */
     public void onRequestEnd(
             long nowMicros,
@@ -166,7 +166,7 @@
         }
     }
 
-    /** An attempt was sent. */
+    /** Counts an attempt that was sent. */
     public void onAttempt(long nowMicros, String target) {
         if (!isEnabled) {
             return;
@@ -180,9 +180,9 @@
     }
 
     /**
-     * An attempt ended.
+     * Counts the end of an attempt.
      *
-     * @param latencyMicros since it was sent
+     * @param latencyMicros time since it was sent
      */
     public void onAttemptEnd(long nowMicros, String target, Outcome outcome, long latencyMicros) {
         if (!isEnabled) {
@@ -251,7 +251,7 @@
         }
     }
 
-    /** Finishes the seconds before the given time. */
+    /** Completes the row of the current second if the given time is in a later one. */
     public void advanceTo(long nowMicros) {
         long second = nowMicros / MICROS_PER_SECOND;
         if (currentSecond == second) {
@@ -269,8 +269,8 @@
     }
 
     /**
-     * The rows of the last whole seconds, oldest first; a second without any event has none. May be
-     * called by any thread.
+     * Returns the rows of the last complete seconds, oldest first; seconds without a row are left
+     * out. May be called by any thread.
      */
     public List<Row> rows(long nowMicros, int seconds) {
         List<Row> rows = new ArrayList<>();
@@ -304,12 +304,12 @@
         return totals == null ? RequestTally.NONE : totals.tally();
     }
 
-    /** Removes a target that is no longer in the endpoint list. */
+    /** Removes the totals of a target that is no longer in the endpoint list. */
     void removeTarget(String id) {
         targets.remove(id);
     }
 
-    /** Removes and returns some of the volumes that changed. */
+    /** Removes and returns the names of up to {@code max} volumes that changed. */
     List<String> pollChangedVolumes(int max) {
         List<String> polled = new ArrayList<>(Math.min(max, changedVolumes.size()));
         Iterator<String> changed = changedVolumes.iterator();
@@ -331,7 +331,7 @@
         return polled;
     }
 
-    /** Null where the volume is not known or was evicted. */
+    /** Returns the statistics of a volume; null if it has none or was evicted. */
     VolumeStatistics volume(String name) {
         return volumes.get(name);
     }
--- a/gateway/src/main/java/milletyoke/gateway/status/SnapshotBuilder.java
+++ b/gateway/src/main/java/milletyoke/gateway/status/SnapshotBuilder.java
@@ -17,15 +17,16 @@
 import org.pcollections.TreePVector;
 
 /**
- * Builds the status snapshots, on the event loop. Every snapshot has all targets, and of the
- * volumes that changed at most {@value #MAX_VOLUMES_PER_SNAPSHOT} are brought up to date, so that
- * its cost does not grow with their number. Differences from the last snapshot become events.
+ * Builds the status snapshots on the event loop. Every snapshot contains all targets. Of the
+ * changed volumes at most {@value #MAX_VOLUMES_PER_SNAPSHOT} are updated, so that the cost of a
+ * snapshot does not grow with their number. Changes of target and lifecycle states since the last
+ * snapshot are added as events.
  */
 public final class SnapshotBuilder {
     static final int MAX_VOLUMES_PER_SNAPSHOT = 256;
     private static final int MAX_EVENTS = 2_000;
 
-    // The kinds of events are values of the console's JSON.
+    // Kinds of events, written to the console's JSON.
     private static final String TARGET_EVENT = "target";
     private static final String LIFECYCLE_EVENT = "condition";
 
@@ -38,9 +39,9 @@
     private Lifecycle.Transition lastTransition;
 
     /**
-     * Creates the builder of one initiator.
+     * Creates the snapshot builder of one initiator.
      *
-     * @param name the initiator's
+     * @param name the initiator's name
      */
     public SnapshotBuilder(String name, RequestScheduler scheduler, ServiceStatistics statistics) {
         this.name = name;
@@ -49,16 +50,16 @@
     }
 
     /**
-     * What the event loop adds to the scheduler's state.
+     * The part of the status that the event loop contributes.
      *
-     * @param admittedRequests requests that use a permit
+     * @param admittedRequests requests that hold an admission permit
      * @param pendingRequests requests that the loop tracks
-     * @param utilization of the capacity, from 0 to 1
-     * @param loopDurations microseconds of the loop's recent passes
-     * @param snapshotCostShare share of the loop's time that snapshots and statistics took lately
-     * @param decisions the latest, newest first
-     * @param listedState a target's state in the endpoint list; null where it is not listed
-     * @param isDrainedHere whether an operator drained a target on this initiator
+     * @param utilization used share of the capacity, from 0 to 1
+     * @param loopDurations durations of the loop's recent passes in microseconds
+     * @param snapshotCostShare recent share of the loop's time spent on snapshots and statistics
+     * @param decisions the scheduler's latest decisions, newest first
+     * @param listedState returns a target's state in the endpoint list; null if it is not listed
+     * @param isDrainedHere returns whether an operator drained a target on this initiator
      */
     public record LoopStatus(
             Lifecycle lifecycle,
@@ -74,9 +75,9 @@
             Function<String, Boolean> isDrainedHere) {}
 
     /**
-     * Adds an event that no snapshot shows by itself.
+     * Adds an event that is not derived from a change between snapshots.
      *
-     * @param volume the only one that it concerns; null for none
+     * @param volume the only volume concerned; null for none
      */
     public void addEvent(long nowMicros, String kind, String description, String volume) {
         events = events.plus(new OperationalEvent(nowMicros, kind, description, volume));
@@ -85,7 +86,7 @@
         }
     }
 
-    /** Builds the snapshot of now. */
+    /** Builds a snapshot of the current state. */
     public StatusSnapshot build(long nowMicros, LoopStatus loop) {
         statistics.advanceTo(nowMicros);
         List<StatusSnapshot.Target> targets = targets(loop);
@@ -117,7 +118,9 @@
                 loop.decisions());
     }
 
-    /** The targets that are listed or have attempts in flight; others are forgotten. */
+    /**
+     * Returns the targets that are listed or have attempts in flight; drops the tallies of others.
+     */
     private List<StatusSnapshot.Target> targets(LoopStatus loop) {
         List<StatusSnapshot.Target> targets = new ArrayList<>();
         for (SchedulerView.TargetView view : SchedulerView.targets(scheduler)) {
@@ -164,14 +167,14 @@
             String lastState = lastTargetStates.get(id);
             targetStates.put(id, state);
             if (!state.equals(lastState)) {
-                String change = lastState == null ? " is known: " : ": " + lastState + " -> ";
+                String change = lastState == null ? " added: " : ": " + lastState + " -> ";
                 addEvent(nowMicros, TARGET_EVENT, id + change + state, null);
             }
         }
         lastTargetStates.keySet().stream()
                 .filter(id -> !targetStates.containsKey(id))
                 .sorted()
-                .forEach(id -> addEvent(nowMicros, TARGET_EVENT, id + " is known no more", null));
+                .forEach(id -> addEvent(nowMicros, TARGET_EVENT, id + " removed", null));
         lastTargetStates = targetStates;
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/status/StatusSnapshot.java
+++ b/gateway/src/main/java/milletyoke/gateway/status/StatusSnapshot.java
@@ -10,19 +10,19 @@
 import org.pcollections.PVector;
 
 /**
- * The status of one initiator at a moment. Immutable, so that any number of threads may read it
- * while the event loop goes on; volumes are a persistent map of which only the changed part is
- * replaced.
+ * The status of one initiator at a point in time. Immutable, so that any number of threads may read
+ * it while the event loop continues; the volumes are a persistent map that shares its unchanged
+ * entries with earlier snapshots.
  *
- * @param atMicros on the initiator's monotonic clock
- * @param admittedRequests requests that use a permit
+ * @param atMicros time of the snapshot on the initiator's monotonic clock
+ * @param admittedRequests requests that hold an admission permit
  * @param pendingRequests requests that the event loop tracks
- * @param utilization of the capacity, from 0 to 1
- * @param lateShare share of recent responses later than the latency objective
- * @param retrySuccessShare share of recent retries that succeeded
- * @param unreportedVolumes volumes that changed and are not up to date in this snapshot
- * @param snapshotCostShare share of the event loop's time that snapshots and statistics took lately
- * @param decisions the scheduler's latest, newest first
+ * @param utilization used share of the capacity, from 0 to 1
+ * @param lateShare smoothed share of responses that reported a long queue delay
+ * @param retrySuccessShare smoothed share of retries that succeeded
+ * @param unreportedVolumes number of volumes that changed but are not up to date in this snapshot
+ * @param snapshotCostShare recent share of the event loop's time spent on snapshots and statistics
+ * @param decisions the scheduler's latest decisions, newest first
  */
 public record StatusSnapshot(
         long atMicros,
@@ -49,10 +49,10 @@
         List<DecisionRecord> decisions) {
 
     /**
-     * One target.
+     * The status of one target.
      *
-     * @param isDrainedHere whether an operator drained it on this initiator alone
-     * @param listedState its state in the endpoint list
+     * @param isDrainedHere whether an operator drained the target on this initiator only
+     * @param listedState the target's state in the endpoint list
      */
     public record Target(
             SchedulerView.TargetView view,
@@ -60,8 +60,8 @@
             String listedState,
             RequestTally tally) {
         /**
-         * The most serious of its states, in the console's words, which are values of its JSON:
-         * silent is unresponsive, cold is warming up, resting is backing off.
+         * Returns the most severe of the target's states, under the names used in the console's
+         * JSON: "silent" is unresponsive, "cold" is warming up, "resting" is backing off.
          */
         public String state() {
             if (isDrainedHere) {
@@ -81,8 +81,11 @@
     }
 
     /**
-     * One volume: its requests through this initiator since the start, and its queue and remaining
-     * rates in the scheduler.
+     * The status of one volume: its requests through this initiator since the start, and its queue
+     * and token buckets in the scheduler.
+     *
+     * @param lastRequestMicros when its last request was admitted, on the monotonic clock
+     * @param pendingRequests admitted requests that have not ended
      */
     public record Volume(
             String name,
@@ -95,14 +98,15 @@
     /**
      * Counts of requests or attempts since the start.
      *
-     * @param onTime answered within the latency objective of their class
+     * @param onTime requests answered within the latency objective of their class, or attempts
+     *     answered
      */
     public record RequestTally(
             long requests, long answered, long onTime, long rejected, long failed) {
-        /** No requests. */
+        /** The tally without any request. */
         public static final RequestTally NONE = new RequestTally(0, 0, 0, 0, 0);
 
-        /** The share of requests that were answered on time; 1 where there were none. */
+        /** Returns the share of requests that were answered on time; 1 if there were none. */
         public double onTimeShare() {
             return requests == 0 ? 1 : onTime / (double) requests;
         }
@@ -111,18 +115,18 @@
     /**
      * An event for operators.
      *
-     * @param volume the only one that it concerns; null for the initiator or a target
+     * @param volume the only volume concerned; null for an event of the initiator or a target
      */
     public record OperationalEvent(long atMicros, String kind, String description, String volume) {}
 
     /**
      * One decision of the scheduler.
      *
-     * @param volume of the request; null where it concerns none
+     * @param volume the volume of the request; null for a decision without a request
      */
     public record DecisionRecord(long atMicros, Action action, String volume) {}
 
-    /** One second of one series; the percentiles are of latencies. */
+    /** Counts and latency percentiles of one series in one second. */
     public record SecondSummary(
             int requests,
             int answered,
--- a/gateway/src/main/java/milletyoke/gateway/status/Totals.java
+++ b/gateway/src/main/java/milletyoke/gateway/status/Totals.java
@@ -2,7 +2,7 @@
 
 import milletyoke.gateway.status.StatusSnapshot.RequestTally;
 
-/** Counts since the start. Used by the event loop alone. */
+/** Counts requests or attempts since the start of the process. Used only by the event loop. */
 final class Totals {
     long requests;
     long answered;
--- a/gateway/src/test/java/milletyoke/gateway/status/ServiceStatisticsTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/status/ServiceStatisticsTest.java
@@ -15,7 +15,7 @@
 import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 import org.junit.jupiter.api.Test;
 
-/** Percentiles, the limit on series and the rows of past seconds. */
+/** Tests latency percentiles, the maximum number of series and the rows of past seconds. */
 class ServiceStatisticsTest {
     private static ServiceStatistics newStatistics() {
         return new ServiceStatistics(
@@ -36,16 +36,16 @@
                         false));
     }
 
-    /** Few and many latencies give the same percentiles; a row holds one second's only. */
+    /** Array and histogram give the same percentiles; a row covers a single second. */
     @Test
     void percentilesOfASecondWithFewAndManyLatencies() {
         SplittableRandom random = new SplittableRandom(4);
         ServiceStatistics statistics = newStatistics();
         int second = 1;
         for (int count : new int[] {1, 2, 3, 10, 63, 64, 65, 100, 5_000, 7}) {
-            int[] times = new int[count];
+            int[] latencies = new int[count];
             for (int i = 0; i < count; i++) {
-                times[i] = 100 + random.nextInt(200_000);
+                latencies[i] = 100 + random.nextInt(200_000);
                 statistics.onRequest(second * 1_000_000L, "read", "free", "v");
                 statistics.onRequestEnd(
                         second * 1_000_000L,
@@ -53,31 +53,38 @@
                         "free",
                         "v",
                         ServiceStatistics.Outcome.ANSWERED,
-                        times[i]);
+                        latencies[i]);
             }
-            Arrays.sort(times);
+            Arrays.sort(latencies);
             statistics.advanceTo((second + 1) * 1_000_000L);
             for (String series : List.of("category:read", "plan:free", "volume:v")) {
                 StatusSnapshot.SecondSummary summary =
                         statistics.rows((second + 1) * 1_000_000L, 1).get(0).series().get(series);
                 assertEquals(count, summary.answered());
-                assertNear(times[Math.max(0, (count * 50 + 99) / 100 - 1)], summary.p50Micros());
-                assertNear(times[Math.max(0, (count * 99 + 99) / 100 - 1)], summary.p99Micros());
+                assertNear(
+                        latencies[Math.max(0, (count * 50 + 99) / 100 - 1)], summary.p50Micros());
+                assertNear(
+                        latencies[Math.max(0, (count * 99 + 99) / 100 - 1)], summary.p99Micros());
             }
             second++;
         }
     }
 
     private static void assertNear(int expected, int actual) {
-        assertTrue(Math.abs(actual - expected) <= expected * 0.02 + 1, actual + " for " + expected);
+        assertTrue(
+                Math.abs(actual - expected) <= expected * 0.02 + 1,
+                actual + " us, expected about " + expected);
     }
 
-    /** Volumes over the limit are counted together; a series unused in a second makes room. */
+    /**
+     * Volumes beyond the maximum are counted together; a series without events in a second is
+     * replaced.
+     */
     @Test
     void seriesAreBoundedAndUnusedOnesMakeRoom() {
         ServiceStatistics statistics = newStatistics();
-        for (int v = 0; v < 1_000; v++) {
-            statistics.onRequest(1_000_000, "read", "free", "v" + v);
+        for (int volume = 0; volume < 1_000; volume++) {
+            statistics.onRequest(1_000_000, "read", "free", "v" + volume);
         }
         statistics.onRequest(2_000_000, "read", "free", "v999");
         statistics.advanceTo(3_000_000);
@@ -91,6 +98,6 @@
         assertEquals(
                 1,
                 statistics.rows(4_000_000, 1).get(0).series().get("volume:v999").requests(),
-                "it has a series of its own now");
+                "v999 must have its own series once others are unused");
     }
 }
