--- a/gateway/src/main/java/milletyoke/gateway/console/AccessScope.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/AccessScope.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * What the holder of a token may see and do. A tenant sees its own volumes; to it, those of others
- * do not exist.
+ * What the holder of a token may see and do. A tenant sees only its own volumes; others are treated
+ * as if they did not exist.
  *
- * @param name of the token, for the audit log
- * @param volumes of a tenant: names, or prefixes that end in {@code *}
+ * @param name name of the token, written to the audit log
+ * @param volumes volumes of a tenant: names, or prefixes followed by {@code *}
  */
 public record AccessScope(String name, Role role, List<String> volumes) {
-    /** A viewer sees all; an operator may also act. */
+    /** Roles of tokens: a viewer sees everything; an operator may also perform actions. */
     public enum Role {
         TENANT,
         VIEWER,
         OPERATOR
     }
 
-    /** Whether more than a tenant's own volumes is visible. */
-    boolean seesAll() {
+    /** Returns whether everything is visible, not only the volumes of one tenant. */
+    boolean canSeeAll() {
         return role != Role.TENANT;
     }
 
@@ -26,8 +26,8 @@
         return role == Role.OPERATOR;
     }
 
-    boolean sees(String volume) {
-        return seesAll() || volumes.stream().anyMatch(pattern -> matches(pattern, volume));
+    boolean canSee(String volume) {
+        return canSeeAll() || volumes.stream().anyMatch(pattern -> matches(pattern, volume));
     }
 
     private static boolean matches(String pattern, String volume) {
--- a/gateway/src/main/java/milletyoke/gateway/console/AuditLog.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/AuditLog.java
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Operators' actions through the console: one JSON object a line in a file, written before the
- * action is carried out. The latest are also kept in memory. Any thread may call this.
+ * Records operators' actions through the console: one JSON object per line in a file, written
+ * before the action is performed. The latest actions are also kept in memory. Thread-safe.
  */
 final class AuditLog {
     private static final Logger LOG = LoggerFactory.getLogger(AuditLog.class);
@@ -25,8 +25,13 @@
     private static final int MAX_IN_MEMORY = 200;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** One action. */
-    record Entry(Instant at, String who, String what, String whom) {}
+    /**
+     * One action.
+     *
+     * @param operator name of the operator's token
+     * @param subject the initiator or target that was acted on
+     */
+    record Entry(Instant at, String operator, String action, String subject) {}
 
     private final Path file;
     private final ArrayDeque<Entry> latest = new ArrayDeque<>();
@@ -34,23 +39,24 @@
     /**
      * Creates the log; its file is created with the first action.
      *
-     * @param directory null keeps actions in memory and in the daemon's log only
+     * @param directory directory of the file; null keeps actions only in memory and in the daemon's
+     *     log
      */
     AuditLog(Path directory) {
         file = directory == null ? null : directory.resolve(FILE_NAME);
     }
 
     /**
-     * Records an action, on disk when this returns.
+     * Records an action. The file has been synced to disk when this method returns.
      *
-     * @throws IOException where it cannot be written: the action must then not be carried out
+     * @throws IOException if it cannot be written; the action must then not be performed
      */
-    synchronized void write(String who, String what, String whom) throws IOException {
-        Entry entry = new Entry(Instant.now(), who, what, whom);
+    synchronized void write(String operator, String action, String subject) throws IOException {
+        Entry entry = new Entry(Instant.now(), operator, action, subject);
         if (file != null) {
             append(entry);
         }
-        LOG.info("operator action who={} what={} whom={}", who, what, whom);
+        LOG.info("operator action who={} what={} whom={}", operator, action, subject);
         latest.addLast(entry);
         if (latest.size() > MAX_IN_MEMORY) {
             latest.removeFirst();
@@ -60,9 +66,9 @@
     private void append(Entry entry) throws IOException {
         Map<String, String> line = new LinkedHashMap<>();
         line.put("at", entry.at().toString());
-        line.put("who", entry.who());
-        line.put("what", entry.what());
-        line.put("whom", entry.whom());
+        line.put("who", entry.operator());
+        line.put("what", entry.action());
+        line.put("whom", entry.subject());
         Files.createDirectories(file.getParent());
         Files.write(
                 file,
@@ -72,7 +78,7 @@
                 StandardOpenOption.DSYNC);
     }
 
-    /** The latest actions, oldest first. */
+    /** Returns the latest actions, oldest first. */
     synchronized List<Entry> latest() {
         return new ArrayList<>(latest);
     }
--- a/gateway/src/main/java/milletyoke/gateway/console/Authenticator.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Authenticator.java
@@ -6,8 +6,8 @@
 import org.glassfish.grizzly.http.server.Response;
 
 /**
- * Finds out who sent a request, by bearer token or session cookie, and limits the rate of requests.
- * Any thread may call this.
+ * Authenticates requests by bearer token or session cookie, and limits the rate of requests.
+ * Thread-safe.
  */
 final class Authenticator {
     private static final String COOKIE = "milletyoke";
@@ -33,7 +33,7 @@
         tokenLimiter = new RateLimiter(requestsPerSecond, BURST_SECONDS * requestsPerSecond);
     }
 
-    /** The caller; null where the request has no valid token. Does not count the request. */
+    /** Returns the caller; null without a valid token. Does not count against a rate limit. */
     Caller authenticate(Request request) {
         Sessions.Session session = sessions.find(cookie(request), SocketNetwork.monotonicMicros());
         String bearer = bearerToken(request);
@@ -45,23 +45,23 @@
         return scope == null ? null : new Caller(scope, token, session, bearer != null);
     }
 
-    /** Counts a request without a valid token against its address. */
-    void limitAnonymous(Request request) throws HttpProblemException {
-        limit(anonymousLimiter, request.getRemoteAddr());
+    /** Counts a request without a valid token against the rate limit of its remote address. */
+    void checkAnonymousRate(Request request) throws HttpProblemException {
+        checkRate(anonymousLimiter, request.getRemoteAddr());
     }
 
-    /** Counts a request against its token. */
-    void limit(Caller caller) throws HttpProblemException {
-        limit(tokenLimiter, caller.scope().name());
+    /** Counts a request against the rate limit of its token. */
+    void checkRate(Caller caller) throws HttpProblemException {
+        checkRate(tokenLimiter, caller.scope().name());
     }
 
-    private static void limit(RateLimiter limiter, String key) throws HttpProblemException {
+    private static void checkRate(RateLimiter limiter, String key) throws HttpProblemException {
         if (!limiter.tryAcquire(key, SocketNetwork.monotonicMicros())) {
             throw HttpProblemException.tooManyRequests();
         }
     }
 
-    /** Begins a session where the token is valid; whether it is. */
+    /** Begins a session if the token is valid; returns whether it is. */
     boolean signIn(String token, Response response) {
         if (tokens.scope(token) == null) {
             return false;
--- a/gateway/src/main/java/milletyoke/gateway/console/Caller.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Caller.java
@@ -4,28 +4,29 @@
 import java.security.MessageDigest;
 
 /**
- * Who sent a request.
+ * The authenticated sender of a request.
  *
- * @param token valid when the request arrived
- * @param session of a browser; null without a session cookie
- * @param hasBearerToken whether the token came in the Authorization header, which a browser does
- *     not send by itself as it does cookies
+ * @param scope what the token permits
+ * @param token the token, valid when the request arrived
+ * @param session the browser session; null without a session cookie
+ * @param hasBearerToken whether the token came in the Authorization header, which browsers, unlike
+ *     cookies, do not send automatically
  */
 record Caller(AccessScope scope, String token, Sessions.Session session, boolean hasBearerToken) {
 
-    /** The secret for the forms of this caller's pages. */
-    String csrf() {
-        return session == null ? "" : session.csrf();
+    /** Returns the CSRF token for the forms in this caller's pages; empty without a session. */
+    String csrfToken() {
+        return session == null ? "" : session.csrfToken();
     }
 
-    /** Whether a form was made for this caller, and not by another site. */
-    boolean ownsForm(String formCsrf) {
+    /** Returns whether a form came from a page of this caller and not from another site. */
+    boolean isOwnForm(String formToken) {
         if (hasBearerToken) {
             return true;
         }
         return session != null
                 && MessageDigest.isEqual(
-                        session.csrf().getBytes(StandardCharsets.UTF_8),
-                        formCsrf.getBytes(StandardCharsets.UTF_8));
+                        session.csrfToken().getBytes(StandardCharsets.UTF_8),
+                        formToken.getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/console/CategoriesPage.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/CategoriesPage.java
@@ -10,7 +10,7 @@
 import milletyoke.scheduler.api.Keyword;
 import milletyoke.scheduler.api.SchedulerSettings.RequestClass;
 
-/** Request classes (categories, in the console's words) and plans with their tallies. */
+/** Shows request classes (called categories in the console) and plans with their tallies. */
 final class CategoriesPage implements Page {
     private static final List<String> TENANT_COLUMNS =
             List.of("category", "repeats", "agreed time");
@@ -41,21 +41,21 @@
         List<List<Object>> rows = new ArrayList<>();
         for (RequestClass requestClass : config.deployment().scheduler().requestClasses()) {
             rows.add(
-                    scope.seesAll()
+                    scope.canSeeAll()
                             ? row(requestClass, snapshot.categories().get(requestClass.name()))
                             : tenantRow(requestClass));
         }
         List<PageView.Table> tables = new ArrayList<>();
-        List<String> columns = scope.seesAll() ? COLUMNS : TENANT_COLUMNS;
+        List<String> columns = scope.canSeeAll() ? COLUMNS : TENANT_COLUMNS;
         tables.add(PageView.Table.firstPart("categories", columns, rows));
-        if (scope.seesAll()) {
+        if (scope.canSeeAll()) {
             List<List<Object>> plans = new ArrayList<>();
             snapshot.plans().forEach((name, tally) -> plans.add(ValueFormat.tallyRow(name, tally)));
             tables.add(PageView.Table.firstPart("plans", ValueFormat.TALLY_COLUMNS, plans));
         }
-        List<PageView.Chart> shown =
-                scope.seesAll() ? List.of(charts.onTimeByCategory(scope)) : List.of();
-        return new PageView("Service by category", Map.of(), tables, shown);
+        List<PageView.Chart> visibleCharts =
+                scope.canSeeAll() ? List.of(charts.onTimeByCategory(scope)) : List.of();
+        return new PageView("Service by category", Map.of(), tables, visibleCharts);
     }
 
     private static List<Object> tenantRow(RequestClass requestClass) {
--- a/gateway/src/main/java/milletyoke/gateway/console/ChartRenderer.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/ChartRenderer.java
@@ -9,17 +9,17 @@
     private static final int WIDTH = 600;
     private static final int HEIGHT = 120;
 
-    /** Kept free above and below the lines. */
+    /** Space above and below the lines. */
     private static final int MARGIN = 2;
 
-    /** The style sheet has so many line styles. */
-    private static final int STYLES = 12;
+    /** Number of line styles in the style sheet. */
+    private static final int LINE_STYLES = 12;
 
     private ChartRenderer() {}
 
     static void render(StringBuilder out, PageView.Chart chart) {
-        double max = max(chart);
-        String name = HtmlRenderer.text(chart.name());
+        double max = maxValue(chart);
+        String name = HtmlRenderer.escape(chart.name());
         out.append("<figure data-chart=\"")
                 .append(name)
                 .append("\"><figcaption>")
@@ -34,22 +34,22 @@
                 .append(name)
                 .append("\">");
         for (int i = 0; i < chart.lines().size(); i++) {
-            out.append("<polyline class=\"s").append(i % STYLES).append("\" points=\"");
-            points(out, chart.lines().get(i).points(), max);
+            out.append("<polyline class=\"s").append(i % LINE_STYLES).append("\" points=\"");
+            appendPoints(out, chart.lines().get(i).points(), max);
             out.append("\"/>");
         }
         out.append("</svg><ul class=\"legend\">");
         for (int i = 0; i < chart.lines().size(); i++) {
             out.append("<li class=\"s")
-                    .append(i % STYLES)
+                    .append(i % LINE_STYLES)
                     .append("\">")
-                    .append(HtmlRenderer.text(chart.lines().get(i).name()))
+                    .append(HtmlRenderer.escape(chart.lines().get(i).name()))
                     .append("</li>");
         }
         out.append("</ul></figure>");
     }
 
-    private static double max(PageView.Chart chart) {
+    private static double maxValue(PageView.Chart chart) {
         double max =
                 chart.lines().stream()
                         .flatMap(line -> line.points().stream())
@@ -60,7 +60,7 @@
         return max <= 0 ? 1 : max;
     }
 
-    private static void points(StringBuilder out, List<Double> points, double max) {
+    private static void appendPoints(StringBuilder out, List<Double> points, double max) {
         int intervals = Math.max(1, points.size() - 1);
         for (int i = 0; i < points.size(); i++) {
             Double value = points.get(i);
--- a/gateway/src/main/java/milletyoke/gateway/console/Charts.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Charts.java
@@ -8,7 +8,7 @@
 import milletyoke.gateway.status.ServiceStatistics;
 import milletyoke.gateway.status.StatusSnapshot.SecondSummary;
 
-/** The charts of the last two minutes, from the rows of past seconds. */
+/** Builds the charts of the last two minutes from the rows of past seconds. */
 final class Charts {
     private static final int SECONDS = 120;
     private static final int MAX_LINES = 12;
@@ -21,8 +21,8 @@
         this.loop = loop;
     }
 
-    /** The value of one point; null for none. */
-    private interface Point {
+    /** Computes the value of a point; null for no point. */
+    private interface PointValue {
         Double of(SecondSummary second);
     }
 
@@ -52,12 +52,12 @@
     }
 
     /**
-     * A chart of the series with most events.
+     * Returns a chart of the series with the most events.
      *
-     * @param scope null where the series belong to no tenant
+     * @param scope null if the series belong to no tenant
      */
     private PageView.Chart chart(
-            String name, String unit, String prefix, Point point, AccessScope scope) {
+            String name, String unit, String prefix, PointValue point, AccessScope scope) {
         List<ServiceStatistics.Row> rows = loop.rows(SECONDS);
         List<PageView.Line> lines = new ArrayList<>();
         for (String series : largestSeries(rows, prefix, scope)) {
@@ -100,10 +100,10 @@
         if (!key.startsWith(prefix)) {
             return false;
         }
-        if (scope == null || !prefix.equals(VOLUME_PREFIX) || scope.seesAll()) {
+        if (scope == null || !prefix.equals(VOLUME_PREFIX) || scope.canSeeAll()) {
             return true;
         }
         String volume = key.substring(prefix.length());
-        return !volume.equals(OTHERS) && scope.sees(volume);
+        return !volume.equals(OTHERS) && scope.canSee(volume);
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/console/ConfigurationPage.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/ConfigurationPage.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import milletyoke.gateway.reload.ConfigWatcher;
 
-/** The configuration in force, what it changed, and why a later version was rejected. */
+/** Shows the configuration in force, what it changed, and why a later version was rejected. */
 final class ConfigurationPage implements Page {
     private static final String TITLE = "Configuration";
 
@@ -23,7 +23,7 @@
 
     @Override
     public PageView view(AccessScope scope, PageQuery query) {
-        if (!scope.seesAll()) {
+        if (!scope.canSeeAll()) {
             return new PageView(TITLE, Map.of(), List.of(), List.of());
         }
         if (configWatcher == null) {
@@ -39,18 +39,18 @@
                 status.refusedAt() == null ? "none" : status.refusedAt().toString());
         List<String> inForce = status.fleet().show().lines().toList();
         List<PageView.Table> tables = new ArrayList<>();
-        tables.add(lines("refused, and why", status.refused(), PageQuery.FIRST));
+        tables.add(linesTable("refused, and why", status.refused(), PageQuery.FIRST));
         tables.add(
-                lines(
+                linesTable(
                         "what the refused version would change",
                         status.candidate(),
                         PageQuery.FIRST));
-        tables.add(lines("changed by this version", status.applied(), PageQuery.FIRST));
-        tables.add(lines("in force", inForce, query));
+        tables.add(linesTable("changed by this version", status.applied(), PageQuery.FIRST));
+        tables.add(linesTable("in force", inForce, query));
         return new PageView(TITLE, figures, tables, List.of());
     }
 
-    private static PageView.Table lines(String name, List<String> lines, PageQuery query) {
+    private static PageView.Table linesTable(String name, List<String> lines, PageQuery query) {
         List<List<Object>> rows = new ArrayList<>();
         lines.forEach(line -> rows.add(List.of(line)));
         return PageView.Table.part(name, List.of("line"), rows, query);
--- a/gateway/src/main/java/milletyoke/gateway/console/ConnectionLimitFilter.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/ConnectionLimitFilter.java
@@ -11,12 +11,12 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * Bounds the console's connections, and the time that a request may take to arrive, against peers
- * that open many or send a byte now and then (slow loris). It may close the connection of a viewer
- * on a very slow network.
+ * Limits the number of the console's connections, and the time that a request may take to arrive,
+ * to protect against peers that open many connections or send their requests very slowly (slow
+ * loris). The connection of a viewer on a very slow network may be closed, too.
  */
 final class ConnectionLimitFilter extends BaseFilter {
-    /** While a request is being processed no timeout applies. */
+    /** Marks a connection whose request is being processed; no timeout applies to it. */
     private static final long PROCESSING = Long.MAX_VALUE;
 
     private final int maxConnections;
@@ -42,17 +42,17 @@
         return context.getInvokeAction();
     }
 
-    /** A request has arrived completely. */
+    /** Suspends the timeout of a connection whose request has arrived completely. */
     void onRequest(Connection<?> connection) {
         waitingSinceMicros.replace(connection, PROCESSING);
     }
 
-    /** The response was sent; the next request is waited for. */
+    /** Restarts the timeout of a connection whose response was sent. */
     void onResponse(Connection<?> connection) {
         waitingSinceMicros.replace(connection, SocketNetwork.monotonicMicros());
     }
 
-    /** Closes the connections whose request takes too long to arrive. */
+    /** Closes the connections whose request has not arrived within the timeout. */
     void closeTimedOut(long nowMicros) {
         waitingSinceMicros.forEach(
                 (connection, since) -> {
--- a/gateway/src/main/java/milletyoke/gateway/console/Console.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Console.java
@@ -18,9 +18,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The web console of one initiator, on a listener and threads of its own. Responses are made from
- * the latest status snapshot and the rows of past seconds; none waits for the event loop, so that
- * the console answers while the loop is overloaded.
+ * The web console of one initiator, with its own listener and threads. Responses are built from the
+ * latest status snapshot and the rows of past seconds; none waits for the event loop, so that the
+ * console responds even while the loop is overloaded.
  */
 public final class Console implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(Console.class);
@@ -31,7 +31,7 @@
     private static final int WORKER_THREADS = 4;
     private static final int MAX_QUEUED_REQUESTS = 4_096;
 
-    /** For a request to arrive, and for a stream's reader to read what was sent. */
+    /** Time limit for a request to arrive, and for a stream's client to read an event. */
     private static final long PEER_TIMEOUT_MICROS = 5_000_000;
 
     private final ConnectionLimitFilter connections =
@@ -45,8 +45,8 @@
      * Starts the console of one initiator.
      *
      * @param configWatcher null where the setup file holds the deployment
-     * @throws IOException where its address cannot be bound
-     * @throws ConfigException where its token file cannot be used
+     * @throws IOException if its address cannot be bound
+     * @throws ConfigException if its token file cannot be used
      */
     public Console(
             InitiatorConfig.Console consoleConfig,
@@ -130,12 +130,15 @@
             updater.shutdownNow();
             server.shutdownNow();
             throw new IOException(
-                    "cannot listen at " + consoleConfig.listen() + ": " + failed.getMessage(),
+                    "console cannot listen at "
+                            + consoleConfig.listen()
+                            + ": "
+                            + failed.getMessage(),
                     failed);
         }
     }
 
-    /** The port that the console listens on. */
+    /** Returns the port that the console listens on. */
     public int port() {
         return listener.getPort();
     }
--- a/gateway/src/main/java/milletyoke/gateway/console/ConsoleHandler.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/ConsoleHandler.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Routes the console's HTTP requests. Called by its worker threads. */
+/** Routes the console's HTTP requests. Called by the console's worker threads. */
 final class ConsoleHandler extends HttpHandler {
     private static final Logger LOG = LoggerFactory.getLogger(ConsoleHandler.class);
     private static final String STATIC_PREFIX = "/static/";
@@ -54,10 +54,10 @@
             Responses.addSecurityHeaders(response);
             route(request, response);
         } catch (HttpProblemException problem) {
-            Responses.problem(response, problem, isApi);
+            Responses.sendProblem(response, problem, isApi);
         } catch (Exception unexpected) {
             LOG.error("console request failed", unexpected);
-            Responses.problem(response, HttpProblemException.internalError(), isApi);
+            Responses.sendProblem(response, HttpProblemException.internalError(), isApi);
         } finally {
             if (!response.isSuspended()) {
                 connections.onResponse(request.getContext().getConnection());
@@ -70,21 +70,21 @@
         String path = request.getRequestURI();
         if (path.startsWith(STATIC_PREFIX)) {
             RequestParameters.requireMethod(request, Method.GET);
-            Responses.staticFile(response, path.substring(STATIC_PREFIX.length()));
+            Responses.sendStaticFile(response, path.substring(STATIC_PREFIX.length()));
             return;
         }
         if (path.equals(LOGIN)) {
-            authenticator.limitAnonymous(request);
+            authenticator.checkAnonymousRate(request);
             signIn(request, response);
             return;
         }
         Caller caller = authenticator.authenticate(request);
         if (caller == null) {
-            authenticator.limitAnonymous(request);
+            authenticator.checkAnonymousRate(request);
             requestToken(response, path);
             return;
         }
-        authenticator.limit(caller);
+        authenticator.checkRate(caller);
         if (path.equals("/logout") || path.equals("/act")) {
             RequestParameters.requireMethod(request, Method.POST);
             handleForm(request, response, caller);
@@ -101,33 +101,33 @@
             response.setHeader("WWW-Authenticate", "Bearer");
             throw HttpProblemException.unauthorized();
         }
-        Responses.redirect(response, LOGIN);
+        Responses.sendRedirect(response, LOGIN);
     }
 
     private void signIn(Request request, Response response)
             throws HttpProblemException, IOException {
         if (request.getMethod().equals(Method.GET)) {
-            Responses.html(response, 200, HtmlRenderer.login(""));
+            Responses.sendHtml(response, 200, HtmlRenderer.loginPage(""));
             return;
         }
         RequestParameters.requireMethod(request, Method.POST);
-        Map<String, String> form = RequestParameters.form(request, Set.of("token"));
+        Map<String, String> form = RequestParameters.readForm(request, Set.of("token"));
         if (!authenticator.signIn(form.getOrDefault("token", ""), response)) {
-            Responses.html(response, 401, HtmlRenderer.login("That token is not valid."));
+            Responses.sendHtml(response, 401, HtmlRenderer.loginPage("That token is not valid."));
             return;
         }
-        Responses.redirect(response, "/");
+        Responses.sendRedirect(response, "/");
     }
 
     private void showPage(Request request, Response response, String path, Caller caller)
             throws HttpProblemException, IOException {
         String page = path.equals("/") ? PageModels.OVERVIEW : path.substring(1);
         requirePage(page);
-        PageQuery query = RequestParameters.pageQuery(request, QUERY_PARAMETERS, "page");
+        PageQuery query = RequestParameters.readPageQuery(request, QUERY_PARAMETERS, "page");
         PageView view = pages.view(page, caller.scope(), query);
         HtmlRenderer renderer =
-                new HtmlRenderer(page, query, caller.csrf(), caller.scope(), pages.names());
-        Responses.html(response, 200, renderer.render(view));
+                new HtmlRenderer(page, query, caller.csrfToken(), caller.scope(), pages.names());
+        Responses.sendHtml(response, 200, renderer.render(view));
     }
 
     private void requirePage(String page) throws HttpProblemException {
@@ -138,38 +138,38 @@
 
     private void handleForm(Request request, Response response, Caller caller)
             throws HttpProblemException, IOException {
-        Map<String, String> form = RequestParameters.form(request, ACTION_FIELDS);
-        if (!caller.ownsForm(form.getOrDefault("csrf", ""))) {
+        Map<String, String> form = RequestParameters.readForm(request, ACTION_FIELDS);
+        if (!caller.isOwnForm(form.getOrDefault("csrf", ""))) {
             throw HttpProblemException.forbidden(
-                    "This form was not made for this session; open the page again.");
+                    "The form does not belong to this session; reload the page.");
         }
         if (request.getRequestURI().equals("/logout")) {
             authenticator.signOut(caller);
-            Responses.redirect(response, LOGIN);
+            Responses.sendRedirect(response, LOGIN);
             return;
         }
         String action = form.getOrDefault("what", "");
         actions.perform(caller.scope(), action, form.getOrDefault("whom", ""));
-        Responses.redirect(response, action.endsWith("-target") ? "/targets" : "/");
+        Responses.sendRedirect(response, action.endsWith("-target") ? "/targets" : "/");
     }
 
     private void handleApi(Request request, Response response, String path, Caller caller)
             throws HttpProblemException, IOException {
         if (path.isEmpty()) {
             RequestParameters.requireMethod(request, Method.GET);
-            Responses.json(response, 200, Map.of("pages", new ArrayList<>(pages.names())));
+            Responses.sendJson(response, 200, Map.of("pages", new ArrayList<>(pages.names())));
         } else if (path.equals("stream")) {
             RequestParameters.requireMethod(request, Method.GET);
             openStream(request, response, caller);
         } else if (isAction(path)) {
             RequestParameters.requireMethod(request, Method.POST);
             performApiAction(path, caller);
-            Responses.json(response, 202, Map.of("done", path));
+            Responses.sendJson(response, 202, Map.of("done", path));
         } else {
             RequestParameters.requireMethod(request, Method.GET);
             requirePage(path);
-            PageQuery query = RequestParameters.pageQuery(request, QUERY_PARAMETERS, "page");
-            Responses.json(response, 200, pages.view(path, caller.scope(), query));
+            PageQuery query = RequestParameters.readPageQuery(request, QUERY_PARAMETERS, "page");
+            Responses.sendJson(response, 200, pages.view(path, caller.scope(), query));
         }
     }
 
@@ -181,9 +181,9 @@
 
     private void performApiAction(String path, Caller caller)
             throws HttpProblemException, IOException {
-        if (!caller.hasBearerToken()) { // a browser sends its cookie with the forms of any site
+        if (!caller.hasBearerToken()) { // browsers may send the cookie with forms of other sites
             throw HttpProblemException.forbidden(
-                    "Acting by this path needs the token in a header.");
+                    "Actions through the API require a bearer token in the Authorization header.");
         }
         String[] parts = path.split("/", 0);
         if (parts.length == 1) {
@@ -196,7 +196,7 @@
 
     private void openStream(Request request, Response response, Caller caller)
             throws HttpProblemException {
-        PageQuery query = RequestParameters.pageQuery(request, STREAM_PARAMETERS, "at");
+        PageQuery query = RequestParameters.readPageQuery(request, STREAM_PARAMETERS, "at");
         String page = request.getParameter("page");
         requirePage(page == null ? "" : page);
         streams.open(request, response, caller.token(), page, query, streamUpdater);
--- a/gateway/src/main/java/milletyoke/gateway/console/EventStreams.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/EventStreams.java
@@ -14,9 +14,9 @@
 import org.glassfish.grizzly.http.server.Response;
 
 /**
- * Server-sent event streams: each sends the content of one page once a second. A stream is closed
- * when its token becomes invalid or its reader does not read. Opened on worker threads, fed on the
- * console's update thread.
+ * Serves the server-sent event streams, each of which sends the content of one page once a second.
+ * A stream is closed when its token becomes invalid or its client stops reading. Streams are opened
+ * on worker threads and written on the console's update thread.
  */
 final class EventStreams {
     private static final int MAX_STREAMS = 256;
@@ -29,7 +29,7 @@
     /**
      * Creates an empty set of streams.
      *
-     * @param readTimeoutMicros after which a stream whose reader does not read is closed
+     * @param readTimeoutMicros time after which a stream is closed if its client does not read
      */
     EventStreams(PageModels pages, Tokens tokens, long readTimeoutMicros) {
         this.pages = pages;
@@ -40,7 +40,7 @@
     /**
      * Opens a stream and sends its first event.
      *
-     * @param updater runs the sending
+     * @param updater executor on which events are sent
      */
     void open(
             Request request,
@@ -63,7 +63,7 @@
         updater.execute(stream::update);
     }
 
-    /** Sends the current content on every stream. */
+    /** Sends the current content to every stream. */
     void updateAll() {
         streams.forEach(Stream::update);
     }
@@ -72,7 +72,7 @@
         List.copyOf(streams).forEach(Stream::close);
     }
 
-    /** One page kept up to date in one browser. */
+    /** The stream of one page to one client. */
     private final class Stream {
         private final Response response;
         private final String token;
@@ -95,7 +95,7 @@
                 return;
             }
             if (!response.getNIOOutputStream().canWrite()) {
-                return; // not read yet: nothing is added, and it is closed after the timeout
+                return; // the client has not read the last event; skipped until the read timeout
             }
             try {
                 response.getNIOOutputStream().write(event(scope));
@@ -116,7 +116,7 @@
                 try {
                     response.resume();
                 } catch (RuntimeException alreadyClosed) {
-                    // its connection is closed
+                    // the connection is already closed
                 }
             }
         }
--- a/gateway/src/main/java/milletyoke/gateway/console/EventsPage.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/EventsPage.java
@@ -8,7 +8,7 @@
 import milletyoke.gateway.status.StatusSnapshot;
 import milletyoke.scheduler.api.Action;
 
-/** Events, the scheduler's latest decisions, and operators' actions. */
+/** Shows events, the scheduler's latest decisions, and operators' actions. */
 final class EventsPage implements Page {
     private static final long MICROS_PER_MILLI = 1_000;
 
@@ -20,8 +20,8 @@
     /**
      * Creates the page.
      *
-     * @param startedAt a time of day
-     * @param startedAtMicros the same moment on the monotonic clock
+     * @param startedAt wall-clock time of the start, the reference for the times shown
+     * @param startedAtMicros the same point in time on the monotonic clock
      */
     EventsPage(EventLoop loop, AuditLog auditLog, Instant startedAt, long startedAtMicros) {
         this.loop = loop;
@@ -36,15 +36,15 @@
         List<PageView.Table> tables = new ArrayList<>();
         tables.add(events(snapshot, scope, query));
         tables.add(decisions(snapshot, scope));
-        if (scope.seesAll()) {
+        if (scope.canSeeAll()) {
             tables.add(operatorActions());
         }
         return new PageView("Events", Map.of(), tables, List.of());
     }
 
-    /** What concerns no volume is for those who see all. */
+    /** Returns whether an entry is visible; entries without a volume are not visible to tenants. */
     private static boolean isVisible(String volume, AccessScope scope) {
-        return volume == null ? scope.seesAll() : scope.sees(volume);
+        return volume == null ? scope.canSeeAll() : scope.canSee(volume);
     }
 
     private PageView.Table events(StatusSnapshot snapshot, AccessScope scope, PageQuery query) {
@@ -71,30 +71,32 @@
                         List.of(
                                 timeOfDay(decision.atMicros()),
                                 decision.volume() == null ? "-" : decision.volume(),
-                                describe(decision.action(), scope.seesAll())));
+                                describe(decision.action(), scope.canSeeAll())));
             }
         }
         List<String> columns = List.of("at", "volume", "decided");
         return PageView.Table.firstPart("latest decisions", columns, rows);
     }
 
-    /** The action in the console's words; a tenant does not see ids and targets. */
-    private static String describe(Action action, boolean seesAll) {
+    /**
+     * Describes an action in the terms of the console's JSON, without ids and targets for tenants.
+     */
+    private static String describe(Action action, boolean canSeeAll) {
         if (action instanceof Action.SendAttempt attempt) {
-            return seesAll ? "relay " + attempt.id() + " to " + attempt.target() : "relay";
+            return canSeeAll ? "relay " + attempt.id() + " to " + attempt.target() : "relay";
         }
         if (action instanceof Action.Reject reject) {
             String retry =
                     reject.retryAfterMicros() > 0
                             ? ", back in " + ValueFormat.duration(reject.retryAfterMicros())
                             : "";
-            return (seesAll ? "reject " + reject.id() : "reject") + retry;
+            return (canSeeAll ? "reject " + reject.id() : "reject") + retry;
         }
         if (action instanceof Action.Fail fail) {
-            return seesAll ? "break off " + fail.id() : "break off";
+            return canSeeAll ? "break off " + fail.id() : "break off";
         }
         if (action instanceof Action.CancelAttempt cancel) {
-            return seesAll
+            return canSeeAll
                     ? "cancel relay " + cancel.attemptNumber() + " of " + cancel.id()
                     : "cancel";
         }
@@ -110,7 +112,13 @@
     private PageView.Table operatorActions() {
         List<List<Object>> rows = new ArrayList<>();
         for (AuditLog.Entry entry : auditLog.latest()) {
-            rows.add(0, List.of(entry.at().toString(), entry.who(), entry.what(), entry.whom()));
+            rows.add(
+                    0,
+                    List.of(
+                            entry.at().toString(),
+                            entry.operator(),
+                            entry.action(),
+                            entry.subject()));
         }
         List<String> columns = List.of("at", "who", "what", "whom");
         return PageView.Table.firstPart("operators' actions", columns, rows);
--- a/gateway/src/main/java/milletyoke/gateway/console/HttpProblemException.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/HttpProblemException.java
@@ -1,8 +1,8 @@
 package milletyoke.gateway.console;
 
 /**
- * An error response with a problem body (RFC 9457). Title and detail are sent to the client and say
- * nothing of the daemon's internals.
+ * An error response with a problem body (RFC 9457). Title and detail are sent to the client and
+ * must not disclose internals of the daemon.
  */
 final class HttpProblemException extends Exception {
     private static final long serialVersionUID = 1L;
@@ -24,9 +24,10 @@
         return title;
     }
 
-    /** The same for what does not exist and for what the caller may not see. */
+    /** Returns the same problem for what does not exist and for what the caller may not see. */
     static HttpProblemException notFound() {
-        return new HttpProblemException(404, "Not found", "There is nothing here.");
+        return new HttpProblemException(
+                404, "Not found", "The resource does not exist or is not visible with this token.");
     }
 
     static HttpProblemException badRequest(String detail) {
@@ -34,8 +35,7 @@
     }
 
     static HttpProblemException unauthorized() {
-        return new HttpProblemException(
-                401, "Unauthorized", "A token is needed that is valid now.");
+        return new HttpProblemException(401, "Unauthorized", "A valid access token is required.");
     }
 
     static HttpProblemException forbidden(String detail) {
@@ -44,24 +44,30 @@
 
     static HttpProblemException methodNotAllowed(String allowed) {
         return new HttpProblemException(
-                405, "Method not allowed", allowed + " is what can be done here.");
+                405, "Method not allowed", allowed + " is the only method allowed here.");
     }
 
     static HttpProblemException tooLarge(int maxBytes) {
-        return new HttpProblemException(413, "Too large", maxBytes + " bytes are the most.");
+        return new HttpProblemException(
+                413, "Too large", maxBytes + " bytes is the maximum size of a request body.");
     }
 
     static HttpProblemException tooManyRequests() {
-        return new HttpProblemException(429, "Too many requests", "Come back in a second.");
+        return new HttpProblemException(
+                429, "Too many requests", "The rate limit is exceeded; retry in one second.");
     }
 
     static HttpProblemException internalError() {
         return new HttpProblemException(
-                500, "Failed", "This could not be answered; the log says why.");
+                500,
+                "Failed",
+                "The request could not be processed; the daemon's log has the cause.");
     }
 
     static HttpProblemException tooManyStreams(int maxStreams) {
         return new HttpProblemException(
-                503, "Too many streams", "There are " + maxStreams + " at the most; poll instead.");
+                503,
+                "Too many streams",
+                "At most " + maxStreams + " streams may be open; poll instead.");
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/console/OperatorActions.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/OperatorActions.java
@@ -4,7 +4,7 @@
 import milletyoke.gateway.loop.EventLoop;
 import milletyoke.gateway.loop.LoopMessage;
 
-/** Carries out operators' actions, each after it was written to the audit log. */
+/** Performs operators' actions, each after it has been written to the audit log. */
 final class OperatorActions {
     private final String initiatorName;
     private final EventLoop loop;
@@ -17,16 +17,17 @@
     }
 
     /**
-     * Carries out an action.
+     * Performs an action.
      *
-     * @param target ignored by actions on the initiator itself
-     * @throws IOException where it could not be written to the audit log; it is then not carried
-     *     out
+     * @param target the target to act on; ignored by actions on the initiator
+     * @throws IOException if the action could not be written to the audit log; it is then not
+     *     performed
      */
     void perform(AccessScope scope, String action, String target)
             throws HttpProblemException, IOException {
         if (!scope.canAct()) {
-            throw HttpProblemException.forbidden("This token may look and not act.");
+            throw HttpProblemException.forbidden(
+                    "This token may view but not act; an operator token is required.");
         }
         String operator = scope.name();
         switch (action) {
@@ -36,7 +37,8 @@
             case "undrain-target" -> drainTarget(operator, action, target, false);
             default ->
                     throw HttpProblemException.badRequest(
-                            "drain, undrain, drain-target or undrain-target can be done.");
+                            "Unknown action; allowed are drain, undrain, drain-target and "
+                                    + "undrain-target.");
         }
     }
 
--- a/gateway/src/main/java/milletyoke/gateway/console/OverviewPage.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/OverviewPage.java
@@ -15,7 +15,7 @@
 import milletyoke.gateway.status.StatusSnapshot.RequestTally;
 import milletyoke.lifecycle.LifecycleState;
 
-/** The state of the initiator, and why requests wait or are rejected. */
+/** Shows the state of the initiator, and why requests wait or are rejected. */
 final class OverviewPage implements Page {
     private static final String TITLE = "Overview";
     private static final int MAX_TARGETS_NAMED = 20;
@@ -40,7 +40,7 @@
         figures.put("initiator", snapshot.name());
         figures.put("condition", stateName(snapshot.lifecycleState(), scope));
         figures.put("told", stateDescription(snapshot.lifecycleState(), scope));
-        if (!scope.seesAll()) {
+        if (!scope.canSeeAll()) {
             ValueFormat.addTally(figures, visibleTally(snapshot, scope));
             return new PageView(TITLE, figures, List.of(), List.of());
         }
@@ -98,19 +98,19 @@
         return targets.isEmpty() ? "none" : targets;
     }
 
-    /** A tenant must not learn others' load from the state. */
+    /** Returns the state to show; a tenant must not learn from it about the load of others. */
     private static String stateName(LifecycleState state, AccessScope scope) {
-        if (scope.seesAll()) {
+        if (scope.canSeeAll()) {
             return state.name().toLowerCase(Locale.ROOT).replace('_', ' ');
         }
         return state.admits() ? "in service" : "not taking";
     }
 
     private static String stateDescription(LifecycleState state, AccessScope scope) {
-        if (scope.seesAll()) {
+        if (scope.canSeeAll()) {
             return state.tells();
         }
-        return state.admits() ? "takes accesses" : "takes nothing new";
+        return state.admits() ? "admits requests" : "admits no new requests";
     }
 
     private static RequestTally visibleTally(StatusSnapshot snapshot, AccessScope scope) {
@@ -120,7 +120,7 @@
         long rejected = 0;
         long failed = 0;
         for (StatusSnapshot.Volume volume : snapshot.volumes().values()) {
-            if (scope.sees(volume.name())) {
+            if (scope.canSee(volume.name())) {
                 RequestTally tally = volume.tally();
                 requests += tally.requests();
                 answered += tally.answered();
@@ -132,7 +132,7 @@
         return new RequestTally(requests, answered, onTime, rejected, failed);
     }
 
-    /** Why requests wait or are rejected, as far as one initiator knows; most serious first. */
+    /** Returns why requests wait or are rejected, as far as visible here; most severe first. */
     private List<List<Object>> causes(StatusSnapshot snapshot) {
         List<List<Object>> rows = new ArrayList<>();
         LifecycleState state = snapshot.lifecycleState();
@@ -144,12 +144,13 @@
         addRejections(
                 rows,
                 Counter.REJECTED_CAPACITY,
-                "beyond the places of all, of a connection or of a volume");
-        addRejections(rows, Counter.REJECTED_STATE, "came while nothing was taken");
+                "exceeded the admission limit of the initiator, a connection or a volume");
+        addRejections(
+                rows, Counter.REJECTED_STATE, "arrived while the initiator admitted no requests");
         addRejections(
                 rows,
                 Counter.INVALID,
-                "named no category or plan of ours, or a figure out of range");
+                "named an unknown category or plan, or had a value out of range");
         return rows;
     }
 
@@ -163,10 +164,10 @@
                                 rows.add(
                                         List.of(
                                                 "shard " + shard.shard(),
-                                                "no target in service holds it",
+                                                "no target in service serves this shard",
                                                 shard.pending())));
         for (StatusSnapshot.Target target : snapshot.targets()) {
-            String cause = cause(target.state());
+            String cause = causeText(target.state());
             if (cause != null) {
                 int pending = pendingByShard.getOrDefault(target.view().shard(), 0);
                 rows.add(List.of(target.view().id(), cause, pending));
@@ -174,12 +175,13 @@
         }
     }
 
-    private static String cause(String targetState) {
+    private static String causeText(String targetState) {
         return switch (targetState) {
-            case "silent" -> "silent: it owes answers and gives none; single trials only";
+            case "silent" -> "silent: does not respond; only single trial attempts are sent";
             case "cold" -> "cold: held to what it surely bears";
-            case "resting" -> "resting: its answers came late; only what fits goes there";
-            case "draining", "drained here" -> "takes nothing new: " + targetState;
+            case "resting" ->
+                    "resting: backing off after late responses; only what fits its limit is sent";
+            case "draining", "drained here" -> "accepts no new requests: " + targetState;
             default -> null;
         };
     }
@@ -208,7 +210,7 @@
 
     private void addRejections(List<List<Object>> rows, Counter counter, String cause) {
         if (counters.get(counter) > 0) {
-            rows.add(List.of(counters.get(counter) + " accesses since the start", cause, 0));
+            rows.add(List.of(counters.get(counter) + " requests since the start", cause, 0));
         }
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/console/Page.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Page.java
@@ -1,8 +1,8 @@
 package milletyoke.gateway.console;
 
-/** Builds the content of one page. Called by any worker thread of the console. */
+/** Builds the content of one page. Called by all worker threads of the console. */
 @FunctionalInterface
 interface Page {
-    /** The content that a viewer may see; nothing else may be left in it. */
+    /** Returns the page with only the content that the given scope may see. */
     PageView view(AccessScope scope, PageQuery query);
 }
--- a/gateway/src/main/java/milletyoke/gateway/console/PageModels.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/PageModels.java
@@ -11,9 +11,9 @@
 import milletyoke.gateway.reload.ConfigWatcher;
 
 /**
- * All pages by name. HTML, JSON and stream of a page are made from its {@link PageView} alone, so
- * that what a tenant may not see is left out at one place. A page that is added here is served,
- * streamed and crawled by the tests.
+ * Holds all pages by name. HTML, JSON and stream of a page are rendered from its {@link PageView}
+ * alone, so that content hidden from tenants is filtered in one place. A page that is added here is
+ * served, streamed and covered by the crawling test.
  */
 final class PageModels {
     static final String OVERVIEW = "overview";
@@ -27,7 +27,7 @@
      * Creates the pages of one initiator.
      *
      * @param configWatcher null where the setup file holds the deployment
-     * @param nowMicros on the monotonic clock
+     * @param nowMicros the current time on the monotonic clock
      */
     PageModels(
             InitiatorConfig config,
@@ -49,12 +49,12 @@
         pages = Collections.unmodifiableMap(all);
     }
 
-    /** The names of all pages in the order in which they are shown. */
+    /** Returns the names of all pages in display order. */
     Set<String> names() {
         return pages.keySet();
     }
 
-    /** The content of a page that exists. */
+    /** Returns the content of a page, which must exist. */
     PageView view(String page, AccessScope scope, PageQuery query) {
         return pages.get(page).view(scope, query);
     }
--- a/gateway/src/main/java/milletyoke/gateway/console/PageQuery.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/PageQuery.java
@@ -1,9 +1,9 @@
 package milletyoke.gateway.console;
 
 /**
- * Which rows of a page are asked for.
+ * Selects the rows of a page.
  *
- * @param find text that a row's name must contain; empty for all
+ * @param find text that a row's name must contain; empty selects all rows
  * @param page number of the part of a long table, from 0
  */
 record PageQuery(String find, int page) {
--- a/gateway/src/main/java/milletyoke/gateway/console/RateLimiter.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/RateLimiter.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * A token bucket for each caller, of the most recent callers only. Reads no clock. Any thread may
- * call this.
+ * Limits the request rate of each caller by a token bucket; buckets are kept for the most recent
+ * callers only. Times are passed in by the caller. Thread-safe.
  */
 final class RateLimiter {
     private static final int MAX_CALLERS = 4096;
@@ -24,7 +24,7 @@
     private final double ratePerSecond;
     private final double burst;
 
-    /** In the order of their last use; the least recently used is evicted. */
+    /** In order of last use; the least recently used bucket is evicted. */
     private final LinkedHashMap<String, Bucket> buckets =
             new LinkedHashMap<>(64, 0.75f, true) {
                 private static final long serialVersionUID = 1L;
@@ -40,7 +40,7 @@
         this.burst = burst;
     }
 
-    /** Whether one more request of the caller is within its rate; it is then counted. */
+    /** Returns whether one more request of the caller is within its rate, and counts it if so. */
     synchronized boolean tryAcquire(String caller, long nowMicros) {
         Bucket bucket = buckets.computeIfAbsent(caller, key -> new Bucket(burst, nowMicros));
         double refill = ratePerSecond * (nowMicros - bucket.refilledAtMicros) / MICROS_PER_SECOND;
--- a/gateway/src/main/java/milletyoke/gateway/console/RequestParameters.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/RequestParameters.java
@@ -9,7 +9,7 @@
 import org.glassfish.grizzly.http.Method;
 import org.glassfish.grizzly.http.server.Request;
 
-/** Reads and checks the parameters and form fields of requests. Stateless. */
+/** Reads and validates the parameters and form fields of requests. Stateless. */
 final class RequestParameters {
     static final int MAX_BODY_BYTES = 4_096;
     private static final int MAX_FIND_LENGTH = 100;
@@ -24,17 +24,17 @@
     }
 
     /**
-     * The query of a page.
+     * Reads the query of a page.
      *
-     * @param allowed the names of all parameters that the request may have
-     * @param pageParameter the name of the one with the number of the part
+     * @param allowed names of all parameters that the request may have
+     * @param pageParameter name of the parameter with the number of the part
      */
-    static PageQuery pageQuery(Request request, Set<String> allowed, String pageParameter)
+    static PageQuery readPageQuery(Request request, Set<String> allowed, String pageParameter)
             throws HttpProblemException {
         for (String name : request.getParameterNames()) {
             if (!allowed.contains(name)) {
                 throw HttpProblemException.badRequest(
-                        "A parameter that is not known here; known are "
+                        "Unknown parameter; known parameters are "
                                 + allowed.stream().sorted().toList()
                                 + ".");
             }
@@ -42,27 +42,27 @@
         String find = request.getParameter("find");
         if (find != null && find.length() > MAX_FIND_LENGTH) {
             throw HttpProblemException.badRequest(
-                    "find takes " + MAX_FIND_LENGTH + " characters at the most.");
+                    "find may have at most " + MAX_FIND_LENGTH + " characters.");
         }
-        int page = pageNumber(request.getParameter(pageParameter), pageParameter);
+        int page = parsePageNumber(request.getParameter(pageParameter), pageParameter);
         return new PageQuery(find == null ? "" : find, page);
     }
 
-    private static int pageNumber(String text, String parameter) throws HttpProblemException {
+    private static int parsePageNumber(String text, String parameter) throws HttpProblemException {
         try {
             int page = text == null || text.isEmpty() ? 0 : Integer.parseInt(text);
             if (page >= 0 && page <= MAX_PAGE) {
                 return page;
             }
         } catch (NumberFormatException notANumber) {
-            // reported below
+            // the exception below states the allowed range
         }
         throw HttpProblemException.badRequest(
-                parameter + " takes a whole number from 0 to " + MAX_PAGE + ".");
+                parameter + " must be an integer from 0 to " + MAX_PAGE + ".");
     }
 
-    /** The fields of a URL-encoded form; a field that is not allowed is an error. */
-    static Map<String, String> form(Request request, Set<String> allowed)
+    /** Reads the fields of a URL-encoded form; a field that is not allowed is an error. */
+    static Map<String, String> readForm(Request request, Set<String> allowed)
             throws HttpProblemException, IOException {
         if (request.getContentLengthLong() > MAX_BODY_BYTES) {
             throw HttpProblemException.tooLarge(MAX_BODY_BYTES);
@@ -78,7 +78,7 @@
             if (allowed.contains(name)) {
                 form.put(name, equals < 0 ? "" : urlDecode(pair.substring(equals + 1)));
             } else if (!pair.isEmpty()) {
-                throw HttpProblemException.badRequest("A field that is not known here.");
+                throw HttpProblemException.badRequest("Unknown form field.");
             }
         }
         return form;
@@ -88,7 +88,7 @@
         try {
             return URLDecoder.decode(text, StandardCharsets.UTF_8);
         } catch (IllegalArgumentException malformed) {
-            throw HttpProblemException.badRequest("Text that is not URL-encoded.");
+            throw HttpProblemException.badRequest("Malformed URL encoding.");
         }
     }
 }
--- a/gateway/src/main/java/milletyoke/gateway/console/Responses.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Responses.java
@@ -31,16 +31,16 @@
         response.setHeader("Cache-Control", "no-store");
     }
 
-    static void redirect(Response response, String location) {
+    static void sendRedirect(Response response, String location) {
         response.setStatus(303);
         response.setHeader("Location", location);
     }
 
-    static void html(Response response, int status, String text) throws IOException {
+    static void sendHtml(Response response, int status, String text) throws IOException {
         send(response, status, "text/html; charset=utf-8", text.getBytes(StandardCharsets.UTF_8));
     }
 
-    static void json(Response response, int status, Object body) throws IOException {
+    static void sendJson(Response response, int status, Object body) throws IOException {
         String type = status >= 400 ? "application/problem+json" : "application/json";
         send(response, status, type, toJson(body));
     }
@@ -57,19 +57,23 @@
         return JSON.writeValueAsString(body);
     }
 
-    /** Sends an error unless a response was begun; a client that disconnected is ignored. */
-    static void problem(Response response, HttpProblemException problem, boolean isApi) {
+    /**
+     * Sends an error unless the response is already committed; disconnected clients are ignored.
+     */
+    static void sendProblem(Response response, HttpProblemException problem, boolean isApi) {
         if (response.isCommitted()) {
             return;
         }
         try {
             if (isApi) {
-                json(response, problem.status(), problemBody(problem));
+                sendJson(response, problem.status(), problemBody(problem));
             } else {
-                html(response, problem.status(), HtmlRenderer.problem(problem));
+                sendHtml(response, problem.status(), HtmlRenderer.problemPage(problem));
             }
         } catch (IOException disconnected) {
-            LOG.debug("response not sent error={}", disconnected.getMessage());
+            LOG.debug(
+                    "console response not sent: client disconnected error={}",
+                    disconnected.getMessage());
         }
     }
 
@@ -82,8 +86,8 @@
         return body;
     }
 
-    /** Sends one of the files that the pages refer to. */
-    static void staticFile(Response response, String name)
+    /** Sends the style sheet or the script of the pages. */
+    static void sendStaticFile(Response response, String name)
             throws HttpProblemException, IOException {
         String type =
                 switch (name) {
--- a/gateway/src/main/java/milletyoke/gateway/console/Sessions.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Sessions.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * The sessions of browsers that signed in. A session has a random id, which is the cookie, and the
- * token, which is checked again for every request. Any thread may call this.
+ * Keeps the sessions of signed-in browsers. A session has a random id, which is the value of the
+ * cookie, and the access token, which is checked again for every request. Thread-safe.
  */
 final class Sessions {
     private static final int MAX_SESSIONS = 1_000;
@@ -17,14 +17,15 @@
     /**
      * One session.
      *
-     * @param csrf the secret that its forms carry
-     * @param expiresAtMicros on the monotonic clock
+     * @param token the access token that the browser signed in with
+     * @param csrfToken the secret in the session's forms
+     * @param expiresAtMicros end of the session on the monotonic clock
      */
-    record Session(String id, String token, String csrf, long expiresAtMicros) {}
+    record Session(String id, String token, String csrfToken, long expiresAtMicros) {}
 
     private final SecureRandom random = new SecureRandom();
 
-    /** In the order of their last use; the least recently used is evicted. */
+    /** In order of last use; the least recently used session is evicted. */
     private final LinkedHashMap<String, Session> sessions =
             new LinkedHashMap<>(64, 0.75f, true) {
                 private static final long serialVersionUID = 1L;
@@ -42,9 +43,9 @@
     }
 
     /**
-     * The session of an id; null where there is none or it has expired.
+     * Returns the session with an id; null if there is none or it has expired.
      *
-     * @param id null where the request has no cookie
+     * @param id null if the request has no cookie
      */
     synchronized Session find(String id, long nowMicros) {
         Session session = id == null ? null : sessions.get(id);
--- a/gateway/src/main/java/milletyoke/gateway/console/SettingsText.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/SettingsText.java
@@ -7,8 +7,8 @@
 import milletyoke.scheduler.api.SchedulerSettings.RuleLimits;
 
 /**
- * The settings in force as the setup page shows them. The texts are part of the console's JSON: the
- * names in them are the keys of the setup file and stay when members are renamed.
+ * Formats the settings in force for the setup page. The texts are part of the console's JSON: the
+ * names in them are the keys of the setup file and must not change when members are renamed.
  */
 final class SettingsText {
     private SettingsText() {}
@@ -68,7 +68,7 @@
                 .toString();
     }
 
-    /** {@code Name[key=value, ...]}. */
+    /** Builds a text of the form {@code Name[key=value, ...]}. */
     private static final class Fields {
         private final StringJoiner joiner;
 
--- a/gateway/src/main/java/milletyoke/gateway/console/SetupPage.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/SetupPage.java
@@ -8,7 +8,7 @@
 import milletyoke.gateway.config.InitiatorConfig;
 import milletyoke.scheduler.api.SchedulerSettings;
 
-/** What the initiator was started with; a tenant sees its name only. */
+/** Shows the settings that the initiator was started with; a tenant sees only its name. */
 final class SetupPage implements Page {
     private static final String TITLE = "This initiator";
     private static final List<String> PLAN_COLUMNS =
@@ -26,7 +26,7 @@
     public PageView view(AccessScope scope, PageQuery query) {
         Map<String, Object> figures = new LinkedHashMap<>();
         figures.put("initiator", config.name());
-        if (!scope.seesAll()) {
+        if (!scope.canSeeAll()) {
             return new PageView(TITLE, figures, List.of(), List.of());
         }
         SchedulerSettings scheduler = config.deployment().scheduler();
--- a/gateway/src/main/java/milletyoke/gateway/console/TargetsPage.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/TargetsPage.java
@@ -8,7 +8,9 @@
 import milletyoke.gateway.status.StatusSnapshot;
 import milletyoke.scheduler.SchedulerView;
 
-/** All targets and shards; a tenant sees the names of targets and whether they are in service. */
+/**
+ * Shows all targets and shards; a tenant sees only target names and whether they are in service.
+ */
 final class TargetsPage implements Page {
     private static final String TITLE = "Targets";
     private static final List<String> TARGET_COLUMNS =
@@ -41,10 +43,11 @@
         List<List<Object>> targets = new ArrayList<>();
         for (StatusSnapshot.Target target : snapshot.targets()) {
             if (target.view().id().contains(query.find())) {
-                targets.add(scope.seesAll() ? row(target, snapshot.atMicros()) : tenantRow(target));
+                targets.add(
+                        scope.canSeeAll() ? row(target, snapshot.atMicros()) : tenantRow(target));
             }
         }
-        if (!scope.seesAll()) {
+        if (!scope.canSeeAll()) {
             PageView.Table table =
                     PageView.Table.part("targets", List.of("target", "state"), targets, query);
             return new PageView(TITLE, Map.of(), List.of(table), List.of());
--- a/gateway/src/main/java/milletyoke/gateway/console/Tokens.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Tokens.java
@@ -20,9 +20,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The access tokens, from a file that is read again when it changes: a token that is removed from
- * it is invalid within a second. The file holds the SHA-256 of each token; tokens are 256 random
- * bits, so that they cannot be guessed. Any thread may call this.
+ * The access tokens, read from a file that is reloaded when it changes: a token that is removed
+ * from the file becomes invalid within a second. The file holds the SHA-256 hash of each token;
+ * tokens are 256 random bits, so that they cannot be guessed. Thread-safe.
  */
 public final class Tokens {
     private static final Logger LOG = LoggerFactory.getLogger(Tokens.class);
@@ -49,9 +49,9 @@
     private long lastCheckNanos;
 
     /**
-     * Reads the file.
+     * Reads the token file.
      *
-     * @throws ConfigException where it cannot be used: a console without tokens is not started
+     * @throws ConfigException if it cannot be used: a console without tokens is not started
      */
     public Tokens(Path file) throws ConfigException {
         this.file = file;
@@ -113,8 +113,8 @@
     }
 
     /**
-     * Reads the file again if it changed. A file that cannot be used changes nothing and is logged;
-     * a file that was removed invalidates all tokens.
+     * Reloads the file if it changed. An invalid file is logged and leaves the tokens unchanged; a
+     * removed file invalidates all tokens.
      */
     private synchronized void reloadIfChanged() {
         long nowNanos = System.nanoTime();
@@ -141,8 +141,8 @@
     }
 
     /**
-     * The scope of a token; null where it is invalid or expired. Compares with every entry in full,
-     * so that the time taken says nothing of the token.
+     * Returns the scope of a token; null if it is invalid or expired. Compares the token with every
+     * entry in full, so that the duration discloses nothing about the tokens.
      */
     public AccessScope scope(String token) {
         reloadIfChanged();
@@ -155,7 +155,7 @@
         return isValid ? found.scope : null;
     }
 
-    /** The SHA-256 of a token. */
+    /** Returns the SHA-256 hash of a token. */
     public static byte[] hash(String token) {
         try {
             return MessageDigest.getInstance("SHA-256")
@@ -165,7 +165,7 @@
         }
     }
 
-    /** Makes a new random token. */
+    /** Returns a new random token. */
     public static String make() {
         byte[] random = new byte[TOKEN_BYTES];
         new SecureRandom().nextBytes(random);
--- a/gateway/src/main/java/milletyoke/gateway/console/ValueFormat.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/ValueFormat.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import milletyoke.gateway.status.StatusSnapshot.RequestTally;
 
-/** Values as the pages show them. The texts are values of the console's JSON. */
+/** Formats values for the pages. The resulting texts are values of the console's JSON. */
 final class ValueFormat {
-    /** The columns of {@link #tallyRow}. */
+    /** Columns of the rows returned by {@link #tallyRow}. */
     static final List<String> TALLY_COLUMNS =
             List.of("name", "asked", "answered", "in time", "rejected", "broken off");
 
@@ -30,7 +30,7 @@
         return Math.round(value * 100) / 100.0;
     }
 
-    /** How long ago something started; 0 stands for long ago. */
+    /** Formats the time since a start; a start of 0 means long ago. */
     static String age(long nowMicros, long startedAtMicros) {
         return startedAtMicros == 0
                 ? "long"
--- a/gateway/src/main/java/milletyoke/gateway/console/VolumesPage.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/VolumesPage.java
@@ -8,7 +8,7 @@
 import milletyoke.gateway.status.StatusSnapshot;
 import milletyoke.gateway.status.StatusSnapshot.RequestTally;
 
-/** The volumes that a viewer may see, those with most requests first. */
+/** Shows the volumes that a viewer may see, those with the most requests first. */
 final class VolumesPage implements Page {
     private static final List<String> COLUMNS =
             List.of(
@@ -40,7 +40,7 @@
         StatusSnapshot snapshot = loop.snapshot();
         List<StatusSnapshot.Volume> visible =
                 snapshot.volumes().values().stream()
-                        .filter(volume -> scope.sees(volume.name()))
+                        .filter(volume -> scope.canSee(volume.name()))
                         .filter(volume -> volume.name().contains(query.find()))
                         .sorted(MOST_REQUESTS_FIRST)
                         .toList();
@@ -49,7 +49,7 @@
             rows.add(row(volume));
         }
         Map<String, Object> figures =
-                scope.seesAll()
+                scope.canSeeAll()
                         ? Map.of("not counted in yet", snapshot.unreportedVolumes())
                         : Map.of();
         PageView.Table table =
--- a/gateway/src/test/java/milletyoke/gateway/console/SettingsTextTest.java
+++ b/gateway/src/test/java/milletyoke/gateway/console/SettingsTextTest.java
@@ -8,7 +8,7 @@
 import milletyoke.scheduler.api.SchedulerSettings.RuleLimits;
 import org.junit.jupiter.api.Test;
 
-/** The texts of the setup page, which are values of the console's JSON. */
+/** Tests the texts of the setup page, which are values of the console's JSON. */
 class SettingsTextTest {
     @Test
     void allowancesHaveTheKeysOfTheSetup() {
