--- a/gateway/src/main/java/milletyoke/gateway/console/OverviewPage.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/OverviewPage.java
@@ -178,7 +178,7 @@
     private static String causeText(String targetState) {
         return switch (targetState) {
             case "silent" -> "silent: does not respond; only single trial attempts are sent";
-            case "cold" -> "cold: held to what it surely bears";
+            case "cold" -> "cold: held to its slow start limit";
             case "resting" ->
                     "resting: backing off after late responses; only what fits its limit is sent";
             case "draining", "drained here" -> "accepts no new requests: " + targetState;
--- a/scenario/src/test/java/milletyoke/scenario/ConsoleTest.java
+++ b/scenario/src/test/java/milletyoke/scenario/ConsoleTest.java
@@ -372,7 +372,7 @@
                     t ->
                             assertTrue(
                                     why.contains(
-                                            "\"" + t + "\",\"cold: held to what it surely bears\""),
+                                            "\"" + t + "\",\"cold: held to its slow start limit\""),
                                     why));
             String notOn = viewer.view("overview").get("figures").get("not on").asText();
             cold.forEach(t -> assertTrue(notOn.contains(t + " cold"), notOn));
