--- a/gateway/src/main/java/milletyoke/gateway/console/Authenticator.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/Authenticator.java
@@ -45,12 +45,15 @@
         return scope == null ? null : new Caller(scope, token, session, bearer != null);
     }
 
-    /** Counts a request without a valid token against the rate limit of its remote address. */
+    /**
+     * Counts a request without a valid token against the rate limit of its remote address; fails if
+     * the limit is exceeded.
+     */
     void checkAnonymousRate(Request request) throws HttpProblemException {
         checkRate(anonymousLimiter, request.getRemoteAddr());
     }
 
-    /** Counts a request against the rate limit of its token. */
+    /** Counts a request against the rate limit of its token; fails if the limit is exceeded. */
     void checkRate(Caller caller) throws HttpProblemException {
         checkRate(tokenLimiter, caller.scope().name());
     }
