--- a/gateway/src/main/java/milletyoke/gateway/console/ConfigurationPage.java
+++ b/gateway/src/main/java/milletyoke/gateway/console/ConfigurationPage.java
@@ -39,11 +39,7 @@
                 status.rejectedAt() == null ? "none" : status.rejectedAt().toString());
         List<String> inForce = status.fleet().show().lines().toList();
         List<PageView.Table> tables = new ArrayList<>();
-<<<<<<< HEAD
-        tables.add(lines("refused, and why", status.rejectionReasons(), PageQuery.FIRST));
-=======
-        tables.add(linesTable("refused, and why", status.refused(), PageQuery.FIRST));
->>>>>>> wording-gateway-console
+        tables.add(linesTable("refused, and why", status.rejectionReasons(), PageQuery.FIRST));
         tables.add(
                 linesTable(
                         "what the refused version would change",
