--- a/core/src/main/java/milletyoke/scheduler/ActiveSettings.java
+++ b/core/src/main/java/milletyoke/scheduler/ActiveSettings.java
@@ -11,8 +11,8 @@
 import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 
 /**
- * The settings in force, with what follows from them. The rules' limits, the random sequence and
- * the start time are those of the start; classes, plans and capabilities follow later settings.
+ * The settings in force and values derived from them. Rule limits, random numbers and start time
+ * are those of the start; request classes, plans and capabilities follow later changes.
  */
 final class ActiveSettings {
     private final SchedulerTuning tuning;
@@ -58,7 +58,7 @@
         return random;
     }
 
-    /** The seed of this start, for random sequences of their own. */
+    /** Returns the seed of this start, for separate random sequences. */
     long seed() {
         return seed;
     }
@@ -75,7 +75,7 @@
         return settings.mustWatchEndpoints();
     }
 
-    /** The names of the plans in the latest settings, in their order. */
+    /** Returns the plans in the latest settings, in their order. */
     Iterable<ServicePlan> latestPlans() {
         return settings.plans();
     }
@@ -84,7 +84,7 @@
         return requestClasses.get(name);
     }
 
-    /** The plan of that name, null where there never was one. */
+    /** Returns the plan with the given name, null if there never was one. */
     ServicePlan plan(String name) {
         return plans.get(name);
     }
@@ -93,14 +93,14 @@
         return startedAt;
     }
 
-    /** The shortest latency objective among all request classes, microseconds. */
+    /** Returns the shortest latency objective of all request classes, microseconds. */
     long shortestObjectiveMicros() {
         return shortestObjectiveMicros;
     }
 
     /**
-     * Whether there are so many initiators that concurrency limits of one attempt each already make
-     * a queue of twice the shortest latency objective.
+     * Returns whether there are so many initiators that, at concurrency limits of one attempt each,
+     * they already cause a queue of twice the shortest latency objective.
      */
     boolean hasManyInitiators() {
         return hasManyInitiators;
--- a/core/src/main/java/milletyoke/scheduler/AttemptCompletion.java
+++ b/core/src/main/java/milletyoke/scheduler/AttemptCompletion.java
@@ -5,7 +5,10 @@
 import milletyoke.scheduler.api.Event;
 import milletyoke.scheduler.api.Outcome;
 
-/** The end of an attempt: what it shows of its target, and what becomes of its request. */
+/**
+ * Handles the end of an attempt: updates the state of its target, and completes or retries its
+ * request.
+ */
 final class AttemptCompletion {
     /** Outcomes after which the attempt may still be executing at its target. */
     private static final Set<Outcome> MAY_STILL_EXECUTE =
@@ -54,7 +57,7 @@
         this.settings = settings;
     }
 
-    /** Ignores an outcome of any attempt but the one in flight. */
+    /** Processes the end of an attempt; ignores outcomes of any attempt but the one in flight. */
     void complete(Event.AttemptEnded ended) {
         PendingRequest request = pendingRequests.find(ended.id());
         if (request == null
@@ -78,15 +81,15 @@
     private void updateTarget(int target, PendingRequest request, Event.AttemptEnded ended) {
         switch (ended.outcome()) {
             case SUCCEEDED -> latencyRecorder.record(target, request, ended.latencyMicros());
-            case ERROR -> targetHealth.recordAnswer(target);
+            case ERROR -> targetHealth.recordResponse(target);
             case OVERLOADED -> {
-                targetHealth.recordAnswer(target);
+                targetHealth.recordResponse(target);
                 limiter.decrease(target, request, settings.shortestObjectiveMicros());
             }
             case TIMED_OUT -> limiter.decrease(target, request, settings.shortestObjectiveMicros());
             case NO_CONNECTION -> targetHealth.markUnresponsive(target);
             default -> {
-                // other outcomes show nothing of the target
+                // other outcomes say nothing about the target
             }
         }
     }
@@ -98,12 +101,12 @@
         }
         if (request.executedOn < 0 && (mayStillExecute || outcome == Outcome.ERROR)) {
             request.executedOn = target;
-            request.executedSince = request.sentAt;
+            request.executedAttemptSentAt = request.sentAt;
         }
     }
 
-    private void finishOrRetry(int target, PendingRequest request, boolean isAnswered) {
-        if (isAnswered || request.answered) {
+    private void finishOrRetry(int target, PendingRequest request, boolean hasFinalResponse) {
+        if (hasFinalResponse || request.answered) {
             pendingRequests.complete(request);
         } else if (retryPolicy.isWorthRetrying(request, target)) {
             if (request.received.shard() < 0 && request.executedOn < 0) {
--- a/core/src/main/java/milletyoke/scheduler/AttemptSender.java
+++ b/core/src/main/java/milletyoke/scheduler/AttemptSender.java
@@ -2,7 +2,7 @@
 
 import milletyoke.scheduler.api.Action;
 
-/** Sends attempts: the only place that does, and only what {@link SendGuard} permits. */
+/** Sends attempts. The only class that does, and only what {@link SendGuard} permits. */
 final class AttemptSender {
     private final TargetTable targets;
     private final Turn turn;
@@ -35,7 +35,7 @@
         this.loadReports = loadReports;
     }
 
-    /** Sends an attempt of the request to the target; false where a rule forbids it. */
+    /** Sends an attempt of the request to the target; returns false if a rule forbids it. */
     boolean trySend(PendingRequest request, int target) {
         if (!guard.permits(request, target)) {
             return false;
@@ -60,7 +60,7 @@
 
     private void recordInFlight(PendingRequest request, int target) {
         if (targets.inFlight[target] == 0 && targets.nextTrialAt[target] == 0) {
-            targets.lastAnswerAt[target] = turn.now(); // its silence counts from here
+            targets.lastResponseAt[target] = turn.now(); // the time without response starts now
         }
         targets.trialAllowed[target] = false;
         request.attempts++;
--- a/core/src/main/java/milletyoke/scheduler/CompletionPolicy.java
+++ b/core/src/main/java/milletyoke/scheduler/CompletionPolicy.java
@@ -6,8 +6,8 @@
 import milletyoke.scheduler.api.SchedulerSettings.Idempotency;
 
 /**
- * The final answer of a request that is given up: rejected, so that the client may safely repeat
- * it, or failed with its outcome unknown.
+ * Gives the final response to requests that are given up: a rejection, after which the client may
+ * safely retry, or a failure with unknown outcome.
  */
 final class CompletionPolicy {
     private final TargetTable targets;
@@ -29,13 +29,13 @@
     void rejectOrFail(PendingRequest request) {
         String id = request.received.id();
         turn.add(
-                isSafeToRepeat(request)
+                isSafeToRetry(request)
                         ? new Action.Reject(id, retryAfterMicros(request.shardQueue.target))
                         : new Action.Fail(id));
         pendingRequests.complete(request);
     }
 
-    private static boolean isSafeToRepeat(PendingRequest request) {
+    private static boolean isSafeToRetry(PendingRequest request) {
         Idempotency idempotency = request.requestClass.idempotency();
         boolean isDeduplicatedEverywhere =
                 idempotency == Idempotency.IDEMPOTENCY_KEY
--- a/core/src/main/java/milletyoke/scheduler/ConcurrencyLimiter.java
+++ b/core/src/main/java/milletyoke/scheduler/ConcurrencyLimiter.java
@@ -1,8 +1,8 @@
 package milletyoke.scheduler;
 
 /**
- * The concurrency limit of each target: additive increase and multiplicative decrease, as TCP's
- * congestion window, and backoff from a target that other initiators fill.
+ * Limits the attempts in flight at each target by additive increase and multiplicative decrease, as
+ * TCP's congestion window does, and backs off from a target whose queue other initiators fill.
  */
 final class ConcurrencyLimiter {
     private final TargetTable targets;
@@ -24,7 +24,9 @@
         this.tuning = tuning;
     }
 
-    /** Attempts that may be added in flight to the shard's target now; may be negative. */
+    /**
+     * Returns how many attempts may be added in flight at the target of the shard; may be negative.
+     */
     int availableSlots(ShardQueue shardQueue) {
         int target = shardQueue.target;
         if (target < 0) {
@@ -36,12 +38,15 @@
         return (int) targets.concurrencyLimit[target] - targets.inFlight[target];
     }
 
-    /** Whether an answer that took so long shows a target that serves in no tag order. */
+    /**
+     * Returns whether a response is late: the request spent that time in the queue of the target,
+     * which is not ordered by tags.
+     */
     boolean isLate(long latencyMicros) {
         return latencyMicros > tuning.lateFraction() * settings.shortestObjectiveMicros();
     }
 
-    /** An answer was in time. */
+    /** Raises the limit after a timely response. */
     void increase(int target) {
         double limit = targets.concurrencyLimit[target];
         targets.backoffMicros[target] /= 2;
@@ -50,11 +55,11 @@
     }
 
     /**
-     * An answer was late, or did not come. Halves the limit once a round trip: an attempt sent
-     * before the last decrease says nothing of the time after it. Among many initiators, a refusal,
-     * a time-out or far too late an answer while hardly any own attempt is in flight shows a queue
-     * that others fill: backoff then keeps back, ever longer, what does not fit. Could harm where
-     * answers are late by chance.
+     * Lowers the limit after a late or missing response. Halves it once per round trip at most: an
+     * attempt sent before the last decrease says nothing about the time after it. Among many
+     * initiators, a refusal, a time-out or a very late response while hardly any own attempt is in
+     * flight indicates a queue that others fill; what does not fit is then held back for a backoff
+     * that doubles each time. Does harm where responses are late by chance.
      */
     void decrease(int target, PendingRequest request, long latencyMicros) {
         if (request.sentAt < targets.limitReducedAt[target]) {
@@ -64,9 +69,10 @@
         if (settings.hasManyInitiators()
                 && latencyMicros > objectiveMicros / 2
                 && targets.inFlight[target] < 2) {
-            long next = Math.max(objectiveMicros / 2, 2 * targets.backoffMicros[target]);
-            long longest = tuning.maxBackoffObjectives() * objectiveMicros;
-            targets.backoffMicros[target] = Math.min(longest, next);
+            long nextBackoffMicros =
+                    Math.max(objectiveMicros / 2, 2 * targets.backoffMicros[target]);
+            long maxBackoffMicros = tuning.maxBackoffObjectives() * objectiveMicros;
+            targets.backoffMicros[target] = Math.min(maxBackoffMicros, nextBackoffMicros);
             loadReports.record(target, (double) latencyMicros, targets.backoffMicros[target]);
         }
         targets.concurrencyLimit[target] = Math.max(1, targets.concurrencyLimit[target] / 2);
--- a/core/src/main/java/milletyoke/scheduler/DispatchQueue.java
+++ b/core/src/main/java/milletyoke/scheduler/DispatchQueue.java
@@ -14,26 +14,26 @@
 import milletyoke.scheduler.api.Event;
 
 /**
- * The shards, and which of them are to be served in this turn: those where something happened and
- * those that are due. A shard that need not be served costs nothing. Decides nothing: a shard that
- * is served for no reason does nothing.
+ * Holds the shard queues and tracks which of them to serve in this turn: those where something
+ * changed and those that are due. A shard that needs no service costs nothing. Makes no decisions:
+ * serving a shard needlessly has no effect.
  */
 final class DispatchQueue {
     private final Map<Integer, ShardQueue> shardQueues = new LinkedHashMap<>();
     private final Map<String, VolumeState> volumes = new LinkedHashMap<>();
 
     /**
-     * Each plan's rate-limit bucket as of a volume that was not seen or was evicted, for one
-     * initiator.
+     * Rate-limit bucket per plan of a volume that is unseen or was evicted, for a single initiator.
      */
     private final Map<String, TokenBucket> defaultLimitBuckets = new LinkedHashMap<>();
 
-    /** Shard queues by slot, null where one was evicted; below, the free slots. */
+    /** Shard queues by slot, null where the shard was evicted. */
     private final List<ShardQueue> slots = new ArrayList<>();
 
+    /** Slots without a shard, to be reused. */
     private final ArrayDeque<Integer> freeSlots = new ArrayDeque<>();
 
-    /** Volumes and flows, the one checked longest ago first. */
+    /** Volumes and flows, least recently checked first. */
     final ArrayDeque<EvictionCandidate> evictionCandidates = new ArrayDeque<>();
 
     private int nextShardQueueNumber;
@@ -44,22 +44,24 @@
     private long nextFlowNumber;
     private long nextEnqueueNumber;
 
-    /** Requests queued, at all shards. */
+    /** Number of queued requests over all shards. */
     int queuedCount;
 
-    /** All shards, in the order of creation. */
+    /** Returns all shards in order of creation. */
     Collection<ShardQueue> shardQueues() {
         return shardQueues.values();
     }
 
-    /** The number of slots that {@link #randomShard} draws from. */
+    /** Returns the number of slots that {@link #randomShard} draws from. */
     int slotCount() {
         return slots.size();
     }
 
-    /** A shard, all with equal odds; null where the slot drawn is free. */
-    ShardQueue randomShard(SplittableRandom chance) {
-        return slots.get(chance.nextInt(slots.size()));
+    /**
+     * Returns the shard in a random slot, null if the slot is free; all slots are equally likely.
+     */
+    ShardQueue randomShard(SplittableRandom random) {
+        return slots.get(random.nextInt(slots.size()));
     }
 
     Map<Integer, ShardQueue> byShard() {
@@ -67,17 +69,17 @@
     }
 
     ShardQueue shardQueue(int shard) {
-        ShardQueue known = shardQueues.get(shard);
-        if (known == null) {
+        ShardQueue shardQueue = shardQueues.get(shard);
+        if (shardQueue == null) {
             int slot = freeSlots.isEmpty() ? slots.size() : freeSlots.poll();
-            known = new ShardQueue(nextShardQueueNumber++, slot, shard);
+            shardQueue = new ShardQueue(nextShardQueueNumber++, slot, shard);
             if (slot == slots.size()) {
-                slots.add(known);
+                slots.add(shardQueue);
             }
-            slots.set(slot, known);
-            shardQueues.put(shard, known);
+            slots.set(slot, shardQueue);
+            shardQueues.put(shard, shardQueue);
         }
-        return known;
+        return shardQueue;
     }
 
     void evict(ShardQueue shardQueue) {
@@ -89,7 +91,7 @@
         freeSlots.add(shardQueue.slot);
     }
 
-    /** The buckets of all rate limits, with those that stand for volumes not seen. */
+    /** Returns the buckets of all rate limits, including those that stand for unseen volumes. */
     List<TokenBucket> limitBuckets() {
         List<TokenBucket> all = new ArrayList<>(defaultLimitBuckets.values());
         for (VolumeState volume : volumes.values()) {
@@ -100,13 +102,14 @@
         return all;
     }
 
-    /** A plan is known from now on, at the latest: the bucket of its rate limit starts empty. */
+    /** Registers a plan unless it is known; the bucket of its rate limit starts empty. */
     void addPlan(String plan, long now) {
-        defaultLimitBuckets.computeIfAbsent(plan, p -> new TokenBucket(p, now));
+        defaultLimitBuckets.computeIfAbsent(plan, name -> new TokenBucket(name, now));
     }
 
     /**
-     * The bucket of a volume's rate limit; one as for a volume not seen before where there is none.
+     * Returns the rate-limit bucket of a request's volume, created as for an unseen volume if it
+     * has none.
      */
     TokenBucket limitBucket(PendingRequest request) {
         VolumeState volume = request.volume;
@@ -120,50 +123,54 @@
         return volume.limitBucket;
     }
 
-    /** A bucket as it would be made now for the same plan and number of initiators. */
-    TokenBucket newLimitBucketLike(TokenBucket like) {
-        return new TokenBucket(defaultLimitBuckets.get(like.plan), like.plan, like.initiatorCount);
+    /**
+     * Returns the bucket that an unseen volume would get now under the same plan and number of
+     * initiators.
+     */
+    TokenBucket newLimitBucketLike(TokenBucket bucket) {
+        return new TokenBucket(
+                defaultLimitBuckets.get(bucket.plan), bucket.plan, bucket.initiatorCount);
     }
 
-    /** The state of a volume, null where none is kept. */
+    /** Returns the state of a volume, null if none is kept. */
     VolumeState volume(String name) {
         return volumes.get(name);
     }
 
-    /** The volume of a request that is admitted now; a new one where it is not known. */
-    VolumeState volume(Event.RequestReceived access, long now) {
-        VolumeState known = volumes.get(access.volume());
-        if (known == null) {
-            known = new VolumeState(access.volume());
-            volumes.put(access.volume(), known);
-            known.lastCheckedAt = now;
-            evictionCandidates.addLast(known);
+    /** Returns the volume of a request that is being admitted, created if there is none. */
+    VolumeState volume(Event.RequestReceived received, long now) {
+        VolumeState volume = volumes.get(received.volume());
+        if (volume == null) {
+            volume = new VolumeState(received.volume());
+            volumes.put(received.volume(), volume);
+            volume.lastCheckedAt = now;
+            evictionCandidates.addLast(volume);
         }
-        known.lastUsedAt = now;
-        known.recordPlan(access);
-        known.pendingCount++;
-        return known;
+        volume.lastUsedAt = now;
+        volume.recordPlan(received);
+        volume.pendingCount++;
+        return volume;
     }
 
     void evict(VolumeState volume) {
         volumes.remove(volume.name);
     }
 
-    /** Something changed that may let requests leave this shard. */
+    /** Has a shard served because something changed that may let its requests be sent. */
     void markForService(ShardQueue shardQueue) {
         toServe.add(shardQueue);
     }
 
     /**
-     * The same, for more than free slots: what was found of any request queued here may be
-     * outdated.
+     * Has a shard served and all requests queued there checked again, because more than its free
+     * slots changed.
      */
     void invalidate(ShardQueue shardQueue) {
         shardQueue.mustRecheckAll = true;
         toServe.add(shardQueue);
     }
 
-    /** The same, for the requests of one volume at one shard. */
+    /** Has the requests of one volume at one shard checked again. */
     void invalidate(FlowQueue flow) {
         flow.shardQueue.unpark(flow);
         toServe.add(flow.shardQueue);
@@ -173,7 +180,10 @@
         List.copyOf(volume.queuedFlows).forEach(this::invalidate);
     }
 
-    /** A bucket follows the plan of this request; what was found of its volume may be outdated. */
+    /**
+     * Makes a bucket follow the plan of a request, and has the volume's requests checked again if
+     * that may change their results.
+     */
     void usePlan(TokenBucket bucket, PendingRequest request) {
         if (request.volume.hasMixedPlans
                 || (request.hasRateLimit() && request.reservationRate() > 0)) {
@@ -186,34 +196,37 @@
         shardQueues.values().forEach(this::invalidate);
     }
 
-    /** What was found at this shard depends on the retry budget. */
+    /** Records that the last check of a shard depended on the retry budget. */
     void markRetryBudgetDependent(ShardQueue shardQueue) {
         retryBudgetDependents.add(shardQueue);
     }
 
-    /** The retry budget is used up, or left again. */
+    /**
+     * Has the shards that depend on the retry budget checked again after it was exhausted or became
+     * available.
+     */
     void retryBudgetChanged() {
         retryBudgetDependents.forEach(this::invalidate);
         retryBudgetDependents.clear();
     }
 
-    /** Serve this shard at that time too, if nothing happens before. */
+    /** Sets when to serve a shard if nothing causes its service before. */
     void serveAt(ShardQueue shardQueue, long time) {
         serviceTimes.set(shardQueue.slot, time);
     }
 
     void collectDue(long now) {
-        for (int n : serviceTimes.removeDue(now)) {
-            toServe.add(slots.get(n));
+        for (int slot : serviceTimes.removeDue(now)) {
+            toServe.add(slots.get(slot));
         }
     }
 
     /**
-     * Removes the next shard to serve, in the order of creation. One that is marked while a later
-     * one is served comes at the next call.
+     * Removes and returns the next shard to serve, in order of creation. A shard that is marked
+     * while a later one is being served waits for the next turn.
      *
-     * @param after the one before, null for the first
-     * @return null for none
+     * @param after the shard returned before, null for the first
+     * @return null if no shard is left
      */
     ShardQueue next(ShardQueue after) {
         ShardQueue next =
@@ -226,22 +239,22 @@
         return next;
     }
 
-    /** The flow of a volume at a shard; a new one where there is none. */
+    /** Returns the flow of a volume at a shard, created if there is none. */
     FlowQueue flow(ShardQueue shardQueue, VolumeState volume, long now) {
-        FlowQueue known = shardQueue.flows.get(volume);
-        if (known == null) {
-            known = new FlowQueue(nextFlowNumber++, shardQueue, volume);
-            known.extraTag = shardQueue.initialExtraTag;
-            shardQueue.flows.put(volume, known);
+        FlowQueue flow = shardQueue.flows.get(volume);
+        if (flow == null) {
+            flow = new FlowQueue(nextFlowNumber++, shardQueue, volume);
+            flow.extraTag = shardQueue.initialExtraTag;
+            shardQueue.flows.put(volume, flow);
             volume.flowCount++;
-            known.lastCheckedAt = now;
-            evictionCandidates.addLast(known);
+            flow.lastCheckedAt = now;
+            evictionCandidates.addLast(flow);
         }
-        known.lastUsedAt = now;
-        return known;
+        flow.lastUsedAt = now;
+        return flow;
     }
 
-    /** Adds a request to a flow, and updates the orders of the shard. */
+    /** Adds a request to a flow and updates the shard's orders. */
     void enqueue(PendingRequest request, FlowQueue flow) {
         if (flow.weight != request.weight()) {
             flow.shardQueue.removeFromOrders(flow);
@@ -255,7 +268,7 @@
         toServe.add(flow.shardQueue);
     }
 
-    /** Removes a request from its queue, if it is queued. */
+    /** Removes a request from its queue if it is queued. */
     void dequeue(PendingRequest request) {
         if (request.isQueued()) {
             FlowQueue flow = request.flow;
@@ -265,11 +278,14 @@
         }
     }
 
-    /** Removes a request from the sequence of its key; the next one may then be sent. */
-    void removeFromKey(KeySequence turns, PendingRequest request) {
-        turns.requests.remove(request);
-        if (!turns.requests.isEmpty() && turns.requests.first().isQueued()) {
-            invalidate(turns.requests.first().flow);
+    /**
+     * Removes a request from the sequence of its key, and has the next one checked, which may now
+     * be sent.
+     */
+    void removeFromKey(KeySequence sequence, PendingRequest request) {
+        sequence.requests.remove(request);
+        if (!sequence.requests.isEmpty() && sequence.requests.first().isQueued()) {
+            invalidate(sequence.requests.first().flow);
         }
     }
 }
--- a/core/src/main/java/milletyoke/scheduler/EndpointListUpdater.java
+++ b/core/src/main/java/milletyoke/scheduler/EndpointListUpdater.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import milletyoke.scheduler.api.Event;
 
-/** Applies endpoint lists: which targets are usable, and which one serves each shard. */
+/** Applies endpoint lists: sets which targets are usable, and which one serves each shard. */
 final class EndpointListUpdater {
     private final TargetTable targets;
     private final Map<String, Integer> targetIndex;
@@ -25,7 +25,7 @@
         this.tuning = tuning;
     }
 
-    /** Applies a list, or a part of one, that did arrive. */
+    /** Applies a full or partial endpoint list. */
     void apply(Event.EndpointListReceived list) {
         boolean isUpdate = list.scope() == Event.ListScope.UPDATE;
         if (!isUpdate) {
@@ -56,7 +56,7 @@
         targetHealth.scheduleCheck(target);
     }
 
-    /** The usable target of a shard that started last serves it. */
+    /** Makes the usable target that started last serve the shard. */
     private void selectTarget(ShardQueue shardQueue) {
         shardQueue.target = -1;
         for (int target : shardQueue.listedTargets) {
--- a/core/src/main/java/milletyoke/scheduler/EndpointWatch.java
+++ b/core/src/main/java/milletyoke/scheduler/EndpointWatch.java
@@ -2,7 +2,10 @@
 
 import milletyoke.scheduler.api.Action;
 
-/** The watch of service discovery, repeated with jittered exponential backoff after failures. */
+/**
+ * Watches service discovery for changes, and repeats the watch with jittered exponential backoff
+ * after failures.
+ */
 final class EndpointWatch {
     private final Turn turn;
     private final ActiveSettings settings;
@@ -21,19 +24,24 @@
         watchAt = settings.mustWatchEndpoints() ? turn.now() : Long.MAX_VALUE;
     }
 
-    /** A list arrived from discovery itself. */
+    /** Resets the backoff after service discovery has sent a list. */
     void resetDelay() {
         delayMicros = tuning.initialWatchDelayMicros();
     }
 
-    /** A failure does not say whether the watch still stands, so it is asked for again. */
+    /**
+     * Schedules a new watch after a failure, which leaves open whether the old watch is still
+     * active.
+     */
     void retryLater() {
         if (settings.mustWatchEndpoints() && watchAt == Long.MAX_VALUE) {
             double jitter = 0.5 + settings.random().nextDouble();
             watchAt = turn.now() + (long) (delayMicros * jitter);
-            long longest = settings.limits().watchDeadlineMicros() / 2;
+            long maxDelayMicros = settings.limits().watchDeadlineMicros() / 2;
             delayMicros =
-                    Math.max(tuning.initialWatchDelayMicros(), Math.min(2 * delayMicros, longest));
+                    Math.max(
+                            tuning.initialWatchDelayMicros(),
+                            Math.min(2 * delayMicros, maxDelayMicros));
         }
     }
 
@@ -44,7 +52,7 @@
         }
     }
 
-    /** When the watch is to be sent next, {@link Long#MAX_VALUE} for not at all. */
+    /** Returns when to send the next watch, {@link Long#MAX_VALUE} for never. */
     long watchAt() {
         return watchAt;
     }
--- a/core/src/main/java/milletyoke/scheduler/EvictionCandidate.java
+++ b/core/src/main/java/milletyoke/scheduler/EvictionCandidate.java
@@ -1,13 +1,14 @@
 package milletyoke.scheduler;
 
-/** State that is kept in case its owner returns, until it has been idle for long. */
+/** State that is kept for the return of its owner until it has been idle for long. */
 abstract class EvictionCandidate {
-    /** When it was last used; below, when eviction last checked it. Microseconds. */
+    /** When the state was last used, microseconds. */
     long lastUsedAt;
 
+    /** When eviction last checked the state, microseconds. */
     long lastCheckedAt;
 
-    long nextCheckAt(long after) {
-        return lastCheckedAt + after;
+    long nextCheckAt(long idleMicros) {
+        return lastCheckedAt + idleMicros;
     }
 }
--- a/core/src/main/java/milletyoke/scheduler/FairQueue.java
+++ b/core/src/main/java/milletyoke/scheduler/FairQueue.java
@@ -5,10 +5,10 @@
 import java.util.TreeSet;
 
 /**
- * Proportional share of a shard among volumes by start-time fair queueing: flows are served by
- * least finish tag in base batches, and beside each request of a batch go inserts, requests for the
- * same extent, as far as extra tags stay within a margin. The source is the paper named in
- * docs/design.md.
+ * Shares each shard proportionally among volumes by start-time fair queueing. Flows are served in
+ * base batches in order of finish tag; together with each request of a batch, further requests for
+ * the same extent (inserts) are sent out of order as long as the extra tags of all flows stay
+ * within a margin. The algorithm is from the paper named in docs/design.md.
  */
 final class FairQueue {
     private static final TreeSet<PendingRequest> NO_REQUESTS =
@@ -45,7 +45,10 @@
         this.tuning = tuning;
     }
 
-    /** Queues a request at its shard; a flow that was empty catches up with the others' tags. */
+    /**
+     * Queues a request at its shard. The tags of a flow that was empty are raised to those of the
+     * other flows.
+     */
     void enqueue(PendingRequest request) {
         ShardQueue shardQueue = request.shardQueue;
         FlowQueue flow = dispatchQueue.flow(shardQueue, request.volume, turn.now());
@@ -59,8 +62,8 @@
     }
 
     /**
-     * Sends one base batch by least finish tag, and beside each of its requests the inserts that
-     * may join; false where the batch is empty.
+     * Sends one base batch in order of finish tag, and with each of its requests the inserts that
+     * the margin allows; returns false if the batch was empty.
      */
     boolean sendBatch(ShardQueue shardQueue) {
         int slots = limiter.availableSlots(shardQueue);
@@ -72,7 +75,7 @@
         slots -= batch.size();
         for (PendingRequest request : batch) {
             if (!sender.trySend(request, shardQueue.target)) {
-                enqueue(request); // one before it used up a limit or a warm-up budget
+                enqueue(request); // the batch used up a rate limit or budget
             }
             PendingRequest insert = takeInsert(shardQueue, request, slots);
             while (insert != null) {
@@ -99,9 +102,9 @@
     }
 
     /**
-     * The flow of least finish tag among those below their reservation; if there is none, among
-     * all. Guards reservations where many volumes ask for more; could harm the shares by weight if
-     * reservations took the whole shard for long.
+     * Returns the flow with the least finish tag among those below their reservation, or among all
+     * if there is none. Protects reservations while many volumes request more than theirs. Shares
+     * by weight would suffer if reservations took up the whole shard for long.
      */
     private FlowQueue leastFinishTag(ShardQueue shardQueue) {
         shardQueue.refresh(turn.now());
@@ -134,10 +137,13 @@
         return guard.permits(request, target) && loadReports.canJoin(request, target);
     }
 
-    /** Dequeues the next insert beside a request of the batch, null where there is none. */
-    private PendingRequest takeInsert(ShardQueue shardQueue, PendingRequest beside, int slots) {
-        String extent = beside.received.extent();
-        if (slots <= 0 || extent == null || beside.requestClass.keyOrdered()) {
+    /**
+     * Dequeues the next insert for the extent of a request of the batch; returns null if there is
+     * none.
+     */
+    private PendingRequest takeInsert(ShardQueue shardQueue, PendingRequest batched, int slots) {
+        String extent = batched.received.extent();
+        if (slots <= 0 || extent == null || batched.requestClass.keyOrdered()) {
             return null;
         }
         for (PendingRequest request : shardQueue.byExtent.getOrDefault(extent, NO_REQUESTS)) {
@@ -153,7 +159,10 @@
         return null;
     }
 
-    /** Whether the extra tags of queued flows stay within the margin after this step of one. */
+    /**
+     * Returns whether the extra tags of the queued flows stay within the margin if the tag of
+     * {@code flow} advances by {@code step}.
+     */
     private boolean isWithinMargin(ShardQueue shardQueue, FlowQueue flow, double step) {
         return shardQueue.extraTagGap(flow, step)
                 <= tuning.marginSteps() * estimates.meanUnits() / shardQueue.minimumWeight();
--- a/core/src/main/java/milletyoke/scheduler/FlowQueue.java
+++ b/core/src/main/java/milletyoke/scheduler/FlowQueue.java
@@ -12,7 +12,7 @@
     static final Comparator<FlowQueue> BY_CREATION =
             (a, b) -> Long.compare(a.creationNumber, b.creationNumber);
 
-    /** The one tie-break of tags: the flow created first. */
+    /** Ties are broken by creation order, here and in the other orders by tag or time. */
     static final Comparator<FlowQueue> BY_FINISH_TAG =
             (a, b) -> breakTie(Double.compare(a.finishTag, b.finishTag), a, b);
 
@@ -21,7 +21,7 @@
     static final Comparator<FlowQueue> BY_CHECK_TIME =
             (a, b) -> breakTie(Long.compare(a.parkedUntil, b.parkedUntil), a, b);
 
-    /** The order of creation, over all shards. */
+    /** Position in the order of creation over all shards. */
     final long creationNumber;
 
     final ShardQueue shardQueue;
@@ -32,18 +32,18 @@
     double finishTag;
     double extraTag;
 
-    /** While it is parked: when to check it again, microseconds. */
+    /** When to check the flow again while it is parked, microseconds. */
     long parkedUntil;
 
-    /** Whether it is in the orders of its shard; below, in which ones. */
+    /** Whether the flow is in the orders of its shard; the flags that follow tell in which. */
     boolean isOrdered;
 
     boolean isReady;
     boolean isBelowReservation;
     boolean isParked;
 
-    FlowQueue(long made, ShardQueue shardQueue, VolumeState volume) {
-        this.creationNumber = made;
+    FlowQueue(long creationNumber, ShardQueue shardQueue, VolumeState volume) {
+        this.creationNumber = creationNumber;
         this.shardQueue = shardQueue;
         this.volume = volume;
     }
@@ -52,7 +52,7 @@
         finishTag = requests.isEmpty() ? finishTag : startTag + tagStep(requests.first());
     }
 
-    /** The first queued request that passes, null for none. */
+    /** Returns the first queued request that passes, null if none does. */
     PendingRequest firstMatching(Predicate<PendingRequest> passes) {
         for (PendingRequest request : requests) {
             if (passes.test(request)) {
@@ -62,7 +62,7 @@
         return null;
     }
 
-    /** How far one request moves a tag. */
+    /** Returns by how much a request advances a tag. */
     double tagStep(PendingRequest request) {
         return request.received.units() / weight;
     }
--- a/core/src/main/java/milletyoke/scheduler/HighWaterMark.java
+++ b/core/src/main/java/milletyoke/scheduler/HighWaterMark.java
@@ -1,10 +1,10 @@
 package milletyoke.scheduler;
 
 /**
- * An upper bound kept somewhat above a figure that moves, so that times computed from the bound
- * come no later than those computed from the figure. It is lowered at most once a second and never
- * raised unnoticed. Guards against times that rest on an outdated bound: one that was raised
- * quietly left requests queued past their objective for milliseconds.
+ * An upper bound kept above a varying value, so that times computed from the bound are no later
+ * than those computed from the value. The bound is lowered at most once a second, and never raised
+ * without notice: a bound that was raised without notice left requests queued past their objective
+ * for milliseconds, because their times were computed from the old bound.
  */
 final class HighWaterMark {
     private static final double HEADROOM = 1.25;
@@ -13,15 +13,15 @@
     private long mayLowerAt;
 
     /**
-     * Whether the figure exceeds the bound; the bound is then raised, and what was computed from it
-     * is to be computed anew.
+     * Returns whether the value exceeds the bound. The bound is then raised, and times computed
+     * from it must be computed again.
      */
-    boolean raiseFor(double figure, long now) {
-        boolean outgrown = figure > bound;
-        if (outgrown || now >= mayLowerAt) {
-            bound = outgrown ? HEADROOM * figure : Math.min(bound, HEADROOM * figure);
+    boolean raiseFor(double value, long now) {
+        boolean isExceeded = value > bound;
+        if (isExceeded || now >= mayLowerAt) {
+            bound = isExceeded ? HEADROOM * value : Math.min(bound, HEADROOM * value);
             mayLowerAt = now + LOWER_INTERVAL_MICROS;
         }
-        return outgrown;
+        return isExceeded;
     }
 }
--- a/core/src/main/java/milletyoke/scheduler/IdleStateEviction.java
+++ b/core/src/main/java/milletyoke/scheduler/IdleStateEviction.java
@@ -11,20 +11,20 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Evicts the state of idle volumes, keys, targets and shards, so that long service needs no more
- * memory than what is in use. Has no clock: the time is a parameter. State goes only once its
- * absence means the same, or less in favour of whoever returns:
+ * Evicts the state of idle volumes, keys, targets and shards, so that memory does not grow with the
+ * time in service. Has no clock: the time is a parameter. State is evicted only if its absence
+ * makes no difference, or none in favor of an owner that returns:
  *
  * <ul>
  *   <li>a volume: none of its requests is pending, it has no flow, and new token buckets would
  *       contain no more than those it has;
- *   <li>a flow: it is empty, and the virtual time is at its finish tag, or is brought there while
- *       nothing is queued at the shard (start-time fair queueing does so at the end of each busy
- *       period); a later one starts with the highest extra tag of those evicted, so that no volume
- *       returns with a lower one;
- *   <li>a key: it has no request and its quiet time is over;
- *   <li>a target: not usable for long, and no pending request has an attempt in flight there or one
- *       that may have executed there;
+ *   <li>a flow: it is empty, and the virtual time has reached its finish tag, or is advanced to it
+ *       because nothing is queued at the shard (start-time fair queueing does so at the end of each
+ *       busy period); a flow created later starts with the highest extra tag of those evicted, so
+ *       that no volume returns with a lower one;
+ *   <li>a key: it has no request, and its quiet time is over;
+ *   <li>a target: it has not been usable for long, and no pending request has an attempt in flight
+ *       there or one that may have executed there;
  *   <li>a shard: no target is listed for it, nothing is queued, and it has no flow.
  * </ul>
  */
@@ -32,13 +32,13 @@
     /** Volumes and targets are kept at least this long after their last use. */
     static final long IDLE_MICROS = 600_000_000;
 
-    /** Between checks of targets and shards. */
+    /** Interval of the checks of targets and shards. */
     static final long SWEEP_INTERVAL_MICROS = IDLE_MICROS / 10;
 
     /**
-     * How many volumes and flows are checked in a turn, and for each event of it. No turn pays for
-     * what a quiet hour left, and what large turns bring goes as fast as it comes: an event makes
-     * two at most, and each may need two checks.
+     * Volumes and flows checked per turn, plus those per event of the turn. Bounds the cost of a
+     * turn after a long idle time, while eviction keeps up with large turns: an event adds at most
+     * two candidates, and each may need two checks.
      */
     private static final int CHECKS_PER_TURN = 8;
 
@@ -50,7 +50,7 @@
     private final Map<String, KeySequence> keySequences;
     private final Collection<PendingRequest> pendingRequests;
 
-    /** What token buckets contain now, by the plans that fill them. */
+    /** Contents of a token bucket now under its plan. */
     private final ToDoubleFunction<TokenBucket> limitLevel;
 
     private final ToDoubleFunction<TokenBucket> reservationLevel;
@@ -75,7 +75,7 @@
         this.reservationLevel = reservationLevel;
     }
 
-    /** The last request of a key left; the key may still be quiet. */
+    /** Schedules the check of a key whose last request has left; its quiet time may not be over. */
     void scheduleKeyCheck(KeySequence key) {
         if (key.evictionCheckAt == 0) {
             key.evictionCheckAt = Math.max(1, key.quietUntil);
@@ -84,9 +84,9 @@
     }
 
     /**
-     * Guards the order of checks against a quiet time that is prolonged meanwhile: its key would
-     * come before others for as long as its requests time out, and none of them would go. So the
-     * time of a check stays as it was set, and is set anew then.
+     * Evicts the keys that are due. The check time of a queued key stays fixed and is set anew at
+     * the check. If it followed a quiet time that is prolonged meanwhile, a key whose requests keep
+     * timing out would stay ahead of all others, and none of them would be evicted.
      */
     private void evictKeys(long now) {
         while (!emptyKeys.isEmpty() && emptyKeys.peek().evictionCheckAt <= now) {
@@ -101,10 +101,10 @@
     }
 
     /**
-     * Evicts what is idle, a bounded number of candidates.
+     * Evicts idle state, checking a bounded number of candidates.
      *
      * @param now the time of this turn, microseconds
-     * @param events how many events this turn had
+     * @param events the number of events in this turn
      */
     void evictIdle(long now, int events) {
         evictKeys(now);
@@ -139,15 +139,16 @@
     }
 
     private boolean evictIfIdle(VolumeState volume) {
-        boolean isIdle = volume.pendingCount == 0 && volume.flowCount == 0 && !wouldGain(volume);
+        boolean isIdle =
+                volume.pendingCount == 0 && volume.flowCount == 0 && !wouldGainTokens(volume);
         if (isIdle) {
             dispatchQueue.evict(volume);
         }
         return isIdle;
     }
 
-    /** Whether new token buckets would contain more than those of the volume. */
-    private boolean wouldGain(VolumeState volume) {
+    /** Returns whether new token buckets would contain more than those of the volume. */
+    private boolean wouldGainTokens(VolumeState volume) {
         TokenBucket limit = volume.limitBucket;
         if (limit != null
                 && containsLess(limitLevel, limit, dispatchQueue.newLimitBucketLike(limit))) {
@@ -159,18 +160,18 @@
     }
 
     private static boolean containsLess(
-            ToDoubleFunction<TokenBucket> level, TokenBucket kept, TokenBucket opened) {
-        return level.applyAsDouble(kept) < level.applyAsDouble(opened);
+            ToDoubleFunction<TokenBucket> level, TokenBucket kept, TokenBucket fresh) {
+        return level.applyAsDouble(kept) < level.applyAsDouble(fresh);
     }
 
     private boolean evictIfIdle(FlowQueue flow) {
         ShardQueue shardQueue = flow.shardQueue;
-        boolean isQuiet = shardQueue.queuedCount == 0;
-        boolean isBehind =
+        boolean isShardIdle = shardQueue.queuedCount == 0;
+        boolean isBehindOthers =
                 flow.finishTag <= shardQueue.virtualTime
-                        && !isQuiet
+                        && !isShardIdle
                         && flow.extraTag <= shardQueue.byExtraTag.first().extraTag;
-        if (!flow.requests.isEmpty() || !(isQuiet || isBehind)) {
+        if (!flow.requests.isEmpty() || !(isShardIdle || isBehindOthers)) {
             return false;
         }
         shardQueue.virtualTime = Math.max(shardQueue.virtualTime, flow.finishTag);
--- a/core/src/main/java/milletyoke/scheduler/IndexedTimerQueue.java
+++ b/core/src/main/java/milletyoke/scheduler/IndexedTimerQueue.java
@@ -3,11 +3,11 @@
 import java.util.Arrays;
 
 /**
- * When each element of a dense index is due: a binary heap that knows the position of each index,
- * so that setting or clearing a time costs the logarithm of how many are set. One thread.
+ * Due times of the elements of a dense index: a binary heap that tracks the position of each index,
+ * so that setting or clearing a time takes logarithmic time. Not thread-safe.
  */
 final class IndexedTimerQueue {
-    /** Stands for an element that is not due at all. */
+    /** Time of an element that is not due at all. */
     static final long NEVER = Long.MAX_VALUE;
 
     private long[] timeOf = {};
@@ -15,15 +15,15 @@
     private int[] heap = new int[16];
     private int size;
 
-    /** From now on {@code index} is due at {@code time}, whatever was set before. */
+    /** Sets the due time of {@code index}, replacing any earlier one. */
     void set(int index, long time) {
         if (index >= timeOf.length) {
-            int from = timeOf.length;
-            int room = Math.max(16, Math.max(index + 1, 2 * from));
-            timeOf = Arrays.copyOf(timeOf, room);
-            position = Arrays.copyOf(position, room);
-            Arrays.fill(timeOf, from, room, NEVER);
-            Arrays.fill(position, from, room, -1);
+            int oldCapacity = timeOf.length;
+            int capacity = Math.max(16, Math.max(index + 1, 2 * oldCapacity));
+            timeOf = Arrays.copyOf(timeOf, capacity);
+            position = Arrays.copyOf(position, capacity);
+            Arrays.fill(timeOf, oldCapacity, capacity, NEVER);
+            Arrays.fill(position, oldCapacity, capacity, -1);
         }
         long before = timeOf[index];
         timeOf[index] = time;
@@ -43,78 +43,78 @@
         }
     }
 
-    /** The first {@code count} indexes are all due at {@code time}. */
+    /** Sets the due time of the first {@code count} indexes. */
     void setAll(int count, long time) {
         for (int i = 0; i < count; i++) {
             set(i, time);
         }
     }
 
-    /** The time set for {@code index}, {@link #NEVER} for none. */
+    /** Returns the due time of {@code index}, {@link #NEVER} for none. */
     long get(int index) {
         return index < timeOf.length ? timeOf[index] : NEVER;
     }
 
-    /** The earliest time that is set. */
+    /** Returns the earliest due time, {@link #NEVER} for none. */
     long first() {
         return size == 0 ? NEVER : timeOf[heap[0]];
     }
 
-    /** Removes all that are due at {@code now} or before, and returns them, lowest index first. */
+    /** Removes the indexes due at {@code now} or before, and returns them in ascending order. */
     int[] removeDue(long now) {
         if (first() > now) {
             return NONE;
         }
-        int[] found = new int[8];
-        int n = 0;
+        int[] due = new int[8];
+        int count = 0;
         while (first() <= now) {
-            found = n == found.length ? Arrays.copyOf(found, 2 * n) : found;
-            found[n++] = heap[0];
+            due = count == due.length ? Arrays.copyOf(due, 2 * count) : due;
+            due[count++] = heap[0];
             set(heap[0], NEVER);
         }
-        found = Arrays.copyOf(found, n);
-        Arrays.sort(found);
-        return found;
+        due = Arrays.copyOf(due, count);
+        Arrays.sort(due);
+        return due;
     }
 
     private static final int[] NONE = {};
 
     private void remove(int index) {
-        int hole = position[index];
+        int vacated = position[index];
         position[index] = -1;
         int last = heap[--size];
         if (last != index) {
-            put(hole, last);
-            siftUp(hole);
+            put(vacated, last);
+            siftUp(vacated);
             siftDown(position[last]);
         }
     }
 
-    private void put(int where, int index) {
-        heap[where] = index;
-        position[index] = where;
+    private void put(int heapIndex, int index) {
+        heap[heapIndex] = index;
+        position[index] = heapIndex;
     }
 
-    private void siftUp(int where) {
-        int index = heap[where];
-        while (where > 0 && timeOf[heap[(where - 1) / 2]] > timeOf[index]) {
-            put(where, heap[(where - 1) / 2]);
-            where = (where - 1) / 2;
+    private void siftUp(int heapIndex) {
+        int index = heap[heapIndex];
+        while (heapIndex > 0 && timeOf[heap[(heapIndex - 1) / 2]] > timeOf[index]) {
+            put(heapIndex, heap[(heapIndex - 1) / 2]);
+            heapIndex = (heapIndex - 1) / 2;
         }
-        put(where, index);
+        put(heapIndex, index);
     }
 
-    private void siftDown(int where) {
-        int index = heap[where];
-        while (2 * where + 1 < size) {
-            int child = 2 * where + 1;
+    private void siftDown(int heapIndex) {
+        int index = heap[heapIndex];
+        while (2 * heapIndex + 1 < size) {
+            int child = 2 * heapIndex + 1;
             child += child + 1 < size && timeOf[heap[child + 1]] < timeOf[heap[child]] ? 1 : 0;
             if (timeOf[heap[child]] >= timeOf[index]) {
                 break;
             }
-            put(where, heap[child]);
-            where = child;
+            put(heapIndex, heap[child]);
+            heapIndex = child;
         }
-        put(where, index);
+        put(heapIndex, index);
     }
 }
--- a/core/src/main/java/milletyoke/scheduler/KeyOrdering.java
+++ b/core/src/main/java/milletyoke/scheduler/KeyOrdering.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 
 /**
- * Requests of one key run one after another, in the order of their admission, with a quiet time
- * after an attempt that may still be executing.
+ * Runs requests of one key one after another, in order of admission, with a quiet time after an
+ * attempt that may still be executing.
  */
 final class KeyOrdering {
     private final Map<String, KeySequence> sequences;
@@ -26,7 +26,7 @@
         this.turn = turn;
     }
 
-    /** A request is admitted: it comes last in the sequence of its key, if its class is ordered. */
+    /** Appends an admitted request to the sequence of its key if its class is key-ordered. */
     void admit(PendingRequest request) {
         if (isOrdered(request)) {
             sequences
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Whether a request is the next one of its key and the key's quiet time is over. */
+    /** Returns whether a request is the next of its key and the quiet time of the key is over. */
     boolean isNextForKey(PendingRequest request) {
         KeySequence sequence = sequenceOf(request);
         if (sequence == null) {
@@ -52,7 +52,7 @@
         return !isQuiet;
     }
 
-    /** An attempt of a request ended that may still be executing. */
+    /** Starts the quiet time of a key, at the end of an attempt that may still be executing. */
     void startQuietTime(PendingRequest request) {
         KeySequence sequence = sequenceOf(request);
         if (sequence != null) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /** A request leaves; the next one of its key may run. */
+    /** Removes a request from the sequence of its key; the next one may then run. */
     void remove(PendingRequest request) {
         KeySequence sequence = sequenceOf(request);
         if (sequence != null) {
--- a/core/src/main/java/milletyoke/scheduler/KeySequence.java
+++ b/core/src/main/java/milletyoke/scheduler/KeySequence.java
@@ -2,16 +2,16 @@
 
 import java.util.TreeSet;
 
-/** The requests of one key in the order of admission, and until when the key is quiet. */
+/** The requests of one key in order of admission, and the end of its quiet time. */
 final class KeySequence {
     final TreeSet<PendingRequest> requests = new TreeSet<>(PendingRequest.BY_ADMISSION);
     final String key;
     long quietUntil;
 
-    /** When eviction checks it next, 0 where it does not. */
+    /** When eviction checks the key next, 0 for never. */
     long evictionCheckAt;
 
-    KeySequence(String extent) {
-        this.key = extent;
+    KeySequence(String key) {
+        this.key = key;
     }
 }
--- a/core/src/main/java/milletyoke/scheduler/LatencyRecorder.java
+++ b/core/src/main/java/milletyoke/scheduler/LatencyRecorder.java
@@ -1,6 +1,6 @@
 package milletyoke.scheduler;
 
-/** Successful answers: the latencies they show, and whether they were in time. */
+/** Records the latency of successful responses, and adjusts concurrency limits by it. */
 final class LatencyRecorder {
     private final TargetTable targets;
     private final Turn turn;
@@ -27,12 +27,12 @@
         this.tuning = tuning;
     }
 
-    /** An attempt succeeded after that long. */
+    /** Records an attempt that succeeded after {@code latencyMicros}. */
     void record(int target, PendingRequest request, long latencyMicros) {
-        targetHealth.recordAnswer(target);
-        targets.newestAnsweredSentAt[target] =
-                Math.max(targets.newestAnsweredSentAt[target], request.sentAt);
-        if (turn.now() == turn.recoveredAt()) {
+        targetHealth.recordResponse(target);
+        targets.newestRespondedSentAt[target] =
+                Math.max(targets.newestRespondedSentAt[target], request.sentAt);
+        if (turn.now() == turn.lastStallEndedAt()) {
             return; // the latency includes a stall of this process
         }
         updateAverages(target, latencyMicros);
@@ -40,15 +40,15 @@
             limiter.decrease(target, request, latencyMicros);
         } else {
             limiter.increase(target);
-            loadReports.recordPromptAnswer();
+            loadReports.recordTimelyResponse();
         }
     }
 
     private void updateAverages(int target, long latencyMicros) {
-        double unloaded = estimates.unloadedLatencyMicros();
+        double unloadedMicros = estimates.unloadedLatencyMicros();
         boolean hasNoQueue =
-                loadReports.hasReport(target) && targets.queueDelayMicros[target] < unloaded;
-        if (unloaded == 0 || hasNoQueue) {
+                loadReports.hasReport(target) && targets.queueDelayMicros[target] < unloadedMicros;
+        if (unloadedMicros == 0 || hasNoQueue) {
             estimates.recordUnloadedLatency(latencyMicros);
         }
         targets.lastLatencyMicros[target] = latencyMicros;
--- a/core/src/main/java/milletyoke/scheduler/LoadEstimates.java
+++ b/core/src/main/java/milletyoke/scheduler/LoadEstimates.java
@@ -1,12 +1,12 @@
 package milletyoke.scheduler;
 
 /**
- * Moving averages over all targets, each with an upper bound from which times are computed, so that
- * those need not be computed anew at each change.
+ * Moving averages over all targets. Times are computed from an upper bound of each average, so that
+ * they need not be computed again at every change.
  */
 final class LoadEstimates {
-    /** Slow answers weigh less: other requests were probably queued before them. */
-    private static final int SLOW_ANSWER_DIVISOR = 8;
+    /** Slow responses weigh less: other requests were probably queued before them. */
+    private static final int SLOW_RESPONSE_DIVISOR = 8;
 
     private final SchedulerTuning tuning;
     private final HighWaterMark unloadedLatencyMark = new HighWaterMark();
@@ -26,19 +26,19 @@
         double weight =
                 latencyMicros < unloadedLatencyMicros
                         ? tuning.smoothing()
-                        : tuning.smoothing() / SLOW_ANSWER_DIVISOR;
+                        : tuning.smoothing() / SLOW_RESPONSE_DIVISOR;
         unloadedLatencyMicros +=
                 (latencyMicros - unloadedLatencyMicros) * (unloadedLatencyMicros == 0 ? 1 : weight);
     }
 
-    /** Whether an average has outgrown its bound; both bounds then hold again. */
+    /** Raises the bounds that their averages exceed, and returns whether there was one. */
     boolean raiseBounds(long now) {
         boolean latencyRaised = unloadedLatencyMark.raiseFor(unloadedLatencyMicros, now);
         boolean unitsRaised = unitsMark.raiseFor(meanUnits, now);
         return latencyRaised || unitsRaised;
     }
 
-    /** What a request takes at a target where no other is queued; 0 while unknown. */
+    /** Returns the latency of a request at a target without a queue; 0 while unknown. */
     double unloadedLatencyMicros() {
         return unloadedLatencyMicros;
     }
@@ -47,7 +47,7 @@
         return unloadedLatencyMark.bound;
     }
 
-    /** The mean size of a request. */
+    /** Returns the mean size of a request, units. */
     double meanUnits() {
         return meanUnits;
     }
--- a/core/src/main/java/milletyoke/scheduler/LoadReports.java
+++ b/core/src/main/java/milletyoke/scheduler/LoadReports.java
@@ -5,11 +5,12 @@
 import milletyoke.scheduler.api.Outcome;
 
 /**
- * What targets report of the load that all initiators put on them: probes sent when answers are
- * late, the queue delay they report, for how long it holds, and which requests may join it.
+ * Tracks the load that targets report, which all initiators cause: sends probes when responses are
+ * late, keeps each reported queue delay for as long as it is valid, and decides which requests may
+ * join the reported queue.
  */
 final class LoadReports {
-    /** Stands for a queue delay where no probe has reported one. */
+    /** Stands for the queue delay where no probe has reported one. */
     static final double NO_REPORT = -1;
 
     private final TargetTable targets;
@@ -21,7 +22,7 @@
     private final Reservations reservations;
     private final SchedulerTuning tuning;
     private double lateShare;
-    private boolean isSuspect;
+    private boolean isOverloadSuspected;
 
     private final ReportCredibility credibility;
 
@@ -45,13 +46,16 @@
         credibility = new ReportCredibility(estimates, tuning);
     }
 
-    /** An attempt leaves: notes what a probe has just reported of its target. */
+    /** Records the sending of an attempt, with the queue delay that a probe has just reported. */
     void recordSend(PendingRequest request, int target) {
         boolean isProbed = hasReport(target) && targets.isReportOfProbe[target];
         request.reportedDelayMicros = isProbed ? targets.queueDelayMicros[target] : NO_REPORT;
     }
 
-    /** The attempt in flight ended: checks what was reported as it left. */
+    /**
+     * Records the end of the attempt in flight, and checks the report that was valid at its
+     * sending.
+     */
     void recordEnd(PendingRequest request, Event.AttemptEnded ended) {
         double reported = request.reportedDelayMicros;
         request.reportedDelayMicros = NO_REPORT;
@@ -63,26 +67,30 @@
         boolean wasCredible = credibility.isCredible();
         credibility.record(reported, ended.latencyMicros(), slowStart.tolerableQueueDelayMicros());
         if (!wasCredible && credibility.isCredible()) {
-            dispatchQueue.invalidateAll(); // targets that warm up may now take more
+            dispatchQueue.invalidateAll(); // targets that warm up may now get more
         }
     }
 
-    /** The smoothed part of answers that reported long queues. */
+    /** Returns the smoothed share of responses and probes that indicated a long queue. */
     double lateShare() {
         return lateShare;
     }
 
-    /** Whether the part of late answers crossed the mark from which probes go first. */
-    boolean hasSuspicionChanged() {
-        boolean wasSuspect = isSuspect;
-        isSuspect = lateShare >= tuning.suspectLateShare();
-        return wasSuspect != isSuspect;
+    /**
+     * Returns whether the share of late responses has crossed the threshold for sending probes
+     * first.
+     */
+    boolean hasOverloadSuspicionChanged() {
+        boolean wasOverloadSuspected = isOverloadSuspected;
+        isOverloadSuspected = lateShare >= tuning.suspectLateShare();
+        return wasOverloadSuspected != isOverloadSuspected;
     }
 
     /**
-     * Whether to wait for a probe, sent now if the last one is old. Where answers come late among
-     * many initiators, one goes first: each hears too seldom of the queue that limits of one
-     * attempt fill. Guards against any load that others bring; could harm where probes are dear, or
+     * Returns whether requests have to wait for a probe, which is sent now if no report is valid.
+     * Where responses are late among many initiators, a probe goes first: at concurrency limits of
+     * one attempt, each initiator gets responses too rarely to notice the queue that all of them
+     * build up. Guards against load from any other source. Does harm where probes are expensive, or
      * answered later than work.
      */
     boolean mustAwaitProbe(int target) {
@@ -90,18 +98,18 @@
                 settings.capabilities().canProbe()
                         && target >= 0
                         && targets.nextTrialAt[target] == 0;
-        boolean isTargetSuspect =
+        boolean isProbeNeeded =
                 canProbe
                         && (lateShare >= tuning.suspectLateShare()
                                 || slowStart.isWarmingUp(target));
-        if (isTargetSuspect && targets.probeSentAt[target] == 0 && !hasReport(target)) {
+        if (isProbeNeeded && targets.probeSentAt[target] == 0 && !hasReport(target)) {
             targets.probeSentAt[target] = turn.now();
             turn.add(new Action.SendProbe(targets.id[target]));
         }
-        return isTargetSuspect && targets.probeSentAt[target] > 0;
+        return isProbeNeeded && targets.probeSentAt[target] > 0;
     }
 
-    /** Whether a report of the target's load holds now. */
+    /** Returns whether a report of the load of the target is valid now. */
     boolean hasReport(int target) {
         if (target < 0 || turn.now() >= targets.reportValidUntil[target]) {
             return false;
@@ -110,35 +118,37 @@
         return true;
     }
 
-    /** What a request sent now is expected to take there, microseconds. */
+    /** Returns the expected latency of a request sent to the target now, microseconds. */
     double expectedLatencyMicros(int target) {
-        double usual = usualLatencyMicros(target);
+        double measuredMicros = measuredLatencyMicros(target);
         return hasReport(target)
                 ? targets.queueDelayMicros[target] + estimates.unloadedLatencyMicros()
-                : usual;
+                : measuredMicros;
     }
 
-    /** The latency without a report; a measured one is not used for long without a new answer. */
-    private double usualLatencyMicros(int target) {
+    /**
+     * Returns the expected latency without a report; a measurement is used for a limited time only.
+     */
+    private double measuredLatencyMicros(int target) {
         if (target < 0) {
             turn.recheckBy(turn.now());
             return 0;
         }
-        long longest = tuning.maxBackoffObjectives() * settings.shortestObjectiveMicros();
-        long oldAt = targets.lastAnswerAt[target] + longest + 1;
-        boolean isOld = turn.now() >= oldAt;
-        if (!isOld) {
-            turn.recheckBy(oldAt);
+        long maxAgeMicros = tuning.maxBackoffObjectives() * settings.shortestObjectiveMicros();
+        long staleAt = targets.lastResponseAt[target] + maxAgeMicros + 1;
+        boolean isStale = turn.now() >= staleAt;
+        if (!isStale) {
+            turn.recheckBy(staleAt);
         }
         if (targets.probeSentAt[target] > 0) {
             return 0;
         }
-        return isOld ? estimates.unloadedLatencyMicros() : targets.latencyMicros[target];
+        return isStale ? estimates.unloadedLatencyMicros() : targets.latencyMicros[target];
     }
 
     /**
-     * Whether a request may join what is reported to be queued at the target; the random threshold
-     * keeps initiators out of step.
+     * Returns whether a request may join the queue that the target reports. The random threshold
+     * keeps initiators from acting in step.
      */
     boolean canJoin(PendingRequest request, int target) {
         double fraction =
@@ -150,14 +160,14 @@
                         <= fraction * settings.shortestObjectiveMicros();
     }
 
-    /** Whether a probe just reported a queue delay of at most that much, and can be believed. */
+    /** Returns whether a credible report shows a queue delay of at most {@code delayMicros}. */
     boolean reportsQueueDelayWithin(int target, double delayMicros) {
         return credibility.isCredible()
                 && hasReport(target)
                 && targets.queueDelayMicros[target] <= delayMicros;
     }
 
-    /** A load report: so much is queued at the target, and that holds for so long. */
+    /** Records the queue delay of a target, valid for the given time. */
     void record(int target, double queueDelayMicros, long validMicros) {
         targets.queueDelayMicros[target] = queueDelayMicros;
         targets.isReportOfProbe[target] = false;
@@ -165,26 +175,31 @@
         targets.joinThreshold[target] = settings.random().nextDouble();
         dispatchQueue.invalidate(dispatchQueue.shardQueue(targets.shardOf[target]));
         long longDelayMicros = settings.shortestObjectiveMicros() / 2;
-        boolean isLong = queueDelayMicros > longDelayMicros;
-        lateShare += tuning.smoothing() * ((isLong ? 1 : 0) - lateShare);
+        boolean isLongDelay = queueDelayMicros > longDelayMicros;
+        lateShare += tuning.smoothing() * ((isLongDelay ? 1 : 0) - lateShare);
     }
 
-    void recordPromptAnswer() {
+    void recordTimelyResponse() {
         lateShare -= tuning.smoothing() * lateShare;
     }
 
-    /** A probe may be answered beside the work, so its success only allows one trial attempt. */
+    /**
+     * Records the end of a probe. The target may have answered it ahead of queued work, so its
+     * success alone allows just one trial attempt.
+     */
     void recordProbe(Event.ProbeEnded probe, int target) {
         boolean isAnswered = probe.outcome() == Outcome.SUCCEEDED;
         targets.trialAllowed[target] |= isAnswered;
         targets.probeSentAt[target] = 0;
-        double unloaded = estimates.unloadedLatencyMicros();
-        double ifUnanswered =
+        double unloadedMicros = estimates.unloadedLatencyMicros();
+        double delayIfUnanswered =
                 slowStart.isWarmingUp(target) ? settings.shortestObjectiveMicros() : 0;
         double queueDelayMicros =
                 isAnswered
-                        ? Math.max((double) probe.latencyMicros(), probe.queueLength() * unloaded)
-                        : ifUnanswered;
+                        ? Math.max(
+                                (double) probe.latencyMicros(),
+                                probe.queueLength() * unloadedMicros)
+                        : delayIfUnanswered;
         record(target, queueDelayMicros, settings.shortestObjectiveMicros() / 2);
         targets.isReportOfProbe[target] = isAnswered;
     }
--- a/core/src/main/java/milletyoke/scheduler/PendingRequest.java
+++ b/core/src/main/java/milletyoke/scheduler/PendingRequest.java
@@ -5,25 +5,25 @@
 import milletyoke.scheduler.api.SchedulerSettings.RequestClass;
 import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 
-/** One request from admission to its final answer, and on until its last attempt has ended. */
+/** A request from admission until it has its final response and its last attempt has ended. */
 final class PendingRequest {
     static final Comparator<PendingRequest> BY_ADMISSION =
             (a, b) -> Long.compare(a.admissionNumber, b.admissionNumber);
 
-    /** Inside one volume: by priority weight, then the newest, then the order of queueing. */
+    /** Order within a volume: by priority weight, then newest first, then in order of queueing. */
     static final Comparator<PendingRequest> WITHIN_VOLUME =
             (a, b) -> {
-                int byImportance =
+                int byPriority =
                         Double.compare(
                                 b.requestClass.priorityWeight(), a.requestClass.priorityWeight());
                 int byAge =
-                        byImportance != 0
-                                ? byImportance
+                        byPriority != 0
+                                ? byPriority
                                 : Long.compare(b.firstReceivedAt, a.firstReceivedAt);
                 return byAge != 0 ? byAge : Long.compare(a.enqueueNumber, b.enqueueNumber);
             };
 
-    /** At one shard: by the order in which flows were created, then as inside a volume. */
+    /** Order within a shard: by creation of the flow, then as within a volume. */
     static final Comparator<PendingRequest> WITHIN_SHARD =
             (a, b) -> {
                 int byVolume = Long.compare(a.flow.creationNumber, b.flow.creationNumber);
@@ -38,59 +38,64 @@
 
     final Event.RequestReceived received;
 
-    /** The order of admission, over all requests; below, of the latest queueing. */
+    /** Position in the order of admission of all requests. */
     final long admissionNumber;
 
+    /** Position in the order of queueing, as of the latest time the request was queued. */
     long enqueueNumber;
+
     final RequestClass requestClass;
     final VolumeState volume;
     ServicePlan plan;
     ShardQueue shardQueue;
 
-    /** The flow in which it is or last was queued; null before. */
+    /** The flow in which the request is or last was queued; null before. */
     FlowQueue flow;
 
     long firstReceivedAt;
     long objectiveAt;
     long deadlineAt;
 
-    /**
-     * When the latest attempt was sent, microseconds; below, its target (-1 once it has ended) and
-     * that target's incarnation.
-     */
+    /** When the latest attempt was sent, microseconds. */
     long sentAt;
 
+    /** Target of the attempt in flight, -1 for none. */
     int inFlightTarget = -1;
+
+    /** Incarnation of its target when the latest attempt was sent. */
     int inFlightIncarnation;
+
     int attempts;
 
-    /**
-     * The target of the first attempt that may have executed, -1 for none; below, when that attempt
-     * was sent.
-     */
+    /** Target of the first attempt that may have executed, -1 for none. */
     int executedOn = -1;
 
-    long executedSince;
+    /** When that attempt was sent. */
+    long executedAttemptSentAt;
+
     boolean answered;
 
-    /** What its attempt in flight counts against a target that warms up; null for nothing. */
+    /**
+     * What the attempt in flight counts against the budget of a target that warms up; null for
+     * nothing.
+     */
     WarmUpSend warmUpSend;
 
-    /** The queue delay that a probe had reported as its attempt in flight was sent. */
+    /** Queue delay that a probe had reported when the attempt in flight was sent. */
     double reportedDelayMicros = LoadReports.NO_REPORT;
 
-    /** Its attempt is in flight, but presumed lost. */
+    /** Whether the attempt in flight is presumed lost. */
     boolean presumedLost;
 
     PendingRequest(
-            Event.RequestReceived access,
-            long taken,
-            RequestClass category,
+            Event.RequestReceived received,
+            long admissionNumber,
+            RequestClass requestClass,
             VolumeState volume,
             ServicePlan plan) {
-        this.received = access;
-        this.admissionNumber = taken;
-        this.requestClass = category;
+        this.received = received;
+        this.admissionNumber = admissionNumber;
+        this.requestClass = requestClass;
         this.volume = volume;
         this.plan = plan;
     }
@@ -99,12 +104,15 @@
         return plan != null && plan.limitRate() > 0;
     }
 
-    /** Through how many initiators its volume sends; each has its part of the rate limit. */
+    /**
+     * Returns through how many initiators the volume sends; each has an equal part of the rate
+     * limit.
+     */
     double initiatorCount() {
         return Math.max(1, received.initiatorCount());
     }
 
-    /** This initiator's part of its volume's rate limit, units a second. */
+    /** Returns this initiator's part of the volume's rate limit, units per second. */
     double limitRate() {
         return plan.limitRate() / initiatorCount();
     }
--- a/core/src/main/java/milletyoke/scheduler/PendingRequests.java
+++ b/core/src/main/java/milletyoke/scheduler/PendingRequests.java
@@ -2,12 +2,15 @@
 
 import java.util.Map;
 
-/** The requests from admission to their final answer, and on until their last attempt has ended. */
+/**
+ * All requests from admission until they have their final response and their last attempt has
+ * ended.
+ */
 final class PendingRequests {
     private final Map<String, PendingRequest> byId;
     private final DispatchQueue dispatchQueue;
     private final KeyOrdering keyOrdering;
-    private long admitted;
+    private long admittedCount;
 
     PendingRequests(
             Map<String, PendingRequest> byId,
@@ -18,16 +21,18 @@
         this.keyOrdering = keyOrdering;
     }
 
-    /** The number of the request that is admitted now; each number is given once. */
+    /**
+     * Returns the number of the request that is being admittedCount; each number is returned once.
+     */
     long nextAdmissionNumber() {
-        return admitted++;
+        return admittedCount++;
     }
 
     void add(PendingRequest request) {
         byId.put(request.received.id(), request);
     }
 
-    /** The request of that id, null where there is none. */
+    /** Returns the request with the given id, null for none. */
     PendingRequest find(String id) {
         return byId.get(id);
     }
@@ -36,14 +41,17 @@
         return byId.isEmpty();
     }
 
-    /** All pending requests follow the plans in force. */
+    /** Updates all pending requests to the plans in force. */
     void applyPlans(ActiveSettings settings) {
         for (PendingRequest request : byId.values()) {
             request.plan = settings.plan(request.received.plan());
         }
     }
 
-    /** A request has its final answer or lost its client; it goes once no attempt is in flight. */
+    /**
+     * Completes a request that has its final response or lost its client; it is removed once no
+     * attempt is in flight.
+     */
     void complete(PendingRequest request) {
         request.answered = true;
         dispatchQueue.dequeue(request);
--- a/core/src/main/java/milletyoke/scheduler/PlacementPolicy.java
+++ b/core/src/main/java/milletyoke/scheduler/PlacementPolicy.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * The shard of a new object: a weighted random choice, by the room that each shard's target is
- * thought to have.
+ * Chooses the shard of a new object at random, weighted by the spare capacity that the target of
+ * each shard is estimated to have.
  */
 final class PlacementPolicy {
     private final TargetTable targets;
@@ -32,20 +32,24 @@
         this.tuning = tuning;
     }
 
-    /** The shard that a request without one goes to. */
+    /** Returns a shard for a request that names none. */
     ShardQueue chooseShard() {
         ShardQueue chosen = chooseByRejection();
         return chosen != null ? chosen : chooseByWeight();
     }
 
-    /** The same odds without weighing all shards; null where every draw was rejected. */
+    /**
+     * Chooses with the same odds without weighing all shards; returns null if every draw was
+     * rejected.
+     */
     private ShardQueue chooseByRejection() {
         SplittableRandom random = settings.random();
         int draws = tuning.placementDraws();
         for (int i = 0; dispatchQueue.slotCount() > draws && i < draws; i++) {
             ShardQueue shardQueue = dispatchQueue.randomShard(random);
             if (shardQueue != null
-                    && random.nextDouble() * tuning.maxConcurrencyLimit() < room(shardQueue)) {
+                    && random.nextDouble() * tuning.maxConcurrencyLimit()
+                            < spareCapacity(shardQueue)) {
                 return shardQueue;
             }
         }
@@ -53,21 +57,23 @@
     }
 
     private ShardQueue chooseByWeight() {
-        double left =
+        double remaining =
                 settings.random().nextDouble()
-                        * dispatchQueue.shardQueues().stream().mapToDouble(this::room).sum();
+                        * dispatchQueue.shardQueues().stream()
+                                .mapToDouble(this::spareCapacity)
+                                .sum();
         ShardQueue chosen = null;
         for (ShardQueue shardQueue : dispatchQueue.shardQueues()) {
-            double room = room(shardQueue);
-            if (chosen == null || (left > 0 && room > 0)) {
+            double spareCapacity = spareCapacity(shardQueue);
+            if (chosen == null || (remaining > 0 && spareCapacity > 0)) {
                 chosen = shardQueue;
             }
-            left -= room;
+            remaining -= spareCapacity;
         }
         return chosen == null ? dispatchQueue.shardQueue(0) : chosen;
     }
 
-    private double room(ShardQueue shardQueue) {
+    private double spareCapacity(ShardQueue shardQueue) {
         int target = shardQueue.target;
         if (target < 0 || targets.nextTrialAt[target] > 0 || slowStart.isWarmingUp(target)) {
             return 0;
--- a/core/src/main/java/milletyoke/scheduler/RateLimits.java
+++ b/core/src/main/java/milletyoke/scheduler/RateLimits.java
@@ -3,8 +3,8 @@
 import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 
 /**
- * The rate limits of volumes, as token buckets: this host's part of what its plan allows a volume.
- * First attempts spend tokens, retries do not.
+ * Enforces the rate limits of volumes by token buckets: this initiator's part of what the plan
+ * allows a volume. First attempts spend tokens, retries do not.
  */
 final class RateLimits {
     private final DispatchQueue dispatchQueue;
@@ -23,14 +23,14 @@
         this.tuning = tuning;
     }
 
-    /** All plans of the latest settings are known from now on. */
+    /** Registers all plans of the latest settings. */
     void addPlans() {
         for (ServicePlan plan : settings.latestPlans()) {
             dispatchQueue.addPlan(plan.name(), turn.now());
         }
     }
 
-    /** Refills all buckets up to now by the plans they follow; before and after plans change. */
+    /** Fills all buckets up to now under their plans; called before and after plans change. */
     void refillAll() {
         dispatchQueue.limitBuckets().forEach(this::refill);
     }
@@ -39,7 +39,7 @@
         bucket.set(units(bucket), turn.now());
     }
 
-    /** What a bucket contains now by the plan that it follows. */
+    /** Returns what a bucket contains now under its plan. */
     double units(TokenBucket bucket) {
         ServicePlan plan = settings.plan(bucket.plan);
         if (plan == null || plan.limitRate() <= 0) {
@@ -54,17 +54,17 @@
     }
 
     /**
-     * A request arrives: its volume's bucket follows the plan and number of initiators that it
-     * names. The time before is paid for by the former ones.
+     * Makes the bucket of a volume follow the plan and the number of initiators of an arriving
+     * request. Time up to now is credited under the former ones.
      */
-    void open(PendingRequest request) {
+    void updateBucketPlan(PendingRequest request) {
         if (request.hasRateLimit()) {
             refill(dispatchQueue.limitBucket(request));
             dispatchQueue.usePlan(dispatchQueue.limitBucket(request), request);
         }
     }
 
-    /** Whether its volume's bucket holds enough for a request's first attempt. */
+    /** Returns whether the bucket of its volume holds enough for the first attempt of a request. */
     boolean isWithinLimit(PendingRequest request) {
         if (request.attempts > 0 || !request.hasRateLimit()) {
             return true;
@@ -90,7 +90,7 @@
     private double availableUnits(PendingRequest request) {
         TokenBucket bucket = dispatchQueue.limitBucket(request);
         double depth = depth(request.plan) / request.initiatorCount();
-        double whole =
+        double units =
                 bucket.isPlanOf(request.received)
                         ? TokenBucket.unitsAt(
                                 turn.now(),
@@ -99,7 +99,7 @@
                                 request.limitRate(),
                                 depth)
                         : units(bucket);
-        return Math.min(depth, whole);
+        return Math.min(depth, units);
     }
 
     private double depth(ServicePlan plan) {
--- a/core/src/main/java/milletyoke/scheduler/ReportCredibility.java
+++ b/core/src/main/java/milletyoke/scheduler/ReportCredibility.java
@@ -1,16 +1,16 @@
 package milletyoke.scheduler;
 
 /**
- * Whether probes wait behind the work at targets. Only then does a report of a short queue show
- * that there is room; a probe that is answered beside the work shows merely that the process runs,
- * and one whose connection came up late is slow without any queue. Learnt from the attempts that
- * were sent right after a probe: how long they took against what the probe reported.
+ * Tracks whether load reports of probes can be relied on. That is so only if targets queue probes
+ * behind their work: a probe that is answered ahead of the work merely shows that the process runs,
+ * and a probe whose connection was established late is slow without any queue. Compares the
+ * latencies of attempts sent right after a probe with the queue delay that the probe reported.
  */
 final class ReportCredibility {
-    /** Part of the reports that could be checked of late and were confirmed: two in succession. */
+    /** Least smoothed share of confirmed reports, reached by two confirmations in succession. */
     private static final double MIN_CONFIRMED_SHARE = 0.2;
 
-    /** Queue delay that a report has to show to be checked, in unloaded latencies. */
+    /** Least reported queue delay that can confirm reports, in unloaded latencies. */
     private static final double MIN_CHECKED_LATENCIES = 2;
 
     private final LoadEstimates estimates;
@@ -27,10 +27,10 @@
     }
 
     /**
-     * An attempt that was sent under a report has ended.
+     * Records the end of an attempt that was sent while a report was valid.
      *
-     * @param reportedMicros the queue delay that was reported
-     * @param tolerableMicros how far an answer may lag behind the report
+     * @param reportedMicros the reported queue delay
+     * @param tolerableMicros how much later than reported the response may come
      */
     void record(double reportedMicros, long latencyMicros, double tolerableMicros) {
         double unloaded = estimates.unloadedLatencyMicros();
--- a/core/src/main/java/milletyoke/scheduler/RequestAdmitter.java
+++ b/core/src/main/java/milletyoke/scheduler/RequestAdmitter.java
@@ -5,7 +5,7 @@
 import milletyoke.scheduler.api.Event;
 import milletyoke.scheduler.api.SchedulerSettings.RequestClass;
 
-/** Admits requests: their deadline, their latency objective, and their place in the queues. */
+/** Admits requests: sets their deadline and latency objective, and queues them. */
 final class RequestAdmitter {
     private final DispatchQueue dispatchQueue;
     private final ActiveSettings settings;
@@ -20,7 +20,10 @@
     private final WarmUpBudget warmUpBudget;
     private final SchedulerTuning tuning;
 
-    /** The longest time to live seen in each request class, which shows what a repeat has used. */
+    /**
+     * Longest time to live seen in each request class, from which the time used by earlier tries of
+     * a client follows.
+     */
     private final Map<String, Long> longestTimeLeftMicros = new HashMap<>();
 
     RequestAdmitter(
@@ -61,7 +64,7 @@
         setTimes(request);
         pendingRequests.add(request);
         retryBudget.recordAdmission();
-        rateLimits.open(request);
+        rateLimits.updateBucketPlan(request);
         estimates.recordUnits(received.units());
         keyOrdering.admit(request);
         request.shardQueue =
@@ -73,18 +76,19 @@
     }
 
     /**
-     * A client that repeats a request leaves it less time: the objective counts from its first try.
-     * One whose time is shorter than the objective is taken for a new one, as a repeat that late
-     * could hardly be answered in time.
+     * Sets the deadline and the objective. When a client retries a request, it leaves less time for
+     * it; the objective counts from its first try. A request with less time left than the objective
+     * is treated as new, because a client retry that late could hardly be answered in time.
      */
     private void setTimes(PendingRequest request) {
         RequestClass requestClass = request.requestClass;
         long now = turn.now();
         long timeLeft = request.received.timeLeftMicros();
         long objective = requestClass.latencyObjectiveMicros();
-        long longest = longestTimeLeftMicros.merge(requestClass.name(), timeLeft, Math::max);
+        long longestTimeLeft =
+                longestTimeLeftMicros.merge(requestClass.name(), timeLeft, Math::max);
         request.deadlineAt = now + timeLeft;
-        request.firstReceivedAt = timeLeft < objective ? now : now - (longest - timeLeft);
+        request.firstReceivedAt = timeLeft < objective ? now : now - (longestTimeLeft - timeLeft);
         request.objectiveAt =
                 Math.min(
                         request.firstReceivedAt + objective,
--- a/core/src/main/java/milletyoke/scheduler/RequestScheduler.java
+++ b/core/src/main/java/milletyoke/scheduler/RequestScheduler.java
@@ -8,11 +8,11 @@
 import milletyoke.scheduler.api.SchedulerSettings;
 
 /**
- * Schedules the requests of one initiator. Its host makes one scheduler for each start, calls
- * {@link #decide} with the time and what happened since, the start first, and carries out the
- * actions it returns, in that order. One thread at a time; no clock, no input or output. The
- * interface is the package milletyoke.scheduler.api; the design, and each departure from the paper,
- * is in docs/design.md.
+ * Schedules the requests of one initiator. The caller creates one scheduler per start, calls {@link
+ * #decide} with the current time and the events since the last call, beginning with {@link
+ * Event.Started}, and carries out the returned actions in order. Not thread-safe; has no clock and
+ * does no I/O. The interface is the package milletyoke.scheduler.api; docs/design.md describes the
+ * design and each departure from the paper.
  */
 public final class RequestScheduler implements Scheduler {
     private final Map<String, Integer> targetIndex;
@@ -30,7 +30,7 @@
     private final WakeUpTimer wakeUpTimer;
     private final IdleStateEviction eviction;
 
-    // What SchedulerView shows.
+    // Read by SchedulerView.
     final TargetTable targets;
     final DispatchQueue dispatchQueue;
     final SlowStart slowStart;
@@ -38,12 +38,12 @@
     final RateLimits rateLimits;
     final RetryPolicy retryPolicy;
 
-    /** A scheduler with the figures of production. */
+    /** Creates a scheduler with the production tuning. */
     public RequestScheduler() {
         this(SchedulerTuning.DEFAULT);
     }
 
-    /** A scheduler with other figures, for simulations alone. */
+    /** Creates a scheduler with the given tuning; for simulations only. */
     public RequestScheduler(SchedulerTuning tuning) {
         SchedulerComponents components = new SchedulerComponents(tuning);
         turn = components.turn;
@@ -69,11 +69,12 @@
     }
 
     /**
-     * Takes what happened since the last call and returns what is to be done.
+     * Processes the events since the last call and returns the actions to carry out.
      *
-     * @param time of this turn, microseconds, never less than the one before
-     * @param events since the last call, in their order; the very first is {@link Event.Started}
-     * @return what the host carries out, in this order
+     * @param time of this turn in microseconds, never less than in the previous call
+     * @param events since the last call, in order of occurrence; the very first is {@link
+     *     Event.Started}
+     * @return the actions, in the order in which to carry them out
      */
     @Override
     public List<Action> decide(long time, List<Event> events) {
@@ -117,11 +118,11 @@
     }
 
     /**
-     * New plans hold from now on, for queued requests too. A rate limit's bucket is filled by the
-     * plan it had, and then contains no more than the new one allows. Guards rule 7 (rate limits)
-     * against a limit lowered and raised again, which would fill its bucket at once, and against
-     * past time paid at a higher rate. Harms none but a volume whose limit rises: its bucket fills
-     * as time goes on.
+     * Applies new settings, also to requests that are already queued. The bucket of a rate limit is
+     * filled at its old plan's rate up to now, then capped at the new plan's depth. Guards rule 7
+     * (rate limits) against a limit that is lowered and raised again, which would otherwise fill
+     * the bucket at once, and against past time credited at a higher rate. The cost: a volume whose
+     * limit rises has to wait for its bucket to fill.
      */
     private void changeSettings(SchedulerSettings next) {
         rateLimits.refillAll();
@@ -159,13 +160,13 @@
     }
 
     /**
-     * Times are set by bounds above the current averages; once an average outgrows its bound, all
-     * are set anew.
+     * Scheduled times are computed from upper bounds of moving averages. Once an average exceeds
+     * its bound, or the suspicion of overload changes, all shards and targets are checked again.
      */
     private void recheckAllAfterDrift() {
         boolean hasGrown = estimates.raiseBounds(turn.now());
-        boolean hasSuspicionChanged = loadReports.hasSuspicionChanged();
-        if (hasGrown || hasSuspicionChanged) {
+        boolean hasOverloadSuspicionChanged = loadReports.hasOverloadSuspicionChanged();
+        if (hasGrown || hasOverloadSuspicionChanged) {
             recheckAll();
         }
     }
--- a/core/src/main/java/milletyoke/scheduler/Reservations.java
+++ b/core/src/main/java/milletyoke/scheduler/Reservations.java
@@ -3,14 +3,17 @@
 import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 
 /**
- * The reservations of volumes, as token buckets: a request that its bucket covers is below its
- * reservation and goes before those that are not.
+ * Tracks the reservations of volumes by token buckets: a request that its bucket covers is below
+ * the reservation and goes before those that are not.
  */
 final class Reservations {
-    /** A bucket holds a second's units and this many requests of the mean size. */
+    /** A bucket holds the units of one second and of this many requests of mean size. */
     private static final int EXTRA_MEAN_REQUESTS = 2;
 
-    /** Eviction counts a bucket as deep as for requests of up to this many times the mean. */
+    /**
+     * Eviction takes buckets to be this many times deeper, enough for requests of up to this many
+     * times the mean size.
+     */
     private static final int EVICTION_DEPTH_FACTOR = 8;
 
     private final DispatchQueue dispatchQueue;
@@ -29,7 +32,7 @@
         this.estimates = estimates;
     }
 
-    /** Whether its volume's bucket covers the request. */
+    /** Returns whether the bucket of its volume covers the request. */
     boolean isBelowReservation(PendingRequest request) {
         double rate = request.reservationRate();
         double missing = request.received.units() - units(request);
@@ -42,7 +45,7 @@
         return missing <= 0;
     }
 
-    /** Whether the request is larger than a full bucket, which grows with the mean size. */
+    /** Returns whether the request exceeds a full bucket but may fit once the mean size grows. */
     private boolean mayFitLargerBucket(PendingRequest request, double rate) {
         double units = request.received.units();
         TokenBucket bucket = request.volume.reservationBucket;
@@ -51,14 +54,17 @@
                 && (rate > 0 || (bucket != null && bucket.units >= units));
     }
 
-    /** Takes the tokens of an attempt, as far as there are any. */
+    /** Takes the tokens of an attempt, as far as the bucket contains them. */
     void spend(PendingRequest request) {
         TokenBucket bucket = request.volume.reservationBucketFor(request.received);
         bucket.set(Math.max(0, units(request) - request.received.units()), turn.now());
         dispatchQueue.usePlan(bucket, request);
     }
 
-    /** What eviction takes a bucket to contain: for requests of up to eight times the mean. */
+    /**
+     * Returns what eviction takes a bucket to contain: at most {@link #EVICTION_DEPTH_FACTOR} times
+     * its depth.
+     */
     double evictionUnits(TokenBucket bucket) {
         ServicePlan plan = settings.plan(bucket.plan);
         double rate = plan == null ? 0 : plan.reservationRate();
--- a/core/src/main/java/milletyoke/scheduler/RetryBudget.java
+++ b/core/src/main/java/milletyoke/scheduler/RetryBudget.java
@@ -2,7 +2,10 @@
 
 import milletyoke.scheduler.api.SchedulerSettings.RuleLimits;
 
-/** The retry budget: retries inside a sliding window, as a share of the requests admitted in it. */
+/**
+ * Limits retries within a sliding window to a share of the requests admitted in it, plus a fixed
+ * number.
+ */
 final class RetryBudget {
     private final DispatchQueue dispatchQueue;
     private final ActiveSettings settings;
@@ -26,7 +29,9 @@
         update();
     }
 
-    /** Has flows that depend on the budget checked again when it is used up or left again. */
+    /**
+     * Has flows that depend on the budget checked again when it is exhausted or becomes available.
+     */
     void update() {
         if (hasBudget() != hadBudget) {
             hadBudget = !hadBudget;
@@ -34,7 +39,7 @@
         }
     }
 
-    /** Whether an attempt of this request is a first one, or a retry that the budget allows. */
+    /** Returns whether the next attempt of a request is its first or a retry within the budget. */
     boolean allows(PendingRequest request) {
         if (request.attempts == 0) {
             return true;
--- a/core/src/main/java/milletyoke/scheduler/RetryPolicy.java
+++ b/core/src/main/java/milletyoke/scheduler/RetryPolicy.java
@@ -4,8 +4,9 @@
 import milletyoke.scheduler.api.SchedulerSettings.Idempotency;
 
 /**
- * Which requests may be attempted again, and where: idempotency, the deduplication scope and window
- * of idempotency keys, and whether a retry is worth its cost.
+ * Decides which requests may be attempted again, and where: applies idempotency and the
+ * deduplication scope and window of idempotency keys, and skips retries that are unlikely to
+ * succeed.
  */
 final class RetryPolicy {
     private final TargetTable targets;
@@ -21,12 +22,14 @@
         this.tuning = tuning;
     }
 
-    /** The smoothed part of retries that succeeded. */
+    /** Returns the smoothed share of retries that succeeded. */
     double retrySuccessShare() {
         return retrySuccessShare;
     }
 
-    /** Whether an attempt at this target cannot execute the request a second time with effect. */
+    /**
+     * Returns whether an attempt at this target cannot make the request take effect a second time.
+     */
     boolean cannotRunTwice(PendingRequest request, int target) {
         if (request.inFlightTarget >= 0 || hasNoAttemptLeft(request)) {
             return false;
@@ -52,7 +55,7 @@
         }
         Idempotency idempotency = request.requestClass.idempotency();
         long windowEndsAt =
-                request.executedSince + request.requestClass.deduplicationWindowMicros();
+                request.executedAttemptSentAt + request.requestClass.deduplicationWindowMicros();
         boolean isDeduplicated =
                 idempotency == Idempotency.IDEMPOTENCY_KEY && turn.now() < windowEndsAt;
         if (isDeduplicated) {
@@ -66,8 +69,8 @@
     }
 
     /**
-     * Whether to queue a request again after an attempt at {@code target} failed. Retries are made
-     * as often as recent ones succeeded.
+     * Returns whether to queue a request again after an attempt at {@code target} failed. The
+     * probability of a retry is the recent share of retries that succeeded.
      */
     boolean isWorthRetrying(PendingRequest request, int target) {
         boolean inTime = turn.now() + targets.latencyMicros[target] < request.objectiveAt;
@@ -78,7 +81,7 @@
                         < Math.max(tuning.minRetryProbability(), retrySuccessShare);
     }
 
-    /** The latest attempt of a request ended. */
+    /** Records the outcome of the latest attempt of a request. */
     void recordOutcome(PendingRequest request, Outcome outcome) {
         if (request.attempts > 1) {
             double success = outcome == Outcome.SUCCEEDED ? 1 : 0;
--- a/core/src/main/java/milletyoke/scheduler/SchedulerComponents.java
+++ b/core/src/main/java/milletyoke/scheduler/SchedulerComponents.java
@@ -1,6 +1,6 @@
 package milletyoke.scheduler;
 
-/** The classes that decide, one a concern, each connected to those that it asks. */
+/** Creates the classes that make decisions, one per concern, and connects each to those it uses. */
 final class SchedulerComponents extends SchedulerState {
     final WakeUpTimer wakeUpTimer = new WakeUpTimer(turn, settings, tuning);
     final EndpointWatch endpointWatch = new EndpointWatch(turn, settings, tuning);
--- a/core/src/main/java/milletyoke/scheduler/SchedulerState.java
+++ b/core/src/main/java/milletyoke/scheduler/SchedulerState.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** All state that more than one concern reads. */
+/** State that several components share. */
 class SchedulerState {
     final SchedulerTuning tuning;
     final Turn turn = new Turn();
@@ -13,7 +13,7 @@
     final ActiveSettings settings;
     final LoadEstimates estimates;
 
-    /** The index of each listed target in the target table. */
+    /** Index of each listed target in the target table. */
     final Map<String, Integer> targetIndex = new HashMap<>();
 
     final Map<String, PendingRequest> requestsById = new LinkedHashMap<>();
--- a/core/src/main/java/milletyoke/scheduler/SchedulerTuning.java
+++ b/core/src/main/java/milletyoke/scheduler/SchedulerTuning.java
@@ -1,33 +1,35 @@
 package milletyoke.scheduler;
 
 /**
- * The scheduler's fixed figures. Production always uses {@link #DEFAULT}; only the simulation tries
- * others. The "latency objective" below is the shortest one among all request classes.
+ * Fixed parameters of the scheduler. Production always uses {@link #DEFAULT}; only simulations use
+ * others. "Latency objective" below means the shortest one of all request classes.
  *
- * @param baseBatchSize most requests that one batch takes by least finish tag
- * @param placementDraws attempts at choosing a shard by rejection before all shards are weighed
- * @param initialConcurrencyLimit of a target that was just listed or restarted, in attempts
- * @param maxConcurrencyLimit that additive increase may reach, in attempts
- * @param marginSteps by how many mean steps the extra tags of queued flows may differ
- * @param lateFraction part of the latency objective past which an answer counts as late: at a
- *     target that serves in no tag order
+ * @param baseBatchSize most requests taken by finish tag in one batch
+ * @param placementDraws draws by which a shard is chosen by rejection before all shards are weighed
+ * @param initialConcurrencyLimit limit of a target that was just listed or restarted, in attempts
+ * @param maxConcurrencyLimit upper end of the additive increase, in attempts
+ * @param marginSteps how far the extra tags of queued flows may differ, in mean steps
+ * @param lateFraction fraction of the latency objective past which a response counts as late, as it
+ *     was queued at the target, out of tag order
  * @param smoothing weight of a new sample in moving averages, as in TCP's round-trip estimate
- * @param patienceFactor latencies without an answer after which a target counts as unresponsive
- * @param suspectLateShare part of answers that report long queues from which probes go first
- * @param joinFractionBelowReservation part of the latency objective that may be queued at a target
- *     for a request below its reservation to join
- * @param joinFractionOthers the same for all other requests, times a random threshold
- * @param minRetryProbability of an eligible retry, however few retries succeeded of late
- * @param maxBackoffObjectives most latency objectives that a half-open trial interval or a backoff
- *     lasts, and that a latency estimate is used without a new answer
- * @param queuedCheckMicros between wake-ups while requests are queued
- * @param inFlightCheckMicros between wake-ups while requests are only in flight
- * @param answerLeadMicros how long before a request's deadline its final answer leaves
- * @param initialWatchDelayMicros before the first repetition of an endpoint watch
- * @param usedSlackFraction part of a limit's slack that is used; the rest allows for an auditor
+ * @param patienceFactor time without a response after which a target counts as unresponsive, in
+ *     latencies
+ * @param suspectLateShare share of responses indicating long queues from which probes go first
+ * @param joinFractionBelowReservation largest queue at a target that a request below its
+ *     reservation may join, as a fraction of the latency objective
+ * @param joinFractionOthers the same for all other requests, multiplied by a random threshold
+ * @param minRetryProbability least probability of an eligible retry, however few recent retries
+ *     succeeded
+ * @param maxBackoffObjectives longest interval of half-open trials, longest backoff, and longest
+ *     use of a latency estimate without a new response, all in latency objectives
+ * @param queuedCheckMicros interval of wake-ups while requests are queued
+ * @param inFlightCheckMicros interval of wake-ups while requests are only in flight
+ * @param answerLeadMicros how long before its deadline a request gets its final response
+ * @param initialWatchDelayMicros delay before the first repetition of an endpoint watch
+ * @param usedSlackFraction fraction of a limit's slack that is used; the rest allows for an auditor
  *     that sums in another order
- * @param warmUpQueueFraction part of what the overload bound leaves beyond its capacity that may be
- *     queued at a target that warms up
+ * @param warmUpQueueFraction largest queue at a target that warms up, as a fraction of what the
+ *     overload bound leaves beyond its capacity
  */
 public record SchedulerTuning(
         int baseBatchSize,
@@ -70,7 +72,7 @@
     private static final double USED_SLACK_FRACTION = 0.9;
     private static final double WARM_UP_QUEUE_FRACTION = 1.0 / 8;
 
-    /** The figures of production. */
+    /** The parameters used in production. */
     public static final SchedulerTuning DEFAULT =
             new SchedulerTuning(
                     BASE_BATCH_SIZE,
--- a/core/src/main/java/milletyoke/scheduler/SchedulerView.java
+++ b/core/src/main/java/milletyoke/scheduler/SchedulerView.java
@@ -5,24 +5,24 @@
 import java.util.Map;
 
 /**
- * A read-only view of a {@link RequestScheduler} for status pages; it decides and changes nothing.
- * To be called by the thread that owns the scheduler, between two of its turns. Times are
+ * A read-only view of a {@link RequestScheduler} for status pages; makes no decisions and changes
+ * nothing. Must be called by the thread that owns the scheduler, between two turns. Times are
  * microseconds.
  */
 public final class SchedulerView {
     private SchedulerView() {}
 
     /**
-     * What is known of one target.
+     * State of one target.
      *
-     * @param usable the endpoint list allows sending to it
-     * @param startedAtMicros when it started, 0 for long ago
-     * @param inFlight attempts in flight
-     * @param latencyMicros of its answers, smoothed; 0 for unknown
-     * @param nextTrialAtMicros the next half-open trial of an unresponsive target, 0 for a
-     *     responsive one
-     * @param backingOff what does not fit is kept back from it for now
-     * @param queueDelayMicros the reported queue delay; meaningful while {@code hasLoadReport}
+     * @param usable whether the endpoint list allows sending to the target
+     * @param startedAtMicros when the target started, 0 for long ago
+     * @param inFlight number of attempts in flight
+     * @param latencyMicros smoothed latency of responses, 0 while unknown
+     * @param nextTrialAtMicros next half-open trial of an unresponsive target, 0 for a responsive
+     *     one
+     * @param backingOff whether requests that do not fit are held back for now
+     * @param queueDelayMicros reported queue delay; meaningful only if {@code hasLoadReport}
      */
     public record TargetView(
             String id,
@@ -40,50 +40,51 @@
             double queueDelayMicros) {}
 
     /**
-     * One shard: the target that serves it (null for none), the requests queued here for it, and of
-     * how many volumes.
+     * One shard: the target that serves it (null for none), the number of requests queued here for
+     * it, and the number of their volumes.
      */
     public record ShardView(int shard, String target, int pending, int volumes) {}
 
     /**
-     * The token buckets of one volume.
+     * State of one volume.
      *
-     * @param limitUnits units left now of this initiator's part of its rate limit, -1 where it has
-     *     none; a bucket is filled by time, so its contents at its last use would say "at its
-     *     limit" long after it is not
-     * @param reservationUnits units below its reservation, as of its last use
-     * @param pending requests queued here, at all shards
+     * @param limitUnits units left now of this initiator's part of the rate limit, -1 without one.
+     *     Time alone fills a bucket, so its contents as of the last use would show an exhausted
+     *     limit long after it has recovered.
+     * @param reservationUnits units left below the reservation, as of the last use
+     * @param pending number of requests queued here over all shards
      */
     public record VolumeView(double limitUnits, double reservationUnits, int pending) {}
 
-    /** All known targets, by index. */
+    /** Returns all known targets, by index. */
     public static List<TargetView> targets(RequestScheduler scheduler) {
         List<TargetView> all = new ArrayList<>(scheduler.targets.count);
-        for (int t = 0; t < scheduler.targets.count; t++) {
+        for (int index = 0; index < scheduler.targets.count; index++) {
             TargetTable table = scheduler.targets;
-            if (table.id[t] == null) {
+            if (table.id[index] == null) {
                 continue;
             }
             all.add(
                     new TargetView(
-                            table.id[t],
-                            table.zone[t],
-                            table.shardOf[t],
-                            table.usable[t],
-                            table.startedAt[t],
-                            scheduler.slowStart.isWarmingUp(t),
-                            table.inFlight[t],
-                            table.concurrencyLimit[t],
-                            table.latencyMicros[t],
-                            table.nextTrialAt[t],
-                            scheduler.loadReports.hasReport(t) && table.backoffMicros[t] > 0,
-                            scheduler.loadReports.hasReport(t),
-                            table.queueDelayMicros[t]));
+                            table.id[index],
+                            table.zone[index],
+                            table.shardOf[index],
+                            table.usable[index],
+                            table.startedAt[index],
+                            scheduler.slowStart.isWarmingUp(index),
+                            table.inFlight[index],
+                            table.concurrencyLimit[index],
+                            table.latencyMicros[index],
+                            table.nextTrialAt[index],
+                            scheduler.loadReports.hasReport(index)
+                                    && table.backoffMicros[index] > 0,
+                            scheduler.loadReports.hasReport(index),
+                            table.queueDelayMicros[index]));
         }
         return all;
     }
 
-    /** All known shards, in the order of creation. */
+    /** Returns all known shards, in order of creation. */
     public static List<ShardView> shards(RequestScheduler scheduler) {
         List<ShardView> all = new ArrayList<>(scheduler.dispatchQueue.byShard().size());
         for (Map.Entry<Integer, ShardQueue> entry : scheduler.dispatchQueue.byShard().entrySet()) {
@@ -98,7 +99,7 @@
         return all;
     }
 
-    /** One volume; empty figures where nothing is kept of it. */
+    /** Returns the state of one volume, without units and requests if none is kept. */
     public static VolumeView volume(RequestScheduler scheduler, String name) {
         VolumeState volume = scheduler.dispatchQueue.volume(name);
         if (volume == null) {
@@ -111,12 +112,12 @@
                 queued);
     }
 
-    /** The part of answers, of late, that reported long queues. */
+    /** Returns the smoothed share of responses and probes that indicated a long queue. */
     public static double lateShare(RequestScheduler scheduler) {
         return scheduler.loadReports.lateShare();
     }
 
-    /** The part of retries, of late, that succeeded. */
+    /** Returns the smoothed share of retries that succeeded. */
     public static double retrySuccessShare(RequestScheduler scheduler) {
         return scheduler.retryPolicy.retrySuccessShare();
     }
--- a/core/src/main/java/milletyoke/scheduler/SendGuard.java
+++ b/core/src/main/java/milletyoke/scheduler/SendGuard.java
@@ -1,8 +1,9 @@
 package milletyoke.scheduler;
 
 /**
- * The rules that every attempt must keep, asked in one place just before it is sent: one predicate
- * a rule. Each notes when time alone may change its answer (see {@link Turn#recheckBy}).
+ * Checks the rules that every attempt must satisfy, immediately before it is sent; one predicate
+ * per rule. Each predicate notes when its result may change without an event (see {@link
+ * Turn#recheckBy}).
  */
 final class SendGuard {
     private final TargetTable targets;
@@ -36,9 +37,9 @@
         this.tuning = tuning;
     }
 
-    /** Whether an attempt of the request may be sent to the target now, by all rules. */
+    /** Returns whether all rules allow an attempt of the request at the target now. */
     boolean permits(PendingRequest request, int target) {
-        return isAnswerStillInTime(request)
+        return canRespondBeforeDeadline(request)
                 && targetAcceptsNewWork(target)
                 && cannotRunTwice(request, target)
                 && withinWarmUpBudget(request, target)
@@ -47,8 +48,8 @@
                 && withinRateLimit(request);
     }
 
-    /** An answer can still reach the client before its deadline. */
-    private boolean isAnswerStillInTime(PendingRequest request) {
+    /** A response can still reach the client before its deadline. */
+    private boolean canRespondBeforeDeadline(PendingRequest request) {
         long lastSendAt = request.deadlineAt - tuning.answerLeadMicros();
         boolean inTime = !request.answered && turn.now() < lastSendAt;
         if (inTime) {
@@ -57,23 +58,26 @@
         return inTime;
     }
 
-    /** There is a target, and the endpoint list allows sending to it. */
+    /** The shard has a target, and the endpoint list allows sending to it. */
     private boolean targetAcceptsNewWork(int target) {
         return target >= 0 && targets.usable[target];
     }
 
-    /** No second execution with an effect of its own is possible. */
+    /** The request cannot take effect a second time. */
     private boolean cannotRunTwice(PendingRequest request, int target) {
         return retryPolicy.cannotRunTwice(request, target);
     }
 
-    /** A target that warms up gets no more than its budget, or shows that it has room. */
+    /** A target that warms up gets no more than its budget, unless it reports spare capacity. */
     private boolean withinWarmUpBudget(PendingRequest request, int target) {
         return !slowStart.isWarmingUp(target)
                 || warmUpAdmission(request, target) != WarmUpAdmission.NONE;
     }
 
-    /** Whether and why an attempt may be sent to a target that warms up. */
+    /**
+     * Returns on what ground an attempt may be sent to a target that warms up, {@link
+     * WarmUpAdmission#NONE} if it may not.
+     */
     WarmUpAdmission warmUpAdmission(PendingRequest request, int target) {
         boolean isReportedIdle =
                 loadReports.reportsQueueDelayWithin(target, slowStart.tolerableQueueDelayMicros());
@@ -82,17 +86,17 @@
                 : slowStart.admission(request, target);
     }
 
-    /** Requests of a key run in their order. */
+    /** Requests with the same key run one at a time, in order of admission. */
     private boolean isNextForKey(PendingRequest request) {
         return keyOrdering.isNextForKey(request);
     }
 
-    /** A retry is within the retry budget. */
+    /** Retries stay within the retry budget. */
     private boolean withinRetryBudget(PendingRequest request) {
         return retryBudget.allows(request);
     }
 
-    /** A first attempt is within its volume's rate limit. */
+    /** First attempts stay within the rate limit of their volume. */
     private boolean withinRateLimit(PendingRequest request) {
         return rateLimits.isWithinLimit(request);
     }
--- a/core/src/main/java/milletyoke/scheduler/ShardDispatcher.java
+++ b/core/src/main/java/milletyoke/scheduler/ShardDispatcher.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Serves the shards where something may have changed, and sets when to serve them next. */
+/** Sends queued requests of the shards that are marked or due, and schedules their next service. */
 final class ShardDispatcher {
     private final DispatchQueue dispatchQueue;
     private final ActiveSettings settings;
@@ -38,7 +38,7 @@
         this.completionPolicy = completionPolicy;
     }
 
-    /** Serves all shards that were marked or are due. */
+    /** Serves all shards that are marked or due. */
     void serveAll() {
         ShardQueue shardQueue = dispatchQueue.next(null);
         while (shardQueue != null) {
@@ -48,10 +48,11 @@
     }
 
     /**
-     * A request that can no longer be answered within its objective takes what slots are left,
-     * unless others need them (many initiators, a rate limit), or gets its final answer at once.
-     * Guards against a backlog of any cause that would make all later requests late too. Could harm
-     * where the latency is estimated too high.
+     * Serves one shard. A request that can no longer be answered within its latency objective is
+     * sent last, into slots that are left over and that nothing else needs (many initiators, a rate
+     * limit); otherwise it gets its final response at once. Prevents a backlog of any cause from
+     * making all later requests late too. Rejects requests needlessly if the latency estimate is
+     * too high.
      */
     private void serve(ShardQueue shardQueue) {
         int target = shardQueue.target;
@@ -81,12 +82,15 @@
     }
 
     private boolean mayUseSpareSlot(PendingRequest request) {
-        boolean isBesideLimit = request.attempts > 0 || !request.hasRateLimit();
+        boolean isNotRateLimited = request.attempts > 0 || !request.hasRateLimit();
         return turn.now() <= request.objectiveAt
-                || (!settings.hasManyInitiators() && isBesideLimit);
+                || (!settings.hasManyInitiators() && isNotRateLimited);
     }
 
-    /** When time alone may change what was just done: lateness, the end of a warm-up, parking. */
+    /**
+     * Schedules the next service for the time at which the result may change without an event: a
+     * request becomes late, the warm-up ends, or a parked flow is due.
+     */
     private void scheduleNextService(ShardQueue shardQueue, boolean awaitsProbe) {
         turn.resetRecheck();
         int target = shardQueue.target;
--- a/core/src/main/java/milletyoke/scheduler/ShardQueue.java
+++ b/core/src/main/java/milletyoke/scheduler/ShardQueue.java
@@ -8,36 +8,38 @@
 import java.util.TreeSet;
 
 /**
- * The flows and requests queued for one shard, whichever target serves it now. The tags and orders
- * are those of start-time fair queueing.
+ * The flows and requests queued for one shard, whichever target serves it. Tags and orders are
+ * those of start-time fair queueing.
  */
 final class ShardQueue {
-    /** The order of creation, in which shards are served. */
+    /** Position in the order of creation, in which shards are served. */
     final int creationNumber;
 
     final int slot;
     final int shard;
 
-    /** The extra tag that a new flow starts with: the highest among the evicted flows. */
+    /** Extra tag of a newly created flow: the highest among the evicted flows. */
     double initialExtraTag;
 
     int target = -1;
     int queuedCount;
 
-    /** Units requested here of late, and below those that warm targets served; null for none. */
+    /** Decaying sum of the units requested here; null before the first request. */
     DecayingSum requestedUnits;
 
+    /** Decaying sum of the units that warm targets served here; null before the first. */
     DecayingSum servedUnits;
 
-    /** When the latest request was admitted here; below, from when on draws are made. */
+    /** When the latest request was admitted here. */
     long lastRequestedAt;
 
+    /** Start of the first window of draws; see {@link WarmUpBudget#drawWindow}. */
     long drawsSince;
 
     double virtualTime;
     final Map<VolumeState, FlowQueue> flows = new HashMap<>();
 
-    /** Targets that the endpoint list last named for this shard, usable or not, by index. */
+    /** Indexes of the targets that the latest endpoint list names for this shard, usable or not. */
     final TreeSet<Integer> listedTargets = new TreeSet<>();
 
     /** Flows with queued requests, by extra tag. */
@@ -50,10 +52,10 @@
 
     final TreeSet<FlowQueue> belowReservation = new TreeSet<>(FlowQueue.BY_FINISH_TAG);
 
-    /** Flows that time alone may bring back to the orders above, by when to check them again. */
+    /** Flows that may become sendable without an event, by the time of their next check. */
     final TreeSet<FlowQueue> parked = new TreeSet<>(FlowQueue.BY_CHECK_TIME);
 
-    /** More than the affairs of one volume may have changed here since flows were parked. */
+    /** Whether more than the state of one volume changed here since flows were parked. */
     boolean mustRecheckAll;
 
     /** The requests queued here, by latency objective. */
@@ -61,18 +63,19 @@
 
     final Map<String, TreeSet<PendingRequest>> byExtent = new HashMap<>();
 
-    ShardQueue(int made, int slot, int shard) {
-        this.creationNumber = made;
+    ShardQueue(int creationNumber, int slot, int shard) {
+        this.creationNumber = creationNumber;
         this.slot = slot;
         this.shard = shard;
     }
 
-    /** Removes a flow from every order, so that its tags and requests may change. */
+    /** Removes a flow from all orders, so that its tags and requests may change. */
     void removeFromOrders(FlowQueue flow) {
         if (flow.isOrdered) {
             flow.isOrdered = false;
             byExtraTag.remove(flow);
-            weightCounts.merge(flow.weight, -1, (some, less) -> some == 1 ? null : some + less);
+            weightCounts.merge(
+                    flow.weight, -1, (count, change) -> count == 1 ? null : count + change);
             removeFromReady(flow);
             removeFromBelowReservation(flow);
             removeFromParked(flow);
@@ -80,7 +83,7 @@
         }
     }
 
-    /** Adds a flow that has requests to the orders, by its current tags; it is to be checked. */
+    /** Adds a flow with requests to the orders by its current tags, and has it checked. */
     void addToOrders(FlowQueue flow) {
         if (!flow.requests.isEmpty()) {
             flow.isOrdered = true;
@@ -92,9 +95,9 @@
     }
 
     /**
-     * Updates the orders after the requests or the start tag of a flow changed: by its new finish
-     * tag, or out of every order where it is empty. What did not change keeps its place; the flow
-     * is to be checked in any case.
+     * Updates the orders after the requests or the start tag of a flow changed: moves the flow by
+     * its new finish tag, or removes it if it is empty. Unchanged positions are kept; the flow is
+     * checked again in any case.
      */
     void updateOrders(FlowQueue flow) {
         if (!flow.isOrdered || flow.requests.isEmpty()) {
@@ -113,13 +116,12 @@
         markForCheck(flow);
     }
 
-    /** The least weight among flows with queued requests. */
+    /** Returns the least weight among flows with queued requests. */
     double minimumWeight() {
         return weightCounts.firstKey();
     }
 
-    // A flow knows in which of these orders it is, so that it need not be looked up in the
-    // others.
+    // Each flow records which of these orders contain it, which saves lookups in the others.
 
     private void markForCheck(FlowQueue flow) {
         if (!flow.isReady) {
@@ -153,7 +155,7 @@
         }
     }
 
-    /** Has a flow with requests checked again, whatever was found before. */
+    /** Has a flow with requests checked again, whatever the last check found. */
     void unpark(FlowQueue flow) {
         if (flow.isOrdered) {
             removeFromParked(flow);
@@ -161,7 +163,7 @@
         }
     }
 
-    /** The weights and finish tags of flows with requests follow their plans. */
+    /** Updates the weights and finish tags of all flows with requests to their current plans. */
     void applyPlanWeights() {
         for (FlowQueue flow : List.copyOf(byExtraTag)) {
             removeFromOrders(flow);
@@ -171,7 +173,10 @@
         }
     }
 
-    /** Requests whose objective is before {@code time}, in the order of flows and inside them. */
+    /**
+     * Returns the requests whose objective is before {@code time}, by flow and in the order within
+     * it.
+     */
     List<PendingRequest> requestsDueBefore(double time) {
         List<PendingRequest> late = new ArrayList<>();
         for (PendingRequest request : byObjective) {
@@ -185,9 +190,9 @@
     }
 
     /**
-     * Not to be checked before {@code recheckAt}.
+     * Excludes a flow from checks until {@code recheckAt}.
      *
-     * @param ready whether the flow still has a request to send, if none below its reservation
+     * @param ready whether the flow has a request to send, though none below its reservation
      */
     void park(FlowQueue flow, boolean ready, long recheckAt) {
         removeFromBelowReservation(flow);
@@ -198,14 +203,14 @@
             return;
         }
         removeFromParked(flow);
-        if (recheckAt != IndexedTimerQueue.NEVER) { // otherwise only an event can bring it back
+        if (recheckAt != IndexedTimerQueue.NEVER) { // otherwise only an event can unpark it
             flow.parkedUntil = recheckAt;
             flow.isParked = true;
             parked.add(flow);
         }
     }
 
-    /** Has all flows checked that are due, or all flows where more changed. */
+    /** Has the flows checked that are due, or all flows if {@link #mustRecheckAll} is set. */
     void refresh(long now) {
         if (mustRecheckAll) {
             parked.forEach(flow -> flow.isParked = false);
@@ -219,14 +224,16 @@
     }
 
     /**
-     * The widest gap between extra tags of flows with requests, with one of them a step further.
+     * Returns the widest gap between extra tags of flows with requests if the tag of {@code flow}
+     * advances by {@code step}.
      */
-    double extraTagGap(FlowQueue one, double step) {
-        double own = one.extraTag + step;
-        FlowQueue low = byExtraTag.first() == one ? byExtraTag.higher(one) : byExtraTag.first();
-        FlowQueue high = byExtraTag.last() == one ? byExtraTag.lower(one) : byExtraTag.last();
-        return Math.max(own, high == null ? own : high.extraTag)
-                - Math.min(own, low == null ? own : low.extraTag);
+    double extraTagGap(FlowQueue flow, double step) {
+        double advancedTag = flow.extraTag + step;
+        FlowQueue lowest =
+                byExtraTag.first() == flow ? byExtraTag.higher(flow) : byExtraTag.first();
+        FlowQueue highest = byExtraTag.last() == flow ? byExtraTag.lower(flow) : byExtraTag.last();
+        return Math.max(advancedTag, highest == null ? advancedTag : highest.extraTag)
+                - Math.min(advancedTag, lowest == null ? advancedTag : lowest.extraTag);
     }
 
     void add(PendingRequest request, FlowQueue flow) {
@@ -235,7 +242,7 @@
         if (request.received.extent() != null && !request.requestClass.keyOrdered()) {
             byExtent.computeIfAbsent(
                             request.received.extent(),
-                            x -> new TreeSet<>(PendingRequest.WITHIN_SHARD))
+                            extent -> new TreeSet<>(PendingRequest.WITHIN_SHARD))
                     .add(request);
         }
         queuedCount++;
@@ -244,9 +251,9 @@
     void remove(PendingRequest request, FlowQueue flow) {
         flow.requests.remove(request);
         byObjective.remove(request);
-        TreeSet<PendingRequest> same =
+        TreeSet<PendingRequest> sameExtent =
                 request.received.extent() == null ? null : byExtent.get(request.received.extent());
-        if (same != null && same.remove(request) && same.isEmpty()) {
+        if (sameExtent != null && sameExtent.remove(request) && sameExtent.isEmpty()) {
             byExtent.remove(request.received.extent());
         }
         queuedCount--;
--- a/core/src/main/java/milletyoke/scheduler/SlidingWindowCounter.java
+++ b/core/src/main/java/milletyoke/scheduler/SlidingWindowCounter.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 
-/** Counts events inside a window that slides with time. */
+/** Counts events within a sliding time window. */
 final class SlidingWindowCounter {
     private final ArrayDeque<Long> times = new ArrayDeque<>();
 
@@ -11,7 +11,7 @@
         times.addLast(time);
     }
 
-    /** How many events came after {@code since}; earlier ones are dropped. */
+    /** Returns the number of events after {@code since}; drops earlier ones. */
     int countSince(long since) {
         while (!times.isEmpty() && times.peekFirst() <= since) {
             times.removeFirst();
--- a/core/src/main/java/milletyoke/scheduler/SlowStart.java
+++ b/core/src/main/java/milletyoke/scheduler/SlowStart.java
@@ -7,14 +7,16 @@
 import milletyoke.scheduler.api.SchedulerSettings.RuleLimits;
 
 /**
- * The slow start of targets that were just started: what this initiator may send to such a target
- * inside one overload window, so that all initiators together keep it under its bound.
+ * Limits what this initiator may send to a recently started target within one overload window, so
+ * that all initiators together stay below the bound of the target.
  */
 final class SlowStart {
-    /** Part of the bound that one initiator may send in a window by reports. */
+    /**
+     * Fraction of all initiators' budget that one initiator may send in a window by load reports.
+     */
     private static final double REPORTED_FRACTION = 0.25;
 
-    /** Between the seeds of two random sequences: the golden ratio, as in SplitMix64. */
+    /** Difference between the seeds of two random sequences: the golden ratio, as in SplitMix64. */
     private static final long SEQUENCE_STEP = 0x9E3779B97F4A7C15L;
 
     private final TargetTable targets;
@@ -46,14 +48,15 @@
                 && turn.now() < warmUpEndsAt(target);
     }
 
-    /** When a target's warm-up ends, or ended. */
+    /** Returns when the warm-up of a target ends, or when it ended. */
     long warmUpEndsAt(int target) {
         return targets.startedAt[target] + settings.limits().warmUpMicros();
     }
 
     /**
-     * The queue delay up to which a target that warms up takes more than its budget, where reports
-     * are credible: what all initiators sent was then served, within its capacity.
+     * Returns the queue delay up to which a target that warms up may receive more than its budget,
+     * given credible reports: with so short a delay, it served what all initiators sent, within its
+     * capacity.
      */
     double tolerableQueueDelayMicros() {
         RuleLimits limits = settings.limits();
@@ -63,8 +66,9 @@
     }
 
     /**
-     * Whether and why a request may be sent to a target that warms up. Just after the own start no
-     * budget holds: an earlier incarnation of this initiator may have sent all of it.
+     * Returns on what ground a request may be sent to a target that warms up. Within one overload
+     * window of this initiator's own start, a target that started earlier gets nothing: an earlier
+     * incarnation of the initiator may have spent the whole budget.
      */
     WarmUpAdmission admission(PendingRequest request, int target) {
         turn.recheckBy(warmUpEndsAt(target));
@@ -78,8 +82,9 @@
     }
 
     /**
-     * Whether a request fits into what this initiator may send where a report shows room: a part of
-     * all initiators' budgets, so that one that believes a wrong report does not fill the bound.
+     * Returns whether a request fits into what this initiator may send to a target that reports
+     * spare capacity: a fraction of all initiators' budgets, so that an initiator that relies on a
+     * wrong report does not exhaust the bound.
      */
     boolean fitsReportBudget(PendingRequest request, int target) {
         double sent = targets.warmUpUnits(target, turn.now());
@@ -89,7 +94,10 @@
         return sent == 0 || isReached(missing, REPORTED_FRACTION * budget.fleetUnitsPerSecond());
     }
 
-    /** Whether nothing is missing; else notes when growth at that rate could have filled it. */
+    /**
+     * Returns whether no units are missing; otherwise notes when growth at the given rate may have
+     * supplied them.
+     */
     private boolean isReached(double missingUnits, double unitsPerSecond) {
         if (missingUnits > 0) {
             turn.recheckBy(TokenBucket.filledAt(missingUnits, unitsPerSecond, turn.now()));
@@ -111,19 +119,20 @@
         ShardQueue shardQueue = request.shardQueue;
         turn.recheckBy(targets.nextWarmUpExpiry(target));
         double needed = targets.warmUpUnits(target, turn.now()) + request.received.units();
-        boolean fitsEvenPart =
+        boolean fitsEvenShare =
                 isReached(needed - budget.evenUnits(target), budget.evenUnitsPerSecond());
         boolean fitsHistory =
                 isReached(
                         needed - budget.historyUnits(shardQueue, target),
                         budget.historyUnitsPerSecond(shardQueue, target));
-        return fitsEvenPart || fitsHistory;
+        return fitsEvenShare || fitsHistory;
     }
 
     /**
-     * Among many initiators a budget may be too small for any request. Random draws then decide, so
-     * that all initiators together send what their budgets come to: at most one attempt of this
-     * initiator is in flight there or was sent within a window.
+     * Returns whether random draws admit a request. With many initiators, a budget may be too small
+     * for any request; the odds of the draws are such that all initiators together send the sum of
+     * their budgets. At most one attempt of this initiator is in flight at the target or was sent
+     * there within a window.
      */
     private boolean isDrawn(PendingRequest request, int target) {
         double units = request.received.units();
@@ -132,15 +141,15 @@
         if (!isTooSmall || targets.warmUpUnits(target, turn.now()) > 0) {
             return false;
         }
-        return isDrawnByEvenPart(request, target)
+        return isDrawnByEvenShare(request, target)
                 || (history > 0 && isDrawnByHistory(request, target));
     }
 
     /**
-     * One draw a window, whatever is requested. All initiators together send {@link
-     * WarmUpBudget#BOUND_FRACTION} of the bound in the mean.
+     * Makes one draw per window, however much is requested. On average, all initiators together
+     * send {@link WarmUpBudget#BOUND_FRACTION} of the bound.
      */
-    private boolean isDrawnByEvenPart(PendingRequest request, int target) {
+    private boolean isDrawnByEvenShare(PendingRequest request, int target) {
         ShardQueue shardQueue = request.shardQueue;
         long window = budget.drawWindow(shardQueue, turn.now());
         long windowMicros = settings.limits().overloadWindowMicros();
@@ -153,8 +162,8 @@
     }
 
     /**
-     * One draw a request and window: that part of what is requested which history allows beyond the
-     * even part.
+     * Makes one draw per request and window, which admits the fraction of the requested units that
+     * the history allows beyond the even share.
      */
     private boolean isDrawnByHistory(PendingRequest request, int target) {
         ShardQueue shardQueue = request.shardQueue;
@@ -169,13 +178,19 @@
         return isReached(missing, budget.historyUnitsPerSecond(shardQueue, target));
     }
 
-    /** Each sequence of draws is its own, so that none depends on the order of checks. */
+    /**
+     * Returns a random number that depends only on its sequence and number, not on the order of
+     * checks.
+     */
     private double draw(long sequence, long number) {
         long seed = settings.seed() + SEQUENCE_STEP * (sequence + 1) ^ number;
         return new SplittableRandom(seed).nextDouble();
     }
 
-    /** An attempt leaves for a target that warms up; its report is used up with that. */
+    /**
+     * Records an attempt sent to a target that warms up; the load report of the target ends with
+     * it.
+     */
     void recordSend(PendingRequest request, int target, WarmUpAdmission admission) {
         sendCounts.merge(admission, 1L, Long::sum);
         request.warmUpSend = new WarmUpSend(request.received.units());
@@ -184,12 +199,15 @@
         dispatchQueue.invalidate(dispatchQueue.shardQueue(targets.shardOf[target]));
     }
 
-    /** How many attempts were sent to targets that warmed up, by why they were admitted. */
+    /** Returns how many attempts were sent to targets that warmed up, by ground of admission. */
     Map<WarmUpAdmission, Long> sendCounts() {
         return sendCounts;
     }
 
-    /** The attempt in flight ended; one that provably never ran did not reach the target. */
+    /**
+     * Records the end of the attempt in flight; one that provably never ran did not reach the
+     * target.
+     */
     void recordEnd(PendingRequest request, int target, Outcome outcome) {
         WarmUpSend send = request.warmUpSend;
         request.warmUpSend = null;
@@ -202,7 +220,7 @@
         } else if (outcome == Outcome.SUCCEEDED && !isWarmingUp(target)) {
             budget.recordServed(request);
             if (request.shardQueue.target != target) {
-                dispatchQueue.invalidate(request.shardQueue); // its new target may get more
+                dispatchQueue.invalidate(request.shardQueue); // its new target may get more now
             }
         }
     }
--- a/core/src/main/java/milletyoke/scheduler/TargetHealth.java
+++ b/core/src/main/java/milletyoke/scheduler/TargetHealth.java
@@ -6,8 +6,8 @@
 import milletyoke.scheduler.api.SchedulerSettings.Idempotency;
 
 /**
- * Unresponsive targets and their half-open trials, as in a circuit breaker, and attempts that are
- * presumed lost.
+ * Detects unresponsive targets and readmits them by half-open trials, as a circuit breaker does;
+ * also detects attempts that are presumed lost.
  */
 final class TargetHealth {
     private final TargetTable targets;
@@ -33,31 +33,34 @@
     }
 
     /**
-     * Sets when this target is to be checked next: no later than it can be found unresponsive, or
-     * an attempt at it lost.
+     * Schedules the next check of a target, no later than it can be found unresponsive or an
+     * attempt there can be presumed lost.
      */
     void scheduleCheck(int target) {
-        long recoveredAt = turn.recoveredAt();
+        long lastStallEndedAt = turn.lastStallEndedAt();
         long unresponsiveAt =
-                Math.max(recoveredAt, targets.lastAnswerAt[target])
-                        + (long) patienceMicros(target)
+                Math.max(lastStallEndedAt, targets.lastResponseAt[target])
+                        + (long) unresponsiveAfterMicros(target)
                         + 1;
         long due = targets.inFlight[target] > 0 ? unresponsiveAt : IndexedTimerQueue.NEVER;
         due = targets.nextTrialAt[target] > 0 ? targets.nextTrialAt[target] : due;
         for (PendingRequest request : targets.inFlightRequests.get(target)) {
-            if (targets.newestAnsweredSentAt[target] > request.sentAt) {
-                double longest =
+            if (targets.newestRespondedSentAt[target] > request.sentAt) {
+                double overdueMicros =
                         tuning.patienceFactor()
                                 * targets.latencyMicros[target]
                                 * Math.max(
                                         1, request.received.units() / estimates.meanUnitsBound());
-                due = Math.min(due, Math.max(recoveredAt, request.sentAt) + (long) longest);
+                due =
+                        Math.min(
+                                due,
+                                Math.max(lastStallEndedAt, request.sentAt) + (long) overdueMicros);
             }
         }
         targets.checkTimes.set(target, due);
     }
 
-    /** All targets are to be checked in this turn. */
+    /** Schedules a check of all targets for this turn. */
     void scheduleAllChecks() {
         targets.checkTimes.setAll(targets.count, turn.now());
     }
@@ -78,21 +81,25 @@
     }
 
     /**
-     * A target with attempts in flight that answered none for far longer than of late gets trials,
-     * at growing intervals.
+     * Marks a target unresponsive if it has attempts in flight and has not responded for several
+     * times its recent latency. Starts the due trials of an unresponsive target, at growing
+     * intervals.
      */
     private void checkResponsive(int target) {
         long now = turn.now();
-        long quietMicros =
+        long silentMicros =
                 Math.max(
-                        now - Math.max(turn.recoveredAt(), targets.lastAnswerAt[target]),
+                        now - Math.max(turn.lastStallEndedAt(), targets.lastResponseAt[target]),
                         settings.shortestObjectiveMicros() / 2);
         boolean isResponsive = targets.nextTrialAt[target] == 0;
-        if (isResponsive && targets.inFlight[target] > 0 && quietMicros > patienceMicros(target)) {
+        if (isResponsive
+                && targets.inFlight[target] > 0
+                && silentMicros > unresponsiveAfterMicros(target)) {
             markUnresponsive(target);
         } else if (!isResponsive && now >= targets.nextTrialAt[target]) {
-            long longest = tuning.maxBackoffObjectives() * settings.shortestObjectiveMicros();
-            targets.nextTrialAt[target] = now + Math.min(quietMicros, longest);
+            long maxIntervalMicros =
+                    tuning.maxBackoffObjectives() * settings.shortestObjectiveMicros();
+            targets.nextTrialAt[target] = now + Math.min(silentMicros, maxIntervalMicros);
             startTrial(target);
         }
     }
@@ -106,30 +113,30 @@
         }
     }
 
-    private double patienceMicros(int target) {
+    private double unresponsiveAfterMicros(int target) {
         double lastLatency = (double) targets.lastLatencyMicros[target];
         double latency = Math.max(targets.latencyMicros[target], lastLatency);
-        long least = settings.shortestObjectiveMicros() / 2;
-        return Math.max((double) least, tuning.patienceFactor() * latency);
+        long minMicros = settings.shortestObjectiveMicros() / 2;
+        return Math.max((double) minMicros, tuning.patienceFactor() * latency);
     }
 
     /**
-     * An attempt that later ones overtook long ago is presumed lost. Guards the concurrency limit
-     * against attempts that vanish one by one. Could harm where a target serves in no order; so a
-     * non-idempotent request is not cancelled.
+     * Presumes an attempt lost if one sent after it got a response and its own is long overdue.
+     * Guards the concurrency limit against attempts that vanish one by one. Does harm where a
+     * target serves out of order; therefore a non-idempotent request is not cancelled.
      */
     private void checkLost(PendingRequest request) {
         int target = request.inFlightTarget;
         boolean isOvertaken =
                 target >= 0
                         && !request.presumedLost
-                        && targets.newestAnsweredSentAt[target] > request.sentAt;
+                        && targets.newestRespondedSentAt[target] > request.sentAt;
         if (!isOvertaken) {
             return;
         }
-        double size = Math.max(1, request.received.units() / estimates.meanUnits());
-        long waitedMicros = turn.now() - Math.max(turn.recoveredAt(), request.sentAt);
-        if (waitedMicros > tuning.patienceFactor() * targets.latencyMicros[target] * size) {
+        double sizeFactor = Math.max(1, request.received.units() / estimates.meanUnits());
+        long waitedMicros = turn.now() - Math.max(turn.lastStallEndedAt(), request.sentAt);
+        if (waitedMicros > tuning.patienceFactor() * targets.latencyMicros[target] * sizeFactor) {
             presumeLost(request, target);
         }
     }
@@ -144,7 +151,7 @@
         }
     }
 
-    /** The latest attempt of a request no longer counts against its target's limit. */
+    /** Stops counting the latest attempt of a request against its target's concurrency limit. */
     void releaseSlot(PendingRequest request, int target) {
         if (!request.presumedLost && request.inFlightIncarnation == targets.incarnation[target]) {
             targets.inFlight[target]--;
@@ -152,15 +159,16 @@
         dispatchQueue.markForService(dispatchQueue.shardQueue(targets.shardOf[target]));
     }
 
-    /** Any answer shows that the target is responsive. */
-    void recordAnswer(int target) {
-        targets.lastAnswerAt[target] = turn.now();
+    /** Records a response; whatever it is, it shows that the target is responsive. */
+    void recordResponse(int target) {
+        targets.lastResponseAt[target] = turn.now();
         targets.nextTrialAt[target] = 0;
     }
 
     /**
-     * Guards against a target that hangs, pauses long, is down or cannot be reached, whatever the
-     * endpoint list says; any answer ends it. Could harm where single connections fail by chance.
+     * Marks a target unresponsive until it responds. Guards against a target that hangs, pauses for
+     * long, is down or cannot be reached, whatever the endpoint list says. Does harm where single
+     * connections fail by chance.
      */
     void markUnresponsive(int target) {
         if (targets.nextTrialAt[target] == 0) {
--- a/core/src/main/java/milletyoke/scheduler/TargetTable.java
+++ b/core/src/main/java/milletyoke/scheduler/TargetTable.java
@@ -7,7 +7,7 @@
 import milletyoke.scheduler.api.Event;
 
 /**
- * The figures of targets, in parallel arrays under a dense index that a target keeps until it is
+ * State of all targets in parallel arrays, by a dense index that a target keeps until it is
  * evicted. Times are microseconds.
  */
 final class TargetTable {
@@ -18,69 +18,66 @@
     boolean[] usable = {};
     long[] startedAt = {};
 
-    /** Attempts in flight; those of an earlier incarnation, or presumed lost, are not counted. */
+    /** Number of attempts in flight, except those of an earlier incarnation or presumed lost. */
     int[] inFlight = {};
 
     int[] incarnation = {};
     double[] concurrencyLimit = {};
 
-    /** The smoothed latency of answers. */
+    /** Smoothed latency of responses. */
     double[] latencyMicros = {};
 
-    /** The latency of the latest answer. */
+    /** Latency of the latest response. */
     long[] lastLatencyMicros = {};
 
-    long[] lastAnswerAt = {};
+    long[] lastResponseAt = {};
 
-    /**
-     * When the newest answered attempt was sent; below, when the concurrency limit was last
-     * reduced.
-     */
-    long[] newestAnsweredSentAt = {};
+    /** Latest send time among the attempts that succeeded. */
+    long[] newestRespondedSentAt = {};
 
+    /** When the concurrency limit was last reduced. */
     long[] limitReducedAt = {};
 
-    /**
-     * When an unresponsive target has its next half-open trial, 0 for a responsive one; below,
-     * whether one attempt may try now.
-     */
+    /** Next half-open trial of an unresponsive target, 0 for a responsive one. */
     long[] nextTrialAt = {};
 
+    /** Whether one trial attempt may be sent now. */
     boolean[] trialAllowed = {};
 
-    /** When a probe was sent that has no answer yet, 0 for none. */
+    /** When the unanswered probe was sent, 0 for none. */
     long[] probeSentAt = {};
 
-    /**
-     * The queue delay reported; below, until when that holds, the random threshold for joining, and
-     * the current backoff.
-     */
+    /** Latest reported queue delay. */
     double[] queueDelayMicros = {};
 
     long[] reportValidUntil = {};
     boolean[] isReportOfProbe = {};
+
+    /** Random threshold for joining the reported queue. */
     double[] joinThreshold = {};
+
     long[] backoffMicros = {};
     final List<ArrayDeque<WarmUpSend>> warmUpSends = new ArrayList<>();
 
-    /** When it was last found usable or needed, 0 before the first check. */
+    /** When the target was last found usable or needed, 0 before the first check. */
     long[] lastUsableAt = {};
 
-    /** Indexes whose target was evicted. */
+    /** Indexes of evicted targets, to be reused. */
     private final ArrayDeque<Integer> freeIndexes = new ArrayDeque<>();
 
-    /** Requests whose attempt is in flight and not presumed lost, in the order of sending. */
+    /** Requests with an attempt in flight that is not presumed lost, in order of sending. */
     final List<ArrayList<PendingRequest>> inFlightRequests = new ArrayList<>();
 
     /**
-     * When a target is to be checked next: no later than it can be unresponsive or an attempt lost.
+     * When to check each target next: no later than it can be found unresponsive or an attempt
+     * lost.
      */
     final IndexedTimerQueue checkTimes = new IndexedTimerQueue();
 
-    int add(String name) {
+    int add(String targetId) {
         if (!freeIndexes.isEmpty()) {
             int reused = freeIndexes.poll();
-            id[reused] = name;
+            id[reused] = targetId;
             return reused;
         }
         int index = count++;
@@ -89,36 +86,36 @@
         }
         warmUpSends.add(new ArrayDeque<>());
         inFlightRequests.add(new ArrayList<>());
-        id[index] = name;
+        id[index] = targetId;
         return index;
     }
 
-    private void grow(int count) {
-        lastUsableAt = Arrays.copyOf(lastUsableAt, count);
-        id = Arrays.copyOf(id, count);
-        zone = Arrays.copyOf(zone, count);
-        shardOf = Arrays.copyOf(shardOf, count);
-        usable = Arrays.copyOf(usable, count);
-        startedAt = Arrays.copyOf(startedAt, count);
-        inFlight = Arrays.copyOf(inFlight, count);
-        incarnation = Arrays.copyOf(incarnation, count);
-        concurrencyLimit = Arrays.copyOf(concurrencyLimit, count);
-        latencyMicros = Arrays.copyOf(latencyMicros, count);
-        lastLatencyMicros = Arrays.copyOf(lastLatencyMicros, count);
-        lastAnswerAt = Arrays.copyOf(lastAnswerAt, count);
-        newestAnsweredSentAt = Arrays.copyOf(newestAnsweredSentAt, count);
-        limitReducedAt = Arrays.copyOf(limitReducedAt, count);
-        nextTrialAt = Arrays.copyOf(nextTrialAt, count);
-        trialAllowed = Arrays.copyOf(trialAllowed, count);
-        probeSentAt = Arrays.copyOf(probeSentAt, count);
-        queueDelayMicros = Arrays.copyOf(queueDelayMicros, count);
-        reportValidUntil = Arrays.copyOf(reportValidUntil, count);
-        isReportOfProbe = Arrays.copyOf(isReportOfProbe, count);
-        backoffMicros = Arrays.copyOf(backoffMicros, count);
-        joinThreshold = Arrays.copyOf(joinThreshold, count);
+    private void grow(int capacity) {
+        lastUsableAt = Arrays.copyOf(lastUsableAt, capacity);
+        id = Arrays.copyOf(id, capacity);
+        zone = Arrays.copyOf(zone, capacity);
+        shardOf = Arrays.copyOf(shardOf, capacity);
+        usable = Arrays.copyOf(usable, capacity);
+        startedAt = Arrays.copyOf(startedAt, capacity);
+        inFlight = Arrays.copyOf(inFlight, capacity);
+        incarnation = Arrays.copyOf(incarnation, capacity);
+        concurrencyLimit = Arrays.copyOf(concurrencyLimit, capacity);
+        latencyMicros = Arrays.copyOf(latencyMicros, capacity);
+        lastLatencyMicros = Arrays.copyOf(lastLatencyMicros, capacity);
+        lastResponseAt = Arrays.copyOf(lastResponseAt, capacity);
+        newestRespondedSentAt = Arrays.copyOf(newestRespondedSentAt, capacity);
+        limitReducedAt = Arrays.copyOf(limitReducedAt, capacity);
+        nextTrialAt = Arrays.copyOf(nextTrialAt, capacity);
+        trialAllowed = Arrays.copyOf(trialAllowed, capacity);
+        probeSentAt = Arrays.copyOf(probeSentAt, capacity);
+        queueDelayMicros = Arrays.copyOf(queueDelayMicros, capacity);
+        reportValidUntil = Arrays.copyOf(reportValidUntil, capacity);
+        isReportOfProbe = Arrays.copyOf(isReportOfProbe, capacity);
+        backoffMicros = Arrays.copyOf(backoffMicros, capacity);
+        joinThreshold = Arrays.copyOf(joinThreshold, capacity);
     }
 
-    /** Evicts a target: its index is as if never used, and may be reused. */
+    /** Evicts a target: resets the state at its index, which may then be reused. */
     void remove(int index) {
         id[index] = null;
         zone[index] = null;
@@ -130,8 +127,8 @@
         concurrencyLimit[index] = 0;
         latencyMicros[index] = 0;
         lastLatencyMicros[index] = 0;
-        lastAnswerAt[index] = 0;
-        newestAnsweredSentAt[index] = 0;
+        lastResponseAt[index] = 0;
+        newestRespondedSentAt[index] = 0;
         limitReducedAt[index] = 0;
         nextTrialAt[index] = 0;
         trialAllowed[index] = false;
@@ -153,9 +150,9 @@
         shardOf[index] = target.shard();
     }
 
-    /** A new incarnation of the target: nothing is known of it, and nothing in flight. */
-    void beginIncarnation(int index, double firstWindow) {
-        concurrencyLimit[index] = firstWindow;
+    /** Begins a new incarnation of a target, without latencies, reports or attempts in flight. */
+    void beginIncarnation(int index, double initialLimit) {
+        concurrencyLimit[index] = initialLimit;
         inFlight[index] = 0;
         incarnation[index]++;
         latencyMicros[index] = 0;
@@ -163,7 +160,9 @@
         reportValidUntil[index] = 0;
     }
 
-    /** Units sent while warming up that still count; the others are dropped. */
+    /**
+     * Returns the units sent during warm-up that still count against the budget; drops the others.
+     */
     double warmUpUnits(int index, long now) {
         double units = 0;
         warmUpSends.get(index).removeIf(send -> send.countedUntil <= now);
@@ -173,7 +172,10 @@
         return units;
     }
 
-    /** When the first of those stops counting; far in the future where none does. */
+    /**
+     * Returns when the first of those units stops counting, {@link IndexedTimerQueue#NEVER} for
+     * none.
+     */
     long nextWarmUpExpiry(int index) {
         long first = IndexedTimerQueue.NEVER;
         for (WarmUpSend send : warmUpSends.get(index)) {
--- a/core/src/main/java/milletyoke/scheduler/TokenBucket.java
+++ b/core/src/main/java/milletyoke/scheduler/TokenBucket.java
@@ -2,39 +2,40 @@
 
 import milletyoke.scheduler.api.Event;
 
-/** A token bucket: units that fill up at a rate, as they stood at a time. */
+/** A token bucket that fills at a constant rate. Its contents are as of {@link #updatedAt}. */
 final class TokenBucket {
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** Longer times count as this one, which keeps sums of times in range. */
+    /** Upper limit of a computed time to fill, which keeps sums of times in range. */
     private static final double LONGEST_FILL_MICROS = 1e15;
 
     double units;
     long updatedAt;
 
-    /** The plan that fills it, and among how many initiators; null until it is first used. */
+    /** Plan by whose rate the bucket fills; null before its first use. */
     String plan;
 
+    /** Number of initiators that share that rate. */
     double initiatorCount;
 
-    /** A bucket that starts empty. */
-    TokenBucket(String plan, long at) {
+    /** Creates an empty bucket. */
+    TokenBucket(String plan, long createdAt) {
         this.plan = plan;
-        this.updatedAt = at;
+        this.updatedAt = createdAt;
         initiatorCount = 1;
     }
 
-    /** One initiator's part of the bucket that a volume not seen before has under a plan. */
-    TokenBucket(TokenBucket unseen, String plan, double hosts) {
+    /** Creates one initiator's part of the bucket that an unseen volume has under a plan. */
+    TokenBucket(TokenBucket unseen, String plan, double initiatorCount) {
         this.plan = plan;
-        this.initiatorCount = hosts;
-        units = unseen.units / hosts;
+        this.initiatorCount = initiatorCount;
+        units = unseen.units / initiatorCount;
         updatedAt = unseen.updatedAt;
     }
 
-    /** A bucket that was never used, filled by the same plan. */
-    TokenBucket(TokenBucket like) {
-        this(like.plan, 0);
+    /** Creates an unused bucket with the same plan. */
+    TokenBucket(TokenBucket template) {
+        this(template.plan, 0);
     }
 
     void set(double level, long time) {
@@ -42,22 +43,23 @@
         updatedAt = time;
     }
 
-    void usePlanOf(Event.RequestReceived access) {
-        plan = access.plan();
-        initiatorCount = Math.max(1, access.initiatorCount());
+    void usePlanOf(Event.RequestReceived received) {
+        plan = received.plan();
+        initiatorCount = Math.max(1, received.initiatorCount());
     }
 
-    boolean isPlanOf(Event.RequestReceived access) {
-        return access.plan().equals(plan) && initiatorCount == Math.max(1, access.initiatorCount());
+    boolean isPlanOf(Event.RequestReceived received) {
+        return received.plan().equals(plan)
+                && initiatorCount == Math.max(1, received.initiatorCount());
     }
 
     /**
-     * What a bucket contains at {@code now}, microseconds. It is filled by time alone, from the
-     * start of this scheduler at the earliest; reading it changes nothing.
+     * Returns what a bucket contains at {@code now}, microseconds. Time alone fills it, from the
+     * start of this scheduler at the earliest; the call changes nothing.
      *
-     * @param bucket null for one that was never used
-     * @param rate units a second
-     * @param depth most units it can contain
+     * @param bucket null for a bucket that was never used
+     * @param rate units per second
+     * @param depth maximum number of units
      */
     static double unitsAt(long now, TokenBucket bucket, long startedAt, double rate, double depth) {
         double units = bucket == null ? 0 : bucket.units;
@@ -65,7 +67,7 @@
         return Math.min(depth, units + rate * (now - filledSince) / MICROS_PER_SECOND);
     }
 
-    /** When units that are missing now will be there at the earliest, microseconds. */
+    /** Returns the earliest time at which the missing units may be available, microseconds. */
     static long filledAt(double missing, double rate, long now) {
         if (rate <= 0) {
             return IndexedTimerQueue.NEVER;
--- a/core/src/main/java/milletyoke/scheduler/Turn.java
+++ b/core/src/main/java/milletyoke/scheduler/Turn.java
@@ -4,20 +4,20 @@
 import java.util.List;
 import milletyoke.scheduler.api.Action;
 
-/** One call of the scheduler: its time, its actions so far, and when to check again. */
+/** One call of the scheduler: its time, its actions so far, and when to check conditions again. */
 final class Turn {
     private long now;
     private List<Action> actions;
     private long recheckAt;
-    private long recoveredAt;
+    private long lastStallEndedAt;
 
-    /** Starts a turn at {@code time} with no actions. */
+    /** Starts a turn at {@code time} without actions. */
     void begin(long time) {
         now = time;
         actions = new ArrayList<>();
     }
 
-    /** The turn's time, microseconds. */
+    /** Returns the time of the turn, microseconds. */
     long now() {
         return now;
     }
@@ -30,31 +30,31 @@
         return actions;
     }
 
-    /** Notes that the process stalled until now. */
-    void recover() {
-        recoveredAt = now;
+    /** Records that the process was stalled until now. */
+    void recordStall() {
+        lastStallEndedAt = now;
     }
 
     /**
-     * When a turn last came far later than was asked for. Guards against stalls of this process for
-     * any cause: what arrived meanwhile says nothing of a target's latency or health. Could harm
-     * where all turns are late: nothing adapts.
+     * Returns the time of the last turn that came far later than requested. After a stall of this
+     * process, whatever its cause, responses say nothing about the latency or health of a target,
+     * so they are not used as measurements. Does harm where all turns are late: nothing adapts.
      */
-    long recoveredAt() {
-        return recoveredAt;
+    long lastStallEndedAt() {
+        return lastStallEndedAt;
     }
 
-    /** Starts to collect the time at which conditions checked from now on may change. */
+    /** Starts collecting the earliest time at which conditions checked from now on may change. */
     void resetRecheck() {
         recheckAt = IndexedTimerQueue.NEVER;
     }
 
-    /** A condition that was just checked may change at {@code time}, by time alone. */
+    /** Notes that a condition just checked may change at {@code time} without an event. */
     void recheckBy(long time) {
         recheckAt = Math.min(recheckAt, time);
     }
 
-    /** The earliest time at which a condition checked since the last reset may change. */
+    /** Returns the earliest time noted since the last reset. */
     long recheckAt() {
         return recheckAt;
     }
--- a/core/src/main/java/milletyoke/scheduler/VolumeState.java
+++ b/core/src/main/java/milletyoke/scheduler/VolumeState.java
@@ -3,23 +3,27 @@
 import java.util.TreeSet;
 import milletyoke.scheduler.api.Event;
 
-/** What is kept of one volume over all shards. */
+/** State of one volume over all shards. */
 final class VolumeState extends EvictionCandidate {
-    /** Requests pending; below, flows at shards, which must be evicted before the volume. */
+    /** Number of pending requests. */
     int pendingCount;
 
+    /** Number of flows at shards, which must be evicted before the volume. */
     int flowCount;
+
     final String name;
 
-    /** Token buckets, null before they are first used. */
+    /** Token buckets, null before their first use. */
     TokenBucket limitBucket;
 
     TokenBucket reservationBucket;
 
-    /** The plan of the latest request, and through how many initiators it was sent. */
+    /** Plan of the latest request. */
     private String plan;
 
+    /** Number of initiators through which the volume sends, as of the latest request. */
     private int initiatorCount;
+
     boolean hasMixedPlans;
 
     /** Flows with queued requests, in the order of creation. */
@@ -29,19 +33,19 @@
         this.name = name;
     }
 
-    TokenBucket reservationBucketFor(Event.RequestReceived access) {
+    TokenBucket reservationBucketFor(Event.RequestReceived received) {
         if (reservationBucket == null) {
-            reservationBucket = new TokenBucket(access.plan(), 0);
+            reservationBucket = new TokenBucket(received.plan(), 0);
         }
         return reservationBucket;
     }
 
-    void recordPlan(Event.RequestReceived access) {
+    void recordPlan(Event.RequestReceived received) {
         hasMixedPlans |=
                 plan != null
-                        && (!plan.equals(access.plan())
-                                || initiatorCount != access.initiatorCount());
-        plan = access.plan();
-        initiatorCount = access.initiatorCount();
+                        && (!plan.equals(received.plan())
+                                || initiatorCount != received.initiatorCount());
+        plan = received.plan();
+        initiatorCount = received.initiatorCount();
     }
 }
--- a/core/src/main/java/milletyoke/scheduler/WakeUpTimer.java
+++ b/core/src/main/java/milletyoke/scheduler/WakeUpTimer.java
@@ -2,7 +2,7 @@
 
 import milletyoke.scheduler.api.Action;
 
-/** The wake-up asked of the host, and the detection of stalls by how late it comes. */
+/** Requests wake-ups from the caller, and detects stalls by how late they come. */
 final class WakeUpTimer {
     private final Turn turn;
     private final ActiveSettings settings;
@@ -15,22 +15,22 @@
         this.tuning = tuning;
     }
 
-    /** To be called once a turn, before its events. */
+    /** Must be called once per turn, before its events are handled. */
     void beginTurn() {
         long now = turn.now();
         if (now - wakeAt > tuning.lateFraction() * settings.shortestObjectiveMicros()) {
-            turn.recover();
+            turn.recordStall();
         }
         if (now >= wakeAt) {
             wakeAt = Long.MAX_VALUE;
         }
     }
 
-    /** Asks for a wake-up where none is set that comes early enough. */
+    /** Requests a wake-up unless one is set that comes early enough. */
     void schedule(long watchAt, boolean hasPending, boolean hasQueued) {
-        long wanted = Math.min(watchAt, nextCheckAt(hasPending, hasQueued));
-        if (wanted < wakeAt) {
-            wakeAt = wanted;
+        long neededAt = Math.min(watchAt, nextCheckAt(hasPending, hasQueued));
+        if (neededAt < wakeAt) {
+            wakeAt = neededAt;
             turn.add(new Action.ScheduleWakeUp(Math.max(1, wakeAt - turn.now())));
         }
     }
--- a/core/src/main/java/milletyoke/scheduler/WarmUpAdmission.java
+++ b/core/src/main/java/milletyoke/scheduler/WarmUpAdmission.java
@@ -1,13 +1,13 @@
 package milletyoke.scheduler;
 
-/** Why a request may be sent to a target that warms up. */
+/** The ground on which a request may be sent to a target that warms up. */
 enum WarmUpAdmission {
-    /** It may not. */
+    /** The request may not be sent. */
     NONE,
-    /** It fits into this initiator's budget for one overload window. */
+    /** The request fits into this initiator's budget for one overload window. */
     BUDGET,
-    /** A random draw in place of a budget that is too small for any request. */
+    /** A random draw, made because the budget is too small for any request. */
     DRAW,
-    /** A credible report says that hardly anything is queued there. */
+    /** A credible load report shows hardly any queue at the target. */
     REPORT
 }
--- a/core/src/main/java/milletyoke/scheduler/WarmUpBudget.java
+++ b/core/src/main/java/milletyoke/scheduler/WarmUpBudget.java
@@ -3,24 +3,28 @@
 import milletyoke.scheduler.api.SchedulerSettings.RuleLimits;
 
 /**
- * How many units this initiator may send to a target that warms up in one overload window. There
- * are two bases, and neither is what a target reports of itself:
+ * Computes how many units this initiator may send in one overload window to a target that warms up.
+ * The budget has two bases, and neither relies on what a target reports about itself:
  *
  * <ul>
- *   <li>the even part: of what the settings say that any such target bears from all initiators;
- *   <li>the history: what this initiator's shard was served by its warm target of late, times the
- *       part of its capacity that the new target surely has, times a part of the overload factor.
- *       All initiators' histories together are at most the capacity of the warm target, so these
- *       budgets come to at most that part of the bound.
+ *   <li>the even share: this initiator's part of what, according to the settings, such a target can
+ *       take from all initiators;
+ *   <li>the history: the units that warm targets recently served of this initiator's requests to
+ *       the shard, times the fraction of its capacity that the new target has for certain, times a
+ *       fraction of the overload factor. The histories of all initiators together are at most the
+ *       capacity of the warm target, so these budgets add up to at most that fraction of the bound.
  * </ul>
  */
 final class WarmUpBudget {
-    /** Over which history is kept, in overload windows: some times the spacing of rare requests. */
+    /**
+     * Time constant of the history in overload windows: several times the interval of rare
+     * requests.
+     */
     private static final int HISTORY_WINDOWS = 8;
 
     /**
-     * Part of the bound N that draws by even parts, or histories, come to in the mean: it leaves
-     * four standard deviations to N + 2 sqrt(N) + 2, whatever N is.
+     * Fraction of the bound N that draws by even shares, or by histories, add up to on average. It
+     * leaves four standard deviations to N + 2 sqrt(N) + 2 for any N.
      */
     static final double BOUND_FRACTION = 0.7;
 
@@ -37,49 +41,51 @@
     }
 
     /**
-     * What all initiators together may send, by the settings, units a window. It grows as the
-     * target warms up, which is never slower than evenly.
+     * Returns what all initiators together may send by the settings, in units per window. The value
+     * grows with the capacity of the target, which never warms up slower than linearly.
      */
     double fleetUnits(int target) {
         RuleLimits limits = settings.limits();
-        double grown =
+        double growthFactor =
                 limits.initialFraction() > 0
                         ? capacityFraction(target) / limits.initialFraction()
                         : 1;
-        return limits.warmUpBudgetUnits() * grown;
+        return limits.warmUpBudgetUnits() * growthFactor;
     }
 
-    /** This initiator's even part of that. */
+    /** Returns the even share of this initiator in {@link #fleetUnits}, in units per window. */
     double evenUnits(int target) {
         return fleetUnits(target) / Math.max(1, settings.initiatorCount());
     }
 
-    /** By how much a second the budget of all initiators grows while a target warms up. */
+    /** Returns the growth per second of all initiators' budget while a target warms up. */
     double fleetUnitsPerSecond() {
-        double share = settings.limits().initialFraction();
-        return share > 0
-                ? settings.limits().warmUpBudgetUnits() / share * capacityGrowthPerSecond()
+        double initialFraction = settings.limits().initialFraction();
+        return initialFraction > 0
+                ? settings.limits().warmUpBudgetUnits()
+                        / initialFraction
+                        * capacityGrowthPerSecond()
                 : 0;
     }
 
-    /** By how much a second this initiator's even part grows. */
+    /** Returns the growth per second of this initiator's even share. */
     double evenUnitsPerSecond() {
         return fleetUnitsPerSecond() / Math.max(1, settings.initiatorCount());
     }
 
-    /** The budget by history, units a window. */
+    /** Returns the budget by history, in units per window. */
     double historyUnits(ShardQueue shardQueue, int target) {
         return servedUnits(shardQueue, target) * capacityFraction(target);
     }
 
-    /** By how much a second the budget by history grows. */
+    /** Returns the growth per second of the budget by history. */
     double historyUnitsPerSecond(ShardQueue shardQueue, int target) {
         return servedUnits(shardQueue, target) * capacityGrowthPerSecond();
     }
 
     /**
-     * What the shard would get at full capacity, units a window: a part of the overload factor
-     * times what its warm targets served until this one started.
+     * Returns what the shard would get at full capacity, in units per window: a fraction of the
+     * overload factor times what its warm targets served until the given target started.
      */
     private double servedUnits(ShardQueue shardQueue, int target) {
         DecayingSum served = shardQueue.servedUnits;
@@ -94,8 +100,8 @@
     }
 
     /**
-     * What was requested of the shard until then, units a window; what was requested since is
-     * counted with it.
+     * Returns the units per window that were requested of the shard up to the given time. Units
+     * requested since then are counted in full.
      */
     double requestedUnits(ShardQueue shardQueue, long time) {
         double windowMicros = (double) settings.limits().overloadWindowMicros();
@@ -104,7 +110,7 @@
         return shardQueue.requestedUnits.at(time) / weight;
     }
 
-    /** A request is admitted. */
+    /** Records the admission of a request. */
     void recordRequested(PendingRequest request) {
         if (settings.limits().overloadWindowMicros() > 0) {
             ShardQueue shardQueue = request.shardQueue;
@@ -121,16 +127,17 @@
     }
 
     /**
-     * The number of the window for which a draw by the even part holds. Windows follow each other
-     * while requests come; after a window without any they begin anew with the next request, so
-     * that each initiator draws once a window, also where all begin to ask at one moment.
+     * Returns the number of the window for which a draw by the even share holds. Windows follow
+     * each other while requests arrive. After a window without requests they restart with the next
+     * request, so that each initiator draws once per window even if all initiators start to send at
+     * the same moment.
      */
     long drawWindow(ShardQueue shardQueue, long time) {
         return Math.floorDiv(
                 time - shardQueue.drawsSince, settings.limits().overloadWindowMicros());
     }
 
-    /** A warm target has served the request. */
+    /** Records a request that a warm target served. */
     void recordServed(PendingRequest request) {
         if (settings.limits().overloadWindowMicros() > 0) {
             ShardQueue shardQueue = request.shardQueue;
@@ -145,14 +152,17 @@
         return new DecayingSum((double) HISTORY_WINDOWS * settings.limits().overloadWindowMicros());
     }
 
-    /** The part of its full capacity that a target surely had at the start of the window. */
+    /**
+     * Returns the fraction of its full capacity that a target had for certain at the start of the
+     * window.
+     */
     private double capacityFraction(int target) {
         RuleLimits limits = settings.limits();
-        double share = limits.initialFraction();
+        double initialFraction = limits.initialFraction();
         long windowStart = turn.now() - limits.overloadWindowMicros();
-        double warmed =
+        double warmedFraction =
                 Math.max(0, windowStart - targets.startedAt[target])
                         / (double) limits.warmUpMicros();
-        return share + (1 - share) * warmed;
+        return initialFraction + (1 - initialFraction) * warmedFraction;
     }
 }
--- a/core/src/main/java/milletyoke/scheduler/WarmUpSend.java
+++ b/core/src/main/java/milletyoke/scheduler/WarmUpSend.java
@@ -2,8 +2,8 @@
 
 /**
  * Units sent to a target while it was warming up. They count against this initiator's budget until
- * one overload window after the attempt ended: it may have reached the target as late as that, on a
- * connection that came up late.
+ * one overload window after the attempt ended: on a connection that was established late, the
+ * attempt may have reached the target only just before its end.
  */
 final class WarmUpSend {
     final double units;
--- a/core/src/main/java/milletyoke/scheduler/package-info.java
+++ b/core/src/main/java/milletyoke/scheduler/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The scheduler of one initiator: which request is attempted when, at which target, and what answer
- * it gets in the end. It has no thread, clock, input or output of its own: {@link
- * milletyoke.scheduler.RequestScheduler} is called by one thread at a time, turn by turn, and
- * returns actions. Equal events at equal times give equal actions.
+ * The scheduler of one initiator: decides when and at which target each request is attempted, and
+ * which final response its client gets. It has no threads, clock or I/O of its own: {@link
+ * milletyoke.scheduler.RequestScheduler} is called by one thread at a time and returns the actions
+ * for its caller to carry out. The same events at the same times always give the same actions.
  */
 package milletyoke.scheduler;
