--- a/core/src/main/java/milletyoke/scheduler/api/Event.java
+++ b/core/src/main/java/milletyoke/scheduler/api/Event.java
@@ -2,37 +2,37 @@
 
 import java.util.List;
 
-/** What happened to one initiator. Times are microseconds; an id is given back as it came. */
+/** An event at one initiator. Times are microseconds; ids are returned as received. */
 public sealed interface Event {
     /**
-     * The initiator starts, with no memory of an earlier incarnation.
+     * The initiator starts, without any state of an earlier incarnation.
      *
      * @param seed of all random choices
      */
     record Started(long seed, SchedulerSettings settings) implements Event {}
 
     /**
-     * New figures for plans and request classes while requests are pending; the sender has checked
-     * that nothing else differs, and that no plan or class is gone.
+     * Plans and request classes changed while requests may be pending. The sender has checked that
+     * nothing else differs and that no plan or class was removed.
      */
     record SettingsChanged(SchedulerSettings settings) implements Event {}
 
-    /** An endpoint list, or its absence. */
+    /** An endpoint list was received, or its absence was noticed. */
     record EndpointListReceived(ListScope scope, List<Target> targets) implements Event {}
 
     /** What an endpoint list covers. */
     enum ListScope {
         /** Only targets that changed. */
         UPDATE,
-        /** All targets, by service discovery. */
+        /** All targets, as listed by service discovery. */
         REPLACE,
         /** All targets, as stored before this start. */
         RESTORED,
-        /** Service discovery gave no list. */
+        /** Service discovery sent no list. */
         UNAVAILABLE
     }
 
-    /** One target; {@code startedAtMicros} is 0 where it started long ago. */
+    /** A listed target; {@code startedAtMicros} is 0 if it started long ago. */
     record Target(int shard, String id, String zone, Health health, long startedAtMicros) {}
 
     /** Whether a target accepts new work. */
@@ -43,14 +43,14 @@
     }
 
     /**
-     * A request is admitted.
+     * A request was received for admission.
      *
      * @param id unique among pending requests
-     * @param shard of the object, -1 for a new one
-     * @param extent part of the object, which is also the key of key ordering; null for none
-     * @param timeLeftMicros until the client gives up
-     * @param initiatorCount through how many initiators its volume sends
-     * @param units its size
+     * @param shard of the object, -1 for a new object
+     * @param extent part of the object, which is also the key for key ordering; null for none
+     * @param timeLeftMicros time until the client gives up
+     * @param initiatorCount number of initiators through which the volume sends
+     * @param units size of the request
      */
     record RequestReceived(
             String id,
@@ -64,24 +64,24 @@
             double units)
             implements Event {}
 
-    /** An attempt ended; {@code answered} is set once the client has its final answer. */
+    /** An attempt ended; {@code answered} is true if the client already has its final response. */
     record AttemptEnded(
             String id, int attemptNumber, boolean answered, Outcome outcome, long latencyMicros)
             implements Event {}
 
     /**
-     * A probe ended; {@code queueLength} requests are queued at the target, -1 where it does not
-     * say.
+     * A probe ended; {@code queueLength} is the number of requests queued at the target, -1 if the
+     * target does not report it.
      */
     record ProbeEnded(String target, Outcome outcome, long latencyMicros, double queueLength)
             implements Event {}
 
     /**
-     * The request needs no answer any more: its client disconnected, or the first part of the
-     * answer has been sent.
+     * A request needs no further response: its client disconnected, or the first part of the
+     * response was sent.
      */
     record RequestClosed(String id) implements Event {}
 
-    /** A wake-up that the scheduler asked for. */
+    /** A wake-up that the scheduler requested. */
     record WakeUp() implements Event {}
 }
--- a/core/src/main/java/milletyoke/scheduler/api/Keyword.java
+++ b/core/src/main/java/milletyoke/scheduler/api/Keyword.java
@@ -1,17 +1,17 @@
 package milletyoke.scheduler.api;
 
-/** An enum constant that configuration files and scripts call by a word of its own. */
+/** An enum constant with a keyword of its own in configuration files and scripts. */
 public interface Keyword {
-    /** The word, in lower case, its parts joined by hyphens. */
+    /** Returns the keyword, in lower case with hyphens between its parts. */
     String keyword();
 
     /**
-     * The word for any enum constant: its own where it has one, else its name in lower case with
-     * hyphens.
+     * Returns the keyword of any enum constant: its own if it has one, else its name in lower case
+     * with hyphens.
      */
     static String of(Enum<?> constant) {
-        if (constant instanceof Keyword named) {
-            return named.keyword();
+        if (constant instanceof Keyword withKeyword) {
+            return withKeyword.keyword();
         }
         return constant.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
     }
--- a/core/src/main/java/milletyoke/scheduler/api/Outcome.java
+++ b/core/src/main/java/milletyoke/scheduler/api/Outcome.java
@@ -3,15 +3,15 @@
 /** How an attempt or a probe ended. */
 public enum Outcome {
     SUCCEEDED,
-    /** The target executed it with an error. */
+    /** The target executed the request and responded with an error. */
     ERROR,
-    /** The target refused it for its load. */
+    /** The target refused the request because of its load. */
     OVERLOADED,
     TIMED_OUT,
     NO_CONNECTION,
-    /** The connection broke after sending. */
+    /** The connection broke after the request was sent. */
     RESET,
     CANCELLED,
-    /** It provably never started to execute. */
+    /** The request provably never started to execute. */
     NOT_STARTED
 }
--- a/core/src/main/java/milletyoke/scheduler/api/SchedulerSettings.java
+++ b/core/src/main/java/milletyoke/scheduler/api/SchedulerSettings.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * The settings of an initiator. A figure of 0 means that there is none, so that its rule allows
- * everything; {@code retryWindowMicros} and {@code overloadWindowMicros} stand for their whole
- * rule.
+ * The settings of an initiator. A limit of 0 means that there is none and its rule allows
+ * everything; 0 in {@code retryWindowMicros} or {@code overloadWindowMicros} turns the whole rule
+ * off.
  *
- * @param initiatorCount of the fleet
+ * @param initiatorCount number of initiators in the fleet
  * @param mustWatchEndpoints whether to watch service discovery for changes
  */
 public record SchedulerSettings(
@@ -18,13 +18,17 @@
         RuleLimits limits,
         boolean mustWatchEndpoints) {
 
-    /** Whether a request may be executed more than once. */
+    /**
+     * Whether a request may be executed more than once; keywords are those of the configuration.
+     */
     public enum Idempotency implements Keyword {
-        /** Executing it again has no further effect. The keyword is that of the configuration. */
+        /** Executing the request again has no further effect. */
         IDEMPOTENT("harmless"),
-        /** A target recognises a repeat by its idempotency key, within the deduplication window. */
+        /**
+         * A target recognizes duplicates by an idempotency key, within the deduplication window.
+         */
         IDEMPOTENCY_KEY("stamped"),
-        /** Must be executed once at most. */
+        /** Must be executed at most once. */
         NON_IDEMPOTENT("one-shot");
 
         private final String keyword;
@@ -39,7 +43,7 @@
         }
     }
 
-    /** Among which targets a repeat is recognised by its idempotency key. */
+    /** The targets among which a duplicate is recognized by its idempotency key. */
     public enum DeduplicationScope {
         ALL,
         ZONE,
@@ -49,11 +53,11 @@
     /**
      * A class of requests that are treated alike.
      *
-     * @param deduplicationScope among which targets an idempotency key is known
-     * @param deduplicationWindowMicros for how long an idempotency key is known
-     * @param keyOrdered whether requests of one extent run one after another
-     * @param latencyObjectiveMicros by when an answer is to be sent, from arrival
-     * @param priorityWeight inside a volume, requests of greater weight go first
+     * @param deduplicationScope targets among which an idempotency key is recognized
+     * @param deduplicationWindowMicros how long an idempotency key is recognized
+     * @param keyOrdered whether requests for the same extent run one after another
+     * @param latencyObjectiveMicros time from arrival within which a response should be sent
+     * @param priorityWeight within a volume, requests of greater weight go first
      */
     public record RequestClass(
             String name,
@@ -67,11 +71,11 @@
     /**
      * A service plan of volumes, over all initiators and targets.
      *
-     * @param reservationRate units a second that go before other requests
-     * @param weight of the volume in proportional share
-     * @param limitRate units a second at most, 0 for no limit
-     * @param limitBurst units that the limit's token bucket contains at most
-     * @param limitSlack units that an auditor allows beyond it
+     * @param reservationRate units per second that go before other requests
+     * @param weight of a volume in proportional sharing
+     * @param limitRate most units per second, 0 for no limit
+     * @param limitBurst capacity in units of the token bucket of the limit
+     * @param limitSlack units that an auditor allows beyond the limit
      */
     public record ServicePlan(
             String name,
@@ -82,10 +86,10 @@
             double limitSlack) {}
 
     /**
-     * What this initiator is able to do.
+     * The capabilities of this initiator.
      *
-     * @param maxAttempts of one request, the first included
-     * @param maxRetryAfterMicros the longest advice when to repeat a request
+     * @param maxAttempts most attempts of one request, including the first
+     * @param maxRetryAfterMicros longest delay that may be recommended before a client's retry
      */
     public record Capabilities(
             int maxAttempts,
@@ -95,19 +99,19 @@
             long maxRetryAfterMicros) {}
 
     /**
-     * The figures of the rules that every attempt must keep.
+     * The limits of the rules that every attempt must satisfy.
      *
-     * @param keyQuietMicros a key is quiet after an attempt that may still be executing
-     * @param warmUpMicros slow start of a target after its start
-     * @param initialFraction of its capacity that a target has at its start
-     * @param warmUpBudgetUnits that a target bears in one overload window at its start, from all
-     *     initiators
-     * @param overloadWindowMicros over which a target's load is summed
-     * @param overloadFactor of its capacity at which a target fails
-     * @param freeRetries in one retry window, beyond the share
-     * @param retryShare retries for each admitted request in one retry window
-     * @param retryWindowMicros over which retries are counted
-     * @param watchDeadlineMicros by when service discovery must have been asked again
+     * @param keyQuietMicros how long a key stays quiet after an attempt that may still be executing
+     * @param warmUpMicros duration of the slow start of a target
+     * @param initialFraction fraction of its capacity that a target has at its start
+     * @param warmUpBudgetUnits units from all initiators that a target can take in one overload
+     *     window at its start
+     * @param overloadWindowMicros time over which the load of a target is summed
+     * @param overloadFactor multiple of its capacity at which a target fails
+     * @param freeRetries retries per retry window beyond the share
+     * @param retryShare retries per request admitted in the same retry window
+     * @param retryWindowMicros time over which retries are counted
+     * @param watchDeadlineMicros time within which service discovery must be asked again
      */
     public record RuleLimits(
             long keyQuietMicros,
--- a/core/src/main/java/milletyoke/scheduler/api/package-info.java
+++ b/core/src/main/java/milletyoke/scheduler/api/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The interface of a scheduler: the events that it takes, the actions that it returns and the
- * settings that it follows. Immutable values without behaviour, to be used by any thread.
+ * The interface of a scheduler: the events it processes, the actions it returns and the settings it
+ * follows. All types are immutable values without behavior and safe for use by any thread.
  */
 package milletyoke.scheduler.api;
