--- a/core/src/main/java/milletyoke/scheduler/RequestAdmitter.java
+++ b/core/src/main/java/milletyoke/scheduler/RequestAdmitter.java
@@ -92,6 +92,6 @@
         request.objectiveAt =
                 Math.min(
                         request.firstReceivedAt + objective,
-                        request.deadlineAt - tuning.answerLeadMicros());
+                        request.deadlineAt - tuning.responseLeadMicros());
     }
 }
--- a/core/src/main/java/milletyoke/scheduler/SchedulerTuning.java
+++ b/core/src/main/java/milletyoke/scheduler/SchedulerTuning.java
@@ -12,7 +12,7 @@
  * @param lateFraction fraction of the latency objective past which a response counts as late, as it
  *     was queued at the target, out of tag order
  * @param smoothing weight of a new sample in moving averages, as in TCP's round-trip estimate
- * @param patienceFactor time without a response after which a target counts as unresponsive, in
+ * @param unresponsiveFactor time without a response after which a target counts as unresponsive, in
  *     latencies
  * @param suspectLateShare share of responses indicating long queues from which probes go first
  * @param joinFractionBelowReservation largest queue at a target that a request below its
@@ -24,7 +24,7 @@
  *     use of a latency estimate without a new response, all in latency objectives
  * @param queuedCheckMicros interval of wake-ups while requests are queued
  * @param inFlightCheckMicros interval of wake-ups while requests are only in flight
- * @param answerLeadMicros how long before its deadline a request gets its final response
+ * @param responseLeadMicros how long before its deadline a request gets its final response
  * @param initialWatchDelayMicros delay before the first repetition of an endpoint watch
  * @param usedSlackFraction fraction of a limit's slack that is used; the rest allows for an auditor
  *     that sums in another order
@@ -39,7 +39,7 @@
         double marginSteps,
         double lateFraction,
         double smoothing,
-        double patienceFactor,
+        double unresponsiveFactor,
         double suspectLateShare,
         double joinFractionBelowReservation,
         double joinFractionOthers,
@@ -47,7 +47,7 @@
         long maxBackoffObjectives,
         long queuedCheckMicros,
         long inFlightCheckMicros,
-        long answerLeadMicros,
+        long responseLeadMicros,
         long initialWatchDelayMicros,
         double usedSlackFraction,
         double warmUpQueueFraction) {
@@ -59,7 +59,7 @@
     private static final double MARGIN_STEPS = 1.5;
     private static final double LATE_FRACTION = 1.0 / 6;
     private static final double SMOOTHING = 1.0 / 8;
-    private static final double PATIENCE_FACTOR = 4;
+    private static final double UNRESPONSIVE_FACTOR = 4;
     private static final double SUSPECT_LATE_SHARE = 0.05;
     private static final double JOIN_FRACTION_BELOW_RESERVATION = 0.75;
     private static final double JOIN_FRACTION_OTHERS = 0.25;
@@ -67,7 +67,7 @@
     private static final long MAX_BACKOFF_OBJECTIVES = 4;
     private static final long QUEUED_CHECK_MICROS = 4_000;
     private static final long IN_FLIGHT_CHECK_MICROS = 40_000;
-    private static final long ANSWER_LEAD_MICROS = 5_000;
+    private static final long RESPONSE_LEAD_MICROS = 5_000;
     private static final long INITIAL_WATCH_DELAY_MICROS = 500_000;
     private static final double USED_SLACK_FRACTION = 0.9;
     private static final double WARM_UP_QUEUE_FRACTION = 1.0 / 8;
@@ -82,7 +82,7 @@
                     MARGIN_STEPS,
                     LATE_FRACTION,
                     SMOOTHING,
-                    PATIENCE_FACTOR,
+                    UNRESPONSIVE_FACTOR,
                     SUSPECT_LATE_SHARE,
                     JOIN_FRACTION_BELOW_RESERVATION,
                     JOIN_FRACTION_OTHERS,
@@ -90,7 +90,7 @@
                     MAX_BACKOFF_OBJECTIVES,
                     QUEUED_CHECK_MICROS,
                     IN_FLIGHT_CHECK_MICROS,
-                    ANSWER_LEAD_MICROS,
+                    RESPONSE_LEAD_MICROS,
                     INITIAL_WATCH_DELAY_MICROS,
                     USED_SLACK_FRACTION,
                     WARM_UP_QUEUE_FRACTION);
--- a/core/src/main/java/milletyoke/scheduler/SendGuard.java
+++ b/core/src/main/java/milletyoke/scheduler/SendGuard.java
@@ -50,7 +50,7 @@
 
     /** A response can still reach the client before its deadline. */
     private boolean canRespondBeforeDeadline(PendingRequest request) {
-        long lastSendAt = request.deadlineAt - tuning.answerLeadMicros();
+        long lastSendAt = request.deadlineAt - tuning.responseLeadMicros();
         boolean inTime = !request.answered && turn.now() < lastSendAt;
         if (inTime) {
             turn.recheckBy(lastSendAt);
--- a/core/src/main/java/milletyoke/scheduler/TargetHealth.java
+++ b/core/src/main/java/milletyoke/scheduler/TargetHealth.java
@@ -47,7 +47,7 @@
         for (PendingRequest request : targets.inFlightRequests.get(target)) {
             if (targets.newestRespondedSentAt[target] > request.sentAt) {
                 double overdueMicros =
-                        tuning.patienceFactor()
+                        tuning.unresponsiveFactor()
                                 * targets.latencyMicros[target]
                                 * Math.max(
                                         1, request.received.units() / estimates.meanUnitsBound());
@@ -117,7 +117,7 @@
         double lastLatency = (double) targets.lastLatencyMicros[target];
         double latency = Math.max(targets.latencyMicros[target], lastLatency);
         long minMicros = settings.shortestObjectiveMicros() / 2;
-        return Math.max((double) minMicros, tuning.patienceFactor() * latency);
+        return Math.max((double) minMicros, tuning.unresponsiveFactor() * latency);
     }
 
     /**
@@ -136,7 +136,8 @@
         }
         double sizeFactor = Math.max(1, request.received.units() / estimates.meanUnits());
         long waitedMicros = turn.now() - Math.max(turn.lastStallEndedAt(), request.sentAt);
-        if (waitedMicros > tuning.patienceFactor() * targets.latencyMicros[target] * sizeFactor) {
+        if (waitedMicros
+                > tuning.unresponsiveFactor() * targets.latencyMicros[target] * sizeFactor) {
             presumeLost(request, target);
         }
     }
--- a/simulation/src/main/java/milletyoke/simulation/policy/SchedulerVariant.java
+++ b/simulation/src/main/java/milletyoke/simulation/policy/SchedulerVariant.java
@@ -133,7 +133,7 @@
                 decimal(Figure.MARGIN_STEPS, usual.marginSteps()),
                 decimal(Figure.LATE_PART, usual.lateFraction()),
                 decimal(Figure.SMOOTHING, usual.smoothing()),
-                decimal(Figure.PATIENCE, usual.patienceFactor()),
+                decimal(Figure.PATIENCE, usual.unresponsiveFactor()),
                 decimal(Figure.SUSPECT, usual.suspectLateShare()),
                 decimal(Figure.JOIN_OWED, usual.joinFractionBelowReservation()),
                 decimal(Figure.JOIN_OTHERS, usual.joinFractionOthers()),
@@ -141,7 +141,7 @@
                 whole(Figure.LONGEST_TRIAL, usual.maxBackoffObjectives()),
                 whole(Figure.LOOK_WAITING, usual.queuedCheckMicros()),
                 whole(Figure.LOOK_IDLE, usual.inFlightCheckMicros()),
-                whole(Figure.ANSWER_AHEAD, usual.answerLeadMicros()),
+                whole(Figure.ANSWER_AHEAD, usual.responseLeadMicros()),
                 whole(Figure.FIRST_ASK, usual.initialWatchDelayMicros()),
                 decimal(Figure.SLACK_USED, usual.usedSlackFraction()),
                 decimal(Figure.COLD_QUEUE, usual.warmUpQueueFraction()));
