--- a/core/src/test/java/milletyoke/scheduler/DifferentialTest.java
+++ b/core/src/test/java/milletyoke/scheduler/DifferentialTest.java
@@ -33,12 +33,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The module beside the one from before its work was put in step with what happens (package
- * reference): the same long random streams of events, and equal actions call by call.
+ * Compares the scheduler with the reference implementation in the package {@code reference}: both
+ * get the same long random event streams and must return equal actions in every call.
  */
 class DifferentialTest {
     /**
-     * A random world that answers what the module does; it knows nothing of which module that is.
+     * A random event stream that responds to the actions of a scheduler, independent of which
+     * scheduler that is.
      */
     private static final class EventStream {
         private SplittableRandom random;
@@ -46,13 +47,11 @@
         final int shards;
         final int volumes;
 
-        /**
-         * Whether a volume keeps its plan and hosts, as in service; and whether some accesses are
-         * far larger than others.
-         */
-        final boolean steady;
+        /** Whether a volume keeps its plan and number of initiators, as in production. */
+        final boolean keepsPlans;
 
-        final boolean uneven;
+        /** Whether some requests are far larger than others. */
+        final boolean hasUnevenSizes;
 
         final List<Action.SendAttempt> inFlight = new ArrayList<>();
         final List<String> probes = new ArrayList<>();
@@ -64,10 +63,10 @@
             random = new SplittableRandom(seed);
             shards = 1 + random.nextInt(8);
             volumes = 1 + random.nextInt(60);
-            boolean cold = random.nextBoolean();
-            steady = random.nextBoolean();
-            uneven = random.nextInt(3) == 0;
-            List<RequestClass> categories =
+            boolean hasWarmUp = random.nextBoolean();
+            keepsPlans = random.nextBoolean();
+            hasUnevenSizes = random.nextInt(3) == 0;
+            List<RequestClass> requestClasses =
                     List.of(
                             new RequestClass(
                                     "read",
@@ -109,7 +108,7 @@
             settings =
                     new SchedulerSettings(
                             random.nextBoolean() ? 3 : 40,
-                            categories,
+                            requestClasses,
                             plans,
                             new Capabilities(
                                     1 + random.nextInt(3),
@@ -119,10 +118,10 @@
                                     500_000),
                             new RuleLimits(
                                     random.nextBoolean() ? 200_000 : 0,
-                                    cold ? 5_000_000 : 0,
+                                    hasWarmUp ? 5_000_000 : 0,
                                     0.3,
-                                    cold ? 10 : 0,
-                                    cold ? 1_000_000 : 0,
+                                    hasWarmUp ? 10 : 0,
+                                    hasWarmUp ? 1_000_000 : 0,
                                     2,
                                     10,
                                     0.1,
@@ -140,26 +139,26 @@
 
         Event endpointList(Event.ListScope scope) {
             List<Event.Target> targets = new ArrayList<>();
-            for (int s = 0; s < shards; s++) {
+            for (int shard = 0; shard < shards; shard++) {
                 if (scope != Event.ListScope.UPDATE || random.nextInt(shards) == 0) {
-                    boolean fresh = random.nextInt(6) == 0;
+                    boolean isRecentlyStarted = random.nextInt(6) == 0;
                     Event.Health health =
                             random.nextInt(8) == 0 ? Event.Health.DRAINING : Event.Health.ACTIVE;
                     targets.add(
                             new Event.Target(
-                                    s,
-                                    "t" + s + (random.nextInt(5) == 0 ? "n" : ""),
-                                    "z" + s % 2,
+                                    shard,
+                                    "t" + shard + (random.nextInt(5) == 0 ? "n" : ""),
+                                    "z" + shard % 2,
                                     health,
-                                    fresh ? now - random.nextInt(2_000_000) : 0));
+                                    isRecentlyStarted ? now - random.nextInt(2_000_000) : 0));
                 }
             }
             return new Event.EndpointListReceived(scope, targets);
         }
 
         /**
-         * A step whose draws rest on this one choice, so that steps may be left out without
-         * changing others' draws.
+         * Returns a step whose random numbers depend only on {@code choice}, so that leaving out a
+         * step does not change the others.
          */
         List<Event> step(int choice) {
             random = new SplittableRandom(choice);
@@ -185,10 +184,10 @@
             } else if (kind < 85 && !inFlight.isEmpty()) {
                 return attemptEnded();
             } else if (kind < 90 && !probes.isEmpty()) {
-                boolean ok = random.nextInt(5) > 0;
+                boolean isSuccess = random.nextInt(5) > 0;
                 return new Event.ProbeEnded(
                         probes.remove(random.nextInt(probes.size())),
-                        ok ? Outcome.SUCCEEDED : Outcome.TIMED_OUT,
+                        isSuccess ? Outcome.SUCCEEDED : Outcome.TIMED_OUT,
                         1000 + random.nextInt(90_000),
                         random.nextInt(3) == 0 ? -1 : random.nextInt(30));
             } else if (kind == 90) {
@@ -223,13 +222,14 @@
         }
 
         private Event requestReceived() {
-            String category = settings.requestClasses().get(random.nextInt(4)).name();
+            String requestClass = settings.requestClasses().get(random.nextInt(4)).name();
             int shard = random.nextInt(10) == 0 ? -1 : random.nextInt(shards);
             String extent = random.nextInt(3) == 0 ? null : "x" + random.nextInt(12);
-            long ttl = random.nextInt(6) == 0 ? 20_000 + random.nextInt(300_000) : 2_500_000;
+            long timeToLiveMicros =
+                    random.nextInt(6) == 0 ? 20_000 + random.nextInt(300_000) : 2_500_000;
             int volume = random.nextInt(volumes);
             double units =
-                    uneven && random.nextInt(20) == 0
+                    hasUnevenSizes && random.nextInt(20) == 0
                             ? 1 + random.nextInt(40)
                             : 1 + random.nextInt(4);
             return new Event.RequestReceived(
@@ -237,41 +237,45 @@
                     shard,
                     extent,
                     "v" + volume,
-                    ttl,
-                    settings.plans().get(steady ? volume % 3 : random.nextInt(3)).name(),
-                    category,
-                    steady ? 1 + volume % 2 : 1 + random.nextInt(3),
+                    timeToLiveMicros,
+                    settings.plans().get(keepsPlans ? volume % 3 : random.nextInt(3)).name(),
+                    requestClass,
+                    keepsPlans ? 1 + volume % 2 : 1 + random.nextInt(3),
                     units);
         }
 
         private Event attemptEnded() {
-            Action.SendAttempt r = inFlight.remove(random.nextInt(Math.min(inFlight.size(), 6)));
-            Outcome[] all = Outcome.values();
-            Outcome how =
-                    random.nextInt(4) > 0 ? Outcome.SUCCEEDED : all[random.nextInt(all.length)];
-            int relay = attempts.get(r.id()) - 1;
+            Action.SendAttempt attempt =
+                    inFlight.remove(random.nextInt(Math.min(inFlight.size(), 6)));
+            Outcome[] outcomes = Outcome.values();
+            Outcome outcome =
+                    random.nextInt(4) > 0
+                            ? Outcome.SUCCEEDED
+                            : outcomes[random.nextInt(outcomes.length)];
+            int attemptNumber = attempts.get(attempt.id()) - 1;
             return new Event.AttemptEnded(
-                    r.id(),
-                    relay,
-                    how == Outcome.SUCCEEDED,
-                    how,
+                    attempt.id(),
+                    attemptNumber,
+                    outcome == Outcome.SUCCEEDED,
+                    outcome,
                     2_000 + random.nextInt(random.nextInt(8) == 0 ? 400_000 : 30_000));
         }
 
         void carryOut(List<Action> actions) {
-            for (Action a : actions) {
-                if (a instanceof Action.SendAttempt r) {
-                    inFlight.add(r);
-                    attempts.merge(r.id(), 1, Integer::sum);
-                } else if (a instanceof Action.SendProbe p) {
-                    probes.add(p.target());
+            for (Action action : actions) {
+                if (action instanceof Action.SendAttempt attempt) {
+                    inFlight.add(attempt);
+                    attempts.merge(attempt.id(), 1, Integer::sum);
+                } else if (action instanceof Action.SendProbe probe) {
+                    probes.add(probe.target());
                 }
             }
         }
     }
 
     /**
-     * The actions as the digests were recorded: the types' names of that time are part of the text.
+     * Formats actions as they were when the digests were recorded; the former type names are part
+     * of the text.
      */
     private static String recordedForm(List<Action> actions) {
         return actions.stream()
@@ -303,52 +307,54 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void returnsTheReferencesActionsCallByCall(int seed) {
+    void returnsSameActionsAsReference(int seed) {
         EventStream stream = new EventStream(seed);
-        RequestScheduler now = new RequestScheduler();
-        milletyoke.scheduler.reference.Decide before = new milletyoke.scheduler.reference.Decide();
+        RequestScheduler scheduler = new RequestScheduler();
+        milletyoke.scheduler.reference.Decide reference =
+                new milletyoke.scheduler.reference.Decide();
         List<Event> events = stream.start();
-        long relays = 0;
+        long attemptsSent = 0;
         for (int step = 0; step < 4_000; step++) {
-            List<Action> expected = before.decide(stream.now, events);
-            List<Action> told = now.decide(stream.now, events);
-            int at = step;
+            List<Action> expected = reference.decide(stream.now, events);
+            List<Action> actual = scheduler.decide(stream.now, events);
+            int failedStep = step;
             assertEquals(
                     expected,
-                    told,
+                    actual,
                     () ->
                             "seed "
                                     + seed
                                     + ", step "
-                                    + at
-                                    + (stream.steady ? " steady" : "")
-                                    + (stream.uneven ? " uneven" : "")
-                                    + " given "
+                                    + failedStep
+                                    + (stream.keepsPlans ? " with fixed plans" : "")
+                                    + (stream.hasUnevenSizes ? " with uneven sizes" : "")
+                                    + ", settings: "
                                     + stream.settings);
-            stream.carryOut(told);
-            relays += told.stream().filter(a -> a instanceof Action.SendAttempt).count();
+            stream.carryOut(actual);
+            attemptsSent +=
+                    actual.stream().filter(action -> action instanceof Action.SendAttempt).count();
             events = stream.step();
         }
-        assertEquals(true, relays > 100, relays + " relays only");
+        assertEquals(true, attemptsSent > 100, attemptsSent + " attempts sent");
     }
 
     /**
-     * The same streams against digests recorded while both modules agreed, so that the reference
-     * may go. A change of the decisions that is meant changes them: then {@code
-     * -Dmilletyoke.record=FILE} writes them anew, and the commit says why.
+     * Compares the actions for the same streams with recorded digests, which do not depend on the
+     * reference implementation. An intended change of the scheduler's decisions changes the
+     * digests: then {@code -Dmilletyoke.record=FILE} writes them anew, and the commit says why.
      */
     @Test
     void streamsMatchTheRecordedDigests() throws Exception {
         List<String> digests = new ArrayList<>();
         for (int seed = 1; seed <= 24; seed++) {
             EventStream stream = new EventStream(seed);
-            RequestScheduler module = new RequestScheduler();
+            RequestScheduler scheduler = new RequestScheduler();
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             List<Event> events = stream.start();
             for (int step = 0; step < 4_000; step++) {
-                List<Action> told = module.decide(stream.now, events);
-                digest.update(recordedForm(told).getBytes(StandardCharsets.UTF_8));
-                stream.carryOut(told);
+                List<Action> actual = scheduler.decide(stream.now, events);
+                digest.update(recordedForm(actual).getBytes(StandardCharsets.UTF_8));
+                stream.carryOut(actual);
                 events = stream.step();
             }
             digests.add(seed + " " + HexFormat.of().formatHex(digest.digest()));
@@ -357,31 +363,33 @@
         if (record != null) {
             Files.write(Path.of(record), digests);
         }
-        Path kept = Path.of(DifferentialTest.class.getResource("/streams.txt").toURI());
-        assertEquals(Files.readAllLines(kept), digests);
+        Path recorded = Path.of(DifferentialTest.class.getResource("/streams.txt").toURI());
+        assertEquals(Files.readAllLines(recorded), digests);
     }
 
     /**
-     * The same with streams that shrink: what is left of one that fails is a short list of steps.
+     * Compares both schedulers on streams that shrink: a failing stream is reduced to a short list
+     * of steps.
      */
     @Property(
             tries = 150,
             seed = "20261201",
             edgeCases = EdgeCasesMode.NONE,
             generation = GenerationMode.RANDOMIZED)
-    void returnsTheReferencesActionsForShrinkingStreams(
+    void returnsSameActionsAsReferenceForShrinkingStreams(
             @ForAll @IntRange(min = 1, max = 1 << 20) int seed,
             @ForAll @Size(min = 1, max = 800)
                     List<@IntRange(max = Integer.MAX_VALUE) Integer> steps) {
         EventStream stream = new EventStream(seed);
-        RequestScheduler now = new RequestScheduler();
-        milletyoke.scheduler.reference.Decide before = new milletyoke.scheduler.reference.Decide();
+        RequestScheduler scheduler = new RequestScheduler();
+        milletyoke.scheduler.reference.Decide reference =
+                new milletyoke.scheduler.reference.Decide();
         List<Event> events = stream.start();
         for (int step : steps) {
-            List<Action> expected = before.decide(stream.now, events);
-            List<Action> told = now.decide(stream.now, events);
-            assertEquals(expected, told);
-            stream.carryOut(told);
+            List<Action> expected = reference.decide(stream.now, events);
+            List<Action> actual = scheduler.decide(stream.now, events);
+            assertEquals(expected, actual);
+            stream.carryOut(actual);
             events = stream.step(step);
         }
     }
--- a/core/src/test/java/milletyoke/scheduler/IdleStateEvictionTest.java
+++ b/core/src/test/java/milletyoke/scheduler/IdleStateEvictionTest.java
@@ -22,80 +22,91 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Which state is evicted, that no volume gains by it, and that memory stays bounded over long
- * service.
+ * Tests which state is evicted, that no volume gains by its eviction, and that memory stays bounded
+ * over long service.
  */
 @Timeout(300)
 class IdleStateEvictionTest {
     private static final long MINUTE = 60_000_000L;
 
     /**
-     * An independent check of rate limits: one token bucket a volume that is never evicted, filled
-     * by the plans as they change.
+     * Checks rate limits independently of the scheduler: one token bucket per volume, never evicted
+     * and filled by the plans as they change.
      */
     private static final class Auditor {
         /**
-         * By the number in a volume's name; arrays, so that the audit's own memory does not grow.
+         * Units by the number in the name of a volume; arrays, so that the memory of the auditor
+         * does not grow.
          */
         private final double[] levels;
 
-        private final long[] at;
+        private final long[] updatedAt;
         private final List<double[]> plans = new ArrayList<>();
-        private final List<Long> since = new ArrayList<>();
+        private final List<Long> planSince = new ArrayList<>();
 
         Auditor(long startedAt, ServicePlan plan, int volumes) {
             levels = new double[volumes];
-            at = new long[volumes];
-            java.util.Arrays.fill(at, startedAt);
+            updatedAt = new long[volumes];
+            java.util.Arrays.fill(updatedAt, startedAt);
             planChanged(startedAt, plan);
         }
 
-        void planChanged(long at, ServicePlan plan) {
+        void planChanged(long now, ServicePlan plan) {
             plans.add(new double[] {plan.limitRate(), plan.limitBurst() + plan.limitSlack()});
-            since.add(at);
+            planSince.add(now);
         }
 
-        /** What may be sent at most now: filled through each plan in turn, by what that allowed. */
-        double now(int volume, long now) {
+        /** Returns the most units that may be sent now: filled under each plan in turn. */
+        double allowedUnits(int volume, long now) {
             double units = levels[volume];
-            for (int p = 0; p < plans.size(); p++) {
-                long from = Math.max(at[volume], since.get(p));
-                long to = p + 1 < plans.size() ? since.get(p + 1) : now;
+            for (int plan = 0; plan < plans.size(); plan++) {
+                long from = Math.max(updatedAt[volume], planSince.get(plan));
+                long to = plan + 1 < plans.size() ? planSince.get(plan + 1) : now;
                 if (to >= from) {
-                    units = Math.min(plans.get(p)[1], units + plans.get(p)[0] * (to - from) / 1e6);
+                    units =
+                            Math.min(
+                                    plans.get(plan)[1],
+                                    units + plans.get(plan)[0] * (to - from) / 1e6);
                 }
             }
             return units;
         }
 
-        void sent(String name, long now, double units) {
+        void recordSent(String name, long now, double units) {
             int volume = Integer.parseInt(name.substring(1));
-            double left = now(volume, now) - units;
+            double left = allowedUnits(volume, now) - units;
             assertTrue(
                     left >= -1e-6,
-                    () -> name + " sent " + units + " with " + (left + units) + " left at " + now);
+                    () ->
+                            name
+                                    + " sent "
+                                    + units
+                                    + " units, allowed at most "
+                                    + (left + units)
+                                    + " at "
+                                    + now);
             levels[volume] = left;
-            at[volume] = now;
+            updatedAt[volume] = now;
         }
     }
 
-    /** A scheduler, targets that answer after five milliseconds, and the auditor. */
-    private static final class Service {
+    /** A scheduler with targets that respond after 5 ms, and the auditor. */
+    private static final class Harness {
         final RequestScheduler scheduler = new RequestScheduler();
-        final Map<String, Event.RequestReceived> sent = new HashMap<>();
+        final Map<String, Event.RequestReceived> requests = new HashMap<>();
         final List<String> inFlight = new ArrayList<>();
         final Auditor auditor;
         long now = 1_000_000_000_000L;
         long attempts;
         long rejects;
-        long next;
+        long nextId;
         List<ServicePlan> plans;
 
-        Service(ServicePlan capped, int shards) {
+        Harness(ServicePlan capped, int shards) {
             this(capped, shards, 100);
         }
 
-        Service(ServicePlan capped, int shards, int volumes) {
+        Harness(ServicePlan capped, int shards, int volumes) {
             plans =
                     List.of(
                             new ServicePlan("free", 0, 1, 0, 0, 0),
@@ -154,9 +165,9 @@
         }
 
         void request(String volume, int shard, String plan, String key, double units) {
-            Event.RequestReceived a =
+            Event.RequestReceived received =
                     new Event.RequestReceived(
-                            "a" + next++,
+                            "a" + nextId++,
                             shard,
                             key,
                             volume,
@@ -165,36 +176,36 @@
                             key == null || key.startsWith("x") ? "read" : "write",
                             1,
                             units);
-            sent.put(a.id(), a);
-            handle(a);
+            requests.put(received.id(), received);
+            handle(received);
         }
 
         void handle(Event... events) {
             for (Action action : scheduler.decide(now, List.of(events))) {
-                if (action instanceof Action.SendAttempt r) {
+                if (action instanceof Action.SendAttempt attempt) {
                     attempts++;
-                    inFlight.add(r.id());
-                    Event.RequestReceived a = sent.get(r.id());
-                    if (a.plan().equals("capped")) {
-                        auditor.sent(a.volume(), now, a.units());
+                    inFlight.add(attempt.id());
+                    Event.RequestReceived received = requests.get(attempt.id());
+                    if (received.plan().equals("capped")) {
+                        auditor.recordSent(received.volume(), now, received.units());
                     }
-                } else if (action instanceof Action.Reject r) {
+                } else if (action instanceof Action.Reject rejection) {
                     rejects++;
-                    sent.remove(r.id());
-                } else if (action instanceof Action.Fail b) {
-                    sent.remove(b.id());
-                } else if (action instanceof Action.SendProbe p) {
+                    requests.remove(rejection.id());
+                } else if (action instanceof Action.Fail failure) {
+                    requests.remove(failure.id());
+                } else if (action instanceof Action.SendProbe probe) {
                     now += 1_000;
-                    handle(new Event.ProbeEnded(p.target(), Outcome.SUCCEEDED, 1_000, 0));
+                    handle(new Event.ProbeEnded(probe.target(), Outcome.SUCCEEDED, 1_000, 0));
                 }
             }
         }
 
-        void answer() {
+        void completeAttempts() {
             now += 5_000;
             while (!inFlight.isEmpty()) {
                 String id = inFlight.remove(inFlight.size() - 1);
-                sent.remove(id);
+                requests.remove(id);
                 handle(new Event.AttemptEnded(id, 0, true, Outcome.SUCCEEDED, 5_000));
             }
         }
@@ -204,7 +215,7 @@
                     now < until;
                     now += Math.max(4_000, Math.min(MINUTE, until - now) / 4)) {
                 handle(new Event.WakeUp());
-                answer();
+                completeAttempts();
             }
         }
 
@@ -215,71 +226,71 @@
 
     @Test
     void evictsAnIdleVolumeOnceItsBucketIsFull() {
-        Service service = new Service(new ServicePlan("capped", 0, 1, 0.1, 300, 0), 4);
-        service.passTime(60 * MINUTE);
+        Harness harness = new Harness(new ServicePlan("capped", 0, 1, 0.1, 300, 0), 4);
+        harness.passTime(60 * MINUTE);
         for (int i = 0; i < 30; i++) {
-            service.request("v0", 1, "capped", null, 10);
-            service.answer();
+            harness.request("v0", 1, "capped", null, 10);
+            harness.completeAttempts();
         }
-        assertEquals(30, service.attempts, "the store was full");
-        service.passTime(12 * MINUTE);
+        assertEquals(30, harness.attempts, "the token bucket was full");
+        harness.passTime(12 * MINUTE);
         assertTrue(
-                service.scheduler.dispatchQueue.volume("v0") != null,
-                "its store is far from full: 72 units of 300");
-        service.request("v0", 1, "capped", null, 72);
-        service.request("v0", 1, "capped", null, 10);
-        service.answer();
-        assertEquals(31, service.attempts, "returning, it has what it would have had");
-        service.passTime(120 * MINUTE);
-        assertEquals(null, service.scheduler.dispatchQueue.volume("v0"));
-        assertEquals(0, service.candidateCount());
+                harness.scheduler.dispatchQueue.volume("v0") != null,
+                "the token bucket holds 72 of 300 units");
+        harness.request("v0", 1, "capped", null, 72);
+        harness.request("v0", 1, "capped", null, 10);
+        harness.completeAttempts();
+        assertEquals(31, harness.attempts, "a volume that returns has the same units as if kept");
+        harness.passTime(120 * MINUTE);
+        assertEquals(null, harness.scheduler.dispatchQueue.volume("v0"));
+        assertEquals(0, harness.candidateCount());
     }
 
     /**
-     * Guards rate limits: a limit raised while a volume is evicted must not be found full on its
-     * return.
+     * Guards against a full token bucket on the return of a volume that was evicted when its limit
+     * was raised.
      */
     @Test
     void limitRaisedAfterEvictionFillsAsIfKept() {
-        Service service = new Service(new ServicePlan("capped", 0, 1, 10, 20, 0), 4);
-        service.passTime(MINUTE);
-        service.request("v0", 1, "capped", null, 20);
-        service.answer();
-        service.passTime(30 * MINUTE);
-        assertEquals(null, service.scheduler.dispatchQueue.volume("v0"));
-        service.changePlan(new ServicePlan("capped", 0, 1, 10, 500, 0));
-        service.now += 10_000_000; // 20 units then, 100 more since
-        service.request("v0", 1, "capped", null, 121);
-        service.request("v1", 1, "capped", null, 121);
-        assertEquals(1, service.attempts);
-        service.request("v0", 1, "capped", null, 119);
-        service.request("v1", 1, "capped", null, 119); // nor does one that was never seen
-        assertEquals(3, service.attempts);
+        Harness harness = new Harness(new ServicePlan("capped", 0, 1, 10, 20, 0), 4);
+        harness.passTime(MINUTE);
+        harness.request("v0", 1, "capped", null, 20);
+        harness.completeAttempts();
+        harness.passTime(30 * MINUTE);
+        assertEquals(null, harness.scheduler.dispatchQueue.volume("v0"));
+        harness.changePlan(new ServicePlan("capped", 0, 1, 10, 500, 0));
+        harness.now += 10_000_000; // 20 units at the change, 100 more since
+        harness.request("v0", 1, "capped", null, 121);
+        harness.request("v1", 1, "capped", null, 121);
+        assertEquals(1, harness.attempts);
+        harness.request("v0", 1, "capped", null, 119);
+        harness.request("v1", 1, "capped", null, 119); // as with an unseen volume
+        assertEquals(3, harness.attempts);
     }
 
-    /** A flow made anew has a start and an extra tag no lower than had it been kept. */
+    /** A flow created again must have start and extra tags no lower than if it had been kept. */
     @Test
     void evictedFlowReturnsWithNoLowerTags() {
-        SplittableRandom chance = new SplittableRandom(3);
-        int forgotten = 0;
-        boolean joined = false;
+        SplittableRandom random = new SplittableRandom(3);
+        int evictedFlows = 0;
+        boolean hasExtraTag = false;
         for (int round = 0; round < 300; round++) {
-            Service service = new Service(new ServicePlan("capped", 0, 1, 50, 50, 5), 1);
+            Harness harness = new Harness(new ServicePlan("capped", 0, 1, 50, 50, 5), 1);
             Map<String, double[]> before = new HashMap<>();
             for (int i = 0; i < 60; i++) {
-                service.request(
-                        "v" + chance.nextInt(12),
+                harness.request(
+                        "v" + random.nextInt(12),
                         0,
-                        chance.nextBoolean() ? "free" : "paid",
-                        "x" + chance.nextInt(3),
-                        1 + chance.nextInt(9));
-                if (chance.nextInt(3) == 0) {
-                    service.answer();
+                        random.nextBoolean() ? "free" : "paid",
+                        "x" + random.nextInt(3),
+                        1 + random.nextInt(9));
+                if (random.nextInt(3) == 0) {
+                    harness.completeAttempts();
                 }
             }
-            service.answer();
-            service.answer();
-            ShardQueue shardQueue = service.scheduler.dispatchQueue.shardQueue(0);
+            harness.completeAttempts();
+            harness.completeAttempts();
+            ShardQueue shardQueue = harness.scheduler.dispatchQueue.shardQueue(0);
             shardQueue.flows.forEach(
                     (volume, flow) ->
                             before.put(
@@ -288,20 +299,26 @@
                                         Math.max(shardQueue.virtualTime, flow.finishTag),
                                         flow.extraTag
                                     }));
-            joined |= before.values().stream().anyMatch(tags -> tags[1] > 0);
-            service.passTime(25 * MINUTE);
-            forgotten += shardQueue.flows.isEmpty() ? before.size() : 0;
-            for (String v : before.keySet()) {
-                service.request(v, 0, "free", null, 1);
-                FlowQueue flow = shardQueue.flows.get(service.scheduler.dispatchQueue.volume(v));
+            hasExtraTag |= before.values().stream().anyMatch(tags -> tags[1] > 0);
+            harness.passTime(25 * MINUTE);
+            evictedFlows += shardQueue.flows.isEmpty() ? before.size() : 0;
+            for (String volume : before.keySet()) {
+                harness.request(volume, 0, "free", null, 1);
+                FlowQueue flow =
+                        shardQueue.flows.get(harness.scheduler.dispatchQueue.volume(volume));
                 assertTrue(
-                        flow.finishTag >= before.get(v)[0] && flow.extraTag >= before.get(v)[1], v);
+                        flow.finishTag >= before.get(volume)[0]
+                                && flow.extraTag >= before.get(volume)[1],
+                        volume);
             }
         }
-        assertTrue(joined && forgotten > 1_000, forgotten + " forgotten");
+        assertTrue(hasExtraTag && evictedFlows > 1_000, evictedFlows + " flows evicted");
     }
 
-    /** Guards tags: a volume without its flow would return with fresh tags at a busy shard. */
+    /**
+     * Guards against the eviction of a flow with tags ahead of the virtual time: its volume would
+     * return with fresh tags to a busy shard.
+     */
     @Test
     void keepsTagsAheadOfVirtualTimeAtABusyShard() {
         DispatchQueue dispatchQueue = new DispatchQueue();
@@ -315,11 +332,11 @@
                         bucket -> 0,
                         bucket -> 0);
         ShardQueue shardQueue = dispatchQueue.shardQueue(0);
-        Event.RequestReceived access =
+        Event.RequestReceived aheadReceived =
                 new Event.RequestReceived("a", 0, null, "ahead", 1_000, "free", "read", 1, 1);
-        VolumeState ahead = dispatchQueue.volume(access, 0);
-        FlowQueue tags = dispatchQueue.flow(shardQueue, ahead, 0);
-        tags.finishTag = 100;
+        VolumeState ahead = dispatchQueue.volume(aheadReceived, 0);
+        FlowQueue aheadFlow = dispatchQueue.flow(shardQueue, ahead, 0);
+        aheadFlow.finishTag = 100;
         ahead.pendingCount--;
         RequestClass read =
                 new RequestClass(
@@ -330,64 +347,68 @@
                         false,
                         300_000,
                         2);
-        Event.RequestReceived other =
+        Event.RequestReceived waitingReceived =
                 new Event.RequestReceived("b", 0, null, "waits", 1_000, "free", "read", 1, 1);
-        PendingRequest waits =
-                new PendingRequest(other, 0, read, dispatchQueue.volume(other, 0), null);
-        waits.shardQueue = shardQueue;
-        dispatchQueue.enqueue(waits, dispatchQueue.flow(shardQueue, waits.volume, 0));
+        PendingRequest waiting =
+                new PendingRequest(
+                        waitingReceived, 0, read, dispatchQueue.volume(waitingReceived, 0), null);
+        waiting.shardQueue = shardQueue;
+        dispatchQueue.enqueue(waiting, dispatchQueue.flow(shardQueue, waiting.volume, 0));
         for (long now = 0; now < 5 * IdleStateEviction.IDLE_MICROS; now += MINUTE) {
             eviction.evictIdle(now, 1);
             assertEquals(ahead, dispatchQueue.volume("ahead"));
-            assertEquals(tags, shardQueue.flows.get(dispatchQueue.volume("ahead")));
+            assertEquals(aheadFlow, shardQueue.flows.get(dispatchQueue.volume("ahead")));
         }
-        dispatchQueue.dequeue(waits);
+        dispatchQueue.dequeue(waiting);
         for (long now = 5 * IdleStateEviction.IDLE_MICROS;
                 now < 8 * IdleStateEviction.IDLE_MICROS;
                 now += MINUTE) {
             eviction.evictIdle(now, 1);
         }
-        assertEquals(null, dispatchQueue.volume("ahead"), "nobody waits any more");
+        assertEquals(null, dispatchQueue.volume("ahead"), "nothing is queued any more");
         assertTrue(shardQueue.virtualTime >= 100);
     }
 
     /**
-     * Guards memory: a key whose quiet time is prolonged again and again must not keep others from
+     * Guards against a key whose quiet time is prolonged again and again and keeps other keys from
      * being evicted.
      */
     @Test
     void keyWithProlongedQuietTimeDelaysNoOthers() {
-        Map<String, KeySequence> turns = new HashMap<>();
+        Map<String, KeySequence> sequences = new HashMap<>();
         IdleStateEviction eviction =
                 new IdleStateEviction(
                         new DispatchQueue(),
                         new TargetTable(),
                         new HashMap<>(),
-                        turns,
+                        sequences,
                         List.of(),
                         bucket -> 0,
                         bucket -> 0);
         KeySequence stuck = new KeySequence("stuck");
-        turns.put("stuck", stuck);
+        sequences.put("stuck", stuck);
         stuck.quietUntil = 10;
         eviction.scheduleKeyCheck(stuck);
         for (int k = 0; k < 50; k++) {
             KeySequence key = new KeySequence("k" + k);
             key.quietUntil = 20L + k;
-            turns.put(key.key, key);
+            sequences.put(key.key, key);
             eviction.scheduleKeyCheck(key);
         }
         stuck.quietUntil = 1_000_000;
         eviction.evictIdle(100, 0);
-        assertEquals(1, turns.size(), "keys whose quiet time is over are gone");
+        assertEquals(1, sequences.size(), "keys whose quiet time is over are evicted");
         eviction.evictIdle(1_000_000, 0);
-        assertEquals(0, turns.size());
+        assertEquals(0, sequences.size());
     }
 
-    /** Guards memory: large turns bring more than eight new volumes each. */
+    /**
+     * Guards memory against turns that each add more than the eight volumes that a turn checks
+     * without events.
+     */
     @Test
     void evictsAsFastAsLargeTurnsAdd() {
-        Service service = new Service(new ServicePlan("capped", 0, 1, 50, 50, 5), 1, 100);
+        Harness harness = new Harness(new ServicePlan("capped", 0, 1, 50, 50, 5), 1, 100);
         int most = 0;
         for (int turn = 0; turn < 400; turn++) {
             List<Event> batch = new ArrayList<>();
@@ -403,32 +424,32 @@
                                 "read",
                                 1,
                                 1));
-                service.sent.put("b" + turn + "-" + i, (Event.RequestReceived) batch.get(i));
+                harness.requests.put("b" + turn + "-" + i, (Event.RequestReceived) batch.get(i));
             }
-            service.handle(batch.toArray(new Event[0]));
-            for (int round = 0; round < 20; round++) { // what was relayed ends in large turns too
-                service.now += 5_000;
+            harness.handle(batch.toArray(new Event[0]));
+            for (int round = 0; round < 20; round++) { // attempts end in large turns too
+                harness.now += 5_000;
                 Event[] ends =
-                        service.inFlight.stream()
+                        harness.inFlight.stream()
                                 .map(
                                         id ->
                                                 new Event.AttemptEnded(
                                                         id, 0, true, Outcome.SUCCEEDED, 5_000))
                                 .toArray(Event[]::new);
-                service.inFlight.clear();
-                service.handle(ends);
+                harness.inFlight.clear();
+                harness.handle(ends);
             }
-            service.now += MINUTE;
-            most = Math.max(most, service.candidateCount());
+            harness.now += MINUTE;
+            most = Math.max(most, harness.candidateCount());
         }
-        assertTrue(most < 10_000, most + " kept of 80,000; twenty minutes bring 8,000");
+        assertTrue(most < 10_000, most + " candidates kept of 80,000; 20 minutes add 8,000");
     }
 
     @Test
     void reusesTheIndexOfAnEvictedTarget() {
-        Service service = new Service(new ServicePlan("capped", 0, 1, 50, 50, 5), 3);
+        Harness harness = new Harness(new ServicePlan("capped", 0, 1, 50, 50, 5), 3);
         for (int generation = 0; generation < 40; generation++) {
-            service.handle(
+            harness.handle(
                     new Event.EndpointListReceived(
                             Event.ListScope.REPLACE,
                             List.of(
@@ -438,67 +459,68 @@
                                             "z",
                                             Event.Health.ACTIVE,
                                             0))));
-            service.request("v" + generation, 100 + generation, "free", "k" + generation, 1);
-            service.answer();
-            service.passTime(15 * MINUTE);
+            harness.request("v" + generation, 100 + generation, "free", "k" + generation, 1);
+            harness.completeAttempts();
+            harness.passTime(15 * MINUTE);
         }
         assertTrue(
-                service.scheduler.targets.count < 8, service.scheduler.targets.count + " places");
+                harness.scheduler.targets.count < 8,
+                harness.scheduler.targets.count + " target indexes");
         assertTrue(
-                service.scheduler.dispatchQueue.shardQueues().size() < 8,
-                service.scheduler.dispatchQueue.shardQueues().size() + " nodes");
-        assertEquals(40, service.attempts);
+                harness.scheduler.dispatchQueue.shardQueues().size() < 8,
+                harness.scheduler.dispatchQueue.shardQueues().size() + " shards");
+        assertEquals(40, harness.attempts);
     }
 
-    /** Weeks of service; {@code -Dmilletyoke.soak=1000000} is the whole of it. */
+    /** Simulates days of service; {@code -Dmilletyoke.soak=1000000} simulates three weeks. */
     @Test
     void memoryStaysBoundedOverLongService() {
         int volumes = Integer.getInteger("milletyoke.soak", 100_000);
-        Service service = new Service(new ServicePlan("capped", 0, 1, 2, 20, 1), 30, volumes);
-        SplittableRandom chance = new SplittableRandom(9);
-        long each = 21L * 24 * 60 * MINUTE / 1_000_000; // a million volumes in three weeks
+        Harness harness = new Harness(new ServicePlan("capped", 0, 1, 2, 20, 1), 30, volumes);
+        SplittableRandom random = new SplittableRandom(9);
+        long meanIntervalMicros =
+                21L * 24 * 60 * MINUTE / 1_000_000; // a million volumes in three weeks
         int most = 0;
         int mostTargets = 0;
-        int mostNodes = 0;
+        int mostShards = 0;
         int generation = 0;
         int replaceEvery = 100;
         List<Long> heaps = new ArrayList<>();
-        long began = service.now;
+        long startedAt = harness.now;
         for (int v = 0; v < volumes; v++) {
-            String plan = service.plans.get(v % 3).name();
-            for (int i = chance.nextInt(6); i >= 0; i--) {
-                service.request(
+            String plan = harness.plans.get(v % 3).name();
+            for (int i = random.nextInt(6); i >= 0; i--) {
+                harness.request(
                         "v" + v,
                         1000 + v % 30 + generation / 30 * 30,
                         plan,
                         i % 3 == 0 ? "k" + v : null,
-                        1 + chance.nextInt(9));
+                        1 + random.nextInt(9));
             }
-            if (chance.nextInt(4) == 0
-                    && v > 0) { // one of before returns, from minutes to all the time ago
-                int old = v - 1 - chance.nextInt(Math.min(v, 1 << chance.nextInt(20)));
-                service.request(
+            if (random.nextInt(4) == 0 && v > 0) { // a volume returns after minutes or much longer
+                int old = v - 1 - random.nextInt(Math.min(v, 1 << random.nextInt(20)));
+                harness.request(
                         "v" + old,
-                        1000 + chance.nextInt(30),
-                        service.plans.get(old % 3).name(),
+                        1000 + random.nextInt(30),
+                        harness.plans.get(old % 3).name(),
                         null,
-                        1 + chance.nextInt(30));
+                        1 + random.nextInt(30));
             }
-            service.answer();
-            service.now += chance.nextLong(2 * each);
-            service.handle(new Event.WakeUp());
+            harness.completeAttempts();
+            harness.now += random.nextLong(2 * meanIntervalMicros);
+            harness.handle(new Event.WakeUp());
             if (v % replaceEvery == 0) {
-                service.handle(targetReplaced(generation, service.now));
+                harness.handle(targetReplaced(generation, harness.now));
                 generation++;
             }
             if (v % 50_000 == 0) {
-                service.changePlan(
+                harness.changePlan(
                         new ServicePlan(
-                                "capped", 0, 1, 1 + chance.nextInt(5), 10 + chance.nextInt(60), 1));
+                                "capped", 0, 1, 1 + random.nextInt(5), 10 + random.nextInt(60), 1));
             }
-            most = Math.max(most, service.candidateCount());
-            mostTargets = Math.max(mostTargets, service.scheduler.targets.count);
-            mostNodes = Math.max(mostNodes, service.scheduler.dispatchQueue.shardQueues().size());
+            most = Math.max(most, harness.candidateCount());
+            mostTargets = Math.max(mostTargets, harness.scheduler.targets.count);
+            mostShards = Math.max(mostShards, harness.scheduler.dispatchQueue.shardQueues().size());
             if (v % Math.max(1, volumes / 10) == volumes / 20) {
                 heaps.add(liveHeapKib());
             }
@@ -507,17 +529,17 @@
                 "%d volumes and %d targets over %.1f days, %d attempts, %d rejected: ",
                 volumes,
                 generation,
-                (service.now - began) / 86_400e6,
-                service.attempts,
-                service.rejects);
+                (harness.now - startedAt) / 86_400e6,
+                harness.attempts,
+                harness.rejects);
         System.out.printf(
                 "at most %d volumes and flows, %d targets, %d shards; live heap KiB %s%n",
-                most, mostTargets, mostNodes, heaps);
-        assertTrue(service.attempts > volumes, service.attempts + " relays");
-        assertTrue(most < 6_000, most + " kept of " + volumes);
+                most, mostTargets, mostShards, heaps);
+        assertTrue(harness.attempts > volumes, harness.attempts + " attempts");
+        assertTrue(most < 6_000, most + " candidates kept, volumes: " + volumes);
         assertTrue(
-                mostTargets < 200 && mostNodes < 250,
-                mostTargets + " targets, " + mostNodes + " shards");
+                mostTargets < 200 && mostShards < 250,
+                mostTargets + " targets, " + mostShards + " shards");
     }
 
     private static long liveHeapKib() {
@@ -526,7 +548,7 @@
         return (runtime.totalMemory() - runtime.freeMemory()) / 1024;
     }
 
-    /** A target starts on the next shard, and the one of sixty shards before is gone. */
+    /** A target starts on the next shard, and the target of sixty shards before is removed. */
     private static Event targetReplaced(int generation, long now) {
         int removed = Math.max(0, generation - 60);
         return new Event.EndpointListReceived(
--- a/core/src/test/java/milletyoke/scheduler/IndexedTimerQueueTest.java
+++ b/core/src/test/java/milletyoke/scheduler/IndexedTimerQueueTest.java
@@ -12,51 +12,55 @@
 class IndexedTimerQueueTest {
     @Test
     void agreesWithASortedMap() {
-        SplittableRandom chance = new SplittableRandom(5);
-        IndexedTimerQueue table = new IndexedTimerQueue();
-        TreeMap<Integer, Long> plain = new TreeMap<>();
+        SplittableRandom random = new SplittableRandom(5);
+        IndexedTimerQueue queue = new IndexedTimerQueue();
+        TreeMap<Integer, Long> expectedTimes = new TreeMap<>();
         for (int step = 0; step < 200_000; step++) {
-            int index = chance.nextInt(300);
-            if (chance.nextInt(20) == 0) {
-                long now = chance.nextInt(1_000);
+            int index = random.nextInt(300);
+            if (random.nextInt(20) == 0) {
+                long now = random.nextInt(1_000);
                 int[] expected =
-                        plain.entrySet().stream()
-                                .filter(e -> e.getValue() <= now)
+                        expectedTimes.entrySet().stream()
+                                .filter(entry -> entry.getValue() <= now)
                                 .mapToInt(Map.Entry::getKey)
                                 .toArray();
-                assertArrayEquals(expected, table.removeDue(now));
-                plain.values().removeIf(at -> at <= now);
-            } else if (chance.nextInt(4) == 0) {
-                table.set(index, IndexedTimerQueue.NEVER);
-                plain.remove(index);
+                assertArrayEquals(expected, queue.removeDue(now));
+                expectedTimes.values().removeIf(time -> time <= now);
+            } else if (random.nextInt(4) == 0) {
+                queue.set(index, IndexedTimerQueue.NEVER);
+                expectedTimes.remove(index);
             } else {
-                long at = chance.nextInt(1_000);
-                table.set(index, at);
-                plain.put(index, at);
+                long time = random.nextInt(1_000);
+                queue.set(index, time);
+                expectedTimes.put(index, time);
             }
             assertEquals(
-                    plain.values().stream().mapToLong(x -> x).min().orElse(IndexedTimerQueue.NEVER),
-                    table.first());
-            assertEquals(plain.getOrDefault(index, IndexedTimerQueue.NEVER), table.get(index));
+                    expectedTimes.values().stream()
+                            .mapToLong(time -> time)
+                            .min()
+                            .orElse(IndexedTimerQueue.NEVER),
+                    queue.first());
+            assertEquals(
+                    expectedTimes.getOrDefault(index, IndexedTimerQueue.NEVER), queue.get(index));
         }
     }
 
     /**
-     * A bound that went up quietly left times standing that rested on the lower one (found on a big
-     * day of the bench).
+     * Guards against a bound that rises without notice: times computed from the lower bound would
+     * stay in force, and requests would be served too late.
      */
     @Test
     void highWaterMarkNeverRisesUnnoticed() {
-        SplittableRandom chance = new SplittableRandom(6);
+        SplittableRandom random = new SplittableRandom(6);
         HighWaterMark mark = new HighWaterMark();
-        double figure = 100;
+        double value = 100;
         boolean lowered = false;
-        for (long now = 0; now < 100_000_000L; now += chance.nextInt(40_000)) {
-            figure *= 0.97 + 0.06 * chance.nextDouble();
+        for (long now = 0; now < 100_000_000L; now += random.nextInt(40_000)) {
+            value *= 0.97 + 0.06 * random.nextDouble();
             double before = mark.bound;
-            boolean told = mark.raiseFor(figure, now);
-            assertTrue(mark.bound >= figure);
-            assertTrue(told || mark.bound <= before, "raised and not told");
+            boolean isRaised = mark.raiseFor(value, now);
+            assertTrue(mark.bound >= value);
+            assertTrue(isRaised || mark.bound <= before, "bound raised without notice");
             lowered |= mark.bound < before;
         }
         assertTrue(lowered);
--- a/core/src/test/java/milletyoke/scheduler/PlacementTest.java
+++ b/core/src/test/java/milletyoke/scheduler/PlacementTest.java
@@ -21,20 +21,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Placement of new objects: odds in proportion to room, by weighing few shards and by rejection
- * sampling over many alike.
+ * Tests that new objects are placed with odds in proportion to spare capacity, both by weighing few
+ * shards and by rejection sampling over many.
  */
 class PlacementTest {
     private final RequestScheduler scheduler = new RequestScheduler();
 
     private List<Action> decide(Event... events) {
         return scheduler.decide(
-                1_000_000, // no time passes: nothing becomes late or unresponsive
+                1_000_000, // constant, so that nothing becomes late or unresponsive
                 List.of(events));
     }
 
     private Map<String, Integer> placements(int targets, int draws) {
-        SchedulerSettings given =
+        SchedulerSettings settings =
                 new SchedulerSettings(
                         1,
                         List.of(
@@ -51,49 +51,57 @@
                         new RuleLimits(0, 0, 1, 0, 0, 1, 0, 0, 0, 10_000_000),
                         false);
         List<Event.Target> list = new ArrayList<>();
-        for (int t = 0; t < targets; t++) {
-            list.add(new Event.Target(t, "t" + t, "z", Event.Health.ACTIVE, 0));
+        for (int target = 0; target < targets; target++) {
+            list.add(new Event.Target(target, "t" + target, "z", Event.Health.ACTIVE, 0));
         }
         decide(
-                new Event.Started(7, given),
+                new Event.Started(7, settings),
                 new Event.EndpointListReceived(Event.ListScope.REPLACE, list));
-        // the first half has three attempts in flight each, so a limit of four leaves a quarter of
-        // the room
-        // that it leaves elsewhere
-        for (int n = 0; n < targets / 2 * 3; n++) {
+        // three attempts in flight at each target of the first half leave it a quarter of the
+        // spare capacity of the others, at a limit of four
+        for (int request = 0; request < targets / 2 * 3; request++) {
             decide(
                     new Event.RequestReceived(
-                            "held" + n, n % (targets / 2), null, "v", 60_000_000, "p", "w", 1, 1));
+                            "held" + request,
+                            request % (targets / 2),
+                            null,
+                            "v",
+                            60_000_000,
+                            "p",
+                            "w",
+                            1,
+                            1));
         }
-        Map<String, Integer> to = new HashMap<>();
-        for (int n = 0; n < draws; n++) {
-            for (Action a :
+        Map<String, Integer> placed = new HashMap<>();
+        for (int request = 0; request < draws; request++) {
+            for (Action action :
                     decide(
                             new Event.RequestReceived(
-                                    "new" + n, -1, null, "v", 60_000_000, "p", "w", 1, 1))) {
-                if (a instanceof Action.SendAttempt r && r.id().equals("new" + n)) {
-                    to.merge(r.target(), 1, Integer::sum);
-                    // cancelled, so that limits and latencies stay as they were
-                    decide(new Event.AttemptEnded(r.id(), 0, true, Outcome.CANCELLED, 0));
+                                    "new" + request, -1, null, "v", 60_000_000, "p", "w", 1, 1))) {
+                if (action instanceof Action.SendAttempt attempt
+                        && attempt.id().equals("new" + request)) {
+                    placed.merge(attempt.target(), 1, Integer::sum);
+                    // a cancelled attempt changes neither limits nor latencies
+                    decide(new Event.AttemptEnded(attempt.id(), 0, true, Outcome.CANCELLED, 0));
                 }
             }
         }
-        return to;
+        return placed;
     }
 
     @ParameterizedTest
     @ValueSource(ints = {60, 80, 2000})
-    void choosesShardsInProportionToTheirRoom(int targets) {
+    void choosesShardsInProportionToSpareCapacity(int targets) {
         int draws = 20_000;
-        Map<String, Integer> to = placements(targets, draws);
-        int all = to.values().stream().mapToInt(i -> i).sum();
+        Map<String, Integer> placed = placements(targets, draws);
+        int all = placed.values().stream().mapToInt(i -> i).sum();
         int toBusy = 0;
-        for (int t = 0; t < targets / 2; t++) {
-            toBusy += to.getOrDefault("t" + t, 0);
+        for (int target = 0; target < targets / 2; target++) {
+            toBusy += placed.getOrDefault("t" + target, 0);
         }
-        assertEquals(draws, all, "every new object went out at once");
-        // a fifth: rooms of 1 and 4; five standard deviations of a binomial are 1.4 in a hundred
-        assertEquals(0.2, toBusy / (double) all, 0.015, toBusy + " of " + all);
-        assertTrue(to.size() > targets * 0.95 || targets > 1000, "nobody is left out");
+        assertEquals(draws, all, "every new object is sent at once");
+        // one fifth, by weights of 1 and 4; five standard deviations of the binomial are 0.014
+        assertEquals(0.2, toBusy / (double) all, 0.015, toBusy + " to busy targets of " + all);
+        assertTrue(placed.size() > targets * 0.95 || targets > 1000, "most targets must be chosen");
     }
 }
--- a/core/src/test/java/milletyoke/scheduler/ReportCredibilityTest.java
+++ b/core/src/test/java/milletyoke/scheduler/ReportCredibilityTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which attempts make reports of queues credible, and which end that. */
+/** Tests which attempts make load reports credible, and which revoke that. */
 class ReportCredibilityTest {
     private static final long UNLOADED_MICROS = 20_000;
     private static final double TOLERABLE_MICROS = 125_000;
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void areCredibleOnceTwoQueuesWereWaitedIn() {
+    void twoConfirmedQueueDelaysMakeReportsCredible() {
         record(QUEUE_MICROS, 70_000);
         assertFalse(credibility.isCredible());
         record(QUEUE_MICROS, 70_000);
@@ -47,21 +47,21 @@
     }
 
     @Test
-    void anAnswerFarLaterThanReportedEndsTheBelief() {
+    void responseFarLaterThanReportedRevokesCredibility() {
         confirmTwice();
         record(3_000, 200_000);
         assertFalse(credibility.isCredible());
     }
 
     @Test
-    void aQueueThatNothingWaitedInEndsTheBelief() {
+    void reportedQueueWithoutDelayRevokesCredibility() {
         confirmTwice();
         record(QUEUE_MICROS, UNLOADED_MICROS);
         assertFalse(credibility.isCredible());
     }
 
     @Test
-    void aSlowProbeIsNotConfirmedByAnEvenSlowerAnswer() {
+    void slowProbeIsNotConfirmedByEvenSlowerResponse() {
         for (int i = 0; i < 100; i++) {
             record(QUEUE_MICROS, 900_000);
         }
--- a/core/src/test/java/milletyoke/scheduler/ScenarioTest.java
+++ b/core/src/test/java/milletyoke/scheduler/ScenarioTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Runs every scenario of src/test/resources/scenarios; their README describes the notation. */
+/** Runs every scenario of src/test/resources/scenarios; the README there describes the notation. */
 class ScenarioTest {
     private static final Map<String, Outcome> OUTCOMES =
             Map.of(
@@ -42,7 +42,7 @@
                     "moot",
                     Outcome.NOT_STARTED);
 
-    private final Map<String, String> givenFigures = new HashMap<>();
+    private final Map<String, String> givenValues = new HashMap<>();
     private final List<SchedulerSettings.RequestClass> requestClasses = new ArrayList<>();
     private final List<SchedulerSettings.ServicePlan> plans = new ArrayList<>();
     private final RequestScheduler scheduler = new RequestScheduler();
@@ -50,152 +50,161 @@
     static Stream<Arguments> scenarios() throws Exception {
         Path folder = Path.of(ScenarioTest.class.getResource("/scenarios").toURI());
         String common = Files.readString(folder.resolve("common.txt"));
-        List<Arguments> all = new ArrayList<>();
+        List<Arguments> scenarios = new ArrayList<>();
         try (Stream<Path> files = Files.list(folder)) {
-            for (Path file : files.filter(f -> f.toString().endsWith(".scn")).sorted().toList()) {
-                for (String part : Files.readString(file).split("(?m)^== ", 0)) {
-                    String[] split = part.split("\n", 2);
-                    if (split.length == 2 && split[1].contains("->")) {
-                        all.add(
+            for (Path file :
+                    files.filter(path -> path.toString().endsWith(".scn")).sorted().toList()) {
+                for (String scenario : Files.readString(file).split("(?m)^== ", 0)) {
+                    String[] titleAndBody = scenario.split("\n", 2);
+                    if (titleAndBody.length == 2 && titleAndBody[1].contains("->")) {
+                        scenarios.add(
                                 Arguments.of(
-                                        file.getFileName() + ": " + split[0], common + split[1]));
+                                        file.getFileName() + ": " + titleAndBody[0],
+                                        common + titleAndBody[1]));
                     }
                 }
             }
         }
-        return all.stream();
+        return scenarios.stream();
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("scenarios")
     void actionsAreAsExpected(String name, String text) {
         List<Event> batch = new ArrayList<>();
-        long at = 0;
-        String bare = text.replaceAll("#.*", "").replace("->", "\n->");
-        for (String line : bare.lines().map(String::trim).filter(l -> !l.isEmpty()).toList()) {
-            ScenarioLine w = new ScenarioLine(line);
+        long time = 0;
+        String script = text.replaceAll("#.*", "").replace("->", "\n->");
+        for (String line :
+                script.lines().map(String::trim).filter(stripped -> !stripped.isEmpty()).toList()) {
+            ScenarioLine parsed = new ScenarioLine(line);
             if (line.startsWith("->")) {
                 String expected = line.substring(2).trim();
-                String told = play(at, batch);
-                boolean counted = expected.matches("\\d+ relays");
+                String actual = play(time, batch);
+                boolean isCount = expected.matches("\\d+ relays");
                 assertEquals(
                         expected,
-                        counted ? told.split("relay ", -1).length - 1 + " relays" : told,
-                        () -> "before: " + line + " in\n" + text);
+                        isCount ? actual.split("relay ", -1).length - 1 + " relays" : actual,
+                        () -> "actions expected in line: " + line + "\nof scenario:\n" + text);
                 batch.clear();
-            } else if (w.word(0).equals("given")) {
-                givenFigures.putAll(w.named);
-            } else if (w.word(0).equals("category")) {
-                requestClasses.add(requestClass(w));
-            } else if (w.word(0).equals("plan")) {
-                plans.add(plan(w.word(1), w));
+            } else if (parsed.word(0).equals("given")) {
+                givenValues.putAll(parsed.named);
+            } else if (parsed.word(0).equals("category")) {
+                requestClasses.add(requestClass(parsed));
+            } else if (parsed.word(0).equals("plan")) {
+                plans.add(plan(parsed.word(1), parsed));
             } else {
-                if (!w.word(0).equals("+")) {
-                    String[] span = w.word(0).split("\\.\\.", 0);
-                    long last = Long.parseLong(span[span.length - 1]) * 1000;
-                    for (long next = Long.parseLong(span[0]) * 1000; next < last; next += 50_000) {
-                        play(at, batch);
+                if (!parsed.word(0).equals("+")) {
+                    String[] span = parsed.word(0).split("\\.\\.", 0);
+                    long end = Long.parseLong(span[span.length - 1]) * 1000;
+                    for (long start = Long.parseLong(span[0]) * 1000;
+                            start < end;
+                            start += 50_000) {
+                        play(time, batch);
                         batch.clear();
-                        at = next;
-                        w.each().forEach(one -> batch.addAll(events(one)));
+                        time = start;
+                        parsed.expandIds().forEach(single -> batch.addAll(events(single)));
                     }
-                    play(at, batch);
+                    play(time, batch);
                     batch.clear();
-                    at = last;
+                    time = end;
                 }
-                w.each().forEach(one -> batch.addAll(events(one)));
+                parsed.expandIds().forEach(single -> batch.addAll(events(single)));
             }
         }
-        assertTrue(batch.isEmpty(), "the last batch has no expectation");
+        assertTrue(batch.isEmpty(), "the last batch has no line with expected actions");
     }
 
-    private String play(long at, List<Event> batch) {
-        String told =
+    private String play(long time, List<Event> batch) {
+        String actions =
                 batch.isEmpty()
                         ? ""
-                        : scheduler.decide(at, batch).stream()
-                                .filter(a -> !(a instanceof Action.ScheduleWakeUp))
+                        : scheduler.decide(time, batch).stream()
+                                .filter(action -> !(action instanceof Action.ScheduleWakeUp))
                                 .map(ScenarioTest::text)
                                 .collect(Collectors.joining(", "));
-        return told.isEmpty() ? "nothing" : told;
+        return actions.isEmpty() ? "nothing" : actions;
     }
 
-    private static SchedulerSettings.ServicePlan plan(String name, ScenarioLine w) {
+    private static SchedulerSettings.ServicePlan plan(String name, ScenarioLine line) {
         return new SchedulerSettings.ServicePlan(
                 name,
-                w.figure("reserve", 0),
-                w.figure("weight", 1),
-                w.figure("limit", 0),
-                w.figure("depth", 0),
-                w.figure("slack", 0));
+                line.number("reserve", 0),
+                line.number("weight", 1),
+                line.number("limit", 0),
+                line.number("depth", 0),
+                line.number("slack", 0));
     }
 
     private static String text(Action action) {
-        if (action instanceof Action.SendAttempt a) {
-            return "relay " + a.id() + " " + a.target();
-        } else if (action instanceof Action.Reject a) {
+        if (action instanceof Action.SendAttempt attempt) {
+            return "relay " + attempt.id() + " " + attempt.target();
+        } else if (action instanceof Action.Reject rejection) {
             return "reject "
-                    + a.id()
-                    + (a.retryAfterMicros() > 0 ? " back=" + a.retryAfterMicros() / 1000 : "");
-        } else if (action instanceof Action.Fail a) {
-            return "break " + a.id();
-        } else if (action instanceof Action.CancelAttempt a) {
-            return "cancel " + a.id() + " " + a.attemptNumber();
+                    + rejection.id()
+                    + (rejection.retryAfterMicros() > 0
+                            ? " back=" + rejection.retryAfterMicros() / 1000
+                            : "");
+        } else if (action instanceof Action.Fail failure) {
+            return "break " + failure.id();
+        } else if (action instanceof Action.CancelAttempt cancellation) {
+            return "cancel " + cancellation.id() + " " + cancellation.attemptNumber();
         }
-        return action instanceof Action.SendProbe a ? "probe " + a.target() : "follow";
+        return action instanceof Action.SendProbe probe ? "probe " + probe.target() : "follow";
     }
 
-    /** A start may name the targets of the stored endpoint list. */
-    private List<Event> events(ScenarioLine w) {
-        boolean known = w.word(1).equals("start") && w.words.size() > 2;
-        return known ? List.of(event(w), list("restored", w)) : List.of(event(w));
+    /** Returns the events of a line; a start may list the targets of the stored endpoint list. */
+    private List<Event> events(ScenarioLine line) {
+        boolean hasStoredList = line.word(1).equals("start") && line.words.size() > 2;
+        return hasStoredList ? List.of(event(line), list("restored", line)) : List.of(event(line));
     }
 
-    private static Event list(String scope, ScenarioLine w) {
+    private static Event list(String scope, ScenarioLine line) {
         return new Event.EndpointListReceived(
                 Event.ListScope.valueOf(scope.toUpperCase(Locale.ROOT)),
-                w.words.subList(2, w.words.size()).stream().map(ScenarioTest::target).toList());
+                line.words.subList(2, line.words.size()).stream()
+                        .map(ScenarioTest::target)
+                        .toList());
     }
 
-    private Event event(ScenarioLine w) {
-        return switch (w.word(1)) {
+    private Event event(ScenarioLine line) {
+        return switch (line.word(1)) {
             case "start" -> new Event.Started(7, settings());
             case "tick" -> new Event.WakeUp();
             case "take" ->
                     new Event.RequestReceived(
-                            w.word(2),
-                            (int) w.figure("at", 0),
-                            w.named.get("x"),
-                            w.named.getOrDefault("vol", "v"),
-                            w.ms("ttl", 2000),
-                            w.named.getOrDefault("plan", "flat"),
-                            w.named.getOrDefault("cat", "read"),
-                            (int) w.figure("hosts", 1),
-                            w.figure("units", 1));
+                            line.word(2),
+                            (int) line.number("at", 0),
+                            line.named.get("x"),
+                            line.named.getOrDefault("vol", "v"),
+                            line.ms("ttl", 2000),
+                            line.named.getOrDefault("plan", "flat"),
+                            line.named.getOrDefault("cat", "read"),
+                            (int) line.number("hosts", 1),
+                            line.number("units", 1));
             case "end" ->
                     new Event.AttemptEnded(
-                            w.word(2),
-                            Integer.parseInt(w.word(3)),
-                            w.word(4).equals("ok") || w.words.contains("over"),
-                            OUTCOMES.get(w.word(4)),
-                            w.ms("lag", 20));
+                            line.word(2),
+                            Integer.parseInt(line.word(3)),
+                            line.word(4).equals("ok") || line.words.contains("over"),
+                            OUTCOMES.get(line.word(4)),
+                            line.ms("lag", 20));
             case "probed" ->
                     new Event.ProbeEnded(
-                            w.word(2),
-                            OUTCOMES.get(w.word(3)),
-                            w.ms("lag", 1),
-                            w.figure("waiting", -1));
+                            line.word(2),
+                            OUTCOMES.get(line.word(3)),
+                            line.ms("lag", 1),
+                            line.number("waiting", -1));
             case "plan" -> {
-                plans.removeIf(p -> p.name().equals(w.word(2)));
-                plans.add(plan(w.word(2), w));
+                plans.removeIf(plan -> plan.name().equals(line.word(2)));
+                plans.add(plan(line.word(2), line));
                 yield new Event.SettingsChanged(settings());
             }
-            case "gone" -> new Event.RequestClosed(w.word(2));
-            default -> list(w.word(1), w);
+            case "gone" -> new Event.RequestClosed(line.word(2));
+            default -> list(line.word(1), line);
         };
     }
 
-    /** A target is written as id@shard, then /health, %zone and :startedAt where they matter. */
+    /** Parses a target: id@shard, then optionally /health, %zone and :startedAt. */
     private static Event.Target target(String text) {
         Map<Character, String> parts = new HashMap<>();
         for (String part : text.split("(?=[@/%:])", 0)) {
@@ -211,62 +220,62 @@
                 Long.parseLong(parts.getOrDefault(':', "0")) * 1000);
     }
 
-    private static Event.Health health(String word) {
-        return switch (word) {
+    private static Event.Health health(String keyword) {
+        return switch (keyword) {
             case "on" -> Event.Health.ACTIVE;
             case "draining" -> Event.Health.DRAINING;
             case "gone" -> Event.Health.REMOVED;
-            default -> throw new IllegalArgumentException("health " + word);
+            default -> throw new IllegalArgumentException("unknown target health: " + keyword);
         };
     }
 
-    private static SchedulerSettings.Idempotency idempotency(String word) {
+    private static SchedulerSettings.Idempotency idempotency(String keyword) {
         return Stream.of(SchedulerSettings.Idempotency.values())
-                .filter(i -> i.keyword().equals(word.replace('_', '-')))
+                .filter(idempotency -> idempotency.keyword().equals(keyword.replace('_', '-')))
                 .findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("idempotency " + word));
+                .orElseThrow(() -> new IllegalArgumentException("unknown idempotency: " + keyword));
     }
 
-    private static SchedulerSettings.RequestClass requestClass(ScenarioLine w) {
+    private static SchedulerSettings.RequestClass requestClass(ScenarioLine line) {
         return new SchedulerSettings.RequestClass(
-                w.word(1),
-                idempotency(w.word(2)),
+                line.word(1),
+                idempotency(line.word(2)),
                 SchedulerSettings.DeduplicationScope.valueOf(
-                        w.named.getOrDefault("group", "all").toUpperCase(Locale.ROOT)),
-                w.ms("window", 0),
-                w.words.contains("ordered"),
-                w.ms("agreed", 400),
-                w.figure("importance", 2));
+                        line.named.getOrDefault("group", "all").toUpperCase(Locale.ROOT)),
+                line.ms("window", 0),
+                line.words.contains("ordered"),
+                line.ms("agreed", 400),
+                line.number("importance", 2));
     }
 
     private SchedulerSettings settings() {
-        ScenarioLine g = new ScenarioLine("given");
-        g.named.putAll(givenFigures);
+        ScenarioLine given = new ScenarioLine("given");
+        given.named.putAll(givenValues);
         return new SchedulerSettings(
-                (int) g.figure("initiators", 1),
+                (int) given.number("initiators", 1),
                 requestClasses,
                 plans,
                 new SchedulerSettings.Capabilities(
-                        (int) g.figure("relays", 3),
-                        g.figure("probes", 0) > 0,
-                        g.figure("cancels", 0) > 0,
-                        g.figure("advice", 0) > 0,
-                        g.ms("advice", 0)),
+                        (int) given.number("relays", 3),
+                        given.number("probes", 0) > 0,
+                        given.number("cancels", 0) > 0,
+                        given.number("advice", 0) > 0,
+                        given.ms("advice", 0)),
                 new SchedulerSettings.RuleLimits(
-                        g.ms("quiet", 0),
-                        g.ms("cold", 0),
-                        g.figure("coldShare", 0.25),
-                        g.figure("bears", 0),
-                        g.ms("fall", 0),
-                        g.figure("tip", 2),
-                        g.figure("free", 0),
-                        g.figure("share", 0),
-                        g.ms("span", 0),
-                        g.ms("askIn", 0)),
-                g.figure("ask", 0) > 0);
+                        given.ms("quiet", 0),
+                        given.ms("cold", 0),
+                        given.number("coldShare", 0.25),
+                        given.number("bears", 0),
+                        given.ms("fall", 0),
+                        given.number("tip", 2),
+                        given.number("free", 0),
+                        given.number("share", 0),
+                        given.ms("span", 0),
+                        given.ms("askIn", 0)),
+                given.number("ask", 0) > 0);
     }
 
-    /** The words of one line, and its name=value pairs. */
+    /** The words of one line and its name=value pairs. */
     private static final class ScenarioLine {
         final List<String> words = new ArrayList<>();
         final Map<String, String> named = new HashMap<>();
@@ -282,24 +291,25 @@
             }
         }
 
-        /** One line for each of a range of ids, such as r1..r20. */
-        List<ScenarioLine> each() {
+        /** Returns one line for each of a range of ids, such as r1..r20. */
+        List<ScenarioLine> expandIds() {
             String[] ends = words.size() < 3 ? new String[0] : words.get(2).split("\\.\\.", 0);
             return ends.length < 2
                     ? List.of(this)
-                    : IntStream.rangeClosed(number(ends[0]), number(ends[1]))
+                    : IntStream.rangeClosed(suffixOf(ends[0]), suffixOf(ends[1]))
                             .mapToObj(
-                                    i -> {
-                                        ScenarioLine one =
+                                    suffix -> {
+                                        ScenarioLine single =
                                                 new ScenarioLine(String.join(" ", words));
-                                        one.words.set(2, ends[0].replaceAll("\\d+$", "") + i);
-                                        one.named.putAll(named);
-                                        return one;
+                                        single.words.set(
+                                                2, ends[0].replaceAll("\\d+$", "") + suffix);
+                                        single.named.putAll(named);
+                                        return single;
                                     })
                             .toList();
         }
 
-        private static int number(String id) {
+        private static int suffixOf(String id) {
             return Integer.parseInt(id.replaceAll("^\\D+", ""));
         }
 
@@ -307,12 +317,12 @@
             return words.get(i);
         }
 
-        double figure(String name, double absent) {
+        double number(String name, double absent) {
             return Double.parseDouble(named.getOrDefault(name, String.valueOf(absent)));
         }
 
         long ms(String name, long absent) {
-            return Math.round(1000 * figure(name, (double) absent));
+            return Math.round(1000 * number(name, (double) absent));
         }
     }
 }
--- a/core/src/test/java/milletyoke/scheduler/SlowStartFleet.java
+++ b/core/src/test/java/milletyoke/scheduler/SlowStartFleet.java
@@ -14,9 +14,9 @@
 import milletyoke.scheduler.api.SchedulerSettings;
 
 /**
- * A model of a whole fleet around one target that warms up: each initiator runs a scheduler of its
- * own, the target counts what it gets from all of them. Virtual time, no sockets. Times are
- * microseconds, work is units (one is a mean request).
+ * A model of a fleet around one target that warms up: each initiator runs its own scheduler, and
+ * the target sums what it receives from all of them. Virtual time, no sockets. Times are
+ * microseconds; work is in units, of which a mean request has one.
  */
 final class SlowStartFleet {
     private static final long OVERLOAD_WINDOW_MICROS = 1_000_000;
@@ -34,28 +34,28 @@
     private static final long STARTS_AT = 1_000_000;
     private static final long TARGET_STARTS_AT = STARTS_AT + 10_000_000;
 
-    /** How the target answers probes. */
+    /** How the target responds to probes. */
     enum Probes {
         /** Initiators send none. */
         NONE,
-        /** They wait in the same queue as the work. */
+        /** Probes wait in the same queue as requests. */
         QUEUED,
-        /** They are answered at once, whatever work is queued. */
-        BESIDE_WORK
+        /** Probes are answered at once, whatever is queued. */
+        AHEAD_OF_WORK
     }
 
     /**
-     * One play.
+     * One simulation run.
      *
-     * @param capacity of each target once warm, units a second
-     * @param demand of all clients on two shards, requests a second
-     * @param restarts how many initiators restart while the target warms up
-     * @param uneven whether sizes differ and the busy initiators get two of three requests
-     * @param busyInitiators how many of them are busy
-     * @param timeToLiveMicros until a client gives up
-     * @param lateConnectionShare of the attempts and probes whose connection comes up late
-     * @param deferredShare of each request's work that the target puts off: it is answered without
-     *     it, and does that work of many requests together some time later
+     * @param capacity of each target once warm, units per second
+     * @param demand of all clients on two shards, requests per second
+     * @param restarts number of initiators that restart while the target warms up
+     * @param uneven whether request sizes differ and the busy initiators get two of three requests
+     * @param busyInitiators number of busy initiators
+     * @param timeToLiveMicros time until a client gives up
+     * @param lateConnectionShare share of attempts and probes whose connection is established late
+     * @param deferredShare share of the work of each request that the target defers: it responds
+     *     without it, and does the deferred work of many requests together some time later
      */
     record Scenario(
             int initiators,
@@ -71,10 +71,11 @@
             long seed) {}
 
     /**
-     * What the warming target got.
+     * Load of the target that warms up.
      *
-     * @param excessUnits most units beyond the bound in any overload window; negative below it
-     * @param unitsSent in the whole warm-up
+     * @param excessUnits most units beyond the bound in any overload window; negative below the
+     *     bound
+     * @param unitsSent units sent during the whole warm-up
      */
     record Result(double excessUnits, double unitsSent) {}
 
@@ -82,7 +83,7 @@
 
     private record Arrival(long at, double units) {}
 
-    /** A target that serves in order of arrival, with a capacity that grows evenly. */
+    /** A target that serves in order of arrival, with a capacity that grows linearly. */
     private final class Target {
         private final long startedAt;
         private final ArrayDeque<Arrival> window = new ArrayDeque<>();
@@ -105,7 +106,7 @@
                     * Math.min(1, INITIAL_FRACTION + (1 - INITIAL_FRACTION) * warmed);
         }
 
-        /** Microseconds until what arrives now is served. */
+        /** Adds work and returns the time until it is served, microseconds. */
         long serve(double units) {
             double served = (now - servedUntil) / MICROS_PER_SECOND * capacityNow();
             queuedUnits = Math.max(0, queuedUnits - served);
@@ -172,7 +173,7 @@
             }
         }
 
-        /** Does something later, unless this initiator restarts before. */
+        /** Runs an action later, unless this initiator restarts before. */
         private void schedule(long delayMicros, Runnable action) {
             int scheduledBy = incarnation;
             at(
@@ -188,8 +189,8 @@
             if (action instanceof Action.SendAttempt attempt) {
                 connectAndRun(() -> send(attempt, now), attempt);
             } else if (action instanceof Action.SendProbe probe) {
-                long orderedAt = now;
-                schedule(connectMicros(), () -> probe(probe, orderedAt));
+                long requestedAt = now;
+                schedule(connectMicros(), () -> probe(probe, requestedAt));
             } else if (action instanceof Action.ScheduleWakeUp wakeUp) {
                 schedule(wakeUp.delayMicros(), () -> receive(new Event.WakeUp()));
             }
@@ -201,39 +202,40 @@
                 immediately.run();
                 return;
             }
-            long orderedAt = now;
-            schedule(delay, () -> send(attempt, orderedAt));
+            long requestedAt = now;
+            schedule(delay, () -> send(attempt, requestedAt));
         }
 
-        private void send(Action.SendAttempt attempt, long orderedAt) {
+        private void send(Action.SendAttempt attempt, long requestedAt) {
             int number = attempts.merge(attempt.id(), 1, Integer::sum) - 1;
             Target target = targets.get(attempt.target());
             double units = unitsOf.get(attempt.id());
-            long servedIn = NETWORK_MICROS + target.serve(units);
+            long responseMicros = NETWORK_MICROS + target.serve(units);
             target.recordArrival(units);
-            boolean isInTime = now + servedIn < attempt.deadlineMicros();
-            long endsIn = isInTime ? servedIn : Math.max(0, attempt.deadlineMicros() - now);
+            boolean isInTime = now + responseMicros < attempt.deadlineMicros();
+            long endsInMicros =
+                    isInTime ? responseMicros : Math.max(0, attempt.deadlineMicros() - now);
             Outcome outcome = isInTime ? Outcome.SUCCEEDED : Outcome.TIMED_OUT;
-            long latency = now - orderedAt + servedIn;
+            long latency = now - requestedAt + responseMicros;
             schedule(
-                    endsIn,
+                    endsInMicros,
                     () ->
                             receive(
                                     new Event.AttemptEnded(
                                             attempt.id(), number, isInTime, outcome, latency)));
         }
 
-        private void probe(Action.SendProbe probe, long orderedAt) {
-            long answeredIn =
-                    scenario.probes() == Probes.BESIDE_WORK
+        private void probe(Action.SendProbe probe, long requestedAt) {
+            long probeMicros =
+                    scenario.probes() == Probes.AHEAD_OF_WORK
                             ? NETWORK_MICROS + random.nextLong(MAX_PROBE_JITTER_MICROS)
                             : NETWORK_MICROS + targets.get(probe.target()).serve(PROBE_UNITS);
-            long latency = now - orderedAt + answeredIn;
-            long endsIn = Math.min(answeredIn, PROBE_TIMEOUT_MICROS);
+            long latency = now - requestedAt + probeMicros;
+            long endsInMicros = Math.min(probeMicros, PROBE_TIMEOUT_MICROS);
             Outcome outcome =
                     latency < PROBE_TIMEOUT_MICROS ? Outcome.SUCCEEDED : Outcome.TIMED_OUT;
             schedule(
-                    endsIn,
+                    endsInMicros,
                     () -> receive(new Event.ProbeEnded(probe.target(), outcome, latency, -1)));
         }
     }
@@ -253,16 +255,16 @@
         random = new SplittableRandom(scenario.seed());
     }
 
-    /** Plays the scenario from before the target's start to the end of its warm-up. */
-    static Result play(Scenario scenario) {
-        return new SlowStartFleet(scenario).play();
+    /** Runs the scenario from before the start of the target to the end of its warm-up. */
+    static Result run(Scenario scenario) {
+        return new SlowStartFleet(scenario).run();
     }
 
     private void at(long time, Runnable action) {
         tasks.add(new Task(time, lastTaskNumber++, action));
     }
 
-    /** How long a connection takes to come up; 0 for one that is open. */
+    /** Returns the time until a connection is established; 0 for an open one. */
     private long connectMicros() {
         boolean isLate =
                 scenario.lateConnectionShare() > 0
@@ -270,10 +272,10 @@
         return isLate ? 1 + random.nextLong(MAX_CONNECT_MICROS) : 0;
     }
 
-    private Result play() {
-        long longAgo = STARTS_AT - 2 * WARM_UP_MICROS;
-        targets.put("old", new Target(longAgo));
-        targets.put("warm", new Target(longAgo));
+    private Result run() {
+        long startedLongAgo = STARTS_AT - 2 * WARM_UP_MICROS;
+        targets.put("old", new Target(startedLongAgo));
+        targets.put("warm", new Target(startedLongAgo));
         Target warming = new Target(TARGET_STARTS_AT);
         targets.put("new", warming);
         startFleet();
@@ -290,16 +292,16 @@
     private void startFleet() {
         Event.EndpointListReceived before = endpoints("old", 0);
         Event.EndpointListReceived after = endpoints("new", TARGET_STARTS_AT);
-        for (int i = 0; i < scenario.initiators(); i++) {
-            Initiator initiator = new Initiator("i" + i, settings());
+        for (int index = 0; index < scenario.initiators(); index++) {
+            Initiator initiator = new Initiator("i" + index, settings());
             initiators.add(initiator);
             initiator.start(before);
             at(
                     TARGET_STARTS_AT + 10_000 + random.nextLong(400_000),
                     () -> initiator.receive(after));
         }
-        for (int i = 0; i < scenario.restarts(); i++) {
-            Initiator initiator = initiators.get(i);
+        for (int index = 0; index < scenario.restarts(); index++) {
+            Initiator initiator = initiators.get(index);
             at(
                     TARGET_STARTS_AT + 1_000_000 + random.nextLong(6_000_000),
                     () -> initiator.start(after));
@@ -316,13 +318,13 @@
 
     private void scheduleRequests() {
         long interval = (long) (MICROS_PER_SECOND / scenario.demand());
-        for (long t = STARTS_AT; t < TARGET_STARTS_AT + WARM_UP_MICROS; t += interval) {
+        for (long time = STARTS_AT; time < TARGET_STARTS_AT + WARM_UP_MICROS; time += interval) {
             boolean isBusy = scenario.uneven() && random.nextInt(3) > 0;
             int among = isBusy ? scenario.busyInitiators() : scenario.initiators();
             Initiator initiator = initiators.get(random.nextInt(among));
             double units = scenario.uneven() ? 0.4 + 1.2 * random.nextDouble() : 1;
             int shard = random.nextInt(2);
-            at(t + random.nextLong(20_000), () -> request(initiator, shard, units));
+            at(time + random.nextLong(20_000), () -> request(initiator, shard, units));
         }
     }
 
--- a/core/src/test/java/milletyoke/scheduler/SlowStartFleetTest.java
+++ b/core/src/test/java/milletyoke/scheduler/SlowStartFleetTest.java
@@ -17,164 +17,181 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * One target comes back cold under the demand of a whole fleet, each initiator deciding alone, some
- * of them restarted meanwhile: in no window of the stated length does it get more than its budget
- * of N and 2 x root of N + 2 beside. No sockets, virtual time.
+ * A target restarts under the load of a whole fleet in which each initiator decides alone and some
+ * restart meanwhile. In no overload window may it receive more than its budget of N units plus 2
+ * sqrt(N) + 2. Virtual time, no sockets.
  */
 class SlowStartFleetTest {
-    private static final long FALL = 1_000_000;
-    private static final long COLD = 10_000_000;
-    private static final long AIM = 400_000;
-    private static final long TTL = 2_500_000;
-    private static final double TIP = 2;
-    private static final double SHARE = 0.35;
+    private static final long OVERLOAD_WINDOW_MICROS = 1_000_000;
+    private static final long WARM_UP_MICROS = 10_000_000;
+    private static final long LATENCY_OBJECTIVE_MICROS = 400_000;
+    private static final long TIME_TO_LIVE_MICROS = 2_500_000;
+    private static final double OVERLOAD_FACTOR = 2;
+    private static final double INITIAL_FRACTION = 0.35;
 
-    private record Due(long at, long number, Runnable task) {}
+    private record Task(long at, long number, Runnable task) {}
 
     /**
-     * A target that serves in turn of arrival, with a capacity that grows evenly (units a second).
+     * A target that serves in order of arrival, with a capacity in units per second that grows
+     * linearly.
      */
     private final class Target {
-        final double full;
-        final long born;
-        double backlog;
-        long workedAt;
-        final ArrayDeque<double[]> sent = new ArrayDeque<>();
-        double worst = Double.NEGATIVE_INFINITY;
-        double inAll;
+        final double fullCapacity;
+        final long startedAt;
+        double queuedUnits;
+        long servedUntil;
+        final ArrayDeque<double[]> arrivals = new ArrayDeque<>();
+        double worstExcess = Double.NEGATIVE_INFINITY;
+        double unitsSent;
 
-        Target(double full, long born) {
-            this.full = full;
-            this.born = born;
-            workedAt = born;
+        Target(double fullCapacity, long startedAt) {
+            this.fullCapacity = fullCapacity;
+            this.startedAt = startedAt;
+            servedUntil = startedAt;
         }
 
         double capacity() {
-            return full
-                    * Math.min(1, SHARE + (1 - SHARE) * Math.max(0, now - born) / (double) COLD);
+            return fullCapacity
+                    * Math.min(
+                            1,
+                            INITIAL_FRACTION
+                                    + (1 - INITIAL_FRACTION)
+                                            * Math.max(0, now - startedAt)
+                                            / (double) WARM_UP_MICROS);
         }
 
-        /** Microseconds until what is put in now is served. */
-        long put(double units, boolean counts) {
-            backlog = Math.max(0, backlog - (now - workedAt) / 1e6 * capacity()) + units;
-            workedAt = now;
-            if (counts) {
-                inAll += units;
-                sent.addLast(new double[] {now, units});
-                while (sent.peekFirst()[0] <= now - FALL) {
-                    sent.removeFirst();
+        /** Adds work and returns the time until it is served, microseconds. */
+        long serve(double units, boolean isCounted) {
+            queuedUnits = Math.max(0, queuedUnits - (now - servedUntil) / 1e6 * capacity()) + units;
+            servedUntil = now;
+            if (isCounted) {
+                unitsSent += units;
+                arrivals.addLast(new double[] {now, units});
+                while (arrivals.peekFirst()[0] <= now - OVERLOAD_WINDOW_MICROS) {
+                    arrivals.removeFirst();
                 }
-                double window = sent.stream().mapToDouble(s -> s[1]).sum();
-                double n = TIP * capacity() * FALL / 1e6;
-                worst =
-                        now < born + COLD
-                                ? Math.max(worst, window - (n + 2 * Math.sqrt(n) + 2))
-                                : worst;
+                double unitsInWindow = arrivals.stream().mapToDouble(arrival -> arrival[1]).sum();
+                double budget = OVERLOAD_FACTOR * capacity() * OVERLOAD_WINDOW_MICROS / 1e6;
+                worstExcess =
+                        now < startedAt + WARM_UP_MICROS
+                                ? Math.max(
+                                        worstExcess,
+                                        unitsInWindow - (budget + 2 * Math.sqrt(budget) + 2))
+                                : worstExcess;
             }
-            return (long) (backlog / capacity() * 1e6);
+            return (long) (queuedUnits / capacity() * 1e6);
         }
     }
 
-    private final PriorityQueue<Due> queue =
+    private final PriorityQueue<Task> queue =
             new PriorityQueue<>(
-                    java.util.Comparator.comparingLong(Due::at).thenComparingLong(Due::number));
-    private final Map<String, double[]> open = new HashMap<>();
+                    java.util.Comparator.comparingLong(Task::at).thenComparingLong(Task::number));
+    private final Map<String, double[]> unitsOf = new HashMap<>();
     private long now = 1_000_000;
-    private long numbers;
+    private long lastTaskNumber;
 
     private void at(long time, Runnable task) {
-        queue.add(new Due(time, numbers++, task));
+        queue.add(new Task(time, lastTaskNumber++, task));
     }
 
     private final class Initiator {
-        final SchedulerSettings given;
+        final SchedulerSettings settings;
         final String name;
-        RequestScheduler decide;
+        RequestScheduler scheduler;
         List<Event> events = new ArrayList<>();
-        final Map<String, Integer> relays = new HashMap<>();
-        int life;
+        final Map<String, Integer> attempts = new HashMap<>();
+        int incarnation;
 
-        Initiator(String name, SchedulerSettings given) {
+        Initiator(String name, SchedulerSettings settings) {
             this.name = name;
-            this.given = given;
+            this.settings = settings;
         }
 
         void start(Event.EndpointListReceived list) {
-            decide = new RequestScheduler();
-            life++;
-            relays.clear();
+            scheduler = new RequestScheduler();
+            incarnation++;
+            attempts.clear();
             events =
                     new ArrayList<>(
-                            List.of(new Event.Started(name.hashCode() * 31L + life, given), list));
-            turn();
+                            List.of(
+                                    new Event.Started(
+                                            name.hashCode() * 31L + incarnation, settings),
+                                    list));
+            handleEvents();
         }
 
-        void turn() {
+        void handleEvents() {
             while (!events.isEmpty()) {
-                List<Event> all = events;
+                List<Event> batch = events;
                 events = new ArrayList<>();
-                decide.decide(now, all).forEach(this::carryOut);
+                scheduler.decide(now, batch).forEach(this::carryOut);
             }
         }
 
-        void later(long in, Event event) {
-            int of = life;
+        void schedule(long delayMicros, Event event) {
+            int scheduledBy = incarnation;
             at(
-                    now + in,
+                    now + delayMicros,
                     () -> {
-                        if (of == life) {
+                        if (scheduledBy == incarnation) {
                             events.add(event);
-                            turn();
+                            handleEvents();
                         }
                     });
         }
 
         void carryOut(Action action) {
-            if (action instanceof Action.SendAttempt a) {
-                int n = relays.merge(a.id(), 1, Integer::sum) - 1;
-                Target t = targets.get(a.target());
-                double units = open.get(a.id())[0];
-                long took = 400 + t.put(units, true);
-                boolean inTime = now + took < a.deadlineMicros();
-                later(
-                        inTime ? took : a.deadlineMicros() - now,
+            if (action instanceof Action.SendAttempt attempt) {
+                int number = attempts.merge(attempt.id(), 1, Integer::sum) - 1;
+                Target target = targets.get(attempt.target());
+                double units = unitsOf.get(attempt.id())[0];
+                long latency = 400 + target.serve(units, true);
+                boolean inTime = now + latency < attempt.deadlineMicros();
+                schedule(
+                        inTime ? latency : attempt.deadlineMicros() - now,
                         new Event.AttemptEnded(
-                                a.id(),
-                                n,
+                                attempt.id(),
+                                number,
                                 inTime,
                                 inTime ? Outcome.SUCCEEDED : Outcome.TIMED_OUT,
-                                took));
-            } else if (action instanceof Action.SendProbe a) {
-                long took =
-                        400
-                                + targets.get(a.target())
-                                        .put(0.01, false); // it waits in turn, and costs little
-                later(
-                        Math.min(took, 250_000),
+                                latency));
+            } else if (action instanceof Action.SendProbe probe) {
+                // a probe is queued like requests, and causes little work
+                long latency = 400 + targets.get(probe.target()).serve(0.01, false);
+                schedule(
+                        Math.min(latency, 250_000),
                         new Event.ProbeEnded(
-                                a.target(),
-                                took < 250_000 ? Outcome.SUCCEEDED : Outcome.TIMED_OUT,
-                                took,
+                                probe.target(),
+                                latency < 250_000 ? Outcome.SUCCEEDED : Outcome.TIMED_OUT,
+                                latency,
                                 -1));
-            } else if (action instanceof Action.ScheduleWakeUp a) {
-                later(a.delayMicros(), new Event.WakeUp());
+            } else if (action instanceof Action.ScheduleWakeUp wakeUp) {
+                schedule(wakeUp.delayMicros(), new Event.WakeUp());
             }
         }
     }
 
     private final Map<String, Target> targets = new HashMap<>();
-    private long ids;
+    private long lastRequestNumber;
 
-    private void ask(Initiator i, int shard, double units) {
-        String id = "a" + ids++;
-        open.put(id, new double[] {units});
-        i.events.add(
+    private void request(Initiator initiator, int shard, double units) {
+        String id = "a" + lastRequestNumber++;
+        unitsOf.put(id, new double[] {units});
+        initiator.events.add(
                 new Event.RequestReceived(
-                        id, shard, "x" + id, "v" + i.name, TTL, "p", "c", 1, units));
-        i.turn();
+                        id,
+                        shard,
+                        "x" + id,
+                        "v" + initiator.name,
+                        TIME_TO_LIVE_MICROS,
+                        "p",
+                        "c",
+                        1,
+                        units));
+        initiator.handleEvents();
     }
 
-    private static SchedulerSettings provisioning(int initiators, double bears, boolean probes) {
+    private static SchedulerSettings settings(int initiators, double warmUpBudget, boolean probes) {
         return new SchedulerSettings(
                 initiators,
                 List.of(
@@ -184,34 +201,45 @@
                                 SchedulerSettings.DeduplicationScope.CELL,
                                 0,
                                 false,
-                                AIM,
+                                LATENCY_OBJECTIVE_MICROS,
                                 1)),
                 List.of(new SchedulerSettings.ServicePlan("p", 0, 1, 0, 0, 0)),
                 new SchedulerSettings.Capabilities(3, probes, true, true, 500_000),
-                new SchedulerSettings.RuleLimits(0, COLD, SHARE, bears, FALL, TIP, 0, 0, 0, 0),
+                new SchedulerSettings.RuleLimits(
+                        0,
+                        WARM_UP_MICROS,
+                        INITIAL_FRACTION,
+                        warmUpBudget,
+                        OVERLOAD_WINDOW_MICROS,
+                        OVERLOAD_FACTOR,
+                        0,
+                        0,
+                        0,
+                        0),
                 false);
     }
 
     /**
-     * @return the largest excess over the bound in any window, and how many accesses were served
+     * @return the largest excess over the bound in any window, and the units sent to the target
      */
-    private double[] play(
+    private double[] run(
             int initiators,
-            double full,
+            double fullCapacity,
             double demand,
             int restarts,
             boolean probes,
             boolean uneven,
             long seed) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        double bears = TIP * SHARE * full * FALL / 1e6;
-        long born = now + 3_000_000;
+        SplittableRandom random = new SplittableRandom(seed);
+        double warmUpBudget =
+                OVERLOAD_FACTOR * INITIAL_FRACTION * fullCapacity * OVERLOAD_WINDOW_MICROS / 1e6;
+        long startedAt = now + 3_000_000;
         queue.clear();
-        open.clear();
-        targets.put("old", new Target(full, now - 2 * COLD));
-        targets.put("warm", new Target(full, now - 2 * COLD));
-        Target cold = new Target(full, born);
-        targets.put("new", cold);
+        unitsOf.clear();
+        targets.put("old", new Target(fullCapacity, now - 2 * WARM_UP_MICROS));
+        targets.put("warm", new Target(fullCapacity, now - 2 * WARM_UP_MICROS));
+        Target warming = new Target(fullCapacity, startedAt);
+        targets.put("new", warming);
         List<Initiator> fleet = new ArrayList<>();
         Event.Target warm = new Event.Target(1, "warm", "z", Event.Health.ACTIVE, 0);
         Event.EndpointListReceived before =
@@ -221,43 +249,46 @@
         Event.EndpointListReceived after =
                 new Event.EndpointListReceived(
                         Event.ListScope.REPLACE,
-                        List.of(new Event.Target(0, "new", "z", Event.Health.ACTIVE, born), warm));
-        for (int i = 0; i < initiators; i++) {
-            Initiator one = new Initiator("i" + i, provisioning(initiators, bears, probes));
-            fleet.add(one);
-            one.start(before);
+                        List.of(
+                                new Event.Target(0, "new", "z", Event.Health.ACTIVE, startedAt),
+                                warm));
+        for (int index = 0; index < initiators; index++) {
+            Initiator initiator =
+                    new Initiator("i" + index, settings(initiators, warmUpBudget, probes));
+            fleet.add(initiator);
+            initiator.start(before);
             at(
-                    born + 10_000 + chance.nextLong(400_000),
+                    startedAt + 10_000 + random.nextLong(400_000),
                     () -> {
-                        one.events.add(after);
-                        one.turn();
+                        initiator.events.add(after);
+                        initiator.handleEvents();
                     });
         }
-        for (int r = 0; r < restarts; r++) {
-            Initiator one = fleet.get(r);
-            at(born + 1_000_000 + chance.nextLong(6_000_000), () -> one.start(after));
+        for (int restart = 0; restart < restarts; restart++) {
+            Initiator initiator = fleet.get(restart);
+            at(startedAt + 1_000_000 + random.nextLong(6_000_000), () -> initiator.start(after));
         }
-        for (long t = now; t < born + COLD; t += (long) (1e6 / demand)) {
-            Initiator one =
+        for (long time = now; time < startedAt + WARM_UP_MICROS; time += (long) (1e6 / demand)) {
+            Initiator initiator =
                     fleet.get(
-                            uneven && chance.nextInt(3) > 0
-                                    ? chance.nextInt(Math.max(1, initiators / 5))
-                                    : chance.nextInt(initiators));
-            double units = uneven ? 0.4 + 1.2 * chance.nextDouble() : 1;
-            int shard = chance.nextInt(2);
-            at(t + chance.nextLong(20_000), () -> ask(one, shard, units));
+                            uneven && random.nextInt(3) > 0
+                                    ? random.nextInt(Math.max(1, initiators / 5))
+                                    : random.nextInt(initiators));
+            double units = uneven ? 0.4 + 1.2 * random.nextDouble() : 1;
+            int shard = random.nextInt(2);
+            at(time + random.nextLong(20_000), () -> request(initiator, shard, units));
         }
-        while (!queue.isEmpty() && queue.peek().at() < born + COLD) {
-            Due next = queue.poll();
+        while (!queue.isEmpty() && queue.peek().at() < startedAt + WARM_UP_MICROS) {
+            Task next = queue.poll();
             now = Math.max(now, next.at());
             next.task().run();
         }
-        return new double[] {cold.worst, cold.inAll};
+        return new double[] {warming.worstExcess, warming.unitsSent};
     }
 
     /**
-     * Three seeds each: a fleet of 3 has even parts of whole accesses, one of 100 a fifth of one,
-     * and only lots.
+     * Three seeds each. With 3 initiators the even share is several whole requests; with 100 it is
+     * a fifth of one, so that only random draws admit requests.
      */
     @ParameterizedTest
     @CsvSource({
@@ -274,31 +305,32 @@
         "30,12,200,8,false,false",
         "40,8,100,12,true,false"
     })
-    void theFleetTogetherKeepsUnderTheBound(
+    void allInitiatorsTogetherStayWithinTheBound(
             int initiators,
-            double full,
+            double fullCapacity,
             double demand,
             int restarts,
             boolean probes,
             boolean uneven) {
         for (long seed = 11; seed < 14; seed++) {
-            double excess = play(initiators, full, demand, restarts, probes, uneven, seed)[0];
-            assertTrue(excess <= 0, "over the bound by " + excess + " mean accesses, seed " + seed);
+            double excess =
+                    run(initiators, fullCapacity, demand, restarts, probes, uneven, seed)[0];
+            assertTrue(excess <= 0, "bound exceeded by " + excess + " units, seed " + seed);
         }
     }
 
     /**
-     * The even part of 100 initiators is 21 / 100 of a mean access at first and 60 / 100 in the
-     * end: none can ever be sent by it. By lots some are.
+     * The even share of 100 initiators is 0.21 of a mean request at first and 0.60 in the end,
+     * which never admits a request; random draws admit some.
      */
     @ParameterizedTest
     @CsvSource({"30,80,true,90", "100,80,true,40", "100,80,false,30", "100,30,false,8"})
-    void aColdTargetIsNotStarvedByHowManyThereAre(
-            int initiators, double demand, boolean probes, double least) {
+    void warmingTargetIsNotStarvedByManyInitiators(
+            int initiators, double demand, boolean probes, double leastUnits) {
         double sent = 0;
         for (long seed = 11; seed < 14; seed++) {
-            sent += play(initiators, 30, demand, 0, probes, false, seed)[1] / 3;
+            sent += run(initiators, 30, demand, 0, probes, false, seed)[1] / 3;
         }
-        assertTrue(sent >= least, "units in ten seconds: " + sent);
+        assertTrue(sent >= leastUnits, "units sent in ten seconds: " + sent);
     }
 }
--- a/core/src/test/java/milletyoke/scheduler/SlowStartLoadReportTest.java
+++ b/core/src/test/java/milletyoke/scheduler/SlowStartLoadReportTest.java
@@ -9,15 +9,15 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A target that warms up was sent far more than its bound, although each initiator was told that
- * hardly anything was queued there. Its probes are answered beside the work, and part of the work
- * is put off, so answers come early too. Seen on sockets: one initiator sent 41 units in a second,
- * 3.8 times what the target could do, while its probes reported 3 to 13 ms of queue.
+ * Guards against load reports that let a target that warms up receive far more than its bound.
+ * Where targets answer probes ahead of queued work and defer part of the work, each initiator sees
+ * hardly any queue. Observed on sockets: one initiator sent 41 units in a second, 3.8 times the
+ * capacity of the target, while its probes reported 3 to 13 ms of queue delay.
  *
- * <p>The cause: any one slow probe, such as one whose connection came up late, made all reports of
- * all targets count as proof of room, and a quick probe then let a request pass without limit. The
- * evidence: 1,535 of 1,558 sends to warming targets in the traced play went by such reports, and in
- * this model no play passes the bound when initiators send no probes.
+ * <p>The cause: any single slow probe, such as one whose connection was established late, made the
+ * reports of all targets count as evidence of spare capacity, and a quick probe then admitted
+ * requests without limit. In the traced run 1,535 of 1,558 sends to targets in warm-up were
+ * admitted by such reports; in this model no run exceeds the bound when initiators send no probes.
  */
 class SlowStartLoadReportTest {
     private static final long FIRST_SEED = 11;
@@ -25,7 +25,7 @@
     private static final long TIME_TO_LIVE_MICROS = 2_500_000;
     private static final int INITIATORS_PER_BUSY_ONE = 20;
 
-    /** The sum of all initiators stays under N and 2 x root of N + 2 in each overload window. */
+    /** Units from all initiators stay below N + 2 sqrt(N) + 2 in each overload window. */
     @ParameterizedTest
     @CsvSource({
         "20,30,200,0,true,0.02,0.8",
@@ -38,7 +38,7 @@
         "200,60,1000,20,true,0.2,0.8",
         "3,30,200,1,false,0.2,0.5"
     })
-    void probesAnsweredBesideTheWorkDoNotLiftTheBound(
+    void probesAnsweredAheadOfWorkDoNotLiftTheBound(
             int initiators,
             double capacity,
             double demand,
@@ -48,13 +48,13 @@
             double deferredShare) {
         for (long seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
             Result result =
-                    SlowStartFleet.play(
+                    SlowStartFleet.run(
                             new Scenario(
                                     initiators,
                                     capacity,
                                     demand,
                                     restarts,
-                                    Probes.BESIDE_WORK,
+                                    Probes.AHEAD_OF_WORK,
                                     uneven,
                                     Math.max(1, initiators / INITIATORS_PER_BUSY_ONE),
                                     TIME_TO_LIVE_MICROS,
@@ -63,7 +63,7 @@
                                     seed));
             assertTrue(
                     result.excessUnits() <= 0,
-                    "over the bound by " + result.excessUnits() + " units, seed " + seed);
+                    "bound exceeded by " + result.excessUnits() + " units, seed " + seed);
         }
     }
 }
--- a/core/src/test/java/milletyoke/scheduler/StepCostTest.java
+++ b/core/src/test/java/milletyoke/scheduler/StepCostTest.java
@@ -19,8 +19,9 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * The time of one turn with many pending requests and known volumes, beside the reference, in one
- * run. Prints times; asserts only that both sent as many attempts.
+ * Measures the time of one turn with many pending requests and known volumes, compared with the
+ * reference implementation in the same run. Prints times; asserts only that both send as many
+ * attempts.
  */
 @Timeout(120)
 class StepCostTest {
@@ -31,68 +32,81 @@
     void sendsAsManyAttemptsAsTheReference() {
         for (int[] size :
                 new int[][] {{100, 100}, {1_000, 2_000}, {5_000, 2_000}, {1_000, 20_000}}) {
-            RequestScheduler now = new RequestScheduler();
-            milletyoke.scheduler.reference.Decide before =
+            RequestScheduler scheduler = new RequestScheduler();
+            milletyoke.scheduler.reference.Decide reference =
                     new milletyoke.scheduler.reference.Decide();
-            long[] relays = new long[2];
-            double a = micros(now, size[0], size[1], relays, 0);
-            double b = micros(before::decide, size[0], size[1], relays, 1);
-            assertEquals(relays[1], relays[0]);
+            long[] attemptsSent = new long[2];
+            double schedulerMicros = micros(scheduler, size[0], size[1], attemptsSent, 0);
+            double referenceMicros = micros(reference::decide, size[0], size[1], attemptsSent, 1);
+            assertEquals(attemptsSent[1], attemptsSent[0]);
             System.out.printf(
-                    "%d held, %d volumes: %.1f us a call, %.1f before, ratio %.1f%n",
-                    size[0], size[1], a, b, b / a);
+                    "%d pending requests, %d volumes: %.1f us per call, reference %.1f us, ratio %.1f%n",
+                    size[0],
+                    size[1],
+                    schedulerMicros,
+                    referenceMicros,
+                    referenceMicros / schedulerMicros);
         }
     }
 
-    private static double micros(Scheduler module, int held, int volumes, long[] relays, int of) {
+    private static double micros(
+            Scheduler scheduler, int pending, int volumes, long[] attemptsSent, int index) {
         List<Event> start = new ArrayList<>(List.of(new Event.Started(1, settings())));
         List<Event.Target> targets = new ArrayList<>();
-        for (int t = 0; t < TARGETS; t++) {
-            targets.add(new Event.Target(t, "t" + t, "z", Event.Health.ACTIVE, 0));
+        for (int target = 0; target < TARGETS; target++) {
+            targets.add(new Event.Target(target, "t" + target, "z", Event.Health.ACTIVE, 0));
         }
         start.add(new Event.EndpointListReceived(Event.ListScope.REPLACE, targets));
         long time = 1_000_000_000L;
-        List<Action> out = new ArrayList<>(attemptsOf(module.decide(time, start)));
-        for (int v = 0; v < volumes; v++) { // every volume was here once
+        List<Action> inFlight = new ArrayList<>(attemptsOf(scheduler.decide(time, start)));
+        for (int volume = 0; volume < volumes; volume++) { // one request of every volume
             time += 100;
-            List<Action> acts =
-                    module.decide(time, List.of(requestReceived("w" + v, v % TARGETS, v, "read")));
-            for (Action.SendAttempt r : attemptsOf(acts)) {
-                module.decide(
+            List<Action> actions =
+                    scheduler.decide(
+                            time,
+                            List.of(
+                                    requestReceived(
+                                            "w" + volume, volume % TARGETS, volume, "read")));
+            for (Action.SendAttempt attempt : attemptsOf(actions)) {
+                scheduler.decide(
                         time + 50,
-                        List.of(new Event.AttemptEnded(r.id(), 0, true, Outcome.SUCCEEDED, 50)));
+                        List.of(
+                                new Event.AttemptEnded(
+                                        attempt.id(), 0, true, Outcome.SUCCEEDED, 50)));
             }
         }
-        for (int h = 0;
-                h < held;
-                h++) { // those wait for a shard that nobody holds, and for busy ones
-            out.addAll(
+        for (int request = 0;
+                request < pending;
+                request++) { // half wait for a shard without target, half for busy ones
+            inFlight.addAll(
                     attemptsOf(
-                            module.decide(
+                            scheduler.decide(
                                     time,
                                     List.of(
                                             requestReceived(
-                                                    "h" + h,
-                                                    h % 2 == 0 ? TARGETS : h % TARGETS,
-                                                    h % volumes,
+                                                    "h" + request,
+                                                    request % 2 == 0 ? TARGETS : request % TARGETS,
+                                                    request % volumes,
                                                     "slow")))));
         }
-        int attempt = 0;
-        long began = System.nanoTime();
+        int attemptNumber = 0;
+        long startedAt = System.nanoTime();
         for (int i = 0; i < STEPS; i++) {
             time += 20;
             List<Event> events =
                     new ArrayList<>(
                             List.of(requestReceived("s" + i, i % TARGETS, i % volumes, "slow")));
-            if (!out.isEmpty()) {
-                Action.SendAttempt r = (Action.SendAttempt) out.remove(0);
-                events.add(new Event.AttemptEnded(r.id(), attempt, true, Outcome.SUCCEEDED, 3_000));
+            if (!inFlight.isEmpty()) {
+                Action.SendAttempt attempt = (Action.SendAttempt) inFlight.remove(0);
+                events.add(
+                        new Event.AttemptEnded(
+                                attempt.id(), attemptNumber, true, Outcome.SUCCEEDED, 3_000));
             }
-            List<Action.SendAttempt> more = attemptsOf(module.decide(time, events));
-            relays[of] += more.size();
-            out.addAll(more);
+            List<Action.SendAttempt> sent = attemptsOf(scheduler.decide(time, events));
+            attemptsSent[index] += sent.size();
+            inFlight.addAll(sent);
         }
-        return (System.nanoTime() - began) / 1e3 / STEPS;
+        return (System.nanoTime() - startedAt) / 1e3 / STEPS;
     }
 
     private static SchedulerSettings settings() {
@@ -123,15 +137,15 @@
                 false);
     }
 
-    private static Event requestReceived(String id, int shard, int volume, String category) {
+    private static Event requestReceived(String id, int shard, int volume, String requestClass) {
         return new Event.RequestReceived(
-                id, shard, null, "v" + volume, 700_000_000L, "free", category, 1, 1);
+                id, shard, null, "v" + volume, 700_000_000L, "free", requestClass, 1, 1);
     }
 
     private static List<Action.SendAttempt> attemptsOf(List<Action> actions) {
         return actions.stream()
-                .filter(a -> a instanceof Action.SendAttempt)
-                .map(a -> (Action.SendAttempt) a)
+                .filter(action -> action instanceof Action.SendAttempt)
+                .map(action -> (Action.SendAttempt) action)
                 .toList();
     }
 }
