--- a/core/src/test/java/milletyoke/scheduler/DifferentialTest.java
+++ b/core/src/test/java/milletyoke/scheduler/DifferentialTest.java
@@ -284,19 +284,21 @@
     }
 
     private static String recordedForm(Action action) {
-        if (action instanceof Action.SendAttempt a) {
+        if (action instanceof Action.SendAttempt attempt) {
             return "Relay[id=%s, giveUpAt=%d, target=%s]"
-                    .formatted(a.id(), a.deadlineMicros(), a.target());
-        } else if (action instanceof Action.Reject a) {
-            return "Reject[id=%s, retryIn=%d]".formatted(a.id(), a.retryAfterMicros());
-        } else if (action instanceof Action.Fail a) {
-            return "BreakOff[id=%s]".formatted(a.id());
-        } else if (action instanceof Action.CancelAttempt a) {
-            return "Cancel[id=%s, relay=%d]".formatted(a.id(), a.attemptNumber());
-        } else if (action instanceof Action.SendProbe a) {
-            return "Probe[target=%s]".formatted(a.target());
-        } else if (action instanceof Action.ScheduleWakeUp a) {
-            return "Wake[in=%d]".formatted(a.delayMicros());
+                    .formatted(attempt.id(), attempt.deadlineMicros(), attempt.target());
+        } else if (action instanceof Action.Reject rejection) {
+            return "Reject[id=%s, retryIn=%d]"
+                    .formatted(rejection.id(), rejection.retryAfterMicros());
+        } else if (action instanceof Action.Fail failure) {
+            return "BreakOff[id=%s]".formatted(failure.id());
+        } else if (action instanceof Action.CancelAttempt cancellation) {
+            return "Cancel[id=%s, relay=%d]"
+                    .formatted(cancellation.id(), cancellation.attemptNumber());
+        } else if (action instanceof Action.SendProbe probe) {
+            return "Probe[target=%s]".formatted(probe.target());
+        } else if (action instanceof Action.ScheduleWakeUp wakeUp) {
+            return "Wake[in=%d]".formatted(wakeUp.delayMicros());
         }
         return "FollowList[]";
     }
--- a/core/src/test/java/milletyoke/scheduler/IdleStateEvictionTest.java
+++ b/core/src/test/java/milletyoke/scheduler/IdleStateEvictionTest.java
@@ -114,8 +114,8 @@
                             capped);
             auditor = new Auditor(now, capped, volumes);
             List<Event.Target> targets = new ArrayList<>();
-            for (int t = 0; t < shards; t++) {
-                targets.add(new Event.Target(t, "t" + t, "z", Event.Health.ACTIVE, 0));
+            for (int target = 0; target < shards; target++) {
+                targets.add(new Event.Target(target, "t" + target, "z", Event.Health.ACTIVE, 0));
             }
             handle(
                     new Event.Started(1, settings()),
@@ -389,9 +389,9 @@
         sequences.put("stuck", stuck);
         stuck.quietUntil = 10;
         eviction.scheduleKeyCheck(stuck);
-        for (int k = 0; k < 50; k++) {
-            KeySequence key = new KeySequence("k" + k);
-            key.quietUntil = 20L + k;
+        for (int number = 0; number < 50; number++) {
+            KeySequence key = new KeySequence("k" + number);
+            key.quietUntil = 20L + number;
             sequences.put(key.key, key);
             eviction.scheduleKeyCheck(key);
         }
@@ -487,33 +487,35 @@
         int replaceEvery = 100;
         List<Long> heaps = new ArrayList<>();
         long startedAt = harness.now;
-        for (int v = 0; v < volumes; v++) {
-            String plan = harness.plans.get(v % 3).name();
+        for (int volume = 0; volume < volumes; volume++) {
+            String plan = harness.plans.get(volume % 3).name();
             for (int i = random.nextInt(6); i >= 0; i--) {
                 harness.request(
-                        "v" + v,
-                        1000 + v % 30 + generation / 30 * 30,
+                        "v" + volume,
+                        1000 + volume % 30 + generation / 30 * 30,
                         plan,
-                        i % 3 == 0 ? "k" + v : null,
+                        i % 3 == 0 ? "k" + volume : null,
                         1 + random.nextInt(9));
             }
-            if (random.nextInt(4) == 0 && v > 0) { // a volume returns after minutes or much longer
-                int old = v - 1 - random.nextInt(Math.min(v, 1 << random.nextInt(20)));
+            if (random.nextInt(4) == 0
+                    && volume > 0) { // a volume returns after minutes or much longer
+                int earlierVolume =
+                        volume - 1 - random.nextInt(Math.min(volume, 1 << random.nextInt(20)));
                 harness.request(
-                        "v" + old,
+                        "v" + earlierVolume,
                         1000 + random.nextInt(30),
-                        harness.plans.get(old % 3).name(),
+                        harness.plans.get(earlierVolume % 3).name(),
                         null,
                         1 + random.nextInt(30));
             }
             harness.completeAttempts();
             harness.now += random.nextLong(2 * meanIntervalMicros);
             harness.handle(new Event.WakeUp());
-            if (v % replaceEvery == 0) {
+            if (volume % replaceEvery == 0) {
                 harness.handle(targetReplaced(generation, harness.now));
                 generation++;
             }
-            if (v % 50_000 == 0) {
+            if (volume % 50_000 == 0) {
                 harness.changePlan(
                         new ServicePlan(
                                 "capped", 0, 1, 1 + random.nextInt(5), 10 + random.nextInt(60), 1));
@@ -521,7 +523,7 @@
             most = Math.max(most, harness.candidateCount());
             mostTargets = Math.max(mostTargets, harness.scheduler.targets.count);
             mostShards = Math.max(mostShards, harness.scheduler.dispatchQueue.shardQueues().size());
-            if (v % Math.max(1, volumes / 10) == volumes / 20) {
+            if (volume % Math.max(1, volumes / 10) == volumes / 20) {
                 heaps.add(liveHeapKib());
             }
         }
--- a/core/src/test/java/milletyoke/scheduler/IndexedTimerQueueTest.java
+++ b/core/src/test/java/milletyoke/scheduler/IndexedTimerQueueTest.java
@@ -47,7 +47,7 @@
 
     /**
      * Guards against a bound that rises without notice: times computed from the lower bound would
-     * stay in force, and requests would be served too late.
+     * stay in force, and requests would be served too late, as seen in a large benchmark scenario.
      */
     @Test
     void highWaterMarkNeverRisesUnnoticed() {
