--- a/config/src/main/antlr4/milletyoke/config/grammar/Fleet.g4
+++ b/config/src/main/antlr4/milletyoke/config/grammar/Fleet.g4
@@ -1,5 +1,6 @@
-// The configuration language of milletyoke: what a deployment agrees on. This file is the reference.
-// Remarks run from # to the end of the line and go to a channel of their own, so that the formatter keeps them.
+// Grammar of the fleet configuration language: the settings that all initiators of a deployment share. This file is the
+// reference for the syntax. Comments run from # to the end of the line and go to the hidden channel, from which the
+// formatter copies them.
 grammar Fleet;
 
 file
@@ -27,7 +28,8 @@
     | STRING
     ;
 
-// A bare word is a name where a word is expected (repeats one-shot), and a constant where a figure is.
+// A key is a keyword or name where the setting takes one (repeats one-shot), and refers to a constant where the setting
+// takes a quantity.
 expression
     : '(' expression ')'                                     # group
     | left=expression op=('*' | '/') right=expression        # product
@@ -42,13 +44,13 @@
     | STRING
     ;
 
-// The language's own words are names where a name is expected.
+// Keywords of the language are allowed as names.
 key
     : NAME | 'include' | 'let' | 'bounds' | 'allowances' | 'fleet' | 'pool' | 'plan' | 'volume' | 'category' | 'tenant'
     | 'template' | 'like' | 'route' | 'prefix' | 'to'
     ;
 
-// A figure and, without a blank between, its unit.
+// A number, followed by its unit without white space in between.
 QUANTITY
     : DIGIT+ ('.' DIGIT+)? UNIT?
     ;
@@ -73,7 +75,7 @@
     : [ \t\r\n\uFEFF]+ -> channel(HIDDEN)
     ;
 
-// What is nothing else is told by the parser at its place, not by the lexer.
+// Catch-all: invalid characters become tokens, so that the parser reports each at its position.
 OTHER
     : .
     ;
--- a/config/src/main/java/milletyoke/config/BlockResolver.java
+++ b/config/src/main/java/milletyoke/config/BlockResolver.java
@@ -13,11 +13,13 @@
 import milletyoke.config.SyntaxTree.Setting;
 
 /**
- * Resolves a block's settings: its own, those of the blocks and templates that it is like, and the
- * defaults of its kind.
+ * Resolves the settings of a block: its own, those inherited from the blocks and templates that it
+ * names with {@code like}, and the defaults of its kind.
  */
 final class BlockResolver {
-    /** Marks a setting whose value is invalid: it was reported, and is not missing. */
+    /**
+     * Marks a setting whose value is invalid and reported, so that it does not count as missing.
+     */
     private static final List<Object> INVALID = List.of("invalid");
 
     private final Declarations declarations;
@@ -32,11 +34,11 @@
         this.diagnostics = diagnostics;
     }
 
-    /** A block with all its settings; a required setting that is missing is reported. */
+    /** Returns a block with all its settings; reports required settings that are missing. */
     Fleet.Block resolve(Block block) {
         String kind = block.kind();
         SortedMap<String, List<Object>> values = defaults(kind);
-        values.putAll(inherited(block, kind, new LinkedHashSet<>()));
+        values.putAll(explicitSettings(block, kind, new LinkedHashSet<>()));
         Schema.KINDS
                 .get(kind)
                 .forEach(
@@ -49,20 +51,20 @@
         return new Fleet.Block(kind, block.name(), values);
     }
 
-    @SuppressWarnings("ReferenceEquality") // a marker, not a value
+    @SuppressWarnings("ReferenceEquality") // INVALID is a marker object
     private static boolean isInvalid(List<Object> values) {
         return values == INVALID;
     }
 
     private void reportMissing(Block block, String name, Schema.Field field) {
         diagnostics.error(
-                block.at(),
+                block.position(),
                 "missing",
                 block.kind() + " " + block.name() + " has no " + name,
-                "as " + field.type().example(name));
+                "for example " + field.type().example(name));
     }
 
-    /** The defaults of a kind of block; settings that have none are absent. */
+    /** Returns the defaults of a kind of block; settings without a default are absent. */
     SortedMap<String, List<Object>> defaults(String kind) {
         SortedMap<String, List<Object>> values = new TreeMap<>();
         Schema.KINDS
@@ -81,23 +83,26 @@
             return field.defaultValue();
         }
         try {
-            return Quantity.of(field.defaultValue());
+            return Quantity.parse(field.defaultValue());
         } catch (QuantityFormatException impossible) {
             throw new IllegalStateException(impossible);
         }
     }
 
     /**
-     * A block's own settings over those of the block or template that it is like.
+     * Returns the settings that a block sets itself or inherits, without defaults.
      *
-     * @param kind of the block that is resolved: templates have the settings of any kind
-     * @param path the blocks between that one and this, to find cycles
+     * @param kind the kind of the block that is resolved, which decides the settings that a
+     *     template may have
+     * @param path the keys of the blocks on the way from the resolved block to this one, to find
+     *     cycles
      */
-    private SortedMap<String, List<Object>> inherited(Block block, String kind, Set<String> path) {
+    private SortedMap<String, List<Object>> explicitSettings(
+            Block block, String kind, Set<String> path) {
         String key = kind + "|" + Declarations.key(block.kind(), block.name());
-        SortedMap<String, List<Object>> known = resolved.get(key);
-        if (known != null) {
-            return known;
+        SortedMap<String, List<Object>> cached = resolved.get(key);
+        if (cached != null) {
+            return cached;
         }
         SortedMap<String, List<Object>> values = new TreeMap<>();
         if (!path.add(key) || path.size() > FleetReader.MAX_DEPTH) {
@@ -109,7 +114,7 @@
             if (parent == null) {
                 reportUnknownParent(block);
             } else {
-                values.putAll(inherited(parent, kind, path));
+                values.putAll(explicitSettings(parent, kind, path));
             }
         }
         addOwnSettings(block, kind, values);
@@ -133,7 +138,7 @@
                 reportUnknownSetting(setting, kind, fields.keySet());
             } else if (!seen.add(name)) {
                 diagnostics.error(
-                        setting.at(), "twice", name + " stands there twice in this block", "");
+                        setting.position(), "twice", name + " is set twice in this block", "");
             } else {
                 List<Object> values = settings.read(setting, field.type());
                 resolvedValues.put(name, values == null ? INVALID : values);
@@ -143,14 +148,14 @@
 
     private void reportCycle(Block block) {
         diagnostics.error(
-                block.parentAt(),
+                block.parentPosition(),
                 "cycle",
                 block.kind()
                         + " "
                         + block.name()
-                        + " is like itself, or like over "
+                        + " inherits from itself, or through a chain of more than "
                         + FleetReader.MAX_DEPTH
-                        + " others in a row",
+                        + " blocks",
                 "");
     }
 
@@ -159,7 +164,7 @@
         candidates.addAll(declarations.names(Declarations.TEMPLATE));
         ReferenceChecker.reportUnknown(
                 diagnostics,
-                block.parentAt(),
+                block.parentPosition(),
                 "template or " + block.kind(),
                 block.parent(),
                 candidates);
@@ -167,12 +172,12 @@
 
     private void reportUnknownSetting(Setting setting, String kind, Set<String> known) {
         diagnostics.error(
-                setting.at(),
+                setting.position(),
                 "name",
                 kind + " has no setting " + setting.name(),
                 "did you mean "
                         + NameSuggestions.nearest(setting.name(), known)
-                        + "? Known are "
+                        + "? Known settings: "
                         + String.join(", ", known));
     }
 }
--- a/config/src/main/java/milletyoke/config/Checker.java
+++ b/config/src/main/java/milletyoke/config/Checker.java
@@ -8,18 +8,20 @@
 import milletyoke.config.SyntaxTree.Position;
 
 /**
- * Checks a configuration in one pass: reports everything that is wrong with it and resolves what it
- * means. What is wrong in one place is left out of the checks that follow, so that one mistake
- * gives one diagnostic.
+ * Checks a configuration in one pass: reports all errors and warnings and resolves it to a {@link
+ * Fleet}. An invalid element is left out of the checks that follow, so that one mistake gives one
+ * diagnostic.
  *
- * <p>Precedence: a file's own block replaces, as a whole, one of the same kind and name in a file
- * that it includes; two such blocks in one file, or in two files neither of which includes the
- * other, are an error. Within a block, its own settings replace those of the block or template that
- * it is like. A volume's own block replaces patterns; of patterns the longest counts.
+ * <p>Precedence: a block replaces, as a whole, a block of the same kind and name in a file that its
+ * own file includes; two such blocks in one file, or in two files neither of which includes the
+ * other, are an error. Within a block, its own settings replace those that it inherits with {@code
+ * like}. A volume's own block takes precedence over patterns, and a longer pattern over a shorter
+ * one.
  */
 public final class Checker {
     /**
-     * With one of these errors a part of the text was not read, and may hold what seems missing.
+     * Codes of errors after which part of the text was not read. A required block that was not
+     * found may be in that part, so it is not reported as missing.
      */
     private static final Set<String> INCOMPLETE_SOURCE_CODES =
             Set.of("size", "depth", "syntax", "file", "cycle");
@@ -30,23 +32,23 @@
     private Checker() {}
 
     /**
-     * What a check gave.
+     * The result of a check.
      *
-     * @param fleet what the configuration means; null where there is any error
-     * @param diagnostics errors and warnings in the order of their places
-     * @param files all files that were read, the checked one first
+     * @param fleet the resolved configuration; null if there is an error
+     * @param diagnostics errors and warnings, ordered by position
+     * @param files the canonical names of all files that were read, the checked one first
      */
     public record Result(Fleet fleet, List<Diagnostic> diagnostics, List<String> files) {
-        /** Whether there are no errors; there may be warnings. */
+        /** Returns whether there are no errors; there may be warnings. */
         public boolean isValid() {
             return diagnostics.stream().noneMatch(Diagnostic::isError);
         }
     }
 
     /**
-     * Checks a file and all that it includes.
+     * Checks a file and all files that it includes.
      *
-     * @param file its name, as the source provider knows it
+     * @param file the canonical name of the file, as the source provider gives it
      */
     public static Result check(SourceProvider sources, String file) {
         return new Checker().run(sources, file);
@@ -72,7 +74,7 @@
         }
         List<Fleet.Route> routes = new ArrayList<>();
         for (SyntaxTree.Route route : declarations.routes) {
-            routes.add(new Fleet.Route(route.what(), route.pattern(), route.pool()));
+            routes.add(new Fleet.Route(route.matchType(), route.pattern(), route.pool()));
         }
         Fleet fleet = new Fleet(blocks, List.copyOf(routes));
         new ReferenceChecker(declarations, diagnostics).check(fleet);
@@ -109,12 +111,12 @@
             diagnostics.error(
                     start,
                     "missing",
-                    "no fleet block says how many initiators there are",
+                    "no fleet block is defined; it sets the number of initiators",
                     "fleet { initiators 3; }");
         }
         for (String kind : List.of("category", "plan")) {
             if (blocks.values().stream().noneMatch(block -> block.kind().equals(kind))) {
-                diagnostics.error(start, "missing", "no " + kind + " is given", "");
+                diagnostics.error(start, "missing", "no " + kind + " block is defined", "");
             }
         }
     }
--- a/config/src/main/java/milletyoke/config/ConsistencyChecker.java
+++ b/config/src/main/java/milletyoke/config/ConsistencyChecker.java
@@ -7,11 +7,11 @@
 import milletyoke.config.SyntaxTree.Position;
 
 /**
- * Finds settings that are valid one by one and make no sense together. Runs only on a configuration
- * without errors.
+ * Finds settings that are valid individually and inconsistent with each other. Runs only on a
+ * configuration without errors.
  */
 final class ConsistencyChecker {
-    /** The part of a limit's slack that the scheduler may count on. */
+    /** The fraction of a plan's {@code limit-slack} that the scheduler uses. */
     private static final double USABLE_SLACK = 0.9;
 
     private final Declarations declarations;
@@ -25,7 +25,7 @@
     void check(Fleet fleet) {
         Fleet.Block bounds = fleet.single("bounds");
         SyntaxTree.Block declared = declarations.block("bounds", "");
-        checkBounds(bounds, declared == null ? declarations.start() : declared.at());
+        checkBounds(bounds, declared == null ? declarations.start() : declared.position());
         for (Fleet.Block category : fleet.blocksOfKind("category")) {
             checkCategory(category, bounds);
         }
@@ -42,58 +42,57 @@
             diagnostics.error(
                     position,
                     "bounds",
-                    "fall is stated and cold is not: no target would ever count as cold",
+                    "fall is set but cold is not: no target would ever be in slow start",
                     "cold 17s;");
         }
         if (warmUp > 0 && overloadWindow > warmUp) {
             diagnostics.error(
                     position,
                     "bounds",
-                    "a target is warm before it could fall",
-                    "fall must be under cold");
+                    "fall is longer than cold: slow start would end within one overload window",
+                    "fall must not exceed cold");
         }
         if (overloadWindow > 0 && bounds.number("cold-bears") < bounds.number("largest")) {
             diagnostics.warn(
                     position,
                     "bounds",
-                    "cold-bears is under one largest access: a cold target may get nothing for long",
+                    "cold-bears is below largest: a target in slow start may get no request for long",
                     "");
         }
         if (bounds.number("relay-budget-span") > 0
                 && bounds.number("relay-budget-free") < 1
                 && bounds.number("relay-budget-share") == 0) {
-            diagnostics.warn(
-                    position, "bounds", "the relay budget allows no further relay at all", "");
+            diagnostics.warn(position, "bounds", "the relay budget allows no retry at all", "");
         }
     }
 
     private void checkCategory(Fleet.Block category, Fleet.Block bounds) {
-        Position position = declarations.block("category", category.name()).at();
-        String subject = "category " + category.name();
+        Position position = declarations.block("category", category.name()).position();
+        String blockName = "category " + category.name();
         String repeats = category.text("repeats");
         double deduplicationWindow = category.number("repeat-window");
         if (repeats.equals("stamped") && deduplicationWindow == 0) {
             diagnostics.error(
                     position,
                     "category",
-                    subject + " is stamped and states no repeat-window",
+                    blockName + " has repeats stamped but no repeat-window",
                     "repeat-window 2500ms;");
         }
         if (repeats.equals("one-shot") && deduplicationWindow > 0) {
             diagnostics.warn(
                     position,
                     "category",
-                    subject
-                            + " is one-shot: no relay may follow one that may have run, so its"
-                            + " repeat-window is never used",
-                    "stamped is what knows repeats");
+                    blockName
+                            + " has repeats one-shot: an attempt that may have been executed is"
+                            + " never retried, so repeat-window has no effect",
+                    "repeat-window is used only with repeats stamped");
         }
         if (category.flag("key-ordered") && bounds.number("key-quiet") == 0) {
             diagnostics.warn(
                     position,
                     "category",
-                    subject + " is key-ordered and bounds state no key-quiet",
-                    "after a time-out the next of its key goes at once");
+                    blockName + " is key-ordered but bounds set no key-quiet",
+                    "after a time-out the next request of the same key is sent at once");
         }
     }
 
@@ -101,14 +100,14 @@
         if (plan.number("limit-rate") == 0) {
             return;
         }
-        Position position = declarations.block("plan", plan.name()).at();
+        Position position = declarations.block("plan", plan.name()).position();
         if (plan.number("limit-depth") == 0) {
             diagnostics.error(
                     position,
                     "limit",
                     "plan "
                             + plan.name()
-                            + " has a limit-rate and no limit-depth: nothing could be sent",
+                            + " has a limit-rate but no limit-depth: no request could be sent",
                     "limit-depth 36u;");
             return;
         }
@@ -116,14 +115,17 @@
             diagnostics.error(
                     position,
                     "limit",
-                    "plan " + plan.name() + " reserves more than its limit lets through",
+                    "plan " + plan.name() + " reserves more than its limit-rate",
                     "");
         }
-        checkLimitOfOneHost(fleet, plan, bounds.number("largest"), position);
+        checkLimitPerHost(fleet, plan, bounds.number("largest"), position);
     }
 
-    /** Each host has its part of the limit, which must hold one request of the largest size. */
-    private void checkLimitOfOneHost(
+    /**
+     * Warns if one host's part of a plan's limit cannot admit a request of the largest size. The
+     * limit is divided equally between the hosts.
+     */
+    private void checkLimitPerHost(
             Fleet fleet, Fleet.Block plan, double largestRequest, Position position) {
         double hosts =
                 fleet.blocksOfKind("volume").stream()
@@ -132,31 +134,31 @@
                         .max()
                         .orElse(1);
         double slack = USABLE_SLACK * plan.number("limit-slack");
-        double part = (plan.number("limit-depth") + slack) / hosts;
-        if (part < largestRequest) {
+        double limitPerHost = (plan.number("limit-depth") + slack) / hosts;
+        if (limitPerHost < largestRequest) {
             diagnostics.warn(
                     position,
                     "limit",
                     String.format(
                             Locale.ROOT,
-                            "plan %s: one host's part of the limit holds %s, under"
-                                    + " one largest access of %s",
+                            "plan %s: one host's part of the limit is %s, less than"
+                                    + " the largest request of %s",
                             plan.name(),
-                            new Quantity(Math.floor(part * 100) / 100, Dimension.UNITS),
+                            new Quantity(Math.floor(limitPerHost * 100) / 100, Dimension.UNITS),
                             new Quantity(largestRequest, Dimension.UNITS)),
-                    "such an access could never be sent");
+                    "such a request could never be sent");
         }
     }
 
     /**
      * Compares each pool's capacity with the reservations of the volumes that are routed to it. A
-     * pattern counts as one volume, as the number of volumes that match it is not known.
+     * pattern counts as one volume, because the number of matching volumes is unknown.
      */
     private void checkReservations(Fleet fleet) {
         Map<String, Double> reservedByPool = new TreeMap<>();
         for (Fleet.Block volume : fleet.blocksOfKind("volume")) {
             Fleet.Block plan = fleet.block("plan", volume.text("plan"));
-            String pool = fleet.route("volume", volume.name());
+            String pool = fleet.poolFor("volume", volume.name());
             if (pool != null && plan != null) {
                 reservedByPool.merge(pool, plan.number("reserve"), Double::sum);
             }
@@ -165,22 +167,22 @@
                 (pool, reserved) -> {
                     double capacity = fleet.block("pool", pool).number("capacity");
                     if (capacity > 0 && reserved > capacity) {
-                        reportOverbooked(pool, capacity, reserved);
+                        reportOverReservation(pool, capacity, reserved);
                     }
                 });
     }
 
-    private void reportOverbooked(String pool, double capacity, double reserved) {
+    private void reportOverReservation(String pool, double capacity, double reserved) {
         diagnostics.error(
-                declarations.block("pool", pool).at(),
+                declarations.block("pool", pool).position(),
                 "reserve",
                 "pool "
                         + pool
-                        + " bears "
+                        + " has a capacity of "
                         + new Quantity(capacity, Dimension.RATE)
-                        + " and "
+                        + " but "
                         + new Quantity(reserved, Dimension.RATE)
-                        + " are reserved on it",
+                        + " are reserved",
                 "");
     }
 }
--- a/config/src/main/java/milletyoke/config/ConstantEvaluator.java
+++ b/config/src/main/java/milletyoke/config/ConstantEvaluator.java
@@ -11,33 +11,36 @@
     private final Map<String, SyntaxTree.Let> definitions;
     private final Map<String, Quantity> values = new HashMap<>();
 
-    /** The constants that are being evaluated, each used by the one before. */
+    /** The constants that are being cached; each is used by the one before it. */
     private final Set<String> evaluating = new LinkedHashSet<>();
 
     ConstantEvaluator(Map<String, SyntaxTree.Let> definitions) {
         this.definitions = definitions;
     }
 
-    /** Evaluates all constants, used or not, and reports those that have no value. */
+    /** Evaluates all constants, used or not, and reports those that cannot be cached. */
     void checkAll(DiagnosticCollector diagnostics) {
         for (SyntaxTree.Let definition : definitions.values()) {
             try {
                 constant(definition.name());
             } catch (QuantityFormatException invalid) {
                 diagnostics.error(
-                        definition.value().at(), invalid.code, invalid.getMessage(), invalid.hint);
+                        definition.value().position(),
+                        invalid.code,
+                        invalid.getMessage(),
+                        invalid.hint);
             }
         }
     }
 
     /**
-     * The value of an expression.
+     * Returns the value of an expression.
      *
-     * @throws QuantityFormatException where a unit, a name or an operation is invalid
+     * @throws QuantityFormatException if a unit, a name or an operation is invalid
      */
     Quantity evaluate(SyntaxTree.Expression expression) throws QuantityFormatException {
         if (expression instanceof SyntaxTree.NumberLiteral literal) {
-            return Quantity.of(literal.text());
+            return Quantity.parse(literal.text());
         }
         if (expression instanceof SyntaxTree.NameReference reference) {
             return constant(reference.name());
@@ -58,22 +61,22 @@
     }
 
     private Quantity constant(String name) throws QuantityFormatException {
-        Quantity known = values.get(name);
-        if (known != null) {
-            return known;
+        Quantity cached = values.get(name);
+        if (cached != null) {
+            return cached;
         }
         SyntaxTree.Let definition = definitions.get(name);
         if (definition == null) {
-            throw unknown(name);
+            throw unknownConstant(name);
         }
         if (!evaluating.add(name) || evaluating.size() > FleetReader.MAX_DEPTH) {
             throw new QuantityFormatException(
                     "cycle",
                     "constant "
                             + name
-                            + " rests on itself, or on over "
+                            + " depends on itself, or on a chain of more than "
                             + FleetReader.MAX_DEPTH
-                            + " others: "
+                            + " constants: "
                             + String.join(", ", evaluating),
                     "");
         }
@@ -86,13 +89,13 @@
         }
     }
 
-    private QuantityFormatException unknown(String name) {
+    private QuantityFormatException unknownConstant(String name) {
         String hint =
                 definitions.isEmpty()
                         ? ""
                         : "did you mean "
                                 + NameSuggestions.nearest(name, definitions.keySet())
                                 + "?";
-        return new QuantityFormatException("name", "no constant is called " + name, hint);
+        return new QuantityFormatException("name", "no constant is named " + name, hint);
     }
 }
--- a/config/src/main/java/milletyoke/config/Declarations.java
+++ b/config/src/main/java/milletyoke/config/Declarations.java
@@ -9,30 +9,30 @@
 import milletyoke.config.SyntaxTree.Block;
 import milletyoke.config.SyntaxTree.Position;
 
-/** All that the files of a configuration declare, after includes and before any meaning. */
+/** The declarations of all files of a configuration, before they are resolved. */
 final class Declarations {
-    /** The kind of blocks that only others refer to. */
+    /** The kind of block that other blocks inherit from and that has no effect of its own. */
     static final String TEMPLATE = "template";
 
     final Map<String, SyntaxTree.File> files = new LinkedHashMap<>();
     final Map<String, SyntaxTree.Let> constants = new LinkedHashMap<>();
 
-    /** By {@link #key}. */
+    /** The blocks by {@link #key}. */
     final Map<String, Block> blocks = new LinkedHashMap<>();
 
     final List<SyntaxTree.Route> routes = new ArrayList<>();
 
-    /** The key of a block; blocks that stand once have an empty name. */
+    /** Returns the key of a block; the name is empty for a kind that has no named blocks. */
     static String key(String kind, String name) {
         return kind + " " + name;
     }
 
-    /** The block of that kind and name; null for none. */
+    /** Returns the block of the given kind and name; null if there is none. */
     Block block(String kind, String name) {
         return blocks.get(key(kind, name));
     }
 
-    /** The names of all blocks of a kind, sorted. */
+    /** Returns the names of all blocks of a kind, sorted. */
     Set<String> names(String kind) {
         Set<String> names = new TreeSet<>();
         for (Block block : blocks.values()) {
@@ -43,13 +43,13 @@
         return names;
     }
 
-    /** The start of the checked file: where what is missing is reported. */
+    /** Returns the start of the checked file, where missing blocks are reported. */
     Position start() {
         return new Position(files.isEmpty() ? "" : files.keySet().iterator().next(), 1, 1);
     }
 
-    /** A position as messages name it. */
-    static String place(Position position) {
+    /** Formats a position as file and line, for messages. */
+    static String formatPosition(Position position) {
         return position.file() + ":" + position.line();
     }
 }
--- a/config/src/main/java/milletyoke/config/Diagnostic.java
+++ b/config/src/main/java/milletyoke/config/Diagnostic.java
@@ -3,16 +3,15 @@
 import java.util.List;
 
 /**
- * An error or a warning at a place in a configuration.
+ * An error or a warning at a position in a configuration.
  *
  * @param isError false for a warning
- * @param code identifies the kind of problem and stays the same over versions, as {@code unit} or
- *     {@code cycle}
+ * @param code the kind of problem, such as {@code unit} or {@code cycle}; stable across versions
  * @param line counted from 1
  * @param column counted from 1
- * @param hint what to do; empty where there is nothing to add
- * @param sourceLine the text of the line, without its end
- * @param chain further places that belong to it, as the files of an include cycle
+ * @param hint how to correct the problem; empty if there is no hint
+ * @param sourceLine the text of the line, without its line break
+ * @param chain related files, such as those of an include cycle, each as a line of text
  */
 public record Diagnostic(
         boolean isError,
@@ -28,7 +27,10 @@
     private static final int MAX_QUOTED_CHARS = 120;
     private static final String INDENT = "    ";
 
-    /** Several lines for people: place and message, the source line, a caret, the hint. */
+    /**
+     * Formats the diagnostic as several lines of text: position and message, source line, caret,
+     * chain and hint.
+     */
     public String text() {
         StringBuilder out = new StringBuilder();
         out.append(file)
@@ -44,9 +46,9 @@
                 .append(message)
                 .append('\n');
         if (!sourceLine.isEmpty()) {
-            quote(out);
+            appendSourceLine(out);
         }
-        chain.forEach(place -> out.append(INDENT).append(place).append('\n'));
+        chain.forEach(entry -> out.append(INDENT).append(entry).append('\n'));
         if (!hint.isEmpty()) {
             out.append(INDENT).append("hint: ").append(hint).append('\n');
         }
@@ -54,7 +56,7 @@
     }
 
     /** Appends the part of the source line around the column, with a caret below the column. */
-    private void quote(StringBuilder out) {
+    private void appendSourceLine(StringBuilder out) {
         int half = MAX_QUOTED_CHARS / 2;
         int start = Math.max(0, Math.min(column - 1 - half, sourceLine.length()));
         int end = Math.min(sourceLine.length(), start + MAX_QUOTED_CHARS);
--- a/config/src/main/java/milletyoke/config/DiagnosticCollector.java
+++ b/config/src/main/java/milletyoke/config/DiagnosticCollector.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import milletyoke.config.SyntaxTree.Position;
 
-/** Collects the diagnostics of one check and adds the source line to each. */
+/** Collects the diagnostics of one check and adds the source line to each of them. */
 final class DiagnosticCollector {
     private static final int MAX_DIAGNOSTICS = 1_000;
 
@@ -15,12 +15,12 @@
     private final Map<String, String> texts = new HashMap<>();
     private final Map<String, List<String>> lines = new HashMap<>();
 
-    /** Makes a file's text known, so that diagnostics can quote it. */
+    /** Adds the text of a file, which diagnostics quote. */
     void addSource(String file, String text) {
         texts.put(file, text);
     }
 
-    /** The diagnostics so far; the parser adds its own to it. */
+    /** Returns the live list of diagnostics, to which the parser adds its own. */
     List<Diagnostic> all() {
         return diagnostics;
     }
@@ -29,7 +29,7 @@
         return diagnostics.stream().anyMatch(Diagnostic::isError);
     }
 
-    /** A copy in the order of files, lines and columns. */
+    /** Returns a copy of the diagnostics, ordered by file, line and column. */
     List<Diagnostic> sorted() {
         return diagnostics.stream()
                 .sorted(
@@ -47,7 +47,7 @@
         report(false, position, code, message, hint, List.of());
     }
 
-    /** An error with the chain of places that led to it. */
+    /** Reports an error with the chain of files that led to it. */
     void error(Position position, String code, String message, String hint, List<String> chain) {
         report(true, position, code, message, hint, chain);
     }
--- a/config/src/main/java/milletyoke/config/Fleet.java
+++ b/config/src/main/java/milletyoke/config/Fleet.java
@@ -7,70 +7,76 @@
 import java.util.stream.Collectors;
 
 /**
- * What a configuration means: includes, constants and templates are resolved, and defaults are
- * filled in. Two configurations mean the same if and only if their fleets are equal. Immutable.
+ * A resolved configuration: includes, constants and templates are resolved, and defaults are filled
+ * in. Two configurations are equivalent if and only if their fleets are equal. Immutable.
  *
- * @param blocks by kind and name, with a blank between
+ * @param blocks by kind and name, separated by a space
  * @param routes in the order in which they are tried
  */
 public record Fleet(SortedMap<String, Block> blocks, List<Route> routes) {
     private static final String WILDCARD = "*";
 
     /**
-     * One block with all its settings.
+     * A block with all its settings.
      *
-     * @param name empty for a kind that stands once
+     * @param name empty for a kind that has no named blocks
      * @param settings each value is a {@link Quantity} or text
      */
     public record Block(String kind, String name, SortedMap<String, List<Object>> settings) {
-        /** A quantity in its base unit; 0 where the setting is absent. */
+        /** Returns a quantity in its base unit; 0 if the setting is absent. */
         public double number(String setting) {
             List<Object> values = settings.get(setting);
             return values == null ? 0 : ((Quantity) values.get(0)).value();
         }
 
-        /** A text; empty where the setting is absent. */
+        /** Returns a text value; empty if the setting is absent. */
         public String text(String setting) {
             List<Object> values = settings.get(setting);
             return values == null ? "" : (String) values.get(0);
         }
 
-        /** Whether a setting is {@code yes}. */
+        /** Returns whether a setting is {@code yes}. */
         public boolean flag(String setting) {
             return text(setting).equals("yes");
         }
     }
 
     /**
-     * Sends what matches a pattern to a pool.
+     * Routes the volumes or object paths that match a pattern to a pool.
      *
-     * @param what volume or prefix
+     * @param matchType {@code volume} or {@code prefix}
      */
-    public record Route(String what, String pattern, String pool) {
+    public record Route(String matchType, String pattern, String pool) {
         private boolean matches(String name) {
             if (pattern.endsWith(WILDCARD)) {
                 return name.startsWith(pattern.substring(0, pattern.length() - 1));
             }
-            return what.equals("prefix") ? name.startsWith(pattern) : name.equals(pattern);
+            return matchType.equals("prefix") ? name.startsWith(pattern) : name.equals(pattern);
         }
     }
 
-    /** All blocks of a kind in the order of their names. */
+    /** Returns all blocks of a kind, ordered by name. */
     public List<Block> blocksOfKind(String kind) {
         return blocks.values().stream().filter(block -> block.kind().equals(kind)).toList();
     }
 
-    /** The block of a kind that stands once; with the defaults where it was left out. */
+    /**
+     * Returns the block of a kind that has no named blocks. An omitted {@code bounds} or {@code
+     * allowances} block has the defaults.
+     */
     public Block single(String kind) {
         return block(kind, "");
     }
 
-    /** The block of that kind and name; null for none. */
+    /** Returns the block of the given kind and name; null if there is none. */
     public Block block(String kind, String name) {
         return blocks.get(Declarations.key(kind, name));
     }
 
-    /** The block that applies to a volume: its own, else the longest pattern; null for none. */
+    /**
+     * Returns the block that applies to a volume: its own, else that of the longest matching
+     * pattern; null if there is none.
+     */
     public Block volume(String name) {
         Block own = block("volume", name);
         if (own != null) {
@@ -86,21 +92,24 @@
     }
 
     /**
-     * The pool that a volume, or an object's path, is routed to: that of the first route that
-     * matches; null for none.
+     * Returns the pool of the first route that matches a volume or an object's path; null if there
+     * is none.
      *
-     * @param what volume or prefix
+     * @param matchType {@code volume} or {@code prefix}
      */
-    public String route(String what, String name) {
+    public String poolFor(String matchType, String name) {
         for (Route route : routes) {
-            if (route.what().equals(what) && route.matches(name)) {
+            if (route.matchType().equals(matchType) && route.matches(name)) {
                 return route.pool();
             }
         }
         return null;
     }
 
-    /** The configuration as one flat text, by kind and name: what {@code config show} prints. */
+    /**
+     * Returns the resolved configuration as text, ordered by kind and name, as {@code config show}
+     * prints it.
+     */
     public String show() {
         Map<String, StringBuilder> textByKind = new LinkedHashMap<>();
         Schema.KINDS.keySet().forEach(kind -> textByKind.put(kind, new StringBuilder()));
@@ -109,7 +118,7 @@
         textByKind.values().forEach(out::append);
         for (Route route : routes) {
             out.append("route ")
-                    .append(route.what())
+                    .append(route.matchType())
                     .append(' ')
                     .append(Formatter.label(route.pattern()))
                     .append(" to ")
@@ -136,7 +145,7 @@
         out.append("}\n");
     }
 
-    /** Values as the language writes them. */
+    /** Formats values in the syntax of the language. */
     static String format(List<Object> values) {
         return values.stream().map(Fleet::format).collect(Collectors.joining(", "));
     }
--- a/config/src/main/java/milletyoke/config/FleetDiff.java
+++ b/config/src/main/java/milletyoke/config/FleetDiff.java
@@ -7,9 +7,10 @@
 import java.util.TreeSet;
 
 /**
- * The differences between two configurations, by meaning, and how a running initiator applies each.
+ * Compares two resolved configurations, and classifies how a running initiator applies each change.
  */
 public final class FleetDiff {
+    /** The value of a block that exists, where the other configuration lacks it. */
     private static final String PRESENT = "there";
 
     private final Fleet before;
@@ -21,25 +22,26 @@
         this.after = after;
     }
 
-    /** How a change is applied. */
+    /** How a running initiator applies a change. */
     public enum ApplyMode {
-        /** Without a restart. */
+        /** Applied without a restart. */
         IN_SERVICE,
-        /** With the next start. */
+        /** Applied at the next restart. */
         RESTART,
-        /** Not at all while requests may be pending. */
+        /** Rejected, because requests that need the removed block may be pending. */
         REFUSED
     }
 
     /**
-     * One change. The names of the components are keys of {@code config diff --json}.
+     * One change. The component names are the keys of {@code config diff --json}.
      *
-     * @param what the block or route
-     * @param setting empty where the whole block or route is added, removed or replaced
-     * @param before the value in the first configuration; empty where it is unset
-     * @param after the value in the second configuration; empty where it is unset
-     * @param whom the volumes that it concerns, in words; empty where it concerns all
-     * @param taken how it is applied
+     * @param what the block or route that changes
+     * @param setting empty if the whole block or route is added, removed or replaced
+     * @param before the value in the first configuration; empty if it is unset
+     * @param after the value in the second configuration; empty if it is unset
+     * @param whom the number of volumes and patterns that the change affects, as text; empty if it
+     *     is not counted for this kind of change
+     * @param taken how the change is applied
      */
     public record Change(
             String what,
@@ -48,11 +50,11 @@
             String after,
             String whom,
             ApplyMode taken) {
-        /** The change on one line, for people. */
+        /** Formats the change as one line of text. */
         public String text() {
-            String concerns = whom.isEmpty() ? "" : ", " + whom;
+            String affected = whom.isEmpty() ? "" : ", " + whom;
             String mode = taken.name().toLowerCase(Locale.ROOT).replace('_', ' ');
-            return what + ": " + description() + concerns + "  [" + mode + "]";
+            return what + ": " + description() + affected + "  [" + mode + "]";
         }
 
         private String description() {
@@ -70,7 +72,10 @@
         }
     }
 
-    /** All changes by kind and name, then routes; empty if and only if both mean the same. */
+    /**
+     * Returns all changes, those of blocks by kind and name before those of routes. The list is
+     * empty if and only if the configurations are equivalent.
+     */
     public static List<Change> between(Fleet before, Fleet after) {
         FleetDiff diff = new FleetDiff(before, after);
         diff.compareBlocks();
@@ -85,12 +90,12 @@
             Fleet.Block oldBlock = before.blocks().get(key);
             Fleet.Block newBlock = after.blocks().get(key);
             if (oldBlock == null) {
-                String volumes = concernedVolumes(after, newBlock);
-                ApplyMode mode = modeOfBlock(newBlock.kind(), true);
+                String volumes = countAffectedVolumes(after, newBlock);
+                ApplyMode mode = blockApplyMode(newBlock.kind(), true);
                 changes.add(new Change(key.trim(), "", "", PRESENT, volumes, mode));
             } else if (newBlock == null) {
-                String volumes = concernedVolumes(before, oldBlock);
-                ApplyMode mode = modeOfBlock(oldBlock.kind(), false);
+                String volumes = countAffectedVolumes(before, oldBlock);
+                ApplyMode mode = blockApplyMode(oldBlock.kind(), false);
                 changes.add(new Change(key.trim(), "", PRESENT, "", volumes, mode));
             } else {
                 compareSettings(key.trim(), oldBlock, newBlock);
@@ -111,8 +116,8 @@
                                 name,
                                 formatOrEmpty(oldValues),
                                 formatOrEmpty(newValues),
-                                concernedVolumes(after, newBlock),
-                                modeOfSetting(oldBlock.kind(), name)));
+                                countAffectedVolumes(after, newBlock),
+                                settingApplyMode(oldBlock.kind(), name)));
             }
         }
     }
@@ -121,16 +126,16 @@
         return values == null ? "" : Fleet.format(values);
     }
 
-    private static ApplyMode modeOfSetting(String kind, String name) {
+    private static ApplyMode settingApplyMode(String kind, String name) {
         Schema.Field field = Schema.KINDS.get(kind).get(name);
         return field.change() == Schema.Change.RESTART ? ApplyMode.RESTART : ApplyMode.IN_SERVICE;
     }
 
     /**
-     * Requests of a class or plan that is removed may be pending, so that is refused; one that is
-     * added needs no care.
+     * Returns how the addition or removal of a block is applied. The removal of a request class or
+     * service plan is refused, because requests of it may be pending.
      */
-    private static ApplyMode modeOfBlock(String kind, boolean isAdded) {
+    private static ApplyMode blockApplyMode(String kind, boolean isAdded) {
         return switch (kind) {
             case "category", "plan" -> isAdded ? ApplyMode.IN_SERVICE : ApplyMode.REFUSED;
             case "fleet", "bounds", "allowances" -> ApplyMode.RESTART;
@@ -138,7 +143,7 @@
         };
     }
 
-    private static String concernedVolumes(Fleet fleet, Fleet.Block block) {
+    private static String countAffectedVolumes(Fleet fleet, Fleet.Block block) {
         if (!block.kind().equals("plan") && !block.kind().equals("tenant")) {
             return "";
         }
@@ -161,12 +166,12 @@
         return counted + " and " + patterns + (patterns == 1 ? " pattern" : " patterns");
     }
 
-    /** Compares routes place by place, as their order matters. */
+    /** Compares routes index by index, because their order is significant. */
     private void compareRoutes() {
         int count = Math.max(before.routes().size(), after.routes().size());
         for (int i = 0; i < count; i++) {
-            String oldRoute = route(before, i);
-            String newRoute = route(after, i);
+            String oldRoute = formatRoute(before, i);
+            String newRoute = formatRoute(after, i);
             if (!oldRoute.equals(newRoute)) {
                 String what = "route " + (i + 1);
                 changes.add(new Change(what, "", oldRoute, newRoute, "", ApplyMode.IN_SERVICE));
@@ -174,13 +179,13 @@
         }
     }
 
-    /** A route as the language writes it; empty where there are fewer. */
-    private static String route(Fleet fleet, int index) {
+    /** Formats the route at an index in the syntax of the language; empty if there is none. */
+    private static String formatRoute(Fleet fleet, int index) {
         if (index >= fleet.routes().size()) {
             return "";
         }
         Fleet.Route route = fleet.routes().get(index);
-        return route.what()
+        return route.matchType()
                 + " "
                 + Formatter.label(route.pattern())
                 + " to "
--- a/config/src/main/java/milletyoke/config/FleetReader.java
+++ b/config/src/main/java/milletyoke/config/FleetReader.java
@@ -15,9 +15,9 @@
 import org.antlr.v4.runtime.atn.PredictionMode;
 
 /**
- * Parses the text of one file and reports all syntax errors in one pass. Size, nesting and the
- * length of expressions are bounded before the parser runs, as the parser and all that walks its
- * tree recurse as deeply as the text nests.
+ * Parses the text of one file and reports all syntax errors in one pass. Size, nesting depth and
+ * the length of expressions are checked before the parser runs, because the parser and the code
+ * that walks the syntax tree recurse as deeply as the text is nested.
  */
 final class FleetReader {
     static final int MAX_DEPTH = 64;
@@ -29,7 +29,7 @@
     private static final Set<String> CLOSING = Set.of(")", "}");
     private static final Set<String> OPERATORS = Set.of("+", "-", "*", "/");
 
-    /** What an expression cannot contain: here the count of operators starts again. */
+    /** Tokens that no expression contains; each resets the count of operators. */
     private static final Set<String> EXPRESSION_ENDS = Set.of(";", ",", "{", "}");
 
     private final String file;
@@ -44,27 +44,31 @@
     }
 
     /**
-     * Parses a text; statements with errors are left out.
+     * Parses a text.
      *
      * @param diagnostics receives the errors
+     * @return the syntax tree, without the statements that have errors
      */
     static SyntaxTree.File read(String file, String text, List<Diagnostic> diagnostics) {
         return new FleetReader(file, text, diagnostics).read();
     }
 
-    /** All tokens with comments; null where the text exceeds a limit, which was reported. */
+    /**
+     * Returns all tokens, including comments. Reports an error and returns null if the text exceeds
+     * a limit.
+     */
     static CommonTokenStream tokens(String file, String text, List<Diagnostic> diagnostics) {
         return new FleetReader(file, text, diagnostics).tokens();
     }
 
     private CommonTokenStream tokens() {
         if (text.length() > MAX_FILE_CHARS) {
-            report(
+            reportError(
                     "size",
                     1,
                     1,
-                    "over " + MAX_FILE_CHARS + " characters in one file",
-                    "split it and include the parts");
+                    "more than " + MAX_FILE_CHARS + " characters in one file",
+                    "split the file and include the parts");
             return null;
         }
         FleetLexer lexer = new FleetLexer(CharStreams.fromString(text, file));
@@ -74,10 +78,13 @@
         return isWithinNestingLimits(tokens) ? tokens : null;
     }
 
-    /** Bounds the depth of recursion; no useful configuration comes near the limits. */
+    /**
+     * Returns whether the text is within the limits that bound the depth of recursion; reports an
+     * error if not. Useful configurations are far below the limits.
+     */
     private boolean isWithinNestingLimits(CommonTokenStream tokens) {
         int depth = 0;
-        int signs = 0;
+        int minusSigns = 0;
         int operators = 0;
         for (Token token : tokens.getTokens()) {
             if (token.getChannel() != Token.DEFAULT_CHANNEL) {
@@ -85,14 +92,14 @@
             }
             String symbol = token.getText();
             depth += depthChange(symbol);
-            signs = symbol.equals("-") ? signs + 1 : 0;
+            minusSigns = symbol.equals("-") ? minusSigns + 1 : 0;
             if (EXPRESSION_ENDS.contains(symbol)) {
                 operators = 0;
             } else if (OPERATORS.contains(symbol)) {
                 operators++;
             }
-            if (depth > MAX_DEPTH || signs > MAX_DEPTH || operators > MAX_OPERATORS) {
-                reportNesting(token);
+            if (depth > MAX_DEPTH || minusSigns > MAX_DEPTH || operators > MAX_OPERATORS) {
+                reportNestingError(token);
                 return false;
             }
         }
@@ -106,17 +113,17 @@
         return CLOSING.contains(symbol) ? -1 : 0;
     }
 
-    private void reportNesting(Token token) {
-        report(
+    private void reportNestingError(Token token) {
+        reportError(
                 "depth",
                 token.getLine(),
                 token.getCharPositionInLine() + 1,
                 "nested deeper than "
                         + MAX_DEPTH
-                        + ", or over "
+                        + ", or more than "
                         + MAX_OPERATORS
-                        + " operators in one figure",
-                "name parts of it with let");
+                        + " operators in one expression",
+                "define parts of the expression with let");
     }
 
     private SyntaxTree.File read() {
@@ -139,7 +146,7 @@
         return new SyntaxTree.File(file, statements);
     }
 
-    private void report(String code, int line, int column, String message, String hint) {
+    private void reportError(String code, int line, int column, String message, String hint) {
         if (diagnostics.size() < MAX_DIAGNOSTICS) {
             diagnostics.add(
                     new Diagnostic(
@@ -152,7 +159,7 @@
         return number >= 1 && number <= lines.size() ? lines.get(number - 1) : "";
     }
 
-    /** Turns the parser's errors into diagnostics. */
+    /** Converts the parser's errors to diagnostics. */
     private final class SyntaxErrorListener extends BaseErrorListener {
         @Override
         public void syntaxError(
@@ -162,7 +169,7 @@
                 int column,
                 String message,
                 RecognitionException cause) {
-            report("syntax", line, column + 1, describe(message, symbol), "");
+            reportError("syntax", line, column + 1, describe(message, symbol), "");
         }
 
         private static String describe(String message, Object symbol) {
@@ -172,7 +179,7 @@
                         + token.getText()
                         + "\" (U+"
                         + String.format(Locale.ROOT, "%04X", codePoint)
-                        + ") has no place here; names take letters a to z, digits, - and _";
+                        + ") is not allowed here; names consist of the letters a to z, digits, - and _";
             }
             return message.replaceAll("\\s+", " ").replace("<EOF>", "the end of the file");
         }
--- a/config/src/main/java/milletyoke/config/Formatter.java
+++ b/config/src/main/java/milletyoke/config/Formatter.java
@@ -7,9 +7,9 @@
 import org.antlr.v4.runtime.Token;
 
 /**
- * Formats configuration files: four blanks of indentation, one statement a line, at most one empty
- * line. Works on tokens, so that comments stay where they belong and numbers as they were written.
- * A file with a syntax error is not formatted.
+ * Formats configuration files: indents by four spaces, puts each statement on its own line and
+ * keeps at most one empty line in a row. Works on tokens, so that comments keep their positions and
+ * numbers stay as written. A file with a syntax error is not formatted.
  */
 public final class Formatter {
     private static final String INDENT = "    ";
@@ -24,7 +24,7 @@
      * Formats a text.
      *
      * @param diagnostics receives the syntax errors
-     * @return null where there are any
+     * @return the formatted text; null if there are syntax errors
      */
     public static String format(String file, String text, List<Diagnostic> diagnostics) {
         List<Diagnostic> errors = new ArrayList<>();
@@ -52,8 +52,8 @@
         return out.isEmpty() || isAtLineStart ? out.toString() : out.append('\n').toString();
     }
 
-    private static int countLineBreaks(String blank) {
-        String normalized = blank.replace("\r\n", "\n");
+    private static int countLineBreaks(String whitespace) {
+        String normalized = whitespace.replace("\r\n", "\n");
         return (int) normalized.chars().filter(c -> c == '\n' || c == '\r').count();
     }
 
@@ -61,20 +61,20 @@
         String text = token.getText();
         boolean isComment = token.getType() == FleetLexer.REMARK;
         if (isComment && previous != null && lineBreaks == 0) {
-            endOfLine();
-            out.setLength(out.length() - 1); // stays on the line of what it follows
+            endLine();
+            out.setLength(out.length() - 1); // a comment that follows a token stays on its line
             out.append("  ").append(text.stripTrailing()).append('\n');
             return;
         }
         if (text.equals("}")) {
             depth--;
-            endOfLine();
+            endLine();
         } else if (lineBreaks > 1 && previous != null && !previous.getText().equals("{")) {
-            endOfLine();
+            endLine();
             out.append('\n');
         }
         if (isComment) {
-            endOfLine();
+            endLine();
             indent();
             out.append(text.stripTrailing()).append('\n');
             isAtLineStart = true;
@@ -82,20 +82,20 @@
         }
         if (isAtLineStart) {
             indent();
-        } else if (needsBlank(previous, text)) {
+        } else if (needsSpaceBefore(previous, text)) {
             out.append(' ');
         }
         out.append(text);
         isAtLineStart = false;
         if (text.equals("{")) {
             depth++;
-            endOfLine();
+            endLine();
         } else if (text.equals("}") || text.equals(";")) {
-            endOfLine();
+            endLine();
         }
     }
 
-    private static boolean needsBlank(Token previous, String text) {
+    private static boolean needsSpaceBefore(Token previous, String text) {
         return !text.equals(";")
                 && !text.equals(",")
                 && !text.equals(")")
@@ -106,14 +106,14 @@
         out.append(INDENT.repeat(Math.max(0, depth)));
     }
 
-    private void endOfLine() {
+    private void endLine() {
         if (!isAtLineStart) {
             out.append('\n');
             isAtLineStart = true;
         }
     }
 
-    /** A name as the language writes it: without quotes where possible. */
+    /** Formats a name in the syntax of the language, with quotes only if they are needed. */
     static String label(String name) {
         return name.matches("[a-zA-Z]([a-zA-Z0-9_]|-[a-zA-Z0-9])*(-?\\*)?")
                 ? name
--- a/config/src/main/java/milletyoke/config/NameSuggestions.java
+++ b/config/src/main/java/milletyoke/config/NameSuggestions.java
@@ -2,32 +2,36 @@
 
 import java.util.Collection;
 
-/** Finds the known name that a misspelt one is most like. */
+/** Finds the known name that is most similar to a misspelt one. */
 final class NameSuggestions {
     private static final int MAX_NAME_CHARS = 64;
 
     private NameSuggestions() {}
 
-    /** The known name with the smallest edit distance; the first of equals, for stable hints. */
+    /**
+     * Returns the known name with the smallest edit distance; the first of several, so that hints
+     * are stable. Returns the empty string if no names are known.
+     */
     static String nearest(String name, Collection<String> known) {
         String best = "";
-        int leastDistance = Integer.MAX_VALUE;
-        String bounded = name.length() > MAX_NAME_CHARS ? name.substring(0, MAX_NAME_CHARS) : name;
+        int smallestDistance = Integer.MAX_VALUE;
+        String truncated =
+                name.length() > MAX_NAME_CHARS ? name.substring(0, MAX_NAME_CHARS) : name;
         for (String candidate : known) {
-            int lengthDifference = Math.abs(candidate.length() - bounded.length());
+            int lengthDifference = Math.abs(candidate.length() - truncated.length());
             int distance =
-                    lengthDifference >= leastDistance
-                            ? leastDistance
-                            : distance(bounded, candidate);
-            if (distance < leastDistance) {
-                leastDistance = distance;
+                    lengthDifference >= smallestDistance
+                            ? smallestDistance
+                            : distance(truncated, candidate);
+            if (distance < smallestDistance) {
+                smallestDistance = distance;
                 best = candidate;
             }
         }
         return best;
     }
 
-    /** Levenshtein distance, ignoring case. */
+    /** Returns the Levenshtein distance, ignoring case. */
     private static int distance(String a, String b) {
         int[] row = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
--- a/config/src/main/java/milletyoke/config/Quantity.java
+++ b/config/src/main/java/milletyoke/config/Quantity.java
@@ -8,18 +8,18 @@
 /**
  * A number with its dimension.
  *
- * @param value in the base unit of the dimension: microseconds, units, units a second, bytes, or
- *     parts of one
+ * @param value in the base unit of the dimension: microseconds, units of work, units per second,
+ *     bytes, or a fraction of 1
  */
 public record Quantity(double value, Dimension dimension) {
     /** What a quantity measures. */
     public enum Dimension {
-        TIME("a time", "250ms"),
+        TIME("a duration", "250ms"),
         UNITS("units", "36u"),
-        RATE("units a second", "40u/s"),
+        RATE("units per second", "40u/s"),
         BYTES("bytes", "4MiB"),
-        SHARE("a share", "29%"),
-        NONE("a bare number", "3");
+        SHARE("a percentage", "29%"),
+        NONE("a number without a unit", "3");
 
         private final String description;
         private final String example;
@@ -29,29 +29,29 @@
             this.example = example;
         }
 
-        /** The dimension as messages name it. */
+        /** Returns the name of the dimension in messages. */
         public String description() {
             return description;
         }
 
-        /** A quantity as it could be written, for hints. */
+        /** Returns an example of a quantity in the syntax of the language, for hints. */
         public String example() {
             return example;
         }
     }
 
-    /** Largest value in base units; a larger one is taken for a mistake. */
+    /** The largest absolute value in base units; a larger one is considered a mistake. */
     static final double MAX_VALUE = 1e15;
 
-    /** A unit that is accepted and never written. */
-    private static final String PARSED_ONLY = "u/min";
+    /** A unit that is accepted as input and never used for output. */
+    private static final String INPUT_ONLY_UNIT = "u/min";
 
     private static final double MICROS_PER_SECOND = 1e6;
 
     /**
      * A unit of measure.
      *
-     * @param factor to the base unit
+     * @param factor how many base units one of this unit is
      */
     private record Unit(Dimension dimension, double factor) {}
 
@@ -78,7 +78,7 @@
         return all;
     }
 
-    /** An invalid quantity or operation; code, message and hint go into a diagnostic. */
+    /** Thrown for an invalid quantity or operation; contains the texts of the diagnostic. */
     static final class QuantityFormatException extends Exception {
         private static final long serialVersionUID = 1L;
         final String code;
@@ -92,7 +92,7 @@
     }
 
     /** Parses a number with its unit. */
-    static Quantity of(String text) throws QuantityFormatException {
+    static Quantity parse(String text) throws QuantityFormatException {
         int end = 0;
         while (end < text.length()
                 && (Character.isDigit(text.charAt(end)) || text.charAt(end) == '.')) {
@@ -103,27 +103,27 @@
         if (unit == null) {
             throw new QuantityFormatException(
                     "unit",
-                    "\"" + name + "\" is no unit",
+                    "\"" + name + "\" is not a unit",
                     "did you mean "
                             + NameSuggestions.nearest(name, UNITS.keySet())
-                            + "? Known are us, ms, s, min, h; u, ku; u/s, ku/s, u/min; B, KiB, MiB, GiB; %");
+                            + "? Known units: us, ms, s, min, h; u, ku; u/s, ku/s, u/min; B, KiB, MiB, GiB; %");
         }
-        return checked(
+        return createInRange(
                 Double.parseDouble(text.substring(0, end)) * unit.factor(), unit.dimension());
     }
 
-    private static Quantity checked(double figure, Dimension dimension)
+    private static Quantity createInRange(double value, Dimension dimension)
             throws QuantityFormatException {
-        if (!(Math.abs(figure) <= MAX_VALUE)) {
+        if (!(Math.abs(value) <= MAX_VALUE)) {
             throw new QuantityFormatException(
                     "range",
-                    "a figure over " + formatNumber(MAX_VALUE) + " in base units",
-                    "no such figure has a meaning here");
+                    "absolute value is more than " + formatNumber(MAX_VALUE) + " in base units",
+                    "no setting takes so large a value");
         }
-        return new Quantity(figure, dimension);
+        return new Quantity(value, dimension);
     }
 
-    /** Adds, or with a sign of -1 subtracts, a quantity of the same dimension. */
+    /** Adds a quantity of the same dimension, or subtracts it if the sign is -1. */
     Quantity plus(Quantity other, int sign) throws QuantityFormatException {
         if (dimension != other.dimension) {
             throw new QuantityFormatException(
@@ -131,64 +131,73 @@
                     dimension.description()
                             + " and "
                             + other.dimension.description()
-                            + " cannot be added",
+                            + " cannot be added or subtracted",
                     "");
         }
-        return checked(value + sign * other.value, dimension);
+        return createInRange(value + sign * other.value, dimension);
     }
 
-    /** Multiplies; at most one factor may have a dimension, or they are a rate and a time. */
+    /**
+     * Multiplies by a quantity. At least one factor must be a number without a unit or a
+     * percentage, or the factors must be a rate and a duration.
+     */
     Quantity times(Quantity other) throws QuantityFormatException {
         if (dimension == Dimension.NONE || other.dimension == Dimension.NONE) {
-            return checked(
+            return createInRange(
                     value * other.value, dimension == Dimension.NONE ? other.dimension : dimension);
         }
         if (dimension == Dimension.SHARE || other.dimension == Dimension.SHARE) {
-            return checked(
+            return createInRange(
                     value * other.value,
                     dimension == Dimension.SHARE ? other.dimension : dimension);
         }
         boolean isRateTimesTime = dimension == Dimension.RATE && other.dimension == Dimension.TIME;
-        boolean isTimesRate = dimension == Dimension.TIME && other.dimension == Dimension.RATE;
-        if (isRateTimesTime || isTimesRate) {
-            return checked(value * other.value / MICROS_PER_SECOND, Dimension.UNITS);
+        boolean isTimeTimesRate = dimension == Dimension.TIME && other.dimension == Dimension.RATE;
+        if (isRateTimesTime || isTimeTimesRate) {
+            return createInRange(value * other.value / MICROS_PER_SECOND, Dimension.UNITS);
         }
         throw new QuantityFormatException(
                 "unit",
                 dimension.description()
                         + " times "
                         + other.dimension.description()
-                        + " is nothing known here",
+                        + " is not a supported operation",
                 "");
     }
 
-    /** Divides; by a bare number, by the same dimension, or units by a time or rate. */
+    /**
+     * Divides by a number without a unit or a quantity of the same dimension; units also by a
+     * duration or a rate.
+     */
     Quantity dividedBy(Quantity other) throws QuantityFormatException {
         if (other.value == 0) {
-            throw new QuantityFormatException("range", "a division by 0", "");
+            throw new QuantityFormatException("range", "division by zero", "");
         }
         if (other.dimension == Dimension.NONE) {
-            return checked(value / other.value, dimension);
+            return createInRange(value / other.value, dimension);
         }
         if (dimension == other.dimension) {
-            return checked(value / other.value, Dimension.NONE);
+            return createInRange(value / other.value, Dimension.NONE);
         }
         if (dimension == Dimension.UNITS && other.dimension == Dimension.TIME) {
-            return checked(value / (other.value / MICROS_PER_SECOND), Dimension.RATE);
+            return createInRange(value / (other.value / MICROS_PER_SECOND), Dimension.RATE);
         }
         if (dimension == Dimension.UNITS && other.dimension == Dimension.RATE) {
-            return checked(value / other.value * MICROS_PER_SECOND, Dimension.TIME);
+            return createInRange(value / other.value * MICROS_PER_SECOND, Dimension.TIME);
         }
         throw new QuantityFormatException(
                 "unit",
                 dimension.description()
-                        + " over "
+                        + " divided by "
                         + other.dimension.description()
-                        + " is nothing known here",
+                        + " is not a supported operation",
                 "");
     }
 
-    /** As an operator would write it: in the largest unit that gives a short and exact number. */
+    /**
+     * Formats the quantity in the syntax of the language, in the unit that gives the shortest exact
+     * text; of equally short ones the largest unit.
+     */
     @Override
     public String toString() {
         if (value == 0 && dimension != Dimension.NONE) {
@@ -197,7 +206,7 @@
         String best = null;
         for (Map.Entry<String, Unit> entry : UNITS.entrySet()) {
             Unit unit = entry.getValue();
-            if (unit.dimension() != dimension || entry.getKey().equals(PARSED_ONLY)) {
+            if (unit.dimension() != dimension || entry.getKey().equals(INPUT_ONLY_UNIT)) {
                 continue;
             }
             String number = formatNumber(value / unit.factor());
@@ -218,12 +227,12 @@
                 .getKey();
     }
 
-    /** A number without an exponent or needless digits. */
-    static String formatNumber(double figure) {
-        if (figure == Math.rint(figure) && Math.abs(figure) <= MAX_VALUE) {
-            return Long.toString((long) figure);
+    /** Formats a number without exponent and trailing zeros. */
+    static String formatNumber(double number) {
+        if (number == Math.rint(number) && Math.abs(number) <= MAX_VALUE) {
+            return Long.toString((long) number);
         }
-        String text = new BigDecimal(Double.toString(figure)).stripTrailingZeros().toPlainString();
+        String text = new BigDecimal(Double.toString(number)).stripTrailingZeros().toPlainString();
         return text.toLowerCase(Locale.ROOT);
     }
 }
--- a/config/src/main/java/milletyoke/config/ReferenceChecker.java
+++ b/config/src/main/java/milletyoke/config/ReferenceChecker.java
@@ -7,7 +7,7 @@
 import milletyoke.config.SyntaxTree.Position;
 import milletyoke.config.SyntaxTree.Route;
 
-/** Checks references between blocks, and routes and volume patterns that cover one another. */
+/** Checks references to blocks, unreachable routes and overlapping volume patterns. */
 final class ReferenceChecker {
     private static final String WILDCARD = "*";
 
@@ -26,7 +26,7 @@
         checkPatternsOverlap();
     }
 
-    /** Reports a name that nothing has, with the nearest known one as a hint. */
+    /** Reports an unknown name, with the most similar known name as a hint. */
     static void reportUnknown(
             DiagnosticCollector diagnostics,
             Position position,
@@ -36,7 +36,7 @@
         diagnostics.error(
                 position,
                 "name",
-                "no " + kind + " is called " + name,
+                "no " + kind + " is named " + name,
                 known.isEmpty()
                         ? "none is defined"
                         : "did you mean " + NameSuggestions.nearest(name, known) + "?");
@@ -74,35 +74,39 @@
         }
     }
 
-    /** Where a block states a setting; the block itself where it is inherited. */
+    /**
+     * Returns the position of a setting in a block; that of the block if the setting is inherited.
+     */
     private static Position position(Block block, String setting) {
         return block.settings().stream()
                 .filter(own -> own.name().equals(setting) && !own.values().isEmpty())
-                .map(own -> own.values().get(0).at())
+                .map(own -> own.values().get(0).position())
                 .findFirst()
-                .orElse(block.at());
+                .orElse(block.position());
     }
 
     private void checkRouteReferences() {
         Set<String> pools = declarations.names("pool");
         for (Route route : declarations.routes) {
             if (!pools.contains(route.pool())) {
-                reportUnknown(diagnostics, route.poolAt(), "pool", route.pool(), pools);
+                reportUnknown(diagnostics, route.poolPosition(), "pool", route.pool(), pools);
             }
         }
     }
 
-    /** A route is never reached where an earlier one matches all that it could match. */
+    /**
+     * Warns about routes that are never reached because an earlier route matches all their names.
+     */
     private void checkRoutesAreReachable() {
         Map<String, Route> earlierRoutes = new HashMap<>();
         for (Route route : declarations.routes) {
             boolean isWildcard = route.pattern().endsWith(WILDCARD);
             String text = isWildcard ? withoutWildcard(route.pattern()) : route.pattern();
-            boolean isPrefix = isWildcard || route.what().equals("prefix");
-            String exactKey = route.what() + "=" + text;
+            boolean isPrefix = isWildcard || route.matchType().equals("prefix");
+            String exactKey = route.matchType() + "=" + text;
             Route covering = isPrefix ? null : earlierRoutes.get(exactKey);
-            for (int n = 0; n <= text.length() && covering == null; n++) {
-                covering = earlierRoutes.get(prefixKey(route, text.substring(0, n)));
+            for (int length = 0; length <= text.length() && covering == null; length++) {
+                covering = earlierRoutes.get(prefixKey(route, text.substring(0, length)));
             }
             if (covering == null) {
                 earlierRoutes.put(isPrefix ? prefixKey(route, text) : exactKey, route);
@@ -113,22 +117,25 @@
     }
 
     private static String prefixKey(Route route, String prefix) {
-        return route.what() + "^" + prefix;
+        return route.matchType() + "^" + prefix;
     }
 
     private void reportUnreachable(Route route, Route covering) {
         diagnostics.warn(
-                route.at(),
+                route.position(),
                 "unreachable",
-                "this route is never reached: "
+                "this route is never reached: the earlier route "
                         + covering.pattern()
                         + " at "
-                        + Declarations.place(covering.at())
-                        + " takes all of it",
-                "routes are tried in order; the narrow one goes first");
+                        + Declarations.formatPosition(covering.position())
+                        + " matches everything that this one does",
+                "routes are tried in order; put the narrower route first");
     }
 
-    /** A volume pattern within another is allowed, as the longest counts, and may be a mistake. */
+    /**
+     * Warns about volume patterns that lie within wider ones. They are valid, because the longest
+     * matching pattern applies, but may be a mistake.
+     */
     private void checkPatternsOverlap() {
         Map<String, Block> blocksByPrefix = new HashMap<>();
         for (Block block : declarations.blocks.values()) {
@@ -157,15 +164,15 @@
 
     private void reportOverlap(Block block, Block wider) {
         diagnostics.warn(
-                block.at(),
+                block.position(),
                 "overlap",
                 "volume "
                         + block.name()
-                        + " lies within "
+                        + " is within the wider pattern "
                         + wider.name()
                         + " at "
-                        + Declarations.place(wider.at()),
-                "the longer pattern counts");
+                        + Declarations.formatPosition(wider.position()),
+                "the longest matching pattern applies");
     }
 
     private static String withoutWildcard(String pattern) {
--- a/config/src/main/java/milletyoke/config/Schema.java
+++ b/config/src/main/java/milletyoke/config/Schema.java
@@ -7,8 +7,8 @@
 import milletyoke.config.Quantity.Dimension;
 
 /**
- * The settings of each kind of block: their types, ranges and defaults, and whether a change of one
- * needs a restart. The order of kinds and settings is that of messages and listings.
+ * Defines the settings of each kind of block: their types, ranges and defaults, and whether a
+ * change needs a restart. Messages and listings use the order of kinds and settings defined here.
  */
 final class Schema {
     private static final double MAX_TIME_MICROS = 100 * 3600e6;
@@ -23,7 +23,7 @@
     private static final Type UNITS = quantity(Dimension.UNITS, 0, MAX_UNITS);
     private static final Type FLAG = keyword("yes", "no");
 
-    /** Kind of block to name of setting to field. */
+    /** The fields by kind of block and name of setting. */
     static final Map<String, Map<String, Field>> KINDS = kinds();
 
     private Schema() {}
@@ -35,15 +35,15 @@
     }
 
     /**
-     * The type of a setting's values. At most one of dimension, keywords and referencedKind is set;
-     * with none of them a value is any text.
+     * The type of the values of a setting. At most one of dimension, keywords and referencedKind is
+     * set; if none is, any text is allowed.
      *
-     * @param min in the base unit of the dimension
-     * @param max in the base unit of the dimension
+     * @param min the smallest allowed value, in the base unit of the dimension
+     * @param max the largest allowed value, in the base unit of the dimension
      * @param isInteger whether fractions are invalid
-     * @param keywords the words that are allowed
-     * @param referencedKind the kind of block that a value names
-     * @param isList whether several values may be given
+     * @param keywords the allowed keywords
+     * @param referencedKind the kind of block that a value refers to by name
+     * @param isList whether several values are allowed
      */
     record Type(
             Dimension dimension,
@@ -54,7 +54,9 @@
             String referencedKind,
             boolean isList) {
 
-        /** A setting of this type as it could be written, for hints. */
+        /**
+         * Returns an example of a setting of this type in the syntax of the language, for hints.
+         */
         String example(String name) {
             return name + " " + exampleValue() + ";";
         }
@@ -73,8 +75,8 @@
     /**
      * One setting of a kind of block.
      *
-     * @param defaultValue as it would be written; null where the setting is required, empty where
-     *     it may be absent
+     * @param defaultValue in the syntax of the language; null if the setting is required, empty if
+     *     it is optional and has no default
      */
     record Field(Type type, String defaultValue, Change change) {
         boolean isRequired() {
--- a/config/src/main/java/milletyoke/config/SettingReader.java
+++ b/config/src/main/java/milletyoke/config/SettingReader.java
@@ -6,7 +6,7 @@
 import milletyoke.config.Quantity.QuantityFormatException;
 import milletyoke.config.SyntaxTree.Setting;
 
-/** Reads the values of one setting as its schema type wants them, and reports what does not fit. */
+/** Reads the values of a setting according to its schema type, and reports invalid values. */
 final class SettingReader {
     private final ConstantEvaluator constants;
     private final DiagnosticCollector diagnostics;
@@ -16,22 +16,28 @@
         this.diagnostics = diagnostics;
     }
 
-    /** Each value a {@link Quantity} or text; null where one is invalid, which was reported. */
+    /**
+     * Returns the values, each a {@link Quantity} or text. Reports an error and returns null if one
+     * of them is invalid.
+     */
     List<Object> read(Setting setting, Schema.Type type) {
         if (setting.values().isEmpty()) {
             return null; // reported by the parser
         }
         if (setting.values().size() > 1 && !type.isList()) {
             diagnostics.error(
-                    setting.values().get(1).at(), "type", setting.name() + " takes one value", "");
+                    setting.values().get(1).position(),
+                    "type",
+                    setting.name() + " takes one value",
+                    "");
             return null;
         }
         List<Object> values = new ArrayList<>();
         for (SyntaxTree.Value value : setting.values()) {
             Object read =
                     type.dimension() != null
-                            ? quantity(setting.name(), value, type)
-                            : text(setting.name(), value, type);
+                            ? readQuantity(setting.name(), value, type)
+                            : readText(setting.name(), value, type);
             if (read == null) {
                 return null;
             }
@@ -40,13 +46,13 @@
         return List.copyOf(values);
     }
 
-    private Quantity quantity(String name, SyntaxTree.Value value, Schema.Type type) {
+    private Quantity readQuantity(String name, SyntaxTree.Value value, Schema.Type type) {
         if (value.expression() == null) {
             diagnostics.error(
-                    value.at(),
+                    value.position(),
                     "type",
                     name + " takes " + type.dimension().description() + ", not text",
-                    "as " + type.example(name));
+                    "for example " + type.example(name));
             return null;
         }
         Quantity quantity;
@@ -54,61 +60,64 @@
             quantity = constants.evaluate(value.expression());
         } catch (QuantityFormatException invalid) {
             diagnostics.error(
-                    value.expression().at(), invalid.code, invalid.getMessage(), invalid.hint);
+                    value.expression().position(),
+                    invalid.code,
+                    invalid.getMessage(),
+                    invalid.hint);
             return null;
         }
         boolean isValid =
-                hasDimension(name, value, quantity, type.dimension())
-                        && isInRange(name, value, quantity, type);
+                checkDimension(name, value, quantity, type.dimension())
+                        && checkRange(name, value, quantity, type);
         return isValid ? quantity : null;
     }
 
-    private boolean hasDimension(
-            String name, SyntaxTree.Value value, Quantity quantity, Dimension wanted) {
-        if (quantity.dimension() == wanted) {
+    private boolean checkDimension(
+            String name, SyntaxTree.Value value, Quantity quantity, Dimension expected) {
+        if (quantity.dimension() == expected) {
             return true;
         }
         String number = Quantity.formatNumber(writtenNumber(value, quantity));
         diagnostics.error(
-                value.at(),
+                value.position(),
                 "unit",
                 name
                         + " takes "
-                        + wanted.description()
-                        + ", and "
+                        + expected.description()
+                        + ", but "
                         + quantity
                         + " is "
                         + quantity.dimension().description(),
-                "did you mean " + number + unit(wanted) + "?");
+                "did you mean " + number + unitOf(expected) + "?");
         return false;
     }
 
-    private boolean isInRange(
+    private boolean checkRange(
             String name, SyntaxTree.Value value, Quantity quantity, Schema.Type type) {
         double number = quantity.value();
         if (!(number >= type.min() && number <= type.max())) {
             diagnostics.error(
-                    value.at(),
+                    value.position(),
                     "range",
                     name
                             + ": "
                             + quantity
-                            + " is out of range, "
+                            + " is out of range (allowed: "
                             + new Quantity(type.min(), type.dimension())
                             + " to "
                             + new Quantity(type.max(), type.dimension())
-                            + " is",
+                            + ")",
                     "");
             return false;
         }
         if (type.isInteger() && number != Math.rint(number)) {
-            diagnostics.error(value.at(), "range", name + " takes a whole number", "");
+            diagnostics.error(value.position(), "range", name + " takes an integer", "");
             return false;
         }
         return true;
     }
 
-    /** The number as it was written, so that the hint changes the unit alone. */
+    /** Returns the number as written, so that the hint differs from the input only in the unit. */
     private static double writtenNumber(SyntaxTree.Value value, Quantity quantity) {
         if (value.expression() instanceof SyntaxTree.NumberLiteral literal) {
             return Double.parseDouble(literal.text().replaceAll("[^0-9.].*$", ""));
@@ -116,24 +125,25 @@
         return quantity.value();
     }
 
-    private static String unit(Dimension dimension) {
+    private static String unitOf(Dimension dimension) {
         return dimension.example().replaceAll("^[0-9.]+", "");
     }
 
-    private String text(String name, SyntaxTree.Value value, Schema.Type type) {
+    private String readText(String name, SyntaxTree.Value value, Schema.Type type) {
         String text = value.text();
         if (text == null && value.expression() instanceof SyntaxTree.NameReference reference) {
             text = reference.name();
         }
         List<String> keywords = type.keywords();
         if (text == null) {
-            String wanted = keywords != null ? oneOf(keywords) : "a name";
-            diagnostics.error(value.at(), "type", name + " takes " + wanted + ", not a figure", "");
+            String expected = keywords != null ? oneOf(keywords) : "a name";
+            diagnostics.error(
+                    value.position(), "type", name + " takes " + expected + ", not a number", "");
             return null;
         }
         if (keywords != null && !keywords.contains(text)) {
             diagnostics.error(
-                    value.at(),
+                    value.position(),
                     "type",
                     name + " takes " + oneOf(keywords) + ", not " + text,
                     "did you mean " + NameSuggestions.nearest(text, keywords) + "?");
--- a/config/src/main/java/milletyoke/config/SourceLoader.java
+++ b/config/src/main/java/milletyoke/config/SourceLoader.java
@@ -11,8 +11,8 @@
 import milletyoke.config.SyntaxTree.Position;
 
 /**
- * Reads a file and all that it includes, and collects what they declare. Which of two declarations
- * of one block counts is decided here, by which file includes the other.
+ * Reads a file and all files that it includes, and collects their declarations. Of two declarations
+ * of one block, the one in the including file takes precedence.
  */
 final class SourceLoader {
     private static final int MAX_FILES = 1_000;
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Loads a file once, by whatever names it is included.
+     * Loads a file, unless it is loaded already, under whichever name it is included.
      *
      * @param includedFrom the including statement; null for the checked file itself
      */
@@ -53,15 +53,15 @@
             diagnostics.error(
                     includedFrom,
                     "size",
-                    "over "
+                    "more than "
                             + MAX_FILES
-                            + " files, or includes deeper than "
+                            + " files, or includes nested deeper than "
                             + FleetReader.MAX_DEPTH,
                     "");
             return;
         }
-        Position reportAt = includedFrom == null ? new Position(file, 1, 1) : includedFrom;
-        String text = readText(file, reportAt);
+        Position reportPosition = includedFrom == null ? new Position(file, 1, 1) : includedFrom;
+        String text = readText(file, reportPosition);
         if (text == null) {
             return;
         }
@@ -78,29 +78,35 @@
     private void reportCycle(String file, Position includedFrom) {
         List<String> chain = new ArrayList<>();
         openFiles.descendingIterator().forEachRemaining(open -> chain.add(open + " includes"));
-        chain.add(file + ", which is open already");
+        chain.add(file + ", which is already being read");
         diagnostics.error(
                 includedFrom,
                 "cycle",
-                "this include comes back to a file that is being read",
-                "take one include out",
+                "include cycle: the included file is already being read",
+                "remove one of these includes",
                 chain);
     }
 
-    /** A file's text; null where it cannot be had, which was reported. */
-    private String readText(String file, Position reportAt) {
+    /** Returns the text of a file; reports an error and returns null if it cannot be read. */
+    private String readText(String file, Position reportPosition) {
         String text;
         try {
             text = sources.text(file);
         } catch (SourceProvider.UnreadableSourceException unreadable) {
             diagnostics.error(
-                    reportAt, "file", file + " cannot be read: " + unreadable.getMessage(), "");
+                    reportPosition,
+                    "file",
+                    file + " cannot be read: " + unreadable.getMessage(),
+                    "");
             return null;
         }
         totalChars += text.length();
         if (totalChars > MAX_TOTAL_CHARS) {
             diagnostics.error(
-                    reportAt, "size", "over " + MAX_TOTAL_CHARS + " characters in all files", "");
+                    reportPosition,
+                    "size",
+                    "more than " + MAX_TOTAL_CHARS + " characters in all files together",
+                    "");
             return null;
         }
         return text;
@@ -124,7 +130,7 @@
             found = sources.find(file, include.pattern());
         } catch (SourceProvider.UnreadableSourceException unreadable) {
             diagnostics.error(
-                    include.at(),
+                    include.position(),
                     "file",
                     "\"" + include.pattern() + "\": " + unreadable.getMessage(),
                     "");
@@ -132,14 +138,14 @@
         }
         if (found.isEmpty()) {
             diagnostics.error(
-                    include.at(),
+                    include.position(),
                     "file",
-                    "no file fits \"" + include.pattern() + "\"",
-                    "an include is relative to the file it stands in");
+                    "no file matches \"" + include.pattern() + "\"",
+                    "a path in an include is relative to the including file");
         }
         for (String included : found) {
             includedFiles.computeIfAbsent(file, key -> new LinkedHashSet<>()).add(included);
-            load(included, include.at());
+            load(included, include.position());
         }
     }
 
@@ -147,12 +153,12 @@
         SyntaxTree.Let earlier = declarations.constants.putIfAbsent(constant.name(), constant);
         if (earlier != null) {
             diagnostics.error(
-                    constant.at(),
+                    constant.position(),
                     "twice",
                     "constant "
                             + constant.name()
-                            + " is defined already at "
-                            + Declarations.place(earlier.at()),
+                            + " is already defined at "
+                            + Declarations.formatPosition(earlier.position()),
                     "");
         }
     }
@@ -164,21 +170,23 @@
             declarations.blocks.put(key, block);
             return;
         }
-        String earlierFile = earlier.at().file();
-        String file = block.at().file();
+        String earlierFile = earlier.position().file();
+        String file = block.position().file();
         boolean isSameFile = file.equals(earlierFile);
         if (!isSameFile && includes(file, earlierFile)) {
             declarations.blocks.put(key, block);
         } else if (isSameFile || !includes(earlierFile, file)) {
             diagnostics.error(
-                    block.at(),
+                    block.position(),
                     "twice",
-                    key.trim() + " stands already at " + Declarations.place(earlier.at()),
-                    "only a file that includes the other may hide its block");
+                    key.trim()
+                            + " is already defined at "
+                            + Declarations.formatPosition(earlier.position()),
+                    "only a file that includes the other may replace its block");
         }
     }
 
-    /** Whether a file includes another, directly or through others. */
+    /** Returns whether a file includes another, directly or transitively. */
     private boolean includes(String file, String other) {
         Set<String> seen = new LinkedHashSet<>(List.of(file));
         ArrayDeque<String> pending = new ArrayDeque<>(seen);
--- a/config/src/main/java/milletyoke/config/SourceProvider.java
+++ b/config/src/main/java/milletyoke/config/SourceProvider.java
@@ -2,31 +2,33 @@
 
 import java.util.List;
 
-/** Provides the text of files, so that the language itself touches no disk. */
+/** Finds files and reads their text, so that the language itself does no file I/O. */
 public interface SourceProvider {
-    /** A file that cannot be read; the message says why. */
+    /** Thrown when a file cannot be read; the message is the reason. */
     final class UnreadableSourceException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        /** Creates the exception with the reason, for the operator. */
+        /** Creates an exception with the reason, as it is shown to the operator. */
         public UnreadableSourceException(String message) {
             super(message);
         }
     }
 
     /**
-     * The files that an include matches, in the order of their names. Each is given by its
-     * canonical name, whatever other names it has.
+     * Returns the canonical names of the files that an include matches, ordered by the matched
+     * names.
      *
      * @param from the canonical name of the including file
-     * @throws UnreadableSourceException where the pattern is invalid or its folder cannot be read
+     * @throws UnreadableSourceException if the pattern is invalid, or the file or its directory
+     *     cannot be read
      */
     List<String> find(String from, String pattern) throws UnreadableSourceException;
 
     /**
-     * The text of a file.
+     * Reads a file.
      *
      * @param file a canonical name
+     * @return the text of the file
      */
     String text(String file) throws UnreadableSourceException;
 }
--- a/config/src/main/java/milletyoke/config/SyntaxTree.java
+++ b/config/src/main/java/milletyoke/config/SyntaxTree.java
@@ -2,75 +2,79 @@
 
 import java.util.List;
 
-/** The syntax of one file, after parsing and before any meaning. */
+/** The syntax tree of one file, as parsed and before names and constants are resolved. */
 final class SyntaxTree {
     private SyntaxTree() {}
 
-    /** A place in a file; lines and columns count from 1. */
+    /** A position in a file; lines and columns count from 1. */
     record Position(String file, int line, int column) {}
 
-    /** One file; statements that the parser could not finish are left out. */
+    /** One file, without the statements that the parser could not complete. */
     record File(String name, List<Statement> statements) {}
 
     /** A top-level statement. */
     sealed interface Statement {
-        Position at();
+        Position position();
     }
 
     /** {@code include "pattern";}. */
-    record Include(Position at, String pattern) implements Statement {}
+    record Include(Position position, String pattern) implements Statement {}
 
     /** {@code let name = value;}. */
-    record Let(Position at, String name, Expression value) implements Statement {}
+    record Let(Position position, String name, Expression value) implements Statement {}
 
     /**
      * A block of settings.
      *
-     * @param name empty for a kind that stands once
-     * @param parent the block or template that it is like; null for none
+     * @param name empty for a kind that has no named blocks
+     * @param parent the block or template named by {@code like}; null if there is none
      */
     record Block(
-            Position at,
+            Position position,
             String kind,
             String name,
             String parent,
-            Position parentAt,
+            Position parentPosition,
             List<Setting> settings)
             implements Statement {}
 
     /**
-     * {@code route what pattern to pool;}.
+     * {@code route matchType pattern to pool;}.
      *
-     * @param what volume or prefix
+     * @param matchType {@code volume} or {@code prefix}
      */
-    record Route(Position at, String what, String pattern, String pool, Position poolAt)
+    record Route(
+            Position position, String matchType, String pattern, String pool, Position poolPosition)
             implements Statement {}
 
     /** A setting in a block. */
-    record Setting(Position at, String name, List<Value> values) {}
+    record Setting(Position position, String name, List<Value> values) {}
 
     /** One value of a setting; exactly one of expression and text is set. */
-    record Value(Position at, Expression expression, String text) {}
+    record Value(Position position, Expression expression, String text) {}
 
-    /** A value that is computed, or a bare name. */
+    /** An arithmetic expression or a single name. */
     sealed interface Expression {
-        Position at();
+        Position position();
     }
 
     /** A number with its unit, as written. */
-    record NumberLiteral(Position at, String text) implements Expression {}
+    record NumberLiteral(Position position, String text) implements Expression {}
 
-    /** A bare name: a constant where a quantity is expected, else a keyword or a block's name. */
-    record NameReference(Position at, String name) implements Expression {}
+    /**
+     * A name without quotes: a constant where a quantity is expected, else a keyword or the name of
+     * a block.
+     */
+    record NameReference(Position position, String name) implements Expression {}
 
-    /** An expression with its sign changed. */
-    record Negation(Position at, Expression operand) implements Expression {}
+    /** A negated expression. */
+    record Negation(Position position, Expression operand) implements Expression {}
 
     /**
-     * Two expressions and an operator.
+     * A binary operation.
      *
      * @param operator one of {@code + - * /}
      */
-    record Binary(Position at, char operator, Expression left, Expression right)
+    record Binary(Position position, char operator, Expression left, Expression right)
             implements Expression {}
 }
--- a/config/src/main/java/milletyoke/config/SyntaxTreeBuilder.java
+++ b/config/src/main/java/milletyoke/config/SyntaxTreeBuilder.java
@@ -8,8 +8,8 @@
 import org.antlr.v4.runtime.Token;
 
 /**
- * Builds the syntax tree of one file from the parser's. What the parser could not finish, and has
- * reported, is left out.
+ * Builds the syntax tree of one file from the parse tree. Elements that the parser could not
+ * complete are left out; the parser has reported them.
  */
 final class SyntaxTreeBuilder {
     private final String file;
@@ -18,7 +18,7 @@
         this.file = file;
     }
 
-    /** A statement; null where the parser could not finish it. */
+    /** Returns a statement; null if the parser could not complete it. */
     SyntaxTree.Statement statement(FleetParser.StatementContext context) {
         if (context.exception != null) {
             return null;
--- a/config/src/main/java/milletyoke/config/disk/FileSourceProvider.java
+++ b/config/src/main/java/milletyoke/config/disk/FileSourceProvider.java
@@ -18,38 +18,39 @@
 import milletyoke.config.SourceProvider;
 
 /**
- * Reads files from the file system. The canonical name of a file is its real path, so that two
- * links to it are one file.
+ * Reads files from the file system. The canonical name of a file is its real path, so that several
+ * links to a file count as one file.
  */
 public final class FileSourceProvider implements SourceProvider {
     private static final int MAX_FILE_BYTES = 64 << 20;
     private static final int MAX_MATCHES = 10_000;
-    private static final int MAX_ATTEMPTS = 8;
+    private static final int MAX_READ_ATTEMPTS = 8;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    /** A file that was modified less than this ago may still be being written. */
-    private static final long SETTLE_MILLIS = 30;
+    /** A file that was modified within this time may still be incomplete. */
+    private static final long SETTLE_TIME_MILLIS = 30;
 
     private final LongSupplier clock;
 
-    /** Uses the system clock. */
+    /** Creates a provider that uses the system clock. */
     public FileSourceProvider() {
         this(System::currentTimeMillis);
     }
 
     /**
-     * Uses a given clock.
+     * Creates a provider that uses the given clock.
      *
-     * @param clock milliseconds, comparable with the modification times of files
+     * @param clock the current time in milliseconds, comparable with the modification times of
+     *     files
      */
     FileSourceProvider(LongSupplier clock) {
         this.clock = clock;
     }
 
     /**
-     * The canonical name of a file.
+     * Returns the canonical name of a file.
      *
-     * @throws UnreadableSourceException where there is no such file
+     * @throws UnreadableSourceException if the file does not exist or its path cannot be resolved
      */
     public static String name(Path file) throws UnreadableSourceException {
         try {
@@ -63,28 +64,28 @@
 
     @Override
     public List<String> find(String from, String pattern) throws UnreadableSourceException {
-        Path folder = Path.of(from).getParent();
+        Path baseDirectory = Path.of(from).getParent();
         boolean isGlob = pattern.matches(".*[*?\\[{].*");
         try {
             if (!isGlob) {
-                return List.of(name(folder.resolve(pattern)));
+                return List.of(name(baseDirectory.resolve(pattern)));
             }
             List<String> names = new ArrayList<>();
-            for (Path file : matchingFiles(folder, pattern)) {
+            for (Path file : matchingFiles(baseDirectory, pattern)) {
                 names.add(name(file));
             }
             return names;
         } catch (IllegalArgumentException malformed) {
-            throw new UnreadableSourceException(
-                    "not a pattern of files: " + malformed.getMessage());
+            throw new UnreadableSourceException("invalid file pattern: " + malformed.getMessage());
         } catch (IOException failed) {
-            throw new UnreadableSourceException("there is no such folder, or it cannot be read");
+            throw new UnreadableSourceException("the directory does not exist or cannot be read");
         }
     }
 
-    private static List<Path> matchingFiles(Path folder, String pattern) throws IOException {
+    private static List<Path> matchingFiles(Path baseDirectory, String pattern) throws IOException {
         int slash = pattern.lastIndexOf('/');
-        Path directory = slash < 0 ? folder : folder.resolve(pattern.substring(0, slash));
+        Path directory =
+                slash < 0 ? baseDirectory : baseDirectory.resolve(pattern.substring(0, slash));
         PathMatcher matcher =
                 FileSystems.getDefault().getPathMatcher("glob:" + pattern.substring(slash + 1));
         List<Path> files = new ArrayList<>();
@@ -98,23 +99,25 @@
     }
 
     /**
-     * Reads a file. One that changed while it was read, or just before, may be half written: it is
-     * read again a moment later, and refused if it keeps changing.
+     * Reads a file. A file that changes while it is read, or changed just before, may be incomplete
+     * and is read again after a pause.
+     *
+     * @throws UnreadableSourceException if the file keeps changing or cannot be read
      */
     @Override
     public String text(String file) throws UnreadableSourceException {
         Path path = Path.of(file);
         try {
-            for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
+            for (int attempt = 0; attempt < MAX_READ_ATTEMPTS; attempt++) {
                 String text = readIfUnchanged(path);
                 if (text != null) {
                     return text;
                 }
-                LockSupport.parkNanos(SETTLE_MILLIS * NANOS_PER_MILLI);
+                LockSupport.parkNanos(SETTLE_TIME_MILLIS * NANOS_PER_MILLI);
             }
-            throw new UnreadableSourceException("it changes while it is read");
+            throw new UnreadableSourceException("the file keeps changing while it is read");
         } catch (CharacterCodingException notText) {
-            throw new UnreadableSourceException("it is not UTF-8 text");
+            throw new UnreadableSourceException("the file is not valid UTF-8 text");
         } catch (NoSuchFileException missing) {
             throw new UnreadableSourceException("there is no such file");
         } catch (IOException failed) {
@@ -122,19 +125,19 @@
         }
     }
 
-    /** The text; null where the file changed meanwhile or shortly before. */
+    /** Returns the text; null if the file changed while it was read or shortly before. */
     private String readIfUnchanged(Path path) throws IOException, UnreadableSourceException {
         BasicFileAttributes before = Files.readAttributes(path, BasicFileAttributes.class);
         if (!before.isRegularFile()) {
-            throw new UnreadableSourceException("not a file");
+            throw new UnreadableSourceException("not a regular file");
         }
         if (before.size() > MAX_FILE_BYTES) {
-            throw new UnreadableSourceException("over " + MAX_FILE_BYTES + " bytes");
+            throw new UnreadableSourceException("larger than " + MAX_FILE_BYTES + " bytes");
         }
         byte[] bytes = Files.readAllBytes(path);
         BasicFileAttributes after = Files.readAttributes(path, BasicFileAttributes.class);
         long ageMillis = clock.getAsLong() - after.lastModifiedTime().toMillis();
-        boolean isSettled = ageMillis < 0 || ageMillis > SETTLE_MILLIS;
+        boolean isSettled = ageMillis < 0 || ageMillis > SETTLE_TIME_MILLIS;
         boolean isUnchanged =
                 after.size() == bytes.length
                         && after.lastModifiedTime().equals(before.lastModifiedTime());
--- a/config/src/main/java/milletyoke/config/package-info.java
+++ b/config/src/main/java/milletyoke/config/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The fleet configuration language: parsing, checking, meaning, comparison and formatting of the
- * files that describe a deployment.
+ * The fleet configuration language: parses, checks, resolves, compares and formats the files that
+ * describe a deployment.
  *
- * <p>The package touches no disk; files come from a {@link milletyoke.config.SourceProvider}.
- * Results are immutable; a check runs on the caller's thread and keeps no state afterwards.
+ * <p>The package does no file I/O; a {@link milletyoke.config.SourceProvider} supplies the files.
+ * Results are immutable. A check runs on the caller's thread and keeps no state afterwards.
  */
 package milletyoke.config;
--- a/config/src/test/java/milletyoke/config/CheckerTest.java
+++ b/config/src/test/java/milletyoke/config/CheckerTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What the checker finds, and where it says it is. */
+/**
+ * Which diagnostics a configuration gives and at which lines, and how blocks and includes are
+ * resolved.
+ */
 @Timeout(60)
 class CheckerTest {
     private static final String BASE =
@@ -27,7 +30,7 @@
 
     @Test
     void resolvesAValidConfiguration() {
-        Checker.Result r =
+        Checker.Result result =
                 InMemorySourceProvider.check(
                         BASE
                                 + "let one = 10u/s;\ntemplate t { weight 2; reserve one * 2; }\n"
@@ -37,18 +40,18 @@
                                 + "volume club-1 { plan basic; }\n"
                                 + "route volume club-* to main;\n"
                                 + "route prefix \"/scores/\" to main;");
-        assertTrue(r.isValid(), () -> r.diagnostics().toString());
-        assertEquals(20, r.fleet().block("plan", "club").number("reserve"));
+        assertTrue(result.isValid(), () -> result.diagnostics().toString());
+        assertEquals(20, result.fleet().block("plan", "club").number("reserve"));
         assertEquals(
                 3,
-                r.fleet().block("plan", "club").number("weight"),
-                "its own hides what it is like");
-        assertEquals("club", r.fleet().volume("club-12").text("plan"));
+                result.fleet().block("plan", "club").number("weight"),
+                "a block's own setting replaces the inherited one");
+        assertEquals("club", result.fleet().volume("club-12").text("plan"));
         assertEquals(
                 "basic",
-                r.fleet().volume("club-1").text("plan"),
-                "its own block hides the pattern");
-        assertEquals("main", r.fleet().route("prefix", "/scores/today"));
+                result.fleet().volume("club-1").text("plan"),
+                "a volume's own block takes precedence over a pattern");
+        assertEquals("main", result.fleet().poolFor("prefix", "/scores/today"));
     }
 
     @ParameterizedTest
@@ -59,11 +62,11 @@
                 "plan p { limit-rate 400 ms; }               | syntax      | ",
                 "plan p { limit-rate 400ms; }                | unit        | 400u/s?",
                 "plan p { limit-rate 400; }                  | unit        | 400u/s?",
-                "plan p { limit-rate 400q; }                 | unit        | Known are us, ms",
+                "plan p { limit-rate 400q; }                 | unit        | Known units: us, ms",
                 "plan p { reserve -5u/s; }                   | range       | ",
                 "plan p { reserve 99999999999999999999u/s; } | range       | ",
                 "plan p { weight 0; }                        | range       | ",
-                "plan p { weight \"heavy\"; }                | type        | as weight 3;",
+                "plan p { weight \"heavy\"; }                | type        | for example weight 3;",
                 "plan p { wieght 2; }                        | name        | did you mean weight?",
                 "plan p { weight 2; weight 3; }              | twice       | ",
                 "plan basic { }                              | twice       | only a file that includes",
@@ -83,7 +86,7 @@
                 "category c { repeats one-shot; agreed 1s; repeat-window 1s; } | category | stamped",
                 "category c { repeats harmless; agreed 0s; } | range       | ",
                 "bounds { fall 1s; }                         | bounds      | cold 17s;",
-                "bounds { fall 20s; cold 2s; }               | bounds      | fall must be under cold",
+                "bounds { fall 20s; cold 2s; }               | bounds      | fall must not exceed cold",
                 "route volume x to nowhere;                  | name        | none is defined",
                 "include \"nothing\";                        | file        | ",
                 "let a = b; let b = a;                       | cycle       | ",
@@ -92,47 +95,51 @@
                 "pool p { targets a, b }                     | syntax      | ",
                 "volume v { plan \"basic                     | syntax      | ",
             })
-    void reportsErrorAndItsPlace(String line, String code, String hint) {
-        Checker.Result r = InMemorySourceProvider.check(BASE + line);
-        Diagnostic f =
-                r.diagnostics().stream()
-                        .filter(x -> x.code().equals(code))
+    void reportsErrorAndItsPosition(String line, String code, String hint) {
+        Checker.Result result = InMemorySourceProvider.check(BASE + line);
+        Diagnostic diagnostic =
+                result.diagnostics().stream()
+                        .filter(candidate -> candidate.code().equals(code))
                         .findFirst()
                         .orElse(null);
-        assertTrue(f != null, () -> "not found among " + r.diagnostics());
-        assertEquals(4, f.line(), f.text());
-        assertTrue((f.hint() + f.message()).contains(hint == null ? "" : hint), f.text());
-        assertTrue(f.text().contains("f:4:") && f.text().contains("^"), f.text());
+        assertTrue(diagnostic != null, () -> "not found among " + result.diagnostics());
+        assertEquals(4, diagnostic.line(), diagnostic.text());
+        assertTrue(
+                (diagnostic.hint() + diagnostic.message()).contains(hint == null ? "" : hint),
+                diagnostic.text());
+        assertTrue(
+                diagnostic.text().contains("f:4:") && diagnostic.text().contains("^"),
+                diagnostic.text());
     }
 
     @Test
     void reportsAllErrorsInOnePass() {
-        Checker.Result r =
+        Checker.Result result =
                 InMemorySourceProvider.check(
                         "fleet { initiators 0; }\nplan a { weight 0; }\nplan b { wight 1; }\n"
                                 + "category c { repeats no; agreed 5; }\nvolume v { plan z; }\n");
         assertEquals(
                 List.of(1, 2, 3, 4, 4, 5),
-                r.diagnostics().stream().map(Diagnostic::line).toList(),
-                r.diagnostics().toString());
+                result.diagnostics().stream().map(Diagnostic::line).toList(),
+                result.diagnostics().toString());
     }
 
     @Test
-    void warningsDoNotMakeItInvalid() {
-        Checker.Result r =
+    void warningsDoNotMakeAConfigurationInvalid() {
+        Checker.Result result =
                 InMemorySourceProvider.check(
                         BASE
                                 + "pool main { targets a; }\nroute volume a* to main;\n"
                                 + "route volume ab* to main;\nvolume a* { plan basic; }\nvolume ab* { plan basic; }\n");
-        assertTrue(r.isValid());
+        assertTrue(result.isValid());
         assertEquals(
                 List.of("unreachable", "overlap"),
-                r.diagnostics().stream().map(Diagnostic::code).toList());
+                result.diagnostics().stream().map(Diagnostic::code).toList());
     }
 
     @Test
     void reportsReservationsOverAPoolsCapacity() {
-        Checker.Result r =
+        Checker.Result result =
                 InMemorySourceProvider.check(
                         BASE
                                 + "plan big { reserve 60u/s; }\npool main { targets a; capacity 100u/s; }\n"
@@ -140,35 +147,35 @@
                                         .replace("volume *", "volume \"*\""));
         assertEquals(
                 List.of("reserve"),
-                r.diagnostics().stream().map(Diagnostic::code).toList(),
-                r.diagnostics().toString());
+                result.diagnostics().stream().map(Diagnostic::code).toList(),
+                result.diagnostics().toString());
     }
 
     // ---- Includes ----
 
     @Test
     void reportsIncludeCyclesWithTheirChain() {
-        Checker.Result one =
+        Checker.Result selfInclude =
                 Checker.check(new InMemorySourceProvider().with("f", BASE + "include \"f\";"), "f");
-        assertEquals("cycle", one.diagnostics().get(0).code());
-        assertEquals(4, one.diagnostics().get(0).line());
-        Checker.Result three =
+        assertEquals("cycle", selfInclude.diagnostics().get(0).code());
+        assertEquals(4, selfInclude.diagnostics().get(0).line());
+        Checker.Result threeFiles =
                 Checker.check(
                         new InMemorySourceProvider()
                                 .with("f", BASE + "include \"g\";")
                                 .with("g", "\ninclude \"h\";")
                                 .with("h", "include \"f\";"),
                         "f");
-        Diagnostic f = three.diagnostics().get(0);
-        assertEquals("h:1", f.file() + ":" + f.line());
+        Diagnostic diagnostic = threeFiles.diagnostics().get(0);
+        assertEquals("h:1", diagnostic.file() + ":" + diagnostic.line());
         assertEquals(
-                List.of("f includes", "g includes", "h includes", "f, which is open already"),
-                f.chain());
+                List.of("f includes", "g includes", "h includes", "f, which is already being read"),
+                diagnostic.chain());
     }
 
     @Test
     void onlyTheIncludingFileReplacesABlock() {
-        Checker.Result hides =
+        Checker.Result replaced =
                 Checker.check(
                         new InMemorySourceProvider()
                                 .with(
@@ -177,8 +184,8 @@
                                                 + BASE.replaceAll("plan.*\n", ""))
                                 .with("g", "plan basic { weight 2; }"),
                         "f");
-        assertTrue(hides.isValid(), () -> hides.diagnostics().toString());
-        assertEquals(7, hides.fleet().block("plan", "basic").number("weight"));
+        assertTrue(replaced.isValid(), () -> replaced.diagnostics().toString());
+        assertEquals(7, replaced.fleet().block("plan", "basic").number("weight"));
         Checker.Result siblings =
                 Checker.check(
                         new InMemorySourceProvider()
@@ -205,44 +212,46 @@
                         BASE
                                 + "include \"part.fleet\";\n"
                                 + "include \"other.fleet\";\ninclude \"*.fleet\";\n");
-        Checker.Result r = Checker.check(new FileSourceProvider(), FileSourceProvider.name(main));
+        Checker.Result result =
+                Checker.check(new FileSourceProvider(), FileSourceProvider.name(main));
         assertEquals(
                 List.of("cycle"),
-                r.diagnostics().stream().map(Diagnostic::code).toList(),
-                "the glob takes main itself");
-        assertEquals(2, r.files().size());
+                result.diagnostics().stream().map(Diagnostic::code).toList(),
+                "the pattern also matches the including file");
+        assertEquals(2, result.files().size());
     }
 
-    // ---- Bounds ----
+    // ---- Limits ----
 
     @Test
     void rejectsDeepNestingAtItsLine() {
-        for (String deep :
+        for (String text :
                 List.of(
                         "let a = " + "(".repeat(10_000) + "1" + ")".repeat(10_000) + ";",
                         "let a = " + "-".repeat(10_000) + "1;",
                         "let a = 1" + " + 1".repeat(10_000) + ";",
                         "plan p " + "{".repeat(10_000))) {
-            Checker.Result r = InMemorySourceProvider.check(BASE + deep);
+            Checker.Result result = InMemorySourceProvider.check(BASE + text);
             assertEquals(
-                    "depth:4", r.diagnostics().get(0).code() + ":" + r.diagnostics().get(0).line());
+                    "depth:4",
+                    result.diagnostics().get(0).code() + ":" + result.diagnostics().get(0).line());
         }
-        StringBuilder likes = new StringBuilder(BASE).append("plan p0 { }\n");
+        StringBuilder longChain = new StringBuilder(BASE).append("plan p0 { }\n");
         for (int i = 1; i < 10_000; i++) {
-            likes.append("plan p").append(i).append(" like p").append(i - 1).append(" { }\n");
+            longChain.append("plan p").append(i).append(" like p").append(i - 1).append(" { }\n");
         }
         assertTrue(
-                InMemorySourceProvider.check(likes.toString()).diagnostics().stream()
-                        .allMatch(f -> f.code().equals("cycle")));
+                InMemorySourceProvider.check(longChain.toString()).diagnostics().stream()
+                        .allMatch(diagnostic -> diagnostic.code().equals("cycle")));
     }
 
     @Test
     void readsTenMegabytesAndRejectsAFileOverTheLimit() {
-        String remark = "# " + "x".repeat(998) + "\n";
-        assertTrue(InMemorySourceProvider.check(BASE + remark.repeat(10_000)).isValid());
+        String comment = "# " + "x".repeat(998) + "\n";
+        assertTrue(InMemorySourceProvider.check(BASE + comment.repeat(10_000)).isValid());
         assertEquals(
                 "size",
-                InMemorySourceProvider.check(BASE + remark.repeat(17_000))
+                InMemorySourceProvider.check(BASE + comment.repeat(17_000))
                         .diagnostics()
                         .get(0)
                         .code());
@@ -259,18 +268,18 @@
                 "a Cyrillic letter is not a Latin one");
     }
 
-    // ---- The page ----
+    // ---- Documentation ----
 
     @Test
     void checksEveryExampleOfTheDocumentation() throws Exception {
-        Matcher m =
+        Matcher matcher =
                 Pattern.compile("(?s)```fleet\n(.*?)```")
                         .matcher(Files.readString(Path.of("../docs/configuration.md")));
-        int n = 0;
-        while (m.find()) {
-            String example = m.group(1);
-            n++;
-            Checker.Result r =
+        int examples = 0;
+        while (matcher.find()) {
+            String example = matcher.group(1);
+            examples++;
+            Checker.Result result =
                     Checker.check(
                             new InMemorySourceProvider()
                                     .with(
@@ -286,12 +295,12 @@
                                     .with("plans.fleet", "plan included { weight 1; }")
                                     .with("tenants/a.fleet", "tenant included { }"),
                             "f");
-            assertTrue(r.isValid(), () -> example + r.diagnostics());
+            assertTrue(result.isValid(), () -> example + result.diagnostics());
             assertEquals(
                     example,
                     Formatter.format("f", example, new java.util.ArrayList<>()),
-                    "in the one style");
+                    "the example is not formatted as the formatter does it");
         }
-        assertTrue(n >= 10, n + " examples");
+        assertTrue(examples >= 10, examples + " examples");
     }
 }
--- a/config/src/test/java/milletyoke/config/GeneratedFleet.java
+++ b/config/src/test/java/milletyoke/config/GeneratedFleet.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A random valid configuration as tokens; the same seed gives the same one. */
+/** Generates a random valid configuration as tokens; the same seed gives the same configuration. */
 final class GeneratedFleet {
     final SplittableRandom random;
     final List<String> tokens = new ArrayList<>();
@@ -95,7 +95,7 @@
         return choices[random.nextInt(choices.length)];
     }
 
-    /** A quantity in one of the ways that it can be written. */
+    /** Adds a random quantity, written as a literal or as one of several expressions. */
     private void addQuantity(int min, int max, String unit) {
         int value = min + random.nextInt(max - min + 1);
         switch (random.nextInt(4)) {
@@ -106,21 +106,21 @@
         }
     }
 
-    /** The text with one blank between tokens. */
+    /** Returns the text with one space between tokens. */
     String text() {
         return String.join(" ", tokens).replace(" ;", ";");
     }
 
-    /** The text with random white space and comments between tokens. */
-    String textWithRandomBlanks() {
+    /** Returns the text with random white space and comments between tokens. */
+    String textWithRandomWhitespace() {
         StringBuilder out = new StringBuilder();
         for (String token : tokens) {
-            out.append(randomBlank()).append(token);
+            out.append(randomWhitespace()).append(token);
         }
         return out + pick("", "\n", " # the last word");
     }
 
-    private String randomBlank() {
+    private String randomWhitespace() {
         return pick(
                 " ", "  ", "\n", "\t", "\r\n", "\n\n\n", " # why not\n", "\n    # on its own\n\n");
     }
--- a/config/src/test/java/milletyoke/config/GeneratedTest.java
+++ b/config/src/test/java/milletyoke/config/GeneratedTest.java
@@ -11,21 +11,21 @@
 import net.jqwik.api.Property;
 
 /**
- * Configurations made from the grammar's own structure: formatting changes nothing, each change of
- * meaning is found.
+ * Properties of generated configurations: formatting keeps the meaning, a diff finds each change of
+ * meaning, and invalid text never causes an exception.
  */
 class GeneratedTest {
     private static final String[] INSERTIONS = {
         "{", "}", "(", ";", "\"", "#", "-", "\u0000", "é", "\uD800", "99999999999"
     };
 
-    private static Fleet meaning(String text) {
+    private static Fleet resolve(String text) {
         Checker.Result result = InMemorySourceProvider.check(text);
         assertTrue(result.isValid(), () -> result.diagnostics() + "\n" + text);
         return result.fleet();
     }
 
-    private static String formatted(String text) {
+    private static String format(String text) {
         List<Diagnostic> diagnostics = new ArrayList<>();
         String out = Formatter.format("f", text, diagnostics);
         assertNotNull(out, diagnostics::toString);
@@ -35,12 +35,12 @@
     @Property(tries = 1000, seed = "20261201")
     void formattingIsIdempotentAndKeepsTheMeaning(@ForAll long seed) {
         GeneratedFleet generated = GeneratedFleet.generate(seed);
-        Fleet plain = meaning(generated.text());
-        for (String text : List.of(generated.text(), generated.textWithRandomBlanks())) {
-            String once = formatted(text);
-            assertEquals(once, formatted(once));
-            assertEquals(List.of(), FleetDiff.between(plain, meaning(once)));
-            assertEquals(plain, meaning(text), "white space and comments have no meaning");
+        Fleet plain = resolve(generated.text());
+        for (String text : List.of(generated.text(), generated.textWithRandomWhitespace())) {
+            String once = format(text);
+            assertEquals(once, format(once));
+            assertEquals(List.of(), FleetDiff.between(plain, resolve(once)));
+            assertEquals(plain, resolve(text), "white space and comments have no meaning");
             assertEquals(commentCount(text), commentCount(once), "no comment is lost");
         }
     }
@@ -49,43 +49,45 @@
         return text.chars().filter(c -> c == '#').count();
     }
 
-    /** The text that shows a fleet, read again, gives an equal fleet. */
+    /** Parsing the text of {@link Fleet#show} gives an equal fleet. */
     @Property(tries = 200, seed = "20261201")
     void shownTextHasTheSameMeaning(@ForAll long seed) {
-        Fleet plain = meaning(GeneratedFleet.generate(seed).text());
-        assertEquals(List.of(), FleetDiff.between(plain, meaning(plain.show())));
+        Fleet plain = resolve(GeneratedFleet.generate(seed).text());
+        assertEquals(List.of(), FleetDiff.between(plain, resolve(plain.show())));
     }
 
-    /** A change of any one number is found, and nothing else is. */
+    /** A change of a single number gives exactly one change in the diff. */
     @Property(tries = 500, seed = "20261201")
     void everySingleChangeIsFound(@ForAll long seed) {
         GeneratedFleet generated = GeneratedFleet.generate(seed);
-        Fleet before = meaning(generated.text());
-        List<Integer> places = new ArrayList<>();
+        Fleet before = resolve(generated.text());
+        List<Integer> positions = new ArrayList<>();
         for (int i = 0; i < generated.tokens.size(); i++) {
             String token = generated.tokens.get(i);
             boolean isNeutral =
                     token.matches("0(u/s|u|ms|s|)")
                             || (token.equals("1") && generated.tokens.get(i - 1).equals("*"));
             if (token.matches("[0-9]+(u/s|u|ms|s|)") && !isNeutral) {
-                places.add(i);
+                positions.add(i);
             }
         }
-        int at = places.get(generated.random.nextInt(places.size()));
+        int at = positions.get(generated.random.nextInt(positions.size()));
         String old = generated.tokens.get(at);
         String unit = old.replaceAll("[0-9]", "");
         int value = Integer.parseInt(old.substring(0, old.length() - unit.length()));
         generated.tokens.set(at, value + 1 + unit);
         Checker.Result after = InMemorySourceProvider.check(generated.text());
-        if (after.isValid()) { // a change may also be refused, as fall over cold
+        if (after.isValid()) { // a change may also be invalid, such as fall above cold
             List<FleetDiff.Change> changes = FleetDiff.between(before, after.fleet());
-            boolean constant =
+            boolean isConstant =
                     generated.tokens.get(1).equals("base") && at < generated.tokens.indexOf(";");
-            boolean common =
+            boolean isInTemplate =
                     at > generated.tokens.indexOf("common")
                             && at < generated.tokens.indexOf("plan");
-            if (constant || common) {
-                assertTrue(common || !changes.isEmpty(), "a constant changes all that rest on it");
+            if (isConstant || isInTemplate) {
+                assertTrue(
+                        isInTemplate || !changes.isEmpty(),
+                        "a changed constant changes no setting that depends on it");
             } else {
                 assertEquals(
                         1,
@@ -111,7 +113,7 @@
     }
 
     private static String mutate(GeneratedFleet generated) {
-        StringBuilder text = new StringBuilder(generated.textWithRandomBlanks());
+        StringBuilder text = new StringBuilder(generated.textWithRandomWhitespace());
         int mutations = 1 + generated.random.nextInt(6);
         for (int i = 0; i < mutations; i++) {
             if (text.isEmpty()) {
--- a/config/src/test/java/milletyoke/config/InMemorySourceProvider.java
+++ b/config/src/test/java/milletyoke/config/InMemorySourceProvider.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Files in memory; a pattern that ends in * finds by prefix. */
+/** Provides files from memory; a pattern that ends in {@code *} matches by prefix. */
 final class InMemorySourceProvider implements SourceProvider {
     final Map<String, String> files = new LinkedHashMap<>();
 
@@ -18,11 +18,11 @@
         List<String> found =
                 files.keySet().stream()
                         .filter(
-                                f ->
+                                file ->
                                         pattern.endsWith("*")
-                                                ? f.startsWith(
+                                                ? file.startsWith(
                                                         pattern.substring(0, pattern.length() - 1))
-                                                : f.equals(pattern))
+                                                : file.equals(pattern))
                         .sorted()
                         .toList();
         if (found.isEmpty()) {
--- a/config/src/test/java/milletyoke/config/disk/FileSourceProviderTest.java
+++ b/config/src/test/java/milletyoke/config/disk/FileSourceProviderTest.java
@@ -10,38 +10,38 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A file that is being written to is not taken half; the clock is the test's. */
+/** A file is not read while it is being written; the test sets the clock. */
 class FileSourceProviderTest {
     @TempDir Path folder;
 
     @Test
-    void whatWasWrittenToJustNowIsRefusedAndWhatHasSettledIsRead() throws Exception {
+    void rejectsAFileModifiedJustNowAndReadsASettledOne() throws Exception {
         Path file = Files.writeString(folder.resolve("f.fleet"), "half of an ed");
         Files.setLastModifiedTime(file, FileTime.fromMillis(1_000_000));
-        SourceProvider.UnreadableSourceException told =
+        SourceProvider.UnreadableSourceException error =
                 assertThrows(
                         SourceProvider.UnreadableSourceException.class,
                         () -> new FileSourceProvider(() -> 1_000_030).text(file.toString()));
-        assertEquals("it changes while it is read", told.getMessage());
+        assertEquals("the file keeps changing while it is read", error.getMessage());
         assertEquals(
                 "half of an ed", new FileSourceProvider(() -> 1_000_031).text(file.toString()));
     }
 
     @Test
-    void whatChangesBetweenTwoLooksIsReadAsItIsInTheEnd() throws Exception {
+    void readsTheFinalTextOfAFileThatChangesBetweenAttempts() throws Exception {
         Path file = Files.writeString(folder.resolve("f.fleet"), "old");
         Files.setLastModifiedTime(file, FileTime.fromMillis(1_000_000));
-        int[] looks = new int[1];
+        int[] clockReads = new int[1];
         String text =
                 new FileSourceProvider(
                                 () -> {
                                     try {
-                                        if (looks[0]++ == 0) {
+                                        if (clockReads[0]++ == 0) {
                                             Files.writeString(file, "new and longer");
                                             Files.setLastModifiedTime(
                                                     file, FileTime.fromMillis(1_000_001));
-                                            return 1_000_010; // the first look still sees what was
-                                            // written just now
+                                            // Within the settle time of both modifications.
+                                            return 1_000_010;
                                         }
                                         return 1_000_100;
                                     } catch (java.io.IOException failed) {
