--- a/standins/src/main/java/milletyoke/standins/ArrivalProcess.java
+++ b/standins/src/main/java/milletyoke/standins/ArrivalProcess.java
@@ -6,10 +6,10 @@
 import milletyoke.wire.ExecutionEnvironment;
 
 /**
- * Decides when requests arrive. An open loop sends them at a rate, whether or not earlier ones were
- * answered; a closed loop has clients that each send the next request after an answer; a replay
- * sends captured requests at their times. An open loop has a thread of its own on the real clock;
- * everything else runs on the executor.
+ * Generates request arrivals. An open loop sends requests at a rate, independently of responses; in
+ * a closed loop each client sends its next request after the previous one has ended; a replay sends
+ * captured requests at their recorded times. On the real clock an open loop runs on a dedicated
+ * thread; everything else runs on the executor.
  */
 final class ArrivalProcess {
     private final LoadProfile profile;
@@ -20,15 +20,15 @@
     private final BooleanSupplier isStopped;
     private final Thread openLoop;
 
-    /** When the next request is due; used by the one thread that makes arrivals. */
+    /** When the next request is due; only used by the thread that generates arrivals. */
     private long dueMicros;
 
     private long startedAtMicros;
-    private int replayed;
+    private int replayedCount;
 
     /**
-     * @param submit gets every request when it arrives
-     * @param isStopped whether no more requests arrive
+     * @param submit called with each request when it arrives
+     * @param isStopped whether to generate no further requests
      */
     ArrivalProcess(
             LoadProfile profile,
@@ -61,12 +61,12 @@
         }
     }
 
-    /** Waits until the open loop's thread has ended; returns at once if it never ran. */
+    /** Waits for the open loop's thread to end; returns immediately if it was never started. */
     void awaitEnd() throws InterruptedException {
         openLoop.join();
     }
 
-    /** A request was completed: its closed-loop client sends the next one after its think time. */
+    /** Schedules the next request of a closed-loop client after its think time. */
     void onFinished(ClientRequest request) {
         if (isClosedLoop()) {
             scheduleClosedLoopRequest(
@@ -80,22 +80,22 @@
 
     private void runOpenLoop() {
         while (!isStopped.getAsBoolean()) {
-            dueMicros += requests.drawGapMicros();
+            dueMicros += requests.drawInterarrivalMicros();
             long waitMicros = dueMicros - environment.monotonicMicros();
             if (waitMicros > 0) {
                 LockSupport.parkNanos(waitMicros * 1000);
             }
-            submitRequestOf(requests.drawVolume());
+            submitRequest(requests.drawVolume());
         }
     }
 
-    /** The open loop in virtual time, by one timer a request. */
+    /** Runs the open loop in virtual time, with one timer per request. */
     private void scheduleNextArrival() {
-        dueMicros += requests.drawGapMicros();
+        dueMicros += requests.drawInterarrivalMicros();
         tasks.schedule(
                 () -> {
                     if (!isStopped.getAsBoolean()) {
-                        submitRequestOf(requests.drawVolume());
+                        submitRequest(requests.drawVolume());
                         scheduleNextArrival();
                     }
                 },
@@ -110,9 +110,10 @@
     }
 
     /**
-     * A closed-loop client sends its next request, always to the same volume. Its latencies include
-     * every stall, but it sends less while it waits: a closed loop measures throughput, an open one
-     * what users suffer (Schroeder, Wierman and Harchol-Balter, NSDI 2006).
+     * Schedules the next request of a closed-loop client, always to the same volume. Its latencies
+     * include every stall, but it sends fewer requests while it waits: a closed loop measures
+     * throughput, an open loop the latency that users see (Schroeder, Wierman and Harchol-Balter,
+     * NSDI 2006).
      */
     private void scheduleClosedLoopRequest(int volumeIndex, long delayMicros) {
         tasks.schedule(
@@ -120,28 +121,28 @@
                     if (!isStopped.getAsBoolean()) {
                         synchronized (this) {
                             dueMicros = environment.monotonicMicros();
-                            submitRequestOf(volumeIndex);
+                            submitRequest(volumeIndex);
                         }
                     }
                 },
                 delayMicros);
     }
 
-    /** Sends the captured requests that are due, and schedules itself for the next one. */
+    /** Submits the captured requests that are due, and schedules itself for the next one. */
     private void replayDueRequests() {
-        while (!isStopped.getAsBoolean() && replayed < profile.trace().size()) {
-            LoadProfile.TracedRequest next = profile.trace().get(replayed);
+        while (!isStopped.getAsBoolean() && replayedCount < profile.trace().size()) {
+            LoadProfile.TracedRequest next = profile.trace().get(replayedCount);
             dueMicros = startedAtMicros + next.offsetMicros();
             if (dueMicros > environment.monotonicMicros()) {
                 tasks.schedule(this::replayDueRequests, dueMicros - environment.monotonicMicros());
                 return;
             }
-            replayed++;
+            replayedCount++;
             submit.accept(requests.replay(next, dueMicros));
         }
     }
 
-    private void submitRequestOf(int volumeIndex) {
+    private void submitRequest(int volumeIndex) {
         submit.accept(requests.drawRequest(dueMicros, volumeIndex));
     }
 }
--- a/standins/src/main/java/milletyoke/standins/AttemptProcessor.java
+++ b/standins/src/main/java/milletyoke/standins/AttemptProcessor.java
@@ -14,11 +14,11 @@
 import milletyoke.wire.proto.Outcome;
 
 /**
- * Queues and executes the attempts of a target. Its methods are called under the target's lock,
- * unless they say otherwise.
+ * Queues and executes the attempts of a target. Methods are called with the target's lock held
+ * unless documented otherwise.
  */
 final class AttemptProcessor {
-    /** What it takes to recognize an attempt as already executed. */
+    /** The time to recognize an attempt that was already executed. */
     private static final long DEDUPLICATION_MICROS = 200;
 
     private final Object lock;
@@ -34,20 +34,20 @@
     private final WarmUp warmUp;
     private final ArrayDeque<Job> queue = new ArrayDeque<>();
     private final Set<Job> running = new LinkedHashSet<>();
-    private final ArrayDeque<String> recentExtents = new ArrayDeque<>();
+    private final ArrayDeque<String> cachedExtents = new ArrayDeque<>();
     private int incarnation;
     private boolean isUp;
     private double deferredWorkMicros;
     private long stalledUntilMicros;
 
-    /** It was overloaded while it warmed up, and answers nothing until its next start. */
+    /** Whether overload during warm-up made the target unresponsive until its next start. */
     private boolean hasCollapsed;
 
     private record Job(
             PeerConnection connection, Attempt attempt, long arrivedAtMicros, int incarnation) {}
 
     /**
-     * @param lock the target's lock, which tasks on the executor take
+     * @param lock the target's lock; tasks on the executor acquire it
      */
     AttemptProcessor(
             Object lock,
@@ -73,7 +73,7 @@
         warmUp = new WarmUp(behavior);
     }
 
-    /** Begins a new incarnation. */
+    /** Starts a new incarnation. */
     void start(boolean isCold) {
         incarnation++;
         isUp = true;
@@ -81,16 +81,16 @@
         warmUp.start(isCold, environment.monotonicMicros());
     }
 
-    /** Ends the incarnation; its state is lost. */
+    /** Ends the incarnation and discards its state. */
     void stop() {
         isUp = false;
         incarnation++;
         discardPending();
-        recentExtents.clear();
+        cachedExtents.clear();
         deferredWorkMicros = 0;
     }
 
-    /** Drops all queued and running attempts; they are never answered. */
+    /** Drops all queued and running attempts without a reply. */
     void discardPending() {
         queue.clear();
         running.clear();
@@ -100,12 +100,12 @@
         return isUp;
     }
 
-    /** Grows with each start and each stop. */
+    /** Returns the incarnation number, which grows with each start and each stop. */
     int incarnation() {
         return incarnation;
     }
 
-    /** Whether it answers at all. */
+    /** Returns whether the target replies at all. */
     boolean isResponsive() {
         return !faults.isHanging() && !hasCollapsed && isUp;
     }
@@ -114,17 +114,17 @@
         return warmUp.highestBudgetUse();
     }
 
-    /** Begins and ends no work for a time from now on. */
+    /** Stalls the target: no attempt begins or ends for the given time. */
     void stall(long micros) {
         stalledUntilMicros = Math.max(stalledUntilMicros, environment.monotonicMicros() + micros);
     }
 
-    long stallLeftMicros() {
+    long remainingStallMicros() {
         return Math.max(0, stalledUntilMicros - environment.monotonicMicros());
     }
 
-    /** Does the work that writes left for later, in one stall. */
-    void doDeferredWork() {
+    /** Performs the deferred work of writes, during which the target is stalled. */
+    void performDeferredWork() {
         long micros = (long) (deferredWorkMicros / behavior.speed() / behavior.cores());
         deferredWorkMicros = 0;
         if (micros > 0) {
@@ -133,8 +133,8 @@
     }
 
     /**
-     * Returns the outcome if it is known at once; else null, and the attempt is queued, runs, or is
-     * never answered.
+     * Returns the outcome if it is known immediately; null if the attempt was queued, is running,
+     * or will never be answered.
      */
     Outcome admit(PeerConnection connection, Attempt attempt) {
         long now = environment.monotonicMicros();
@@ -145,12 +145,12 @@
         if (attempt.hasShard() && attempt.getShard() != shard) {
             return Outcome.NOT_STARTED;
         }
-        if (isDrawn(faults.errorFraction())) {
-            executeHalfOfThem(attempt, now);
+        if (isFaultDrawn(faults.errorFraction())) {
+            executeWithEvenOdds(attempt, now);
             return Outcome.ERROR;
         }
-        if (isDrawn(faults.droppedReplyFraction())) {
-            executeHalfOfThem(attempt, now);
+        if (isFaultDrawn(faults.droppedReplyFraction())) {
+            executeWithEvenOdds(attempt, now);
             return null;
         }
         Job job = new Job(connection, attempt, now, incarnation);
@@ -164,11 +164,11 @@
         return null;
     }
 
-    private boolean isDrawn(double fraction) {
+    private boolean isFaultDrawn(double fraction) {
         return fraction > 0 && random.nextDouble() < fraction;
     }
 
-    private void executeHalfOfThem(Attempt attempt, long now) {
+    private void executeWithEvenOdds(Attempt attempt, long now) {
         if (random.nextBoolean()) {
             recordExecution(attempt, now);
         }
@@ -184,7 +184,7 @@
     private void begin(Job job, long now) {
         Attempt attempt = job.attempt();
         if (now > job.arrivedAtMicros() + attempt.getTimeLeftMicros()) {
-            // Its deadline has passed in the queue. Nothing is sent while the lock is held.
+            // The deadline passed in the queue. The reply is deferred, as the lock is held here.
             tasks.execute(() -> reply(job.connection(), attempt, Outcome.NOT_STARTED));
             return;
         }
@@ -204,7 +204,7 @@
         tasks.schedule(() -> finish(job), Math.max(duration, stalledUntilMicros - now + duration));
     }
 
-    /** The work of an attempt on a core of speed 1, with what the queue and the cache change. */
+    /** Draws the work of an attempt at speed 1, including queueing penalty and cache saving. */
     private double drawWorkMicros(Attempt attempt) {
         double work =
                 attempt.getUnits()
@@ -212,23 +212,23 @@
                         * behavior.workDistribution().factor(random.nextDouble())
                         * (1 + behavior.queueingPenalty() * queue.size());
         boolean isCacheable = !attempt.getExtent().isEmpty() && attempt.getAttemptNumber() == 0;
-        if (isCacheable && rememberExtent(attempt.getExtent())) {
-            work *= 1 - behavior.rememberedExtentSaving();
+        if (isCacheable && cacheExtent(attempt.getExtent())) {
+            work *= 1 - behavior.cachedExtentSaving();
         }
         return work;
     }
 
-    /** Returns whether the extent was among the most recent ones before. */
-    private boolean rememberExtent(String extent) {
-        boolean wasRemembered = recentExtents.remove(extent);
-        recentExtents.addLast(extent);
-        if (recentExtents.size() > behavior.rememberedExtents()) {
-            recentExtents.removeFirst();
+    /** Marks the extent as most recently used. Returns whether it was cached before. */
+    private boolean cacheExtent(String extent) {
+        boolean wasCached = cachedExtents.remove(extent);
+        cachedExtents.addLast(extent);
+        if (cachedExtents.size() > behavior.cachedExtents()) {
+            cachedExtents.removeFirst();
         }
-        return wasRemembered;
+        return wasCached;
     }
 
-    /** Executes an attempt. Returns false if its idempotency key was executed before. */
+    /** Records an execution. Returns false if the idempotency key was executed before. */
     private boolean recordExecution(Attempt attempt, long now) {
         DeduplicationCache cache = deduplicationCacheOf.apply(attempt.getRequestClass());
         boolean isFirst = cache == null || cache.recordExecution(attempt.getIdempotencyKey(), now);
@@ -261,7 +261,7 @@
         reply(job.connection(), job.attempt(), Outcome.SUCCEEDED);
     }
 
-    /** Removes an attempt from the queue; one that runs goes on. */
+    /** Removes an attempt from the queue; a running attempt is not affected. */
     void dropQueued(PeerConnection connection, long number) {
         queue.removeIf(
                 job ->
@@ -269,7 +269,7 @@
                                 && job.attempt().getNumber() == number);
     }
 
-    /** Sends a reply; called without the lock. */
+    /** Sends a reply; called without the lock held. */
     void reply(PeerConnection connection, Attempt attempt, Outcome outcome) {
         Load load;
         synchronized (lock) {
@@ -278,7 +278,7 @@
         connection.send(TargetReplies.attemptReply(attempt, outcome, load));
     }
 
-    /** The load report of replies; empty for a target that reports none. */
+    /** Returns the load report for replies; empty if the target does not report its load. */
     Load load() {
         return behavior.reportsLoad()
                 ? TargetReplies.load(queue.size(), running.size() / (double) behavior.cores())
--- a/standins/src/main/java/milletyoke/standins/ClientAttempt.java
+++ b/standins/src/main/java/milletyoke/standins/ClientAttempt.java
@@ -6,19 +6,19 @@
 import milletyoke.wire.proto.Frame;
 import milletyoke.wire.proto.Request;
 
-/** One attempt of a client's request, and the frames that carry it. */
+/** One attempt of a client's request; builds the frames to send it. */
 final class ClientAttempt {
     private static final int PAYLOAD_BYTES_PER_UNIT = 64;
 
     final ClientRequest request;
 
-    /** How many attempts of the request were sent before this one. */
+    /** The number of earlier attempts of the request. */
     final int retryCount;
 
     /** Identifies the attempt on its connection. */
     long number;
 
-    /** The connection it was sent on; null while there is none. */
+    /** The connection that the attempt is sent on; null if none was open. */
     PeerConnection connection;
 
     ClientAttempt(ClientRequest request, int retryCount) {
@@ -34,7 +34,7 @@
         return request.isCancelledEarly() && retryCount == 0;
     }
 
-    /** The frame for an initiator. */
+    /** Builds the frame for an initiator. */
     Frame toRequestFrame(long timeLeftMicros) {
         Request.Builder frame =
                 Request.newBuilder()
@@ -57,7 +57,7 @@
         return Frame.newBuilder().setRequest(frame).build();
     }
 
-    /** The frame for a target, which is sent as an initiator would. */
+    /** Builds the frame that an initiator would send to a target. */
     Frame toAttemptFrame(long timeLeftMicros) {
         Attempt.Builder frame =
                 Attempt.newBuilder()
--- a/standins/src/main/java/milletyoke/standins/ClientRequest.java
+++ b/standins/src/main/java/milletyoke/standins/ClientRequest.java
@@ -1,15 +1,15 @@
 package milletyoke.standins;
 
 /**
- * One request of a client, the same for all of its attempts. Times are microseconds on the
- * monotonic clock.
+ * One request of a client, shared by all its attempts. Times are microseconds on the monotonic
+ * clock.
  *
- * @param shard that holds the data, -1 for a new object
- * @param serverIndex the link that its attempts are sent on
- * @param dueMicros when its first attempt was due to be sent
- * @param deadlineMicros when its client stops waiting
- * @param isCancelledEarly its client leaves after a part of its time, if the first attempt is still
- *     unanswered then
+ * @param shard the shard that stores the data, -1 for a new object
+ * @param serverIndex index of the link that attempts are sent on
+ * @param dueMicros when the first attempt was due to be sent
+ * @param deadlineMicros the deadline, after which no attempt is sent
+ * @param isCancelledEarly whether the client cancels the first attempt if it is unanswered some
+ *     time before the deadline
  */
 record ClientRequest(
         LoadProfile.RequestClass requestClass,
--- a/standins/src/main/java/milletyoke/standins/Discovery.java
+++ b/standins/src/main/java/milletyoke/standins/Discovery.java
@@ -23,8 +23,8 @@
 import milletyoke.wire.proto.Scope;
 
 /**
- * A stand-in for discovery: it sends the endpoint list to everyone who watches it, and then every
- * update. Updates may be late, by a lag drawn for each, and keep their order. Thread-safe.
+ * A stand-in for discovery. Each watcher receives the full endpoint list first and every update
+ * after that. Updates can be delayed by a random lag each, but stay in order. Thread-safe.
  */
 public final class Discovery implements PeerListener {
     private static final String HOST = "127.0.0.1";
@@ -48,9 +48,9 @@
     /**
      * Starts discovery on a socket and the real clock.
      *
-     * @param port 0 picks a free one
-     * @param seed of the lags
-     * @throws IOException if it cannot listen there
+     * @param port 0 picks a free port
+     * @param seed of the random update lags
+     * @throws IOException if the port cannot be opened
      */
     public Discovery(int port, long seed, ScheduledExecutorService executor, FrameObserver observer)
             throws IOException {
@@ -60,9 +60,9 @@
     /**
      * Starts discovery in an environment.
      *
-     * @param port 0 picks a free one
-     * @param seed of the lags
-     * @throws IOException if it cannot listen there
+     * @param port 0 picks a free port
+     * @param seed of the random update lags
+     * @throws IOException if the port cannot be opened
      */
     public Discovery(
             int port,
@@ -78,17 +78,21 @@
         listener = network.listen(HOST, port, Role.DISCOVERY, this, FRAME_LIMITS);
     }
 
-    /** The port it listens at. */
+    /** Returns the port that discovery listens on. */
     public int port() {
         return listener.port();
     }
 
-    /** The clock of the start times in the endpoint list (microseconds). */
+    /** Returns the time on the clock of the endpoint list's start times (microseconds). */
     public long wallClockMicros() {
         return environment.wallClockMicros();
     }
 
-    /** The entry of a target, which started at a time of {@link #wallClockMicros}. */
+    /**
+     * Builds the endpoint list entry of a target.
+     *
+     * @param startedAtMicros on the clock of {@link #wallClockMicros}
+     */
     public static milletyoke.wire.proto.Target entry(
             Target target, String zone, Health health, long startedAtMicros) {
         return milletyoke.wire.proto.Target.newBuilder()
@@ -102,13 +106,13 @@
                 .build();
     }
 
-    /** Sets how late updates are from now on (microseconds). */
+    /** Sets the range of the random lag of later updates (microseconds). */
     public synchronized void setUpdateLag(long minMicros, long maxMicros) {
         minLagMicros = minMicros;
         maxLagMicros = maxMicros;
     }
 
-    /** Publishes an update after the lag, and not before an earlier one. */
+    /** Publishes an update after a random lag, and after all updates scheduled earlier. */
     public synchronized void scheduleUpdate(milletyoke.wire.proto.Target entry) {
         long now = environment.monotonicMicros();
         lastUpdateAtMicros = Math.max(lastUpdateAtMicros, now + drawLagMicros());
@@ -116,11 +120,12 @@
     }
 
     private long drawLagMicros() {
-        long drawn = maxLagMicros > minLagMicros ? random.nextLong(maxLagMicros - minLagMicros) : 0;
-        return minLagMicros + drawn;
+        long extraMicros =
+                maxLagMicros > minLagMicros ? random.nextLong(maxLagMicros - minLagMicros) : 0;
+        return minLagMicros + extraMicros;
     }
 
-    /** Publishes an update at once; an entry whose health is REMOVED is deleted. */
+    /** Publishes an update immediately; an entry whose health is REMOVED is deleted. */
     public synchronized void update(milletyoke.wire.proto.Target entry) {
         revision++;
         if (entry.getHealth() == Health.REMOVED) {
@@ -134,9 +139,9 @@
     }
 
     /**
-     * Leaves some targets out of the list, as if they were removed.
+     * Omits some targets from the list, as if they had been removed.
      *
-     * @param targetIds an empty set shows all again
+     * @param targetIds empty to list all targets again
      */
     public synchronized void hide(Set<String> targetIds) {
         hiddenIds = Set.copyOf(targetIds);
@@ -150,7 +155,7 @@
                 .toList();
     }
 
-    /** Ends every watch and serves none until it is available again. */
+    /** Sets whether discovery is unavailable; if so, all watches end and new ones are refused. */
     public synchronized void setUnavailable(boolean isUnavailable) {
         this.isUnavailable = isUnavailable;
         if (isUnavailable) {
@@ -177,7 +182,7 @@
 
     @Override
     public void onReady(PeerConnection connection) {
-        // The peer sends a watch when it wants the list.
+        // Nothing is sent before the peer sends a watch.
     }
 
     @Override
@@ -200,7 +205,7 @@
         watchers.remove(connection);
     }
 
-    /** Closes its connections and its port. */
+    /** Closes all connections and the port. */
     public void stop() {
         network.close();
     }
--- a/standins/src/main/java/milletyoke/standins/LoadGenerator.java
+++ b/standins/src/main/java/milletyoke/standins/LoadGenerator.java
@@ -14,8 +14,8 @@
 import milletyoke.wire.proto.Role;
 
 /**
- * Many clients that share one connection to each initiator, or to each target for comparison. Its
- * methods may be called by any thread, except that servers are added before {@link #start}.
+ * Simulates many clients that share one connection to each initiator, or to each target for
+ * comparison. Thread-safe, except that servers must be added before {@link #start}.
  */
 public final class LoadGenerator {
     private static final int NETWORK_THREADS = 2;
@@ -37,9 +37,9 @@
     /**
      * Creates a generator on sockets and the real clock.
      *
-     * @param isDirect whether requests go straight to targets, by shard
-     * @param seed of all draws
-     * @throws IOException if its network cannot be opened
+     * @param isDirect whether requests are sent directly to targets, bypassing the initiators
+     * @param seed of all random choices
+     * @throws IOException if the network cannot be opened
      */
     public LoadGenerator(
             LoadProfile profile,
@@ -54,9 +54,9 @@
     /**
      * Creates a generator in an environment.
      *
-     * @param isDirect whether requests go straight to targets, by shard
-     * @param seed of all draws
-     * @throws IOException if its network cannot be opened
+     * @param isDirect whether requests are sent directly to targets, bypassing the initiators
+     * @param seed of all random choices
+     * @throws IOException if the network cannot be opened
      */
     public LoadGenerator(
             LoadProfile profile,
@@ -71,8 +71,9 @@
         tasks = new DelayedTasks(executor);
         serviceLevels = new ServiceLevelRecorder(profile);
         network = environment.openNetwork("client", NETWORK_THREADS, observer);
-        AtomicLong numbers = new AtomicLong();
-        requests = new RequestGenerator(profile, isDirect, new SplittableRandom(seed), numbers);
+        AtomicLong numberSequence = new AtomicLong();
+        requests =
+                new RequestGenerator(profile, isDirect, new SplittableRandom(seed), numberSequence);
         dispatcher =
                 new RequestDispatcher(
                         profile,
@@ -81,7 +82,7 @@
                         tasks,
                         serviceLevels,
                         links,
-                        numbers,
+                        numberSequence,
                         this::isStopped,
                         this::onFinished);
         arrivals =
@@ -89,7 +90,7 @@
                         profile, environment, tasks, requests, dispatcher::submit, this::isStopped);
     }
 
-    /** Adds an initiator, or a target by its shard, and connects to it. */
+    /** Adds an initiator, or the target of the next shard in direct mode, and connects to it. */
     public void addServer(String host, int port) {
         ServerLink link =
                 new ServerLink(
@@ -104,17 +105,17 @@
         link.connect();
     }
 
-    /** A server is at another port from its next connection on. */
+    /** Changes the port of a server, used from its next connection on. */
     public void moveServer(int index, int port) {
         links.get(index).moveTo(port);
     }
 
-    /** What clients got so far; live. */
+    /** Returns the live statistics of all requests. */
     public ServiceLevelRecorder serviceLevels() {
         return serviceLevels;
     }
 
-    /** Waits until every server is connected. Returns false if one is not in time. */
+    /** Waits until all servers are connected. Returns false on timeout. */
     public boolean awaitConnected(long timeoutMillis) throws InterruptedException {
         long until = environment.monotonicMicros() + timeoutMillis * MICROS_PER_MILLI;
         while (!links.stream().allMatch(ServerLink::isConnected)) {
@@ -126,34 +127,35 @@
         return true;
     }
 
-    /** Starts to send requests. */
     public void start() {
         arrivals.start();
     }
 
     /**
-     * Some volumes send so much more that the total rate grows by a fraction.
+     * Raises the rate of some volumes so that the total rate grows by a fraction.
      *
-     * @param volumes their names; an empty set ends the surge
+     * @param volumes names; empty to end the surge
      */
     public void setSurge(Set<String> volumes, double fraction) {
         requests.setSurge(volumes, fraction);
     }
 
-    /** Sends a fraction of the requests to one extent of each volume; 0 ends it. */
+    /**
+     * Sends a fraction of the requests to one hot extent in each volume's first shard; 0 ends it.
+     */
     public void setHotKeyFraction(double fraction) {
         requests.setHotKeyFraction(fraction);
     }
 
-    /** Closes every connection at once; they are opened again. */
+    /** Closes all connections at the same time; each is opened again. */
     public void reconnect() {
         links.forEach(ServerLink::reconnect);
     }
 
     /**
-     * Sends no further requests, waits for those that are pending, and closes the connections.
+     * Stops sending requests, waits for the pending ones, and closes the connections.
      *
-     * @return requests that are still without an answer
+     * @return the number of requests still unanswered at the timeout
      */
     public int stop(long timeoutMillis) throws InterruptedException {
         isStopped = true;
@@ -167,7 +169,7 @@
         return unfinished;
     }
 
-    /** Stops at once, whatever is pending. */
+    /** Stops immediately, without waiting for pending requests. */
     public void abort() {
         isStopped = true;
         network.abort();
--- a/standins/src/main/java/milletyoke/standins/LoadProfile.java
+++ b/standins/src/main/java/milletyoke/standins/LoadProfile.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * What clients send: how many requests, of which classes, to which volumes. Immutable.
+ * The load that clients generate: rate, request classes and volumes. Immutable.
  *
- * @param requestsPerSecond in total
+ * @param requestsPerSecond total rate of an open loop
  * @param retries most retries of one request
- * @param retryDelayMicros before a retry for which the answer gave no advice
- * @param shortDeadlineFraction the fraction of requests that have a short deadline
- * @param minShortDeadlineMicros the least of the short deadlines, which are drawn evenly
- * @param maxShortDeadlineMicros the greatest of the short deadlines
- * @param cancelFraction the fraction of requests that are cancelled after a part of their time
- * @param responseSlackMicros how long a client waits beyond the deadline that it sends
- * @param closedLoopClients 0, or so many clients that each send the next request after an answer,
- *     in place of the rate
- * @param thinkTimeMicros between an answer to such a client and its next request
- * @param trace captured requests, in place of the rate; empty for none
+ * @param retryDelayMicros delay before a retry if the response advised none
+ * @param shortDeadlineFraction fraction of requests that have a short deadline
+ * @param minShortDeadlineMicros lower bound of short deadlines, which are uniformly distributed
+ * @param maxShortDeadlineMicros upper bound of short deadlines
+ * @param cancelFraction fraction of requests that the client cancels before their deadline
+ * @param responseSlackMicros how long a client waits after the deadline of a request
+ * @param closedLoopClients number of closed-loop clients, which replace the rate; 0 for an open
+ *     loop
+ * @param thinkTimeMicros from the end of a request to the next request of a closed-loop client
+ * @param trace captured requests to replay instead of the rate; empty for none
  */
 public record LoadProfile(
         double requestsPerSecond,
@@ -36,10 +36,10 @@
     /**
      * One captured request.
      *
-     * @param offsetMicros since the start
-     * @param initiator the index of the initiator that it is sent to
+     * @param offsetMicros arrival time since the start of the replay
+     * @param initiator index of the initiator to send to
      * @param shard -1 for a new object
-     * @param timeLeftMicros until its deadline
+     * @param timeLeftMicros time to the deadline
      */
     public record TracedRequest(
             long offsetMicros,
@@ -51,24 +51,24 @@
             double units,
             long timeLeftMicros) {}
 
-    /** How often one request may be executed, as the client knows it. */
+    /** How often a request may be executed, according to the client's configuration. */
     public enum Idempotency {
         /** Any number of times. */
         IDEMPOTENT,
-        /** Executions after the first are dropped by the request's idempotency key. */
+        /** Repeated executions are suppressed by the request's idempotency key. */
         IDEMPOTENCY_KEY,
-        /** Once at most. */
+        /** At most once. */
         NON_IDEMPOTENT
     }
 
     /**
      * One class of requests.
      *
-     * @param share of all requests
-     * @param isDeduplicatedFleetWide whether every target knows the idempotency keys of all
-     * @param deadlineMicros how long a client waits
-     * @param priorityWeight of a request in the service level
-     * @param isNewObject whether the initiator places the request on a shard of its choice
+     * @param share fraction of all requests
+     * @param isDeduplicatedFleetWide whether all targets share their idempotency keys
+     * @param deadlineMicros time from arrival to the deadline
+     * @param priorityWeight weight of a request in the overall service level
+     * @param isNewObject whether the initiator chooses the shard
      */
     public record RequestClass(
             String name,
@@ -87,10 +87,11 @@
     /**
      * One volume.
      *
-     * @param plan the name of its service plan
-     * @param demandFraction of all requests
-     * @param shards that hold its data
-     * @param initiators the indexes of those that its requests go through, the leading one first
+     * @param plan name of the service plan
+     * @param demandFraction fraction of all requests
+     * @param shards shards that store the volume's data
+     * @param initiators indexes of the initiators that its requests are sent to, the preferred one
+     *     first
      */
     public record Volume(
             String name,
--- a/standins/src/main/java/milletyoke/standins/RequestDispatcher.java
+++ b/standins/src/main/java/milletyoke/standins/RequestDispatcher.java
@@ -13,13 +13,14 @@
 import milletyoke.wire.proto.Response;
 
 /**
- * Sends requests, retries them as far as that is safe, and records how each one ended. Called by
- * the arrival process, the network's threads and the executor's; thread-safe.
+ * Sends client requests, retries them where a retry is safe, and records their outcomes. Called by
+ * the arrival process, the network's threads and the executor's threads; thread-safe.
  */
 final class RequestDispatcher implements ServerLink.AttemptListener {
-    /** A client that leaves early does so after a fourth of its time, but within this time. */
+    /** Upper bound of the time after which a client cancels a request early. */
     private static final long MAX_EARLY_CANCEL_MICROS = 50_000;
 
+    /** Early cancels come after this part of the time to the deadline. */
     private static final int EARLY_CANCEL_DIVISOR = 4;
 
     private final LoadProfile profile;
@@ -28,15 +29,15 @@
     private final DelayedTasks tasks;
     private final ServiceLevelRecorder serviceLevels;
     private final List<ServerLink> links;
-    private final AtomicLong numbers;
+    private final AtomicLong numberSequence;
     private final BooleanSupplier isStopped;
     private final Consumer<ClientRequest> onFinished;
-    private final AtomicInteger unfinished = new AtomicInteger();
+    private final AtomicInteger unfinishedRequests = new AtomicInteger();
 
     /**
-     * @param links to the servers, by the requests' server index
-     * @param isStopped whether nothing is retried any more
-     * @param onFinished gets every request when it has ended
+     * @param links connections to the servers, by server index
+     * @param isStopped whether to send no further retries
+     * @param onFinished called with each request when it has ended
      */
     RequestDispatcher(
             LoadProfile profile,
@@ -45,7 +46,7 @@
             DelayedTasks tasks,
             ServiceLevelRecorder serviceLevels,
             List<ServerLink> links,
-            AtomicLong numbers,
+            AtomicLong numberSequence,
             BooleanSupplier isStopped,
             Consumer<ClientRequest> onFinished) {
         this.profile = profile;
@@ -54,19 +55,19 @@
         this.tasks = tasks;
         this.serviceLevels = serviceLevels;
         this.links = links;
-        this.numbers = numbers;
+        this.numberSequence = numberSequence;
         this.isStopped = isStopped;
         this.onFinished = onFinished;
     }
 
-    /** Requests that were submitted and have not ended. */
+    /** Returns the number of requests that were submitted and have not ended. */
     int unfinishedCount() {
-        return unfinished.get();
+        return unfinishedRequests.get();
     }
 
     void submit(ClientRequest request) {
         serviceLevels.recordRequest(request.requestClass().name(), request.volume().name());
-        unfinished.incrementAndGet();
+        unfinishedRequests.incrementAndGet();
         send(new ClientAttempt(request, 0));
     }
 
@@ -77,7 +78,7 @@
             finish(request, serviceLevels::recordUnanswered);
             return;
         }
-        attempt.number = numbers.incrementAndGet();
+        attempt.number = numberSequence.incrementAndGet();
         ServerLink link = links.get(request.serverIndex());
         PeerConnection connection = link.register(attempt);
         if (connection == null) {
@@ -94,10 +95,10 @@
             }
             return;
         }
-        tasks.schedule(() -> giveUp(link, attempt), patienceMicros(attempt, timeLeftMicros));
+        tasks.schedule(() -> onTimeout(link, attempt), timeoutMicros(attempt, timeLeftMicros));
     }
 
-    private long patienceMicros(ClientAttempt attempt, long timeLeftMicros) {
+    private long timeoutMicros(ClientAttempt attempt, long timeLeftMicros) {
         return attempt.isCancelledEarly()
                 ? Math.min(timeLeftMicros / EARLY_CANCEL_DIVISOR, MAX_EARLY_CANCEL_MICROS)
                 : timeLeftMicros + profile.responseSlackMicros();
@@ -108,8 +109,8 @@
         retryOrFinish(attempt, 0, serviceLevels::recordUnanswered);
     }
 
-    /** The client stops waiting, unless the attempt was answered in the meantime. */
-    private void giveUp(ServerLink link, ClientAttempt attempt) {
+    /** Ends an attempt that is still pending when its client stops waiting. */
+    private void onTimeout(ServerLink link, ClientAttempt attempt) {
         if (!link.remove(attempt)) {
             return;
         }
@@ -162,7 +163,7 @@
         }
     }
 
-    /** Whether a request that may have been executed has no further effect when it is retried. */
+    /** Returns whether retrying a request that may have been executed has no further effect. */
     private static boolean isSafeToRetry(LoadProfile.RequestClass requestClass) {
         return switch (requestClass.idempotency()) {
             case IDEMPOTENT -> true;
@@ -172,17 +173,17 @@
     }
 
     /**
-     * @param retryAfterMicros the server's advice, 0 for none
-     * @param recordEnd records the end by request class, if there is no further attempt
+     * @param retryAfterMicros delay advised by the server, 0 for none
+     * @param recordOutcome records the outcome by request class if no further attempt is made
      */
     private void retryOrFinish(
-            ClientAttempt attempt, long retryAfterMicros, Consumer<String> recordEnd) {
+            ClientAttempt attempt, long retryAfterMicros, Consumer<String> recordOutcome) {
         ClientRequest request = attempt.request;
         long delayMicros = retryAfterMicros > 0 ? retryAfterMicros : profile.retryDelayMicros();
         if (attempt.retryCount >= profile.retries()
                 || environment.monotonicMicros() + delayMicros >= request.deadlineMicros()
                 || isStopped.getAsBoolean()) {
-            finish(request, recordEnd);
+            finish(request, recordOutcome);
             return;
         }
         tasks.schedule(() -> send(attempt.nextRetry()), delayMicros);
@@ -195,13 +196,13 @@
         finish(
                 request,
                 name ->
-                        serviceLevels.recordAnswer(
+                        serviceLevels.recordAnswered(
                                 name, request.volume().name(), latencyMicros, isInTime));
     }
 
-    private void finish(ClientRequest request, Consumer<String> recordEnd) {
-        recordEnd.accept(request.requestClass().name());
-        unfinished.decrementAndGet();
+    private void finish(ClientRequest request, Consumer<String> recordOutcome) {
+        recordOutcome.accept(request.requestClass().name());
+        unfinishedRequests.decrementAndGet();
         onFinished.accept(request);
     }
 }
--- a/standins/src/main/java/milletyoke/standins/RequestGenerator.java
+++ b/standins/src/main/java/milletyoke/standins/RequestGenerator.java
@@ -8,12 +8,13 @@
 import java.util.stream.IntStream;
 
 /**
- * Draws the requests of a load profile. Draws are made by one thread at a time and in a fixed
- * order, so that a seed always gives the same requests; surge and hot key may be set by any thread.
+ * Draws random requests according to a load profile. Draws are made by one thread at a time and in
+ * a fixed order, so that a seed always gives the same requests. Any thread may set the surge and
+ * the hot key.
  */
 final class RequestGenerator {
     private static final double MICROS_PER_SECOND = 1e6;
-    private static final double LEADING_INITIATOR_FRACTION = 0.6;
+    private static final double PREFERRED_INITIATOR_FRACTION = 0.6;
     private static final int MAX_RUN_LENGTH = 6;
     private static final int EXTENT_COUNT = 1000;
     private static final int NEW_OBJECT = -1;
@@ -21,29 +22,34 @@
     private final LoadProfile profile;
     private final boolean isDirect;
     private final SplittableRandom random;
-    private final AtomicLong numbers;
+    private final AtomicLong numberSequence;
 
-    /** For each volume, the demand of it and of all volumes before it. */
+    /** By volume index: the total demand of this volume and all volumes before it. */
     private final double[] cumulativeDemand;
 
-    /** For each volume, the extent its program accesses now and how often it still will. */
+    /** By volume index: the extent that is accessed currently. */
     private final String[] currentExtents;
 
+    /** By volume index: further requests to the current extent. */
     private final int[] remainingAccesses;
+
     private volatile int[] surgingVolumes = new int[0];
     private volatile double surgeFraction;
     private volatile double hotKeyFraction;
 
     /**
-     * @param isDirect whether requests go to targets, by shard, and not through initiators
-     * @param numbers the source of idempotency keys, shared with the numbers of attempts
+     * @param isDirect whether requests are sent directly to targets, bypassing the initiators
+     * @param numberSequence numbers the idempotency keys; shared with the numbering of attempts
      */
     RequestGenerator(
-            LoadProfile profile, boolean isDirect, SplittableRandom random, AtomicLong numbers) {
+            LoadProfile profile,
+            boolean isDirect,
+            SplittableRandom random,
+            AtomicLong numberSequence) {
         this.profile = profile;
         this.isDirect = isDirect;
         this.random = random;
-        this.numbers = numbers;
+        this.numberSequence = numberSequence;
         int volumeCount = profile.volumes().size();
         currentExtents = new String[volumeCount];
         remainingAccesses = new int[volumeCount];
@@ -54,7 +60,7 @@
         Arrays.parallelPrefix(cumulativeDemand, Double::sum);
     }
 
-    /** Some volumes raise the total rate by a fraction; an empty set ends it. */
+    /** Raises the total rate by a fraction, sent to some volumes; an empty set ends the surge. */
     void setSurge(Set<String> volumeNames, double fraction) {
         List<LoadProfile.Volume> volumes = profile.volumes();
         surgingVolumes =
@@ -68,30 +74,30 @@
         hotKeyFraction = fraction;
     }
 
-    /** The time until the next arrival of a Poisson process at the present rate. */
-    long drawGapMicros() {
+    /** Draws the time to the next arrival of a Poisson process at the current rate. */
+    long drawInterarrivalMicros() {
         double rate = profile.requestsPerSecond() * (1 + surgeFraction);
         return (long) (-Math.log(1 - random.nextDouble()) * MICROS_PER_SECOND / rate);
     }
 
-    /** A delay that spreads the first requests of closed-loop clients. */
+    /** Draws a delay that spreads the first requests of closed-loop clients. */
     long drawStartDelayMicros() {
         return random.nextLong(1_000 + profile.thinkTimeMicros());
     }
 
-    /** The index of a volume, drawn by demand; what a surge adds is split evenly. */
+    /** Draws a volume index weighted by demand; the extra load of a surge is split evenly. */
     int drawVolume() {
         int[] surging = surgingVolumes;
         double position = random.nextDouble() * (1 + surgeFraction);
         if (position >= 1 && surging.length > 0) {
             return surging[random.nextInt(surging.length)];
         }
-        int found = Arrays.binarySearch(cumulativeDemand, position);
-        int index = found >= 0 ? found + 1 : -found - 1;
+        int insertionPoint = Arrays.binarySearch(cumulativeDemand, position);
+        int index = insertionPoint >= 0 ? insertionPoint + 1 : -insertionPoint - 1;
         return Math.min(cumulativeDemand.length - 1, index);
     }
 
-    /** A request of a volume that is due at a time. */
+    /** Draws a request to a volume. */
     ClientRequest drawRequest(long dueMicros, int volumeIndex) {
         LoadProfile.RequestClass requestClass = drawRequestClass();
         LoadProfile.Volume volume = profile.volumes().get(volumeIndex);
@@ -101,7 +107,7 @@
         int unitRange = requestClass.maxUnits() - requestClass.minUnits() + 1;
         double units = requestClass.minUnits() + random.nextInt(unitRange);
         int initiator = drawInitiator(volume);
-        long timeMicros = drawTimeMicros(requestClass);
+        long timeoutMicros = drawTimeoutMicros(requestClass);
         String key = newIdempotencyKey(volume);
         return new ClientRequest(
                 requestClass,
@@ -112,11 +118,11 @@
                 key,
                 isDirect ? shard : initiator,
                 dueMicros,
-                dueMicros + timeMicros,
+                dueMicros + timeoutMicros,
                 profile.cancelFraction() > 0 && random.nextDouble() < profile.cancelFraction());
     }
 
-    /** The request that a captured one stands for. */
+    /** Recreates a captured request. */
     ClientRequest replay(LoadProfile.TracedRequest traced, long dueMicros) {
         return new ClientRequest(
                 traced.requestClass(),
@@ -132,21 +138,21 @@
     }
 
     private String newIdempotencyKey(LoadProfile.Volume volume) {
-        return "m" + numbers.incrementAndGet() + "." + volume.name();
+        return "m" + numberSequence.incrementAndGet() + "." + volume.name();
     }
 
     private LoadProfile.RequestClass drawRequestClass() {
-        double left = random.nextDouble();
+        double remaining = random.nextDouble();
         for (LoadProfile.RequestClass requestClass : profile.requestClasses()) {
-            left -= requestClass.share();
-            if (left < 0) {
+            remaining -= requestClass.share();
+            if (remaining < 0) {
                 return requestClass;
             }
         }
         return profile.requestClasses().get(0);
     }
 
-    /** Programs send several requests to one extent in a row. */
+    /** Draws an extent; successive requests to a volume tend to access the same extent. */
     private String drawExtent(int volumeIndex, int shard) {
         if (remainingAccesses[volumeIndex]-- <= 0 || currentExtents[volumeIndex] == null) {
             remainingAccesses[volumeIndex] = random.nextInt(MAX_RUN_LENGTH);
@@ -156,12 +162,12 @@
     }
 
     private int drawInitiator(LoadProfile.Volume volume) {
-        boolean isLeading = random.nextDouble() < LEADING_INITIATOR_FRACTION;
-        int index = isLeading ? 0 : random.nextInt(volume.initiators().size());
+        boolean isPreferred = random.nextDouble() < PREFERRED_INITIATOR_FRACTION;
+        int index = isPreferred ? 0 : random.nextInt(volume.initiators().size());
         return isDirect ? 0 : volume.initiators().get(index);
     }
 
-    private long drawTimeMicros(LoadProfile.RequestClass requestClass) {
+    private long drawTimeoutMicros(LoadProfile.RequestClass requestClass) {
         boolean isShort =
                 profile.shortDeadlineFraction() > 0
                         && random.nextDouble() < profile.shortDeadlineFraction();
--- a/standins/src/main/java/milletyoke/standins/ServerLink.java
+++ b/standins/src/main/java/milletyoke/standins/ServerLink.java
@@ -16,17 +16,17 @@
 import milletyoke.wire.proto.Role;
 
 /**
- * The clients' connection to one initiator or target, opened again whenever it is lost. Frames
- * arrive on the network's threads; any thread may send.
+ * The clients' connection to one initiator or target, reopened whenever it is lost. Frames arrive
+ * on the network's threads; any thread may send.
  */
 final class ServerLink implements PeerListener {
-    /** What becomes of the attempts that were sent on a link; called on the network's threads. */
+    /** Receives the results of attempts sent on a link, on the network's threads. */
     interface AttemptListener {
         void onResponse(ClientAttempt attempt, Response response);
 
         void onAttemptReply(ClientAttempt attempt, Outcome outcome);
 
-        /** The connection ended before the attempt was answered. */
+        /** Called if the connection was closed before the attempt was answered. */
         void onConnectionLost(ClientAttempt attempt);
     }
 
@@ -43,11 +43,11 @@
     private volatile int port;
     private final Map<Long, ClientAttempt> pending = new ConcurrentHashMap<>();
     private volatile PeerConnection connection;
-    private volatile PeerConnection closing;
+    private volatile PeerConnection drainingConnection;
 
     /**
-     * @param role as which the link introduces itself
-     * @param isStopped whether the link is not opened again
+     * @param role the role sent in the handshake
+     * @param isStopped whether to stop reopening the connection
      */
     ServerLink(
             Network network,
@@ -70,10 +70,10 @@
         if (isStopped.getAsBoolean()) {
             return;
         }
-        network.connect(host, port, role, this, FRAME_LIMITS, reason -> connectLater());
+        network.connect(host, port, role, this, FRAME_LIMITS, reason -> scheduleReconnect());
     }
 
-    private void connectLater() {
+    private void scheduleReconnect() {
         tasks.schedule(this::connect, RECONNECT_DELAY_MICROS);
     }
 
@@ -81,12 +81,12 @@
         return connection != null;
     }
 
-    /** The server is at another port from its next connection on. */
+    /** Changes the server's port, used from the next connection on. */
     void moveTo(int newPort) {
         port = newPort;
     }
 
-    /** Closes the connection; it is opened again. */
+    /** Closes the connection, which is then reopened. */
     void reconnect() {
         PeerConnection current = connection;
         if (current != null) {
@@ -95,10 +95,10 @@
     }
 
     /**
-     * Adds an attempt to those that await an answer on the open connection. A connection that the
-     * server is about to close gets none.
+     * Adds an attempt to the pending ones of the open connection. A connection that the server is
+     * about to close takes no new attempts.
      *
-     * @return the connection, or null if none is open
+     * @return the connection to send the attempt on, or null if none is open
      */
     synchronized PeerConnection register(ClientAttempt attempt) {
         attempt.connection = connection;
@@ -113,12 +113,12 @@
         return pending.remove(attempt.number) != null;
     }
 
-    /** Closes a connection that the server is about to close, once all is answered on it. */
+    /** Closes a connection that the server is draining once no attempt is pending on it. */
     void closeIfDrained(PeerConnection drained) {
-        if (Objects.equals(closing, drained)
+        if (Objects.equals(drainingConnection, drained)
                 && pending.values().stream()
                         .noneMatch(attempt -> Objects.equals(attempt.connection, drained))) {
-            drained.close("all is answered");
+            drained.close("drained: no attempts pending");
         }
     }
 
@@ -152,7 +152,7 @@
     @Override
     public void onGoingAway(PeerConnection from, String reason) {
         synchronized (this) {
-            closing = from;
+            drainingConnection = from;
             if (Objects.equals(connection, from)) {
                 connection = null;
             }
@@ -170,6 +170,6 @@
                 listener.onConnectionLost(attempt);
             }
         }
-        connectLater();
+        scheduleReconnect();
     }
 }
--- a/standins/src/main/java/milletyoke/standins/ServiceLevelRecorder.java
+++ b/standins/src/main/java/milletyoke/standins/ServiceLevelRecorder.java
@@ -5,16 +5,16 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Counts what clients got, by request class, volume and service plan. A latency counts from when
- * the request was due, not from when it was sent, so that a stall of the sender hides nothing;
- * retries count towards their request. Thread-safe.
+ * Records the outcomes of client requests by request class, volume and service plan. Latencies are
+ * measured from when a request was due, not from when it was sent, so that stalls of the sender are
+ * included (no coordinated omission). Retries count towards their request. Thread-safe.
  */
 public final class ServiceLevelRecorder {
     private static final long MAX_LATENCY_MICROS = 3_600_000_000L;
     private static final int HISTOGRAM_DIGITS = 3;
     private static final double MICROS_PER_MILLI = 1e3;
 
-    /** The figures of one request class. */
+    /** Counters and latencies of one request class. */
     public static final class ClassStatistics {
         private final Histogram latencies = newHistogram();
         private final double priorityWeight;
@@ -30,47 +30,47 @@
             this.priorityWeight = priorityWeight;
         }
 
-        /** The fraction of requests that were answered within the latency objective. */
+        /** Returns the fraction of requests answered within the latency objective; 1 if none. */
         public double serviceLevel() {
             return requests == 0 ? 1 : inTime / (double) requests;
         }
 
-        /** Requests that were due. */
+        /** Returns the number of requests that were due. */
         public long requests() {
             return requests;
         }
 
-        /** Requests that were answered. */
+        /** Returns the number of requests answered. */
         public long answered() {
             return answered;
         }
 
-        /** Requests that were answered within the latency objective. */
+        /** Returns the number of requests answered within the latency objective. */
         public long inTime() {
             return inTime;
         }
 
-        /** Requests whose last attempt was rejected. */
+        /** Returns the number of requests whose last attempt was rejected. */
         public long rejected() {
             return rejected;
         }
 
-        /** Requests that failed; their outcome is unknown. */
+        /** Returns the number of requests that failed with unknown outcome. */
         public long failed() {
             return failed;
         }
 
-        /** Requests whose client stopped waiting. */
+        /** Returns the number of requests that ended without an answer. */
         public long unanswered() {
             return unanswered;
         }
 
-        /** Attempts that found no open connection. */
+        /** Returns the number of attempts that found no open connection. */
         public long unreachable() {
             return unreachable;
         }
 
-        /** Latencies of answered requests (microseconds); live. */
+        /** Returns the live histogram of the latencies of answered requests (microseconds). */
         public Histogram latencies() {
             return latencies;
         }
@@ -99,7 +99,7 @@
         }
     }
 
-    /** The requests of one volume or plan. */
+    /** Counts the requests of one volume or service plan. */
     private static final class RequestCount {
         private long requests;
         private long inTime;
@@ -109,7 +109,7 @@
     private final Map<String, RequestCount> plans = new LinkedHashMap<>();
     private final Map<String, String> planByVolume = new LinkedHashMap<>();
 
-    /** By volume, in the order of the profile. */
+    /** Keyed by volume, in the order of the profile. */
     private final Map<String, RequestCount> volumes = new LinkedHashMap<>();
 
     ServiceLevelRecorder(LoadProfile profile) {
@@ -139,9 +139,9 @@
     }
 
     /**
-     * @param latencyMicros since the request was due
+     * @param latencyMicros from when the request was due
      */
-    synchronized void recordAnswer(
+    synchronized void recordAnswered(
             String requestClass, String volume, long latencyMicros, boolean isInTime) {
         ClassStatistics statistics = requestClasses.get(requestClass);
         statistics.answered++;
@@ -169,18 +169,19 @@
         requestClasses.get(requestClass).unreachable++;
     }
 
-    /** The live figures of a request class; null for an unknown one. */
+    /** Returns the live statistics of a request class; null if the class is unknown. */
     public synchronized ClassStatistics requestClass(String requestClass) {
         return requestClasses.get(requestClass);
     }
 
-    /** The live figures of every request class, in the order of the profile. */
+    /** Returns the live statistics of all request classes, in the order of the profile. */
     public synchronized Map<String, ClassStatistics> requestClasses() {
         return new LinkedHashMap<>(requestClasses);
     }
 
     /**
-     * The priority weight answered within its objective over the weight that was due; 1 if none.
+     * Returns the fraction of requests answered within their latency objective, weighted by
+     * priority; 1 if no request was due.
      */
     public synchronized double overallServiceLevel() {
         PriorityWeights sums = priorityWeights();
@@ -188,9 +189,9 @@
     }
 
     /**
-     * How even service is between volumes that sent requests: the index of Jain, Chiu and Hawe
-     * (DEC-TR-301, 1984) over each one's fraction of requests answered in time. 1 if all are served
-     * alike, 1/n if one of n gets everything.
+     * Returns the fairness index of Jain, Chiu and Hawe (DEC-TR-301, 1984) over the fractions of
+     * requests answered in time of all volumes that sent requests: 1 if all are served equally, 1/n
+     * if only one of n volumes is served.
      */
     public synchronized double fairnessIndex() {
         double sum = 0;
@@ -207,7 +208,7 @@
         return squares == 0 ? 1 : sum * sum / (count * squares);
     }
 
-    /** Requests answered within their latency objective, by service plan. */
+    /** Returns the number of requests answered within their objective, by service plan. */
     public synchronized Map<String, Long> inTimeByPlan() {
         Map<String, Long> inTime = new LinkedHashMap<>();
         plans.forEach((plan, count) -> inTime.put(plan, count.inTime));
@@ -217,12 +218,12 @@
     /**
      * Sums of priority weights so far.
      *
-     * @param due of all requests
-     * @param inTime of those that were answered within their latency objective
+     * @param due sum over all requests
+     * @param inTime sum over requests answered within their latency objective
      */
     public record PriorityWeights(double due, double inTime) {}
 
-    /** The sums of priority weights so far. */
+    /** Returns the sums of priority weights so far. */
     public synchronized PriorityWeights priorityWeights() {
         double due = 0;
         double inTime = 0;
@@ -233,19 +234,19 @@
         return new PriorityWeights(due, inTime);
     }
 
-    /** Requests that were due so far. */
+    /** Returns the number of requests that were due so far. */
     public synchronized long totalRequests() {
         return requestClasses.values().stream().mapToLong(ClassStatistics::requests).sum();
     }
 
-    /** A copy of the latencies of all classes together (microseconds). */
+    /** Returns a histogram of the latencies of all classes (microseconds), as a copy. */
     public synchronized Histogram latencies() {
         Histogram all = newHistogram();
         requestClasses.values().forEach(statistics -> all.add(statistics.latencies));
         return all;
     }
 
-    /** A report of several lines: each class, and the overall service level. */
+    /** Returns a report with one line per request class and the overall service level. */
     public synchronized String text() {
         StringBuilder text = new StringBuilder();
         requestClasses.forEach(
@@ -254,7 +255,7 @@
         return text.append(String.format("  service %.3f%n", overallServiceLevel())).toString();
     }
 
-    /** One short line for a live display. */
+    /** Returns a one-line summary for a live display. */
     public synchronized String summary() {
         StringBuilder text = new StringBuilder();
         requestClasses.forEach(
--- a/standins/src/main/java/milletyoke/standins/Target.java
+++ b/standins/src/main/java/milletyoke/standins/Target.java
@@ -23,10 +23,10 @@
 import milletyoke.wire.proto.Role;
 
 /**
- * A stand-in for a storage node: it serves attempts with a number of cores and a bounded queue, and
- * shows faults on request. It stores nothing; its work is time. Frames arrive on the network's
- * threads, work ends on the executor's; one lock, the target itself, guards its state, and nothing
- * is sent while it is held.
+ * A stand-in for a storage node. It executes attempts on a number of simulated cores with a bounded
+ * queue, and can inject faults. It stores no data; executing an attempt only takes time. Frames
+ * arrive on the network's threads, and attempts complete on the executor's. The target's own
+ * monitor guards its state; nothing is sent while the monitor is held.
  */
 public final class Target implements PeerListener {
     private static final String HOST = "127.0.0.1";
@@ -52,10 +52,10 @@
     private long maxPauseMicros;
 
     /**
-     * Creates a target on sockets and the real clock; it is not started.
+     * Creates a target on sockets and the real clock, without starting it.
      *
-     * @param deduplicationCacheOf the idempotency keys known to the target's deduplication scope,
-     *     by request class; null for a class that is not deduplicated
+     * @param deduplicationCacheOf returns the idempotency keys executed in the target's
+     *     deduplication scope, by request class; null for a class that is not deduplicated
      */
     public Target(
             String id,
@@ -78,7 +78,7 @@
                 new SocketEnvironment());
     }
 
-    /** As the other constructor, in an environment. */
+    /** Creates a target in the given execution environment, without starting it. */
     public Target(
             String id,
             int shard,
@@ -111,36 +111,35 @@
                         executionListener);
     }
 
-    /** Its name in the endpoint list. */
+    /** Returns the target's id in the endpoint list. */
     public String id() {
         return id;
     }
 
-    /** The shard that it holds. */
+    /** Returns the shard that the target stores. */
     public int shard() {
         return shard;
     }
 
-    /** What it is like. */
     public TargetBehavior behavior() {
         return behavior;
     }
 
-    /** The port it listens at, or did before it was killed; 0 before its first start. */
+    /** Returns the port of the current or latest incarnation; 0 before the first start. */
     public synchronized int port() {
         return port;
     }
 
-    /** Whether it is started and not killed since. */
+    /** Returns whether the target is running: started, and not killed since. */
     public synchronized boolean isUp() {
         return processor.isUp();
     }
 
     /**
-     * Starts it warm.
+     * Starts the target at full capacity.
      *
-     * @param listenPort 0 picks a free one
-     * @throws IOException if it cannot listen there
+     * @param listenPort 0 picks a free port
+     * @throws IOException if the port cannot be opened
      */
     public synchronized void startAt(int listenPort) throws IOException {
         port = listenPort;
@@ -148,10 +147,10 @@
     }
 
     /**
-     * Starts it on the port that it had before, if it had one.
+     * Starts the target on its previous port, or on a free port at the first start.
      *
-     * @param isCold whether it must warm up
-     * @throws IOException if it cannot listen there
+     * @param isCold whether the target has to warm up
+     * @throws IOException if the port cannot be opened
      */
     public synchronized void start(boolean isCold) throws IOException {
         network = environment.openNetwork(id, 1, observer);
@@ -162,51 +161,55 @@
         executionListener.note(
                 id, Note.Kind.STARTED, isCold ? "cold" : "warm", behavior.unitsPerSecond());
         int incarnation = processor.incarnation();
-        repeat(incarnation, processor::doDeferredWork, behavior.deferredWorkPeriodMicros());
-        repeat(
+        runPeriodically(
+                incarnation, processor::performDeferredWork, behavior.deferredWorkPeriodMicros());
+        runPeriodically(
                 incarnation,
                 () -> processor.stall(behavior.pauseMicros()),
                 behavior.pausePeriodMicros());
     }
 
-    /** Runs a task about once a period, for as long as this incarnation lives. */
-    private void repeat(int ofIncarnation, Runnable task, long periodMicros) {
+    /** Runs a task about once per period until this incarnation ends. */
+    private void runPeriodically(int expectedIncarnation, Runnable task, long periodMicros) {
         if (periodMicros <= 0) {
             return;
         }
         tasks.schedule(
                 () -> {
                     synchronized (this) {
-                        if (processor.incarnation() == ofIncarnation && processor.isUp()) {
+                        if (processor.incarnation() == expectedIncarnation && processor.isUp()) {
                             task.run();
-                            repeat(ofIncarnation, task, periodMicros);
+                            runPeriodically(expectedIncarnation, task, periodMicros);
                         }
                     }
                 },
-                aboutOnce(periodMicros));
+                drawIntervalMicros(periodMicros));
     }
 
-    /** A delay of half a period to one and a half. */
-    private long aboutOnce(long periodMicros) {
+    /** Draws an interval of 0.5 to 1.5 periods. */
+    private long drawIntervalMicros(long periodMicros) {
         return (long) (periodMicros * (0.5 + random.nextDouble()));
     }
 
-    /** Ends it as SIGKILL would: its connections are reset and its state is lost. */
+    /** Ends the target as SIGKILL would: connections are reset and all state is lost. */
     public void kill() {
-        Network killed;
+        Network abandonedNetwork;
         synchronized (this) {
             if (!processor.isUp()) {
                 return;
             }
             processor.stop();
             connections.clear();
-            killed = network;
+            abandonedNetwork = network;
         }
         executionListener.note(id, Note.Kind.KILLED, "", 0);
-        killed.abort();
+        abandonedNetwork.abort();
     }
 
-    /** Accepts attempts and answers none. What it accepted meanwhile stays unanswered. */
+    /**
+     * Starts or ends a hang: attempts are accepted, but those pending during the hang are never
+     * answered.
+     */
     public void setHanging(boolean isHanging) {
         faults.setHanging(isHanging);
         if (!isHanging) {
@@ -216,30 +219,30 @@
         }
     }
 
-    /** Multiplies the time of all work by a factor. */
+    /** Multiplies the execution time of attempts by a factor; 1 is normal. */
     public void setSlowdownFactor(double factor) {
         faults.setSlowdownFactor(factor);
     }
 
-    /** Fails a fraction of the attempts at once; half of those were executed. */
+    /** Fails a fraction of the attempts immediately; about half of those are executed. */
     public void setErrorFraction(double fraction) {
         faults.setErrorFraction(fraction);
     }
 
-    /** Never answers a fraction of the attempts; half of those were executed. */
+    /** Sends no reply to a fraction of the attempts; about half of those are executed. */
     public void setDroppedReplyFraction(double fraction) {
         faults.setDroppedReplyFraction(fraction);
     }
 
-    /** Accepts connections without the protocol's greeting: the target cannot be reached. */
+    /** Sets whether new connections are refused, so that the target cannot be reached. */
     public void setRefusingConnections(boolean isRefusing) {
         faults.setRefusingConnections(isRefusing);
     }
 
     /**
-     * Stalls about once a period (microseconds), each time for a drawn duration.
+     * Stalls the target about once per period, each time for a random duration.
      *
-     * @param periodMicros 0 ends it
+     * @param periodMicros 0 ends the stalls
      */
     public synchronized void setPauses(long periodMicros, long minMicros, long maxMicros) {
         boolean wasPausing = pausePeriodMicros > 0;
@@ -251,21 +254,22 @@
         }
     }
 
-    private void schedulePause(int ofIncarnation) {
+    private void schedulePause(int expectedIncarnation) {
         tasks.schedule(
                 () -> {
                     synchronized (this) {
-                        if (processor.incarnation() == ofIncarnation && pausePeriodMicros > 0) {
+                        if (processor.incarnation() == expectedIncarnation
+                                && pausePeriodMicros > 0) {
                             long bound = Math.max(maxPauseMicros, minPauseMicros + 1);
                             processor.stall(random.nextLong(minPauseMicros, bound));
-                            schedulePause(ofIncarnation);
+                            schedulePause(expectedIncarnation);
                         }
                     }
                 },
-                aboutOnce(pausePeriodMicros));
+                drawIntervalMicros(pausePeriodMicros));
     }
 
-    /** Resets all of its connections; running work goes on, and its replies are lost. */
+    /** Resets all connections; running attempts continue, and their replies are lost. */
     public void resetConnections() {
         List<PeerConnection> open;
         synchronized (this) {
@@ -336,15 +340,15 @@
                 return;
             }
             load = processor.load();
-            delayMicros = processor.stallLeftMicros();
+            delayMicros = processor.remainingStallMicros();
         }
         Frame reply = TargetReplies.probeReply(number, load);
         tasks.schedule(() -> connection.send(reply), delayMicros);
     }
 
     /**
-     * The largest part of the warm-up budget that was ever sent to it within the overload window;
-     * over 1 it collapsed.
+     * Returns the largest fraction of the warm-up budget that was ever received within one overload
+     * window; above 1 the target has collapsed.
      */
     public synchronized double warmUpBudgetUsed() {
         return processor.warmUpBudgetUsed();
--- a/standins/src/main/java/milletyoke/standins/TargetBehavior.java
+++ b/standins/src/main/java/milletyoke/standins/TargetBehavior.java
@@ -1,31 +1,33 @@
 package milletyoke.standins;
 
 /**
- * What a target stand-in is like. Immutable; times are microseconds, work is in units.
+ * How a target stand-in performs. Immutable; times are microseconds, work is in units.
  *
- * @param cores attempts executed at once
- * @param speed of a core; 1 is the reference
- * @param unitMicros the work of one unit at speed 1
- * @param queueCapacity attempts that may wait beside those that run; more are answered as
- *     overloaded
- * @param maxConnections most connections that it accepts
- * @param rememberedExtents so many extents that were accessed last are in its cache
- * @param rememberedExtentSaving the fraction of its work that an attempt in the cache is spared
- * @param deferredWriteFraction the fraction of a write's work that is done later, in one go
- * @param deferredWorkPeriodMicros how often that is
- * @param pausePeriodMicros about how often it stalls, 0 for never
- * @param pauseMicros for how long it stalls then
- * @param initialCapacityFraction the part of its capacity that it has after a cold start
- * @param warmUpMicros how long after a cold start it has all of its capacity
- * @param overloadFactor more than this multiple of what it can do at the moment overloads it
- * @param overloadWindowMicros over this time, while it warms up; it then collapses. 0 for never
- * @param reportsLoad whether replies carry its queue length
+ * @param cores attempts executed concurrently
+ * @param speed of a core, relative to the reference speed of 1
+ * @param unitMicros execution time of one unit at speed 1
+ * @param queueCapacity most attempts queued in addition to the running ones; further attempts are
+ *     answered as overloaded
+ * @param maxConnections most connections accepted
+ * @param cachedExtents number of most recently accessed extents in the cache
+ * @param cachedExtentSaving fraction of its work that an attempt saves on a cache hit
+ * @param deferredWriteFraction fraction of a write's work that is deferred and done in batches
+ * @param deferredWorkPeriodMicros mean interval between batches of deferred work
+ * @param pausePeriodMicros mean interval between stalls, 0 for none
+ * @param pauseMicros duration of a stall
+ * @param initialCapacityFraction fraction of the full capacity right after a cold start
+ * @param warmUpMicros time from a cold start to full capacity
+ * @param overloadFactor multiple of the current capacity above which a target that is warming up
+ *     collapses
+ * @param overloadWindowMicros over which arriving work is summed for that, 0 for no collapse
+ * @param reportsLoad whether replies report the queue length
  * @param dropsCancelled whether a cancel removes a queued attempt
- * @param queueingPenalty each queued attempt adds this fraction to the work of one that begins
- * @param connectionSetupMicros all its cores stall for so long at each new connection
- * @param warmUpUnits it is warm once it has done so many units, if that is before its time; 0 for
- *     by time alone
- * @param workDistribution how the work of one attempt varies round its mean
+ * @param queueingPenalty fraction by which each queued attempt increases the work of an attempt
+ *     that begins
+ * @param connectionSetupMicros for how long a new connection stalls all cores
+ * @param warmUpUnits completed units after which the target is warm, if that is before {@code
+ *     warmUpMicros}; 0 to warm up by time alone
+ * @param workDistribution how the work of single attempts varies round its mean
  */
 public record TargetBehavior(
         int cores,
@@ -33,8 +35,8 @@
         long unitMicros,
         int queueCapacity,
         int maxConnections,
-        int rememberedExtents,
-        double rememberedExtentSaving,
+        int cachedExtents,
+        double cachedExtentSaving,
         double deferredWriteFraction,
         long deferredWorkPeriodMicros,
         long pausePeriodMicros,
@@ -53,8 +55,8 @@
     private static final double MICROS_PER_SECOND = 1e6;
 
     /**
-     * A target without a queueing penalty and without cost of a connection, which warms up by time
-     * alone and whose work is spread evenly.
+     * Creates a behavior without queueing penalty and connection cost, with warm-up by time alone
+     * and uniformly distributed work.
      */
     public TargetBehavior(
             int cores,
@@ -62,8 +64,8 @@
             long unitMicros,
             int queueCapacity,
             int maxConnections,
-            int rememberedExtents,
-            double rememberedExtentSaving,
+            int cachedExtents,
+            double cachedExtentSaving,
             double deferredWriteFraction,
             long deferredWorkPeriodMicros,
             long pausePeriodMicros,
@@ -80,8 +82,8 @@
                 unitMicros,
                 queueCapacity,
                 maxConnections,
-                rememberedExtents,
-                rememberedExtentSaving,
+                cachedExtents,
+                cachedExtentSaving,
                 deferredWriteFraction,
                 deferredWorkPeriodMicros,
                 pausePeriodMicros,
@@ -98,7 +100,7 @@
                 WorkDistribution.EVEN);
     }
 
-    /** Its capacity when it is warm and undisturbed. */
+    /** Returns the capacity of a warm target without faults. */
     public double unitsPerSecond() {
         return cores * speed * MICROS_PER_SECOND / unitMicros;
     }
--- a/standins/src/main/java/milletyoke/standins/TargetFaults.java
+++ b/standins/src/main/java/milletyoke/standins/TargetFaults.java
@@ -1,6 +1,6 @@
 package milletyoke.standins;
 
-/** The faults that a target shows on request; each stays until it is taken back. Thread-safe. */
+/** The faults injected into a target; each lasts until it is reset. Thread-safe. */
 final class TargetFaults {
     private volatile boolean isHanging;
     private volatile boolean isRefusingConnections;
--- a/standins/src/main/java/milletyoke/standins/TargetReplies.java
+++ b/standins/src/main/java/milletyoke/standins/TargetReplies.java
@@ -8,7 +8,7 @@
 import milletyoke.wire.proto.Outcome;
 import milletyoke.wire.proto.ProbeReply;
 
-/** Builds the frames that a target answers with. */
+/** Builds the reply frames of a target. */
 final class TargetReplies {
     private static final int PAYLOAD_BYTES_PER_UNIT = 64;
     private static final int MAX_PAYLOAD_BYTES = 4096;
--- a/standins/src/main/java/milletyoke/standins/WarmUp.java
+++ b/standins/src/main/java/milletyoke/standins/WarmUp.java
@@ -3,8 +3,8 @@
 import java.util.ArrayDeque;
 
 /**
- * How warm a target is after its start, and whether it was overloaded before it was warm. Guarded
- * by the target's lock; times are microseconds.
+ * Tracks the warm-up of a target after its start, and whether the target is overloaded meanwhile.
+ * Guarded by the target's lock; times are microseconds.
  */
 final class WarmUp {
     private static final double MICROS_PER_SECOND = 1e6;
@@ -36,7 +36,7 @@
         completedUnits += units;
     }
 
-    /** The part of its capacity that the target has by now. */
+    /** Returns the fraction of its full capacity that the target has reached. */
     double capacityFraction(long nowMicros) {
         if (!startsCold) {
             return 1;
@@ -59,9 +59,9 @@
     }
 
     /**
-     * Counts work that was sent to the target while it warms up.
+     * Counts work that arrives at the target while it is warming up.
      *
-     * @return whether more than its warm-up budget was sent within the overload window
+     * @return whether the work of the last overload window exceeds the warm-up budget
      */
     boolean addArrival(long nowMicros, double units) {
         if (!startsCold || nowMicros > startedAtMicros + behavior.warmUpMicros()) {
@@ -91,12 +91,12 @@
                 / MICROS_PER_SECOND;
     }
 
-    /** The part of the warm-up budget that was sent within the overload window at last. */
+    /** Returns the fraction of the warm-up budget used in the latest overload window. */
     double budgetUse() {
         return budgetUse;
     }
 
-    /** The largest part of the warm-up budget that was ever sent within the overload window. */
+    /** Returns the largest fraction of the warm-up budget ever used in one overload window. */
     double highestBudgetUse() {
         return highestBudgetUse;
     }
--- a/standins/src/main/java/milletyoke/standins/WorkDistribution.java
+++ b/standins/src/main/java/milletyoke/standins/WorkDistribution.java
@@ -8,7 +8,7 @@
 import org.apache.commons.statistics.distribution.LogNormalDistribution;
 import org.apache.commons.statistics.distribution.UniformContinuousDistribution;
 
-/** How the work of single attempts varies round a mean of 1. Immutable and thread-safe. */
+/** The distribution of the work of single attempts, with a mean of 1. Immutable. */
 public final class WorkDistribution {
     /** Uniform from 0.5 to 1.5. */
     public static final WorkDistribution EVEN =
@@ -26,14 +26,14 @@
     }
 
     /**
-     * Reads {@code even}, {@code exponential}, {@code gamma:SHAPE} or {@code lognormal:SIGMA}.
+     * Parses {@code even}, {@code exponential}, {@code gamma:SHAPE} or {@code lognormal:SIGMA}.
      *
-     * @throws IllegalArgumentException for anything else, with what is expected
+     * @throws IllegalArgumentException for any other text; the message lists the allowed ones
      */
     public static WorkDistribution of(String text) {
         Matcher matcher = SYNTAX.matcher(text);
         if (!matcher.matches()) {
-            throw unexpected(text);
+            throw unknownDistribution(text);
         }
         if (matcher.group(2) == null) {
             return matcher.group(1).equals("even")
@@ -42,7 +42,7 @@
         }
         double parameter = Double.parseDouble(matcher.group(3));
         if (!(parameter >= MIN_PARAMETER && parameter <= MAX_PARAMETER)) {
-            throw unexpected(text);
+            throw unknownDistribution(text);
         }
         return new WorkDistribution(
                 matcher.group(2).equals("gamma")
@@ -50,18 +50,18 @@
                         : LogNormalDistribution.of(-parameter * parameter / 2, parameter));
     }
 
-    private static IllegalArgumentException unexpected(String text) {
+    private static IllegalArgumentException unknownDistribution(String text) {
         return new IllegalArgumentException(
-                "even, exponential, gamma:SHAPE or lognormal:SIGMA is expected, with a figure of"
+                "expected even, exponential, gamma:SHAPE or lognormal:SIGMA, with a parameter of"
                         + " 0.01 to 100, not \""
                         + text
                         + "\"");
     }
 
     /**
-     * The factor of one attempt's work.
+     * Returns the factor by which to multiply the mean work of one attempt.
      *
-     * @param quantile of 0 to 1, drawn evenly
+     * @param quantile of 0 to 1, uniformly distributed
      */
     public double factor(double quantile) {
         return distribution.inverseCumulativeProbability(quantile);
--- a/standins/src/main/java/milletyoke/standins/http/ScriptedHttpServer.java
+++ b/standins/src/main/java/milletyoke/standins/http/ScriptedHttpServer.java
@@ -12,29 +12,29 @@
 import milletyoke.http.HttpTransport;
 
 /**
- * An HTTP server on loopback that keeps the requests it gets; a script decides what it replies, if
- * anything. Thread-safe.
+ * An HTTP server on the loopback interface that records the requests it receives and responds as
+ * scripted. Thread-safe.
  */
 public final class ScriptedHttpServer implements AutoCloseable {
     private static final String HOST = "127.0.0.1";
 
-    /** Handles one request. */
+    /** Handles requests. */
     public interface Script {
-        /** Called on the transport's thread when a request has arrived completely. */
+        /** Called on the transport's thread when a request has been received completely. */
         void onRequest(HttpConnection connection, HttpMessage request);
     }
 
     private final HttpTransport transport;
     private final HttpTransport.Listener listener;
     private final List<HttpMessage> requests = new CopyOnWriteArrayList<>();
-    private final List<HttpConnection> open = new CopyOnWriteArrayList<>();
+    private final List<HttpConnection> openConnections = new CopyOnWriteArrayList<>();
     private volatile Script script;
 
     /**
-     * Starts a server at a free port.
+     * Starts a server on a free port.
      *
-     * @param name of its threads
-     * @throws IOException if it cannot listen
+     * @param name prefix of its threads' names
+     * @throws IOException if the port cannot be opened
      */
     public ScriptedHttpServer(String name, Script script) throws IOException {
         this.script = script;
@@ -42,24 +42,23 @@
         listener = transport.listen(HOST, 0, RequestHandler::new);
     }
 
-    /** The port it listens at. */
+    /** Returns the port that the server listens on. */
     public int port() {
         return listener.port();
     }
 
-    /** Replaces the script. */
     public void script(Script next) {
         script = next;
     }
 
-    /** Every complete request so far, in the order in which they were completed; live. */
+    /** Returns a live list of all requests received completely, in order of completion. */
     public List<HttpMessage> requests() {
         return requests;
     }
 
-    /** The connections that are open now; live. */
+    /** Returns a live list of the open connections. */
     public List<HttpConnection> open() {
-        return open;
+        return openConnections;
     }
 
     /** Writes a response with a body. */
@@ -70,7 +69,7 @@
                 () -> {});
     }
 
-    /** Writes bytes as they are, whether or not they are HTTP. */
+    /** Writes bytes unchanged; they need not be valid HTTP. */
     public static void raw(HttpConnection connection, byte[] bytes) {
         connection.write(ByteBuffer.wrap(bytes), () -> {});
     }
@@ -78,7 +77,7 @@
     @Override
     public void close() {
         listener.stop();
-        open.forEach(connection -> connection.close("the stand-in ends"));
+        openConnections.forEach(connection -> connection.close("test server stopped"));
         transport.close();
     }
 
@@ -89,7 +88,7 @@
 
         @Override
         public void opened(HttpConnection connection) {
-            open.add(connection);
+            openConnections.add(connection);
         }
 
         @Override
@@ -102,13 +101,13 @@
                     request = decoder.decode(in);
                 }
             } catch (HttpParseException malformed) {
-                connection.close("cannot be read: " + malformed.getMessage());
+                connection.close("malformed request: " + malformed.getMessage());
             }
         }
 
         @Override
         public void closed(HttpConnection connection, String reason) {
-            open.remove(connection);
+            openConnections.remove(connection);
         }
     }
 }
--- a/standins/src/main/java/milletyoke/standins/http/package-info.java
+++ b/standins/src/main/java/milletyoke/standins/http/package-info.java
@@ -1,2 +1,2 @@
-/** An HTTP server whose replies a script decides; it runs on its transport's threads. */
+/** An HTTP server for tests that responds as scripted, on the threads of its transport. */
 package milletyoke.standins.http;
