--- a/benchmarks/src/main/java/milletyoke/benchmarks/ReferenceComparisonBenchmark.java
+++ b/benchmarks/src/main/java/milletyoke/benchmarks/ReferenceComparisonBenchmark.java
@@ -43,7 +43,7 @@
                 module.equals("now")
                         ? new SteadyLoad(new RequestScheduler(), pending, volumes, 30)
                         : new SteadyLoad(
-                                new milletyoke.scheduler.reference.Decide()::decide,
+                                new milletyoke.scheduler.reference.ReferenceScheduler()::decide,
                                 pending,
                                 volumes,
                                 30);
--- a/core/src/test/java/milletyoke/scheduler/DifferentialTest.java
+++ b/core/src/test/java/milletyoke/scheduler/DifferentialTest.java
@@ -306,7 +306,8 @@
     void returnsTheReferencesActionsCallByCall(int seed) {
         EventStream stream = new EventStream(seed);
         RequestScheduler now = new RequestScheduler();
-        milletyoke.scheduler.reference.Decide before = new milletyoke.scheduler.reference.Decide();
+        milletyoke.scheduler.reference.ReferenceScheduler before =
+                new milletyoke.scheduler.reference.ReferenceScheduler();
         List<Event> events = stream.start();
         long relays = 0;
         for (int step = 0; step < 4_000; step++) {
@@ -375,7 +376,8 @@
                     List<@IntRange(max = Integer.MAX_VALUE) Integer> steps) {
         EventStream stream = new EventStream(seed);
         RequestScheduler now = new RequestScheduler();
-        milletyoke.scheduler.reference.Decide before = new milletyoke.scheduler.reference.Decide();
+        milletyoke.scheduler.reference.ReferenceScheduler before =
+                new milletyoke.scheduler.reference.ReferenceScheduler();
         List<Event> events = stream.start();
         for (int step : steps) {
             List<Action> expected = before.decide(stream.now, events);
--- a/core/src/test/java/milletyoke/scheduler/StepCostTest.java
+++ b/core/src/test/java/milletyoke/scheduler/StepCostTest.java
@@ -32,8 +32,8 @@
         for (int[] size :
                 new int[][] {{100, 100}, {1_000, 2_000}, {5_000, 2_000}, {1_000, 20_000}}) {
             RequestScheduler now = new RequestScheduler();
-            milletyoke.scheduler.reference.Decide before =
-                    new milletyoke.scheduler.reference.Decide();
+            milletyoke.scheduler.reference.ReferenceScheduler before =
+                    new milletyoke.scheduler.reference.ReferenceScheduler();
             long[] relays = new long[2];
             double a = micros(now, size[0], size[1], relays, 0);
             double b = micros(before::decide, size[0], size[1], relays, 1);
