--- a/benchmarks/src/main/java/milletyoke/benchmarks/ReferenceComparisonBenchmark.java
+++ b/benchmarks/src/main/java/milletyoke/benchmarks/ReferenceComparisonBenchmark.java
@@ -2,6 +2,7 @@
 
 import java.util.concurrent.TimeUnit;
 import milletyoke.scheduler.RequestScheduler;
+import milletyoke.scheduler.reference.ReferenceScheduler;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Fork;
@@ -15,7 +16,10 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** The same turn by the current scheduler and by the reference, which scans all that it keeps. */
+/**
+ * Compares the time of a turn of the current scheduler with that of the reference implementation,
+ * which scans its whole state in each turn.
+ */
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 @Warmup(iterations = 2, time = 500, timeUnit = TimeUnit.MILLISECONDS)
@@ -25,33 +29,34 @@
         jvmArgsAppend = {"-Xms2g", "-Xmx2g", "-XX:+UseSerialGC"})
 @State(Scope.Thread)
 public class ReferenceComparisonBenchmark {
+    private static final int TARGETS = 30;
+
+    /** The number of pending requests, and the number of volumes. */
     @Param({"100x100", "1000x2000", "5000x2000"})
     public String size;
 
+    /** The implementation: {@code now} is the current scheduler, {@code before} the reference. */
     @Param({"now", "before"})
     public String module;
 
-    private SteadyLoad steady;
+    private SteadyLoad load;
 
-    /** Fills the scheduler up to its steady state. */
+    /** Brings the scheduler to its steady state. */
     @Setup(Level.Trial)
     public void fill() {
         String[] parts = size.split("x", 0);
         int pending = Integer.parseInt(parts[0]);
         int volumes = Integer.parseInt(parts[1]);
-        steady =
+        load =
                 module.equals("now")
-                        ? new SteadyLoad(new RequestScheduler(), pending, volumes, 30)
+                        ? new SteadyLoad(new RequestScheduler(), pending, volumes, TARGETS)
                         : new SteadyLoad(
-                                new milletyoke.scheduler.reference.ReferenceScheduler()::decide,
-                                pending,
-                                volumes,
-                                30);
+                                new ReferenceScheduler()::decide, pending, volumes, TARGETS);
     }
 
-    /** One turn; returns the number of actions, so that they are not optimized away. */
+    /** Runs one turn. Returns the number of actions, so that they are not optimized away. */
     @Benchmark
     public int turn() {
-        return steady.turn();
+        return load.turn();
     }
 }
--- a/benchmarks/src/main/java/milletyoke/benchmarks/SchedulerTurnBenchmark.java
+++ b/benchmarks/src/main/java/milletyoke/benchmarks/SchedulerTurnBenchmark.java
@@ -16,8 +16,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What one turn costs, in which one request arrives and one attempt ends, over a grid of pending
- * requests, volumes and targets.
+ * Measures the time of a turn in which one request arrives and one attempt ends, for combinations
+ * of the numbers of pending requests, volumes and targets.
  */
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -28,6 +28,7 @@
         jvmArgsAppend = {"-Xms2g", "-Xmx2g", "-XX:+UseSerialGC"})
 @State(Scope.Thread)
 public class SchedulerTurnBenchmark {
+    /** The number of pending requests. */
     @Param({"100", "1000", "10000", "50000"})
     public int held;
 
@@ -37,22 +38,22 @@
     @Param({"10", "100", "1000"})
     public int targets;
 
-    /** One request in so many is for a new object; 0 for none. */
+    /** One of this many requests is for a new object; 0 for none. */
     @Param({"0"})
     public int newEvery;
 
-    private SteadyLoad steady;
+    private SteadyLoad load;
 
-    /** Fills the scheduler up to its steady state. */
+    /** Brings the scheduler to its steady state. */
     @Setup(Level.Trial)
     public void fill() {
-        steady = new SteadyLoad(new RequestScheduler(), held, volumes, targets);
-        steady.newEvery = newEvery;
+        load = new SteadyLoad(new RequestScheduler(), held, volumes, targets);
+        load.newObjectInterval = newEvery;
     }
 
-    /** One turn; returns the number of actions, so that they are not optimized away. */
+    /** Runs one turn. Returns the number of actions, so that they are not optimized away. */
     @Benchmark
     public int turn() {
-        return steady.turn();
+        return load.turn();
     }
 }
--- a/benchmarks/src/main/java/milletyoke/benchmarks/SteadyLoad.java
+++ b/benchmarks/src/main/java/milletyoke/benchmarks/SteadyLoad.java
@@ -16,8 +16,8 @@
 import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 
 /**
- * A steady load on one scheduler in virtual time: a constant number of pending requests over a
- * constant number of volumes and targets.
+ * Generates a steady load on one scheduler in virtual time, with constant numbers of pending
+ * requests, volumes and targets.
  */
 final class SteadyLoad {
     private static final RequestClass SLOW =
@@ -37,11 +37,11 @@
     private final int volumes;
     private final int targets;
     private final ArrayDeque<String> inFlight = new ArrayDeque<>();
-    private long now = 1_000_000_000L;
-    private long next;
+    private long nowMicros = 1_000_000_000L;
+    private long nextRequestNumber;
 
-    /** One request in so many is for a new object; 0 for none. */
-    int newEvery;
+    /** One of this many requests is for a new object; 0 for none. */
+    int newObjectInterval;
 
     SteadyLoad(Scheduler scheduler, int pending, int volumes, int targets) {
         this.scheduler = scheduler;
@@ -55,31 +55,31 @@
                         new Capabilities(3, true, true, true, 500_000),
                         new RuleLimits(0, 0, 1, 0, 0, 1, 0, 0, 0, 10_000_000),
                         false);
-        List<Event.Target> listed = new ArrayList<>();
-        for (int t = 0; t < targets; t++) {
-            listed.add(new Event.Target(t, "t" + t, "z", Event.Health.ACTIVE, 0));
+        List<Event.Target> listedTargets = new ArrayList<>();
+        for (int target = 0; target < targets; target++) {
+            listedTargets.add(new Event.Target(target, "t" + target, "z", Event.Health.ACTIVE, 0));
         }
         decide(
                 List.of(
                         new Event.Started(1, settings),
-                        new Event.EndpointListReceived(Event.ListScope.REPLACE, listed)));
-        for (int v = 0; v < volumes; v++) { // every volume is known
-            now += 10;
-            decide(List.of(requestReceived("read", next)));
+                        new Event.EndpointListReceived(Event.ListScope.REPLACE, listedTargets)));
+        for (int volume = 0; volume < volumes; volume++) { // makes all volumes known
+            nowMicros += 10;
+            decide(List.of(requestReceived("read", nextRequestNumber)));
             if (!inFlight.isEmpty()) {
                 decide(List.of(attemptEnded()));
             }
         }
-        for (int h = 0; h < pending; h++) {
-            decide(List.of(requestReceived("slow", next)));
+        for (int request = 0; request < pending; request++) {
+            decide(List.of(requestReceived("slow", nextRequestNumber)));
         }
     }
 
-    /** One request arrives and one attempt ends; returns the number of actions. */
+    /** Runs a turn in which one request arrives and one attempt ends. Returns the action count. */
     int turn() {
-        now += 20;
+        nowMicros += 20;
         List<Event> events = new ArrayList<>(2);
-        events.add(requestReceived("slow", next));
+        events.add(requestReceived("slow", nextRequestNumber));
         if (!inFlight.isEmpty()) {
             events.add(attemptEnded());
         }
@@ -87,12 +87,14 @@
     }
 
     private Event requestReceived(String requestClass, long number) {
-        next++;
-        // volumes and targets are spread evenly, out of step with each other
+        nextRequestNumber++;
+        // A multiplicative hash spreads requests evenly over volumes, independently of targets.
         int volume = (int) (((number * 2_654_435_761L) >>> 7) & Integer.MAX_VALUE) % volumes;
         return new Event.RequestReceived(
                 "s" + number,
-                newEvery > 0 && number % newEvery == 0 ? -1 : (int) (number % targets),
+                newObjectInterval > 0 && number % newObjectInterval == 0
+                        ? -1
+                        : (int) (number % targets),
                 null,
                 "v" + volume,
                 700_000_000L,
@@ -107,7 +109,7 @@
     }
 
     private int decide(List<Event> events) {
-        List<Action> actions = scheduler.decide(now, events);
+        List<Action> actions = scheduler.decide(nowMicros, events);
         for (Action action : actions) {
             if (action instanceof Action.SendAttempt attempt) {
                 inFlight.addLast(attempt.id());
--- a/benchmarks/src/main/java/milletyoke/benchmarks/package-info.java
+++ b/benchmarks/src/main/java/milletyoke/benchmarks/package-info.java
@@ -1,2 +1,2 @@
-/** Benchmarks (JMH) of the scheduler alone, in virtual time, one thread. */
+/** JMH benchmarks of the scheduler, single-threaded and in virtual time. */
 package milletyoke.benchmarks;
