--- a/core/src/test/java/milletyoke/scheduler/reference/ReferenceScheduler.java
+++ b/core/src/test/java/milletyoke/scheduler/reference/ReferenceScheduler.java
@@ -877,8 +877,8 @@
     }
 
     /**
-     * Returns the growth of the budget since the target's start, which is linear at least; the
-     * start of the window counts.
+     * Returns the factor by which the budget has grown since the target's start, as of the start of
+     * the overload window. A target warms up linearly or faster.
      */
     private double budgetGrowth(int target) {
         return limits.initialFraction() > 0
