--- a/core/src/test/java/milletyoke/scheduler/DifferentialTest.java
+++ b/core/src/test/java/milletyoke/scheduler/DifferentialTest.java
@@ -312,8 +312,8 @@
     void returnsSameActionsAsReference(int seed) {
         EventStream stream = new EventStream(seed);
         RequestScheduler scheduler = new RequestScheduler();
-        milletyoke.scheduler.reference.Decide reference =
-                new milletyoke.scheduler.reference.Decide();
+        milletyoke.scheduler.reference.ReferenceScheduler reference =
+                new milletyoke.scheduler.reference.ReferenceScheduler();
         List<Event> events = stream.start();
         long attemptsSent = 0;
         for (int step = 0; step < 4_000; step++) {
@@ -384,8 +384,8 @@
                     List<@IntRange(max = Integer.MAX_VALUE) Integer> steps) {
         EventStream stream = new EventStream(seed);
         RequestScheduler scheduler = new RequestScheduler();
-        milletyoke.scheduler.reference.Decide reference =
-                new milletyoke.scheduler.reference.Decide();
+        milletyoke.scheduler.reference.ReferenceScheduler reference =
+                new milletyoke.scheduler.reference.ReferenceScheduler();
         List<Event> events = stream.start();
         for (int step : steps) {
             List<Action> expected = reference.decide(stream.now, events);
--- a/core/src/test/java/milletyoke/scheduler/StepCostTest.java
+++ b/core/src/test/java/milletyoke/scheduler/StepCostTest.java
@@ -33,8 +33,8 @@
         for (int[] size :
                 new int[][] {{100, 100}, {1_000, 2_000}, {5_000, 2_000}, {1_000, 20_000}}) {
             RequestScheduler scheduler = new RequestScheduler();
-            milletyoke.scheduler.reference.Decide reference =
-                    new milletyoke.scheduler.reference.Decide();
+            milletyoke.scheduler.reference.ReferenceScheduler reference =
+                    new milletyoke.scheduler.reference.ReferenceScheduler();
             long[] attemptsSent = new long[2];
             double schedulerMicros = micros(scheduler, size[0], size[1], attemptsSent, 0);
             double referenceMicros = micros(reference::decide, size[0], size[1], attemptsSent, 1);
