--- a/simhost/src/main/java/milletyoke/simhost/ActionWriter.java
+++ b/simhost/src/main/java/milletyoke/simhost/ActionWriter.java
@@ -2,29 +2,32 @@
 
 import milletyoke.scheduler.api.Action;
 
-/** Maps the scheduler's actions to the simulator's messages. */
+/** Writes the scheduler's actions as frames for the simulator. */
 final class ActionWriter {
     private ActionWriter() {}
 
-    /** Appends the line of one action. */
+    /** Appends the frame of one action, ended by a newline. */
     static void write(Action action, StringBuilder out) {
-        if (action instanceof Action.SendAttempt a) {
+        if (action instanceof Action.SendAttempt send) {
             out.append("TRANSMIT\t")
-                    .append(a.id())
+                    .append(send.id())
                     .append('\t')
-                    .append(a.deadlineMicros())
+                    .append(send.deadlineMicros())
                     .append('\t')
-                    .append(a.target());
-        } else if (action instanceof Action.Reject a) {
-            out.append("DECLINE\t").append(a.id()).append('\t').append(a.retryAfterMicros());
-        } else if (action instanceof Action.Fail a) {
-            out.append("RESPOND_ERROR\t").append(a.id());
-        } else if (action instanceof Action.CancelAttempt a) {
-            out.append("RETRACT\t").append(a.id()).append('\t').append(a.attemptNumber());
-        } else if (action instanceof Action.SendProbe a) {
-            out.append("TOUCH\t").append(a.target());
-        } else if (action instanceof Action.ScheduleWakeUp a) {
-            out.append("REMIND\t").append(a.delayMicros()).append("\t0");
+                    .append(send.target());
+        } else if (action instanceof Action.Reject reject) {
+            out.append("DECLINE\t")
+                    .append(reject.id())
+                    .append('\t')
+                    .append(reject.retryAfterMicros());
+        } else if (action instanceof Action.Fail fail) {
+            out.append("RESPOND_ERROR\t").append(fail.id());
+        } else if (action instanceof Action.CancelAttempt cancel) {
+            out.append("RETRACT\t").append(cancel.id()).append('\t').append(cancel.attemptNumber());
+        } else if (action instanceof Action.SendProbe probe) {
+            out.append("TOUCH\t").append(probe.target());
+        } else if (action instanceof Action.ScheduleWakeUp wakeUp) {
+            out.append("REMIND\t").append(wakeUp.delayMicros()).append("\t0");
         } else if (action instanceof Action.WatchEndpoints) {
             out.append("TAIL\t1");
         }
--- a/simhost/src/main/java/milletyoke/simhost/Frame.java
+++ b/simhost/src/main/java/milletyoke/simhost/Frame.java
@@ -6,52 +6,54 @@
 import java.util.List;
 
 /**
- * One line of the simulator's wire, split into its tab-separated fields. An absent field has the
- * meaning that the caller names.
+ * One frame of the simulator's protocol: a line of tab-separated fields, the first of which is the
+ * frame's type. A field that is missing or "-" is absent.
  *
- * @param line its number in the input, for errors
+ * @param line line number in the input, for error messages
  */
-record Frame(long line, List<String> parts) {
+record Frame(long line, List<String> fields) {
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String ABSENT = "-";
-    private static final int ENLIST_FIELDS = 3;
+    private static final int ENLIST_FIELD_COUNT = 3;
 
     static Frame of(long line, String text) {
         boolean endsInJson = text.startsWith("ENLIST\t");
-        return new Frame(line, List.of(text.split("\t", endsInJson ? ENLIST_FIELDS : -1)));
+        return new Frame(line, List.of(text.split("\t", endsInJson ? ENLIST_FIELD_COUNT : -1)));
     }
 
     String type() {
-        return parts.get(0);
+        return fields.get(0);
     }
 
     String text(int index) {
-        return index >= parts.size() || parts.get(index).equals(ABSENT) ? null : parts.get(index);
+        return index >= fields.size() || fields.get(index).equals(ABSENT)
+                ? null
+                : fields.get(index);
     }
 
-    long whole(int index) {
+    long longValue(int index) {
         String value = text(index);
         try {
             return value == null ? 0 : Long.parseLong(value);
         } catch (NumberFormatException e) {
-            throw malformed("not a whole number: " + value);
+            throw malformed("not an integer: " + value);
         }
     }
 
-    double number(int index, double absent) {
+    double doubleValue(int index, double defaultValue) {
         String value = text(index);
         try {
-            return value == null ? absent : Double.parseDouble(value);
+            return value == null ? defaultValue : Double.parseDouble(value);
         } catch (NumberFormatException e) {
             throw malformed("not a number: " + value);
         }
     }
 
-    /** One value of a comma-separated field, -1 where there is none. */
+    /** Returns one value of a comma-separated field, or -1 if it is missing or not a number. */
     double listItem(int index, int item) {
-        String[] row = text(index) == null ? new String[0] : text(index).split(",", 0);
+        String[] values = text(index) == null ? new String[0] : text(index).split(",", 0);
         try {
-            return item < 0 || item >= row.length ? -1 : Double.parseDouble(row[item]);
+            return item < 0 || item >= values.length ? -1 : Double.parseDouble(values[item]);
         } catch (NumberFormatException e) {
             return -1;
         }
@@ -59,13 +61,13 @@
 
     JsonNode json(int index) {
         try {
-            return JSON.readTree(index < parts.size() ? parts.get(index) : "");
+            return JSON.readTree(index < fields.size() ? fields.get(index) : "");
         } catch (JsonProcessingException e) {
-            throw malformed("settings that are not JSON");
+            throw malformed("settings are not valid JSON");
         }
     }
 
-    MalformedFrameException malformed(String what) {
-        return new MalformedFrameException(line, what);
+    MalformedFrameException malformed(String problem) {
+        return new MalformedFrameException(line, problem);
     }
 }
--- a/simhost/src/main/java/milletyoke/simhost/Main.java
+++ b/simhost/src/main/java/milletyoke/simhost/Main.java
@@ -7,13 +7,18 @@
 import java.io.OutputStreamWriter;
 import java.nio.charset.StandardCharsets;
 
-/** Starts the adapter for the simulator: its wire on standard input and output. */
+/** Runs a {@link SimHost} on standard input and output. */
 public final class Main {
     private static final int BUFFER_BYTES = 1 << 16;
 
     private Main() {}
 
-    /** Runs until the input ends; exit code 1 for a malformed frame, 2 for wrong arguments. */
+    /**
+     * Runs until the input ends. The exit code is 1 for a malformed frame and 2 for invalid
+     * arguments.
+     *
+     * @throws IOException if standard input or output fails
+     */
     public static void main(String[] args) throws IOException {
         if (args.length != 1 || !args[0].equals("simhost")) {
             System.err.println("usage: java -jar milletyoke-simhost.jar simhost");
@@ -27,8 +32,8 @@
                         new BufferedOutputStream(System.out, BUFFER_BYTES), StandardCharsets.UTF_8);
         try {
             new SimHost(in, out).run();
-        } catch (MalformedFrameException bad) {
-            System.err.println("milletyoke: " + bad.getMessage());
+        } catch (MalformedFrameException e) {
+            System.err.println("milletyoke: " + e.getMessage());
             System.exit(1);
         }
     }
--- a/simhost/src/main/java/milletyoke/simhost/MalformedFrameException.java
+++ b/simhost/src/main/java/milletyoke/simhost/MalformedFrameException.java
@@ -1,10 +1,10 @@
 package milletyoke.simhost;
 
-/** Input that is not a frame of the wire; the message says what was wrong and in which line. */
+/** Thrown for input that is not a valid frame; the message names the line and the error. */
 public final class MalformedFrameException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    MalformedFrameException(long line, String wrong) {
-        super("line " + line + ": " + wrong);
+    MalformedFrameException(long line, String problem) {
+        super("line " + line + ": " + problem);
     }
 }
--- a/simhost/src/main/java/milletyoke/simhost/SettingsReader.java
+++ b/simhost/src/main/java/milletyoke/simhost/SettingsReader.java
@@ -11,14 +11,14 @@
 import milletyoke.scheduler.api.SchedulerSettings.RuleLimits;
 import milletyoke.scheduler.api.SchedulerSettings.ServicePlan;
 
-/** Maps the simulator's settings, which are JSON, to the scheduler's. */
+/** Maps the simulator's JSON settings to the scheduler's. */
 final class SettingsReader {
     private SettingsReader() {}
 
     /** Reads the settings that an initiator starts with. */
     static SchedulerSettings read(JsonNode settings) {
         return new SchedulerSettings(
-                (int) whole(settings, "balancers"),
+                (int) longValue(settings, "balancers"),
                 requestClasses(settings.path("classes")),
                 plans(settings.path("policies")),
                 capabilities(settings.path("limits")),
@@ -27,25 +27,25 @@
     }
 
     private static List<RequestClass> requestClasses(JsonNode classes) {
-        List<RequestClass> read = new ArrayList<>();
+        List<RequestClass> parsed = new ArrayList<>();
         for (JsonNode requestClass : classes) {
-            read.add(
+            parsed.add(
                     new RequestClass(
                             requestClass.path("name").asText(),
                             idempotency(requestClass),
                             deduplicationScope(requestClass),
-                            whole(requestClass, "repeatWindow"),
+                            longValue(requestClass, "repeatWindow"),
                             requestClass.path("serialByKey").asBoolean(),
-                            whole(requestClass, "aim"),
+                            longValue(requestClass, "aim"),
                             requestClass.path("points").asDouble()));
         }
-        return read;
+        return parsed;
     }
 
     private static List<ServicePlan> plans(JsonNode plans) {
-        List<ServicePlan> read = new ArrayList<>();
+        List<ServicePlan> parsed = new ArrayList<>();
         for (JsonNode plan : plans) {
-            read.add(
+            parsed.add(
                     new ServicePlan(
                             plan.path("name").asText(),
                             plan.path("reservation").asDouble(),
@@ -54,30 +54,30 @@
                             plan.path("capDepth").asDouble(),
                             plan.path("tolerance").asDouble()));
         }
-        return read;
+        return parsed;
     }
 
     private static Capabilities capabilities(JsonNode limits) {
         return new Capabilities(
-                (int) whole(limits, "maxAttempts"),
+                (int) longValue(limits, "maxAttempts"),
                 limits.path("probes").asBoolean(),
                 limits.path("mayCancel").asBoolean(),
                 limits.path("retryAfter").asBoolean(),
-                whole(limits, "maxRetryAfter"));
+                longValue(limits, "maxRetryAfter"));
     }
 
     private static RuleLimits ruleLimits(JsonNode rules, JsonNode specifics) {
         return new RuleLimits(
-                whole(rules, "keyQuiet"),
-                whole(rules, "cold"),
+                longValue(rules, "keyQuiet"),
+                longValue(rules, "cold"),
                 rules.path("coldShare").asDouble(),
                 specifics.path("coldBears").asDouble(),
-                whole(rules, "fall"),
+                longValue(rules, "fall"),
                 rules.path("tipMultiple").asDouble(),
                 rules.path("budgetFree").asDouble(),
                 rules.path("extraShare").asDouble(),
-                whole(rules, "budgetSpan"),
-                whole(rules, "mustAskIn"));
+                longValue(rules, "budgetSpan"),
+                longValue(rules, "mustAskIn"));
     }
 
     private static Idempotency idempotency(JsonNode requestClass) {
@@ -96,7 +96,7 @@
         };
     }
 
-    private static long whole(JsonNode parent, String key) {
+    private static long longValue(JsonNode parent, String key) {
         return Math.round(parent.path(key).asDouble());
     }
 }
--- a/simhost/src/main/java/milletyoke/simhost/SimHost.java
+++ b/simhost/src/main/java/milletyoke/simhost/SimHost.java
@@ -12,8 +12,8 @@
 import milletyoke.scheduler.api.Event;
 
 /**
- * Hosts many schedulers behind the simulator's wire: a new scheduler for each start of an
- * initiator, nothing shared among them. One thread.
+ * Hosts the schedulers of all simulated initiators. Each start of an initiator creates a new
+ * scheduler; schedulers share no state. Not safe for use by several threads.
  */
 public final class SimHost {
     private final BufferedReader in;
@@ -22,32 +22,33 @@
     private final Map<String, Integer> queueLengthIndexes = new HashMap<>();
     private long line;
 
-    /** A host that reads frames from {@code in} and writes replies to {@code out}. */
+    /** Creates a host that reads frames from {@code in} and writes replies to {@code out}. */
     public SimHost(BufferedReader in, Writer out) {
         this.in = in;
         this.out = out;
     }
 
     /**
-     * Answers batch after batch until the input ends.
+     * Reads batches of events and replies to each with the resulting actions until the input ends.
      *
-     * @throws MalformedFrameException for input that is not of the wire
+     * @throws IOException if reading or writing fails
+     * @throws MalformedFrameException if the input is not a valid sequence of frames
      */
     public void run() throws IOException {
         for (Frame frame = read(); frame != null; frame = read()) {
             if (!frame.type().equals("BATCH")) {
-                throw frame.malformed("BATCH was expected, not " + frame.type());
+                throw frame.malformed("expected BATCH, got " + frame.type());
             }
-            out.write(reply(frame.whole(1), batch()));
+            out.write(reply(frame.longValue(1), readBatch()));
             out.flush();
         }
     }
 
     /**
-     * The events of one batch by instance; a kill drops the instance together with what came before
-     * it.
+     * Reads the rest of one batch and returns its events by instance. A shutdown removes the
+     * instance's scheduler and discards the instance's earlier events in the batch.
      */
-    private Map<String, List<Event>> batch() throws IOException {
+    private Map<String, List<Event>> readBatch() throws IOException {
         Map<String, List<Event>> eventsByInstance = new LinkedHashMap<>();
         String instance = null;
         for (Frame frame = readInBatch(); !frame.type().equals("END"); frame = readInBatch()) {
@@ -56,7 +57,7 @@
                 continue;
             }
             if (instance == null) {
-                throw frame.malformed(frame.type() + " before any ABOUT");
+                throw frame.malformed(frame.type() + " before the first ABOUT");
             }
             List<Event> events = eventsByInstance.computeIfAbsent(instance, i -> new ArrayList<>());
             switch (frame.type()) {
@@ -64,7 +65,7 @@
                     schedulers.remove(instance);
                     events.clear();
                 }
-                case "FLEET" -> events.add(fleet(frame));
+                case "FLEET" -> events.add(readEndpointList(frame));
                 default -> add(events, frame, instance);
             }
         }
@@ -83,13 +84,13 @@
         }
     }
 
-    private Event fleet(Frame head) throws IOException {
-        long count = head.whole(3);
+    private Event readEndpointList(Frame first) throws IOException {
+        long count = first.longValue(3);
         List<Event.Target> targets = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             targets.add(EventReader.readTarget(readInBatch()));
         }
-        return EventReader.readList(head, targets);
+        return EventReader.readList(first, targets);
     }
 
     private String reply(long now, Map<String, List<Event>> eventsByInstance) {
@@ -105,9 +106,9 @@
                         scheduler
                                 .decide(now, events)
                                 .forEach(action -> ActionWriter.write(action, text));
-                    } catch (RuntimeException fault) {
-                        StackTraceElement[] at = fault.getStackTrace();
-                        String cause = fault + (at.length > 0 ? " at " + at[0] : "");
+                    } catch (RuntimeException e) {
+                        StackTraceElement[] trace = e.getStackTrace();
+                        String cause = e + (trace.length > 0 ? " at " + trace[0] : "");
                         text.append("GIVE_IN\t").append(cause.replaceAll("\\s+", " ")).append('\n');
                     }
                 });
@@ -117,12 +118,12 @@
     private Frame readInBatch() throws IOException {
         Frame frame = read();
         if (frame == null) {
-            throw new MalformedFrameException(line, "the input ends inside a batch");
+            throw new MalformedFrameException(line, "input ended inside a batch");
         }
         return frame;
     }
 
-    /** The next line that is not blank, or null at the end of input. */
+    /** Returns the next line that is not blank, or null at the end of the input. */
     private Frame read() throws IOException {
         for (String text = in.readLine(); text != null; text = in.readLine()) {
             line++;
--- a/simhost/src/main/java/milletyoke/simhost/package-info.java
+++ b/simhost/src/main/java/milletyoke/simhost/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The adapter between the simulator and the scheduler: frames on standard input and output, mapped
- * to events, actions and settings. One thread.
+ * Connects the scheduler to an external simulator: reads frames from standard input, maps them to
+ * the scheduler's events and settings, and writes its actions as frames to standard output.
+ * Everything runs on one thread.
  */
 package milletyoke.simhost;
