--- a/simulation/src/main/java/milletyoke/simulation/environment/SimulatedEnvironment.java
+++ b/simulation/src/main/java/milletyoke/simulation/environment/SimulatedEnvironment.java
@@ -12,31 +12,37 @@
 import milletyoke.wire.Network;
 
 /**
- * Virtual time: one queue of events, those of one moment in the order in which they were asked for.
- * Everything of the product runs in it as in service, on the one thread that calls {@link #sleep};
- * the same seed plays the same events. Not for use by several threads; any number of worlds may run
- * side by side.
+ * An execution environment in virtual time. One queue holds all events; events of the same time run
+ * in the order in which they were scheduled. The production code runs unchanged, on the thread that
+ * calls {@link #sleep}, and equal seeds produce equal sequences of events. Not thread-safe;
+ * different environments may be used by different threads at the same time.
  */
 public final class SimulatedEnvironment implements ExecutionEnvironment {
-    /** Some moment; only differences matter. */
+    /** Arbitrary start time; only differences of times are used. */
     private static final long START_MICROS = 1_000_000_000L;
 
     /**
-     * What the network and the machines are like.
+     * Latencies of the network and of the event loops, in microseconds.
      *
-     * @param minLatencyMicros of a frame from end to end, and {@code maxLatencyMicros}; drawn
-     *     evenly for each (microseconds)
-     * @param loopTurnMicros an initiator's loop is busy for so long with each turn (microseconds)
+     * @param minLatencyMicros lower bound of the one-way latency, which is drawn uniformly for each
+     *     write to a connection
+     * @param maxLatencyMicros upper bound of the one-way latency, inclusive
+     * @param loopTurnMicros duration of one turn of an initiator's event loop
      */
-    public record Physics(long minLatencyMicros, long maxLatencyMicros, long loopTurnMicros) {
-        /** As loopback sockets of one machine were seen to be. */
-        public static final Physics LOOPBACK = new Physics(30, 90, 30);
-
-        public Physics {
+    public record Timing(long minLatencyMicros, long maxLatencyMicros, long loopTurnMicros) {
+        /** Latencies of loopback sockets on one machine. */
+        public static final Timing LOOPBACK = new Timing(30, 90, 30);
+
+        /**
+         * Validates the ranges.
+         *
+         * @throws IllegalArgumentException if a value is out of range
+         */
+        public Timing {
             if (minLatencyMicros < 1 || maxLatencyMicros < minLatencyMicros || loopTurnMicros < 0) {
                 throw new IllegalArgumentException(
-                        "a travel of 1 us or more, least first, and a turn of 0 or more are"
-                                + " expected, not "
+                        "expected 1 <= minLatencyMicros <= maxLatencyMicros and"
+                                + " loopTurnMicros >= 0, got "
                                 + minLatencyMicros
                                 + ", "
                                 + maxLatencyMicros
@@ -63,13 +69,13 @@
         }
     }
 
-    /** Something that was asked for and can still be called off. */
+    /** An event that can be cancelled until it runs. */
     interface ScheduledEvent {
-        /** False where it has happened or was called off before. */
+        /** Cancels the event. Returns false if it has already run or been cancelled. */
         boolean cancel();
     }
 
-    private final Physics physics;
+    private final Timing timing;
     private final SplittableRandom random;
     private final PriorityQueue<Event> events = new PriorityQueue<>(1 << 12);
     private final Map<Integer, SimulatedNetwork.BoundListener> listeners = new HashMap<>();
@@ -83,8 +89,13 @@
     private int nextPort = 20_000;
     private boolean isRunning;
 
-    public SimulatedEnvironment(long seed, Physics physics) {
-        this.physics = physics;
+    /**
+     * Creates an environment at its start time, without any events.
+     *
+     * @param seed seed of the random latencies
+     */
+    public SimulatedEnvironment(long seed, Timing timing) {
+        this.timing = timing;
         random = new SplittableRandom(seed);
     }
 
@@ -110,13 +121,13 @@
         return true;
     }
 
-    /** Plays what happens until so much time has passed. */
+    /** Runs all events that are due within the next {@code micros} of virtual time. */
     @Override
     public void sleep(long micros) {
         if (isRunning) {
             throw new IllegalStateException(
-                    "something in the lab wanted to wait inside of an event; nothing could ever end"
-                            + " that wait");
+                    "sleep called while an event is running; virtual time advances only between"
+                            + " events");
         }
         long until = nowMicros + Math.max(0, micros);
         isRunning = true;
@@ -135,37 +146,38 @@
         }
     }
 
-    /** Asks for something to happen at a time, or now where that is past. */
+    /** Schedules a task at a time, or at the current time if that is later. */
     ScheduledEvent schedule(long time, Runnable task) {
         Event event = new Event(Math.max(nowMicros, time), nextOrder++, task);
         events.add(event);
         return () -> {
-            boolean was = event.task != null;
+            boolean wasPending = event.task != null;
             event.task = null;
-            return was;
+            return wasPending;
         };
     }
 
-    /** Events that have happened. */
+    /** Returns the number of events that were run. */
     public long eventCount() {
         return eventCount;
     }
 
-    /** Stands for all that travelled and when: equal for equal plays. */
+    /** Returns a hash over every frame delivered and its time; equal for equal runs. */
     public long digest() {
         return digest;
     }
 
-    void digest(long what) {
+    /** Adds a value and the current time to the digest. */
+    void updateDigest(long value) {
         long mixed = (digest ^ nowMicros) * 0xBF58476D1CE4E5B9L;
-        digest = (mixed ^ mixed >>> 29 ^ what) * 0x94D049BB133111EBL;
+        digest = (mixed ^ mixed >>> 29 ^ value) * 0x94D049BB133111EBL;
     }
 
-    // ---- Parts ----
+    // ---- Components ----
 
     @Override
-    public Network openNetwork(String name, int threads, FrameObserver tap) {
-        return new SimulatedNetwork(this, name, tap);
+    public Network openNetwork(String name, int threads, FrameObserver observer) {
+        return new SimulatedNetwork(this, name, observer);
     }
 
     @Override
@@ -174,18 +186,21 @@
     }
 
     @Override
-    public LoopDriver newLoopDriver(LoopTask turns) {
-        return new VirtualLoopDriver(turns);
+    public LoopDriver newLoopDriver(LoopTask task) {
+        return new VirtualLoopDriver(task);
     }
 
-    /** Runs a loop's turns: at once where it is woken, or as soon as its last turn is over. */
+    /**
+     * Runs an event loop's turns, each when it is due or woken up but not before the last has
+     * ended.
+     */
     private final class VirtualLoopDriver implements LoopDriver {
         private final LoopTask task;
         private long due = Long.MAX_VALUE;
         private long busyUntil;
 
-        VirtualLoopDriver(LoopTask turns) {
-            this.task = turns;
+        VirtualLoopDriver(LoopTask task) {
+            this.task = task;
         }
 
         @Override
@@ -202,11 +217,11 @@
 
         private void run(long time) {
             if (time != due) {
-                return; // an earlier one was asked for since
+                return; // superseded by an earlier turn
             }
             due = Long.MAX_VALUE;
             long next = task.runOnce();
-            busyUntil = nowMicros + physics.loopTurnMicros();
+            busyUntil = nowMicros + timing.loopTurnMicros();
             if (next < Long.MAX_VALUE) {
                 runAt(Math.max(next, busyUntil));
             }
@@ -230,7 +245,7 @@
         return listeners.get(port);
     }
 
-    /** False where the port is taken. */
+    /** Binds a port. Returns false if it is in use. */
     boolean bind(int port, SimulatedNetwork.BoundListener listener) {
         return listeners.putIfAbsent(port, listener) == null;
     }
@@ -240,35 +255,43 @@
     }
 
     long drawLatencyMicros() {
-        return physics.minLatencyMicros()
-                + (physics.maxLatencyMicros() > physics.minLatencyMicros()
-                        ? random.nextLong(
-                                physics.maxLatencyMicros() - physics.minLatencyMicros() + 1)
+        return timing.minLatencyMicros()
+                + (timing.maxLatencyMicros() > timing.minLatencyMicros()
+                        ? random.nextLong(timing.maxLatencyMicros() - timing.minLatencyMicros() + 1)
                         : 0);
     }
 
     /**
-     * A one-way cut: what {@code from} sends to {@code to} waits until it heals, as TCP sends again
-     * what was lost.
+     * A partition in one direction. Frames from {@code from} to {@code to} are delayed until it
+     * ends, as TCP retransmits lost segments.
+     *
+     * @param attemptsOnly whether only attempts and their replies are delayed
+     * @param until end of the partition, in microseconds of virtual time
      */
-    private record Partition(String from, String to, boolean work, long until) {}
+    private record Partition(String from, String to, boolean attemptsOnly, long until) {}
 
-    /** Where all is held, new connections do not come about in either direction. */
+    /**
+     * Delays frames; unless only attempts are delayed, also new connections in either direction.
+     */
     @Override
-    public void partition(String from, String to, boolean work, long micros) {
-        partitions.removeIf(c -> c.until() <= nowMicros);
-        partitions.add(new Partition(from, to, work, nowMicros + micros));
+    public void partition(String from, String to, boolean attemptsOnly, long micros) {
+        partitions.removeIf(partition -> partition.until() <= nowMicros);
+        partitions.add(new Partition(from, to, attemptsOnly, nowMicros + micros));
     }
 
-    /** Until when a frame is held back; now where it is not. */
-    long blockedUntil(String from, String to, boolean work) {
+    /**
+     * Returns the time until which a frame is delayed, or the current time if no partition applies.
+     *
+     * @param isAttempt whether the frames are attempts or their replies
+     */
+    long blockedUntil(String from, String to, boolean isAttempt) {
         long until = nowMicros;
-        for (Partition c : partitions) {
-            if (c.until() > until
-                    && c.from().equals(from)
-                    && c.to().equals(to)
-                    && (work || !c.work())) {
-                until = c.until();
+        for (Partition partition : partitions) {
+            if (partition.until() > until
+                    && partition.from().equals(from)
+                    && partition.to().equals(to)
+                    && (isAttempt || !partition.attemptsOnly())) {
+                until = partition.until();
             }
         }
         return until;
--- a/simulation/src/main/java/milletyoke/simulation/environment/SimulatedNetwork.java
+++ b/simulation/src/main/java/milletyoke/simulation/environment/SimulatedNetwork.java
@@ -16,9 +16,9 @@
 import milletyoke.wire.proto.Role;
 
 /**
- * One participant's connections in virtual time. A connection comes about after one round trip,
- * keeps the order of what is sent each way, loses nothing until it ends, and its end arrives behind
- * what was sent before (RFC 9293).
+ * One participant's connections in virtual time. A connection is established after one round trip.
+ * As with TCP (RFC 9293), frames arrive in order and are not lost while it is open, and its close
+ * arrives after the frames sent before it.
  */
 final class SimulatedNetwork implements Network {
     private final SimulatedEnvironment environment;
@@ -28,13 +28,13 @@
     private final List<BoundListener> listeners = new ArrayList<>();
     private boolean isClosed;
 
-    SimulatedNetwork(SimulatedEnvironment world, String name, FrameObserver tap) {
-        this.environment = world;
+    SimulatedNetwork(SimulatedEnvironment environment, String name, FrameObserver observer) {
+        this.environment = environment;
         this.name = name;
-        this.observer = tap;
+        this.observer = observer;
     }
 
-    /** A bound port and who answers there. */
+    /** A bound port and the handler of its connections. */
     record BoundListener(
             SimulatedNetwork network,
             int port,
@@ -50,19 +50,19 @@
 
     @Override
     public Listener listen(
-            String host, int port, Role role, PeerListener handler, FrameLimits bounds)
+            String host, int port, Role role, PeerListener handler, FrameLimits frameLimits)
             throws IOException {
-        int at = port == 0 ? environment.freePort() : port;
-        BoundListener listener = new BoundListener(this, at, role, handler, bounds);
-        if (!environment.bind(at, listener)) {
+        int boundPort = port == 0 ? environment.freePort() : port;
+        BoundListener listener = new BoundListener(this, boundPort, role, handler, frameLimits);
+        if (!environment.bind(boundPort, listener)) {
             throw new IOException(
-                    "cannot listen at " + host + ":" + at + ": Address already in use");
+                    "cannot listen at " + host + ":" + boundPort + ": Address already in use");
         }
         listeners.add(listener);
         return listener;
     }
 
-    /** A connection in the making. */
+    /** A connection that is being established. */
     private static final class PendingConnection implements ConnectAttempt {
         boolean isCancelled;
 
@@ -78,68 +78,70 @@
             int port,
             Role role,
             PeerListener handler,
-            FrameLimits bounds,
-            Consumer<String> failed) {
-        PendingConnection making = new PendingConnection();
+            FrameLimits frameLimits,
+            Consumer<String> onFailure) {
+        PendingConnection pending = new PendingConnection();
         environment.schedule(
                 environment.monotonicMicros() + environment.drawLatencyMicros(),
-                () -> accept(making, port, role, handler, bounds, failed));
-        return making;
+                () -> accept(pending, port, role, handler, frameLimits, onFailure));
+        return pending;
     }
 
     private void accept(
-            PendingConnection making,
+            PendingConnection pending,
             int port,
             Role role,
             PeerListener handler,
-            FrameLimits bounds,
-            Consumer<String> failed) {
-        BoundListener there = environment.listener(port);
-        long back = environment.monotonicMicros() + environment.drawLatencyMicros();
-        if (there == null) {
+            FrameLimits frameLimits,
+            Consumer<String> onFailure) {
+        BoundListener listener = environment.listener(port);
+        long replyArrives = environment.monotonicMicros() + environment.drawLatencyMicros();
+        if (listener == null) {
             environment.schedule(
-                    back,
+                    replyArrives,
                     () -> {
-                        if (!isClosed && !making.isCancelled) {
-                            failed.accept("Connection refused");
+                        if (!isClosed && !pending.isCancelled) {
+                            onFailure.accept("Connection refused");
                         }
                     });
             return;
         }
-        long open =
+        long reachableAt =
                 Math.max(
-                        environment.blockedUntil(name, there.network().name, false),
-                        environment.blockedUntil(there.network().name, name, false));
-        if (open > environment.monotonicMicros()) { // the first packet is sent again until it gets
-            // through
-            environment.schedule(open, () -> accept(making, port, role, handler, bounds, failed));
+                        environment.blockedUntil(name, listener.network().name, false),
+                        environment.blockedUntil(listener.network().name, name, false));
+        if (reachableAt > environment.monotonicMicros()) { // a partition delays the handshake
+            environment.schedule(
+                    reachableAt,
+                    () -> accept(pending, port, role, handler, frameLimits, onFailure));
             return;
         }
-        if (isClosed || making.isCancelled) {
+        if (isClosed || pending.isCancelled) {
             return;
         }
-        SimulatedPeerConnection near = new SimulatedPeerConnection(this, handler, bounds, observer);
+        SimulatedPeerConnection near =
+                new SimulatedPeerConnection(this, handler, frameLimits, observer);
         SimulatedPeerConnection far =
                 new SimulatedPeerConnection(
-                        there.network(),
-                        there.handler(),
-                        there.frameLimits(),
-                        there.network().observer);
+                        listener.network(),
+                        listener.handler(),
+                        listener.frameLimits(),
+                        listener.network().observer);
         near.connectTo(far);
         far.connectTo(near);
-        there.network().opened(far, there.role());
+        listener.network().openConnection(far, listener.role());
         environment.schedule(
-                back,
+                replyArrives,
                 () -> {
-                    if (isClosed || making.isCancelled) {
+                    if (isClosed || pending.isCancelled) {
                         near.reset();
                     } else {
-                        opened(near, role);
+                        openConnection(near, role);
                     }
                 });
     }
 
-    private void opened(SimulatedPeerConnection peer, Role role) {
+    private void openConnection(SimulatedPeerConnection peer, Role role) {
         peers.add(peer);
         peer.open(role, name);
     }
@@ -155,7 +157,7 @@
     @Override
     public void close() {
         listeners.forEach(BoundListener::stop);
-        new ArrayList<>(peers).forEach(p -> p.closeWithReason("shutting down"));
+        new ArrayList<>(peers).forEach(peer -> peer.closeWithReason("shutting down"));
         peers.clear();
         isClosed = true;
     }
@@ -170,24 +172,27 @@
         private boolean isOpened;
         private long lastArrival;
 
-        /** What arrived before this end knew that the connection was open. */
+        /** Deliveries that arrived before this end was opened. */
         private final List<Runnable> receivedBeforeOpen = new ArrayList<>();
 
         SimulatedPeerConnection(
-                SimulatedNetwork net, PeerListener handler, FrameLimits bounds, FrameObserver tap) {
+                SimulatedNetwork network,
+                PeerListener handler,
+                FrameLimits frameLimits,
+                FrameObserver observer) {
             super(
-                    net.environment.nextPeerNumber(),
+                    network.environment.nextPeerNumber(),
                     handler,
-                    bounds,
-                    tap,
-                    net.environment::monotonicMicros);
-            this.network = net;
-            this.observer = tap;
-            environment = net.environment;
+                    frameLimits,
+                    observer,
+                    network.environment::monotonicMicros);
+            this.network = network;
+            this.observer = observer;
+            environment = network.environment;
         }
 
-        void connectTo(SimulatedPeerConnection end) {
-            remoteEnd = end;
+        void connectTo(SimulatedPeerConnection other) {
+            remoteEnd = other;
         }
 
         void open(Role role, String ownName) {
@@ -205,28 +210,31 @@
 
         @Override
         protected void write(List<Frame> frames, int size) {
-            boolean work = frames.stream().anyMatch(f -> f.hasAttempt() || f.hasAttemptReply());
-            long leaves = environment.blockedUntil(network.name, remoteEnd.network.name, work);
-            lastArrival = Math.max(lastArrival, leaves + environment.drawLatencyMicros());
+            boolean hasAttempts =
+                    frames.stream()
+                            .anyMatch(frame -> frame.hasAttempt() || frame.hasAttemptReply());
+            long departure =
+                    environment.blockedUntil(network.name, remoteEnd.network.name, hasAttempts);
+            lastArrival = Math.max(lastArrival, departure + environment.drawLatencyMicros());
             environment.schedule(
                     lastArrival,
                     () -> {
                         onWritten(size);
-                        remoteEnd.receive(() -> frames.forEach(remoteEnd::deliver));
+                        remoteEnd.receiveWhenOpen(() -> frames.forEach(remoteEnd::deliver));
                     });
         }
 
-        private void receive(Runnable what) {
+        private void receiveWhenOpen(Runnable delivery) {
             if (isOpened) {
-                what.run();
+                delivery.run();
             } else {
-                receivedBeforeOpen.add(what);
+                receivedBeforeOpen.add(delivery);
             }
         }
 
         private void deliver(Frame frame) {
             if (connected) {
-                environment.digest(
+                environment.updateDigest(
                         ((long) id() << 40)
                                 + ((long) frame.getBodyCase().getNumber() << 32)
                                 + frame.getSerializedSize());
@@ -236,16 +244,18 @@
 
         @Override
         protected void disconnect() {
-            end();
+            closeBothEnds();
         }
 
         @Override
         protected void disconnectWithReset() {
-            end();
+            closeBothEnds();
         }
 
-        /** The end travels behind what was sent before it. */
-        private void end() {
+        /**
+         * Closes this end; the remote end is closed after it has received all frames sent before.
+         */
+        private void closeBothEnds() {
             if (connected) {
                 connected = false;
                 network.peers.remove(this);
@@ -258,7 +268,7 @@
                 environment.schedule(
                         lastArrival,
                         () ->
-                                remoteEnd.receive(
+                                remoteEnd.receiveWhenOpen(
                                         () -> remoteEnd.close("the connection closed (remotely)")));
             }
         }
--- a/simulation/src/main/java/milletyoke/simulation/environment/VirtualTimeExecutor.java
+++ b/simulation/src/main/java/milletyoke/simulation/environment/VirtualTimeExecutor.java
@@ -9,31 +9,31 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Timers in virtual time. After a shutdown nothing of it happens any more. */
+/** Runs tasks and timers in virtual time. After a shutdown, pending tasks are no longer run. */
 final class VirtualTimeExecutor extends AbstractExecutorService
         implements ScheduledExecutorService {
-    private final SimulatedEnvironment world;
+    private final SimulatedEnvironment environment;
     private final String name;
-    private boolean shut;
+    private boolean hasShutDown;
 
-    VirtualTimeExecutor(SimulatedEnvironment world, String name) {
-        this.world = world;
+    VirtualTimeExecutor(SimulatedEnvironment environment, String name) {
+        this.environment = environment;
         this.name = name;
     }
 
-    /** What a caller may do with something scheduled. */
+    /** The future of a scheduled task. */
     private final class Timer<V> extends FutureTask<V> implements ScheduledFuture<V> {
-        final long at;
-        SimulatedEnvironment.ScheduledEvent pending;
+        final long dueAt;
+        SimulatedEnvironment.ScheduledEvent event;
 
-        Timer(Callable<V> task, long at) {
+        Timer(Callable<V> task, long dueAt) {
             super(task);
-            this.at = at;
+            this.dueAt = dueAt;
         }
 
         @Override
         public long getDelay(TimeUnit unit) {
-            return unit.convert(at - world.monotonicMicros(), TimeUnit.MICROSECONDS);
+            return unit.convert(dueAt - environment.monotonicMicros(), TimeUnit.MICROSECONDS);
         }
 
         @Override
@@ -44,15 +44,15 @@
 
         @Override
         public boolean cancel(boolean interrupt) {
-            return pending.cancel() && super.cancel(false);
+            return event.cancel() && super.cancel(false);
         }
     }
 
-    private void at(long time, Runnable task) {
-        world.schedule(
+    private void scheduleAt(long time, Runnable task) {
+        environment.schedule(
                 time,
                 () -> {
-                    if (!shut) {
+                    if (!hasShutDown) {
                         task.run();
                     }
                 });
@@ -60,20 +60,21 @@
 
     @Override
     public void execute(Runnable task) {
-        if (!shut) {
-            at(world.monotonicMicros(), task);
+        if (!hasShutDown) {
+            scheduleAt(environment.monotonicMicros(), task);
         }
     }
 
     @Override
     public <V> ScheduledFuture<V> schedule(Callable<V> task, long delay, TimeUnit unit) {
         Timer<V> timer =
-                new Timer<>(task, world.monotonicMicros() + Math.max(0, unit.toMicros(delay)));
-        timer.pending =
-                world.schedule(
-                        timer.at,
+                new Timer<>(
+                        task, environment.monotonicMicros() + Math.max(0, unit.toMicros(delay)));
+        timer.event =
+                environment.schedule(
+                        timer.dueAt,
                         () -> {
-                            if (!shut) {
+                            if (!hasShutDown) {
                                 timer.run();
                                 rethrow(timer);
                             }
@@ -81,14 +82,13 @@
         return timer;
     }
 
-    /**
-     * A fault of what was played is a fault of the play; swallowed, it would pass for a quiet day.
-     */
-    private void rethrow(FutureTask<?> done) {
+    /** Rethrows the exception of a failed task, so that the failure ends the simulation run. */
+    private void rethrow(FutureTask<?> task) {
         try {
-            done.get();
+            task.get();
         } catch (InterruptedException | java.util.concurrent.ExecutionException failed) {
-            throw new IllegalStateException("a task of " + name + " failed", failed.getCause());
+            throw new IllegalStateException(
+                    "a task of executor " + name + " failed", failed.getCause());
         }
     }
 
@@ -105,47 +105,48 @@
 
     @Override
     public ScheduledFuture<?> scheduleWithFixedDelay(
-            Runnable task, long first, long delay, TimeUnit unit) {
+            Runnable task, long initialDelay, long delay, TimeUnit unit) {
         return schedule(
                 () -> {
                     task.run();
-                    if (!shut) {
+                    if (!hasShutDown) {
                         scheduleWithFixedDelay(task, delay, delay, unit);
                     }
                 },
-                first,
+                initialDelay,
                 unit);
     }
 
     @Override
     public ScheduledFuture<?> scheduleAtFixedRate(
-            Runnable task, long first, long every, TimeUnit unit) {
-        return scheduleWithFixedDelay(task, first, every, unit); // a task takes no time here
+            Runnable task, long initialDelay, long period, TimeUnit unit) {
+        return scheduleWithFixedDelay(
+                task, initialDelay, period, unit); // tasks take no virtual time
     }
 
     @Override
     public void shutdown() {
-        shut = true;
+        hasShutDown = true;
     }
 
     @Override
     public List<Runnable> shutdownNow() {
-        shut = true;
+        hasShutDown = true;
         return List.of();
     }
 
     @Override
     public boolean isShutdown() {
-        return shut;
+        return hasShutDown;
     }
 
     @Override
     public boolean isTerminated() {
-        return shut;
+        return hasShutDown;
     }
 
     @Override
     public boolean awaitTermination(long time, TimeUnit unit) {
-        return shut;
+        return hasShutDown;
     }
 }
--- a/simulation/src/main/java/milletyoke/simulation/experiment/Experiment.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/Experiment.java
@@ -18,138 +18,166 @@
 import milletyoke.simulation.policy.SchedulerChoice;
 
 /**
- * What varies: arms, each a few statements of a script in place of the day's own, values that go
- * into all arms, and seeds. Every arm plays every value with the same seeds, so that arms can be
- * compared pair by pair.
+ * The definition of an experiment: a base scenario, arms that each replace some of its statements,
+ * values that are inserted into the statements of all arms, and seeds. Every arm runs every value
+ * with the same seeds, so that arms can be compared in pairs.
  *
- * @param seeds plays of each arm and value
- * @param values what stands for {@code {x}} in the statements; one empty text where nothing does
+ * @param scenarioFile script of the base scenario
+ * @param seeds number of runs of each arm and value
+ * @param values the values that replace {@code {x}} in statements and variants; a single empty
+ *     string if nothing varies
+ * @param axis description of the values, for reports
  */
 public record Experiment(
-        String name, Path day, int seeds, List<Arm> arms, List<String> values, String axis) {
+        String name,
+        Path scenarioFile,
+        int seeds,
+        List<Arm> arms,
+        List<String> values,
+        String axis) {
+
+    /** Difference between the scenario seeds of consecutive runs. */
+    private static final long SEED_STEP = 7919;
 
     /**
-     * One way.
+     * One alternative that an experiment compares.
      *
-     * @param set statements that replace those of the day with the same first word (and name, for
-     *     categories and plans); {@code calm} takes all troubles away
-     * @param variant other tuning figures, as {@link milletyoke.simulation.policy.SchedulerVariant}
-     *     reads them; empty for none
+     * @param statements statements that replace those of the base scenario with the same keyword
+     *     (and the same name, for categories and plans); {@code calm} removes all faults
+     * @param bypassInitiators whether clients connect to the targets directly
+     * @param scheduler the scheduler that initiators run if there is no variant
+     * @param variant tuning parameters in the form that {@link
+     *     milletyoke.simulation.policy.SchedulerVariant} reads; empty for none
      */
     public record Arm(
             String name,
-            List<String> set,
-            boolean straight,
+            List<String> statements,
+            boolean bypassInitiators,
             SchedulerChoice scheduler,
             String variant) {}
 
-    /** One play that is to be made. */
+    /** One run of an arm with one value and seed. */
     public record Run(Arm arm, String value, int seed) {
+        /** Identifies the run within its experiment. */
         public String key() {
             return arm.name() + "|" + value + "|" + seed;
         }
     }
 
     /**
-     * @throws ConfigException that names file, line and field
+     * Reads an experiment file and checks that the scenario of every arm can be parsed.
+     *
+     * @throws ConfigException if the file or one of its scenarios is invalid; the message names
+     *     file, line and field
      */
     public static Experiment read(Path file) throws ConfigException {
-        SettingsReader f = SettingsReader.read(file);
-        Path base = file.toAbsolutePath().getParent();
+        SettingsReader reader = SettingsReader.read(file);
+        Path folder = file.toAbsolutePath().getParent();
         List<Arm> arms = new ArrayList<>();
-        Set<String> names = new HashSet<>();
-        for (SettingsReader a : f.objects("arms", true)) {
-            String name = a.text("name", null);
-            if (!names.add(name)) {
-                throw a.error("name", "\"" + name + "\" is the name of an arm already");
+        Set<String> armNames = new HashSet<>();
+        for (SettingsReader armReader : reader.objects("arms", true)) {
+            String name = armReader.text("name", null);
+            if (!armNames.add(name)) {
+                throw armReader.error(
+                        "name", "\"" + name + "\" is already the name of another arm");
             }
             arms.add(
                     new Arm(
                             name,
-                            statements(a.text("set", "")),
-                            a.flag("straight", false),
-                            a.keyword(
+                            parseStatements(armReader.text("set", "")),
+                            armReader.flag("straight", false),
+                            armReader.keyword(
                                     "scheduler", SchedulerChoice.class, SchedulerChoice.MILLETYOKE),
-                            a.text("variant", "")));
-            a.rejectUnknown();
+                            armReader.text("variant", "")));
+            armReader.rejectUnknown();
         }
-        Experiment made =
+        Experiment experiment =
                 new Experiment(
-                        f.text("name", null),
-                        base.resolve(f.text("day", null)),
-                        f.integer("seeds", 10, 2, 10_000),
+                        reader.text("name", null),
+                        folder.resolve(reader.text("day", null)),
+                        reader.integer("seeds", 10, 2, 10_000),
                         List.copyOf(arms),
-                        List.of(f.text("values", "").trim().split("\\s+")),
-                        f.text("axis", "value"));
-        f.text("source", ""); // from when variants were compiled; accepted and ignored
-        f.rejectUnknown();
+                        List.of(reader.text("values", "").trim().split("\\s+")),
+                        reader.text("axis", "value"));
+        reader.text("source", ""); // accepted for older experiment files, without effect
+        reader.rejectUnknown();
         try {
-            for (Run run : made.runs()) {
+            for (Run run : experiment.runs()) {
                 if (run.seed() == 0) {
-                    made.dayOf(run); // every arm can be read before any is played
+                    experiment.scenarioOf(
+                            run); // fails before any run if an arm's scenario is invalid
                 }
             }
-        } catch (ScenarioFormatException | IOException wrong) {
-            throw f.error("arms", wrong.getMessage());
+        } catch (ScenarioFormatException | IOException e) {
+            throw reader.error("arms", e.getMessage());
         }
-        return made;
+        return experiment;
     }
 
-    private static List<String> statements(String set) {
-        return set.isBlank()
+    private static List<String> parseStatements(String statements) {
+        return statements.isBlank()
                 ? List.of()
-                : java.util.Arrays.stream(set.split(";"))
+                : java.util.Arrays.stream(statements.split(";"))
                         .map(String::trim)
-                        .filter(s -> !s.isEmpty())
+                        .filter(statement -> !statement.isEmpty())
                         .toList();
     }
 
-    /** All plays, in an order that is always the same. */
+    /** Returns all runs, ordered by value, arm and seed. */
     public List<Run> runs() {
-        List<Run> all = new ArrayList<>();
+        List<Run> runs = new ArrayList<>();
         for (String value : values) {
             for (Arm arm : arms) {
                 for (int seed = 0; seed < seeds; seed++) {
-                    all.add(new Run(arm, value, seed));
+                    runs.add(new Run(arm, value, seed));
                 }
             }
         }
-        return all;
+        return runs;
     }
 
-    /** The day that a run plays. */
-    public Scenario dayOf(Run run) throws IOException, ScenarioFormatException {
-        String called =
+    /**
+     * Returns the scenario of a run.
+     *
+     * @throws IOException if the base scenario cannot be read
+     * @throws ScenarioFormatException if the script with the arm's statements is invalid
+     */
+    public Scenario scenarioOf(Run run) throws IOException, ScenarioFormatException {
+        String scenarioName =
                 name + " " + run.arm().name() + (run.value().isEmpty() ? "" : " " + run.value());
-        List<String> set =
-                run.arm().set().stream().map(s -> s.replace("{x}", run.value())).toList();
-        Scenario read =
+        List<String> statements =
+                run.arm().statements().stream()
+                        .map(statement -> statement.replace("{x}", run.value()))
+                        .toList();
+        Scenario base =
                 ScenarioParser.read(
-                        day.getFileName() + " with arm " + run.arm().name(),
-                        called,
-                        patched(Files.readString(day).lines().toList(), set));
-        return read.withFaults(
-                called,
-                read.seed() + 7919L * run.seed(),
-                set.contains("calm") ? List.of() : read.faults());
+                        scenarioFile.getFileName() + " with arm " + run.arm().name(),
+                        scenarioName,
+                        replaceStatements(
+                                Files.readString(scenarioFile).lines().toList(), statements));
+        return base.withFaults(
+                scenarioName,
+                base.seed() + SEED_STEP * run.seed(),
+                statements.contains("calm") ? List.of() : base.faults());
     }
 
-    private static String patched(List<String> lines, List<String> set) {
-        Map<String, String> by = new LinkedHashMap<>();
-        set.stream().filter(s -> !s.equals("calm")).forEach(s -> by.put(subject(s), s));
-        List<String> out = new ArrayList<>();
+    private static String replaceStatements(List<String> lines, List<String> statements) {
+        Map<String, String> replacements = new LinkedHashMap<>();
+        statements.stream()
+                .filter(statement -> !statement.equals("calm"))
+                .forEach(statement -> replacements.put(subject(statement), statement));
+        List<String> patched = new ArrayList<>();
         for (String line : lines) {
-            String bare = line.replaceAll("#.*", "").trim();
-            String other = bare.isEmpty() ? null : by.remove(subject(bare));
-            out.add(other == null ? bare : other);
+            String statement = line.replaceAll("#.*", "").trim();
+            String replacement =
+                    statement.isEmpty() ? null : replacements.remove(subject(statement));
+            patched.add(replacement == null ? statement : replacement);
         }
-        out.addAll(by.values());
-        return out.stream().collect(Collectors.joining("\n"));
+        patched.addAll(replacements.values());
+        return patched.stream().collect(Collectors.joining("\n"));
     }
 
-    /**
-     * What a statement is about: its first word, with the name for what there may be several of.
-     */
+    /** Returns what a statement defines: its keyword, with the name for categories and plans. */
     private static String subject(String statement) {
         String[] words = statement.split("\\s+");
         return switch (words[0]) {
--- a/simulation/src/main/java/milletyoke/simulation/experiment/ExperimentRunner.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/ExperimentRunner.java
@@ -17,8 +17,8 @@
 import milletyoke.standins.ServiceLevelRecorder;
 
 /**
- * Plays what an experiment asks for on so many threads; each play is one thread's, so their number
- * changes no figure.
+ * Runs an experiment's simulations on a fixed number of threads. Each run uses a single thread, so
+ * the number of threads does not affect the results.
  */
 public final class ExperimentRunner {
     private final Experiment experiment;
@@ -26,6 +26,12 @@
     private final int threads;
     private final Map<String, Supplier<Scheduler>> variants = new LinkedHashMap<>();
 
+    /**
+     * Creates a runner.
+     *
+     * @param results the store that results are added to; its runs are not repeated
+     * @param threads number of runs at the same time
+     */
     public ExperimentRunner(Experiment experiment, ResultStore results, int threads) {
         this.experiment = experiment;
         this.results = results;
@@ -33,29 +39,36 @@
     }
 
     /**
-     * Plays all that the results do not have yet. @param progress hears a line after each; @return
-     * plays made
+     * Executes all runs that have no stored result yet.
+     *
+     * @param progress receives a line of text after each run
+     * @return number of runs executed
+     * @throws IOException if a variant is invalid, a run fails or a result cannot be stored
+     * @throws InterruptedException if the calling thread is interrupted
      */
     public int run(Consumer<String> progress) throws IOException, InterruptedException {
         for (Experiment.Run run : experiment.runs()) {
-            String text = run.arm().variant().replace("{x}", run.value());
-            if (!text.isEmpty() && !variants.containsKey(text)) {
-                variants.put(text, SchedulerVariant.of(text)); // all are read before any is played
+            String variant = run.arm().variant().replace("{x}", run.value());
+            if (!variant.isEmpty() && !variants.containsKey(variant)) {
+                variants.put(
+                        variant,
+                        SchedulerVariant.of(variant)); // parse errors are reported before any run
             }
         }
         List<Experiment.Run> missing =
-                experiment.runs().stream().filter(r -> !results.has(r.key())).toList();
+                experiment.runs().stream().filter(run -> !results.has(run.key())).toList();
         ExecutorService workers = Executors.newFixedThreadPool(threads);
         try {
-            ExecutorCompletionService<ResultRow> plays = new ExecutorCompletionService<>(workers);
-            missing.forEach(run -> plays.submit(() -> play(run)));
-            for (int done = 1; done <= missing.size(); done++) {
-                ResultRow row = plays.take().get();
+            ExecutorCompletionService<ResultRow> completions =
+                    new ExecutorCompletionService<>(workers);
+            missing.forEach(run -> completions.submit(() -> execute(run)));
+            for (int completed = 1; completed <= missing.size(); completed++) {
+                ResultRow row = completions.take().get();
                 results.add(row);
                 progress.accept(
                         String.format(
                                 "%d of %d: %s %s seed %d  service %.4f",
-                                done,
+                                completed,
                                 missing.size(),
                                 row.arm(),
                                 row.value(),
@@ -63,37 +76,42 @@
                                 row.service()));
             }
             return missing.size();
-        } catch (ExecutionException failed) {
-            throw new IOException("a play failed: " + failed.getCause(), failed.getCause());
+        } catch (ExecutionException e) {
+            throw new IOException("simulation run failed: " + e.getCause(), e.getCause());
         } finally {
             workers.shutdownNow();
         }
     }
 
-    private ResultRow play(Experiment.Run run) throws IOException, ScenarioFormatException {
+    private ResultRow execute(Experiment.Run run) throws IOException, ScenarioFormatException {
         Experiment.Arm arm = run.arm();
-        Supplier<Scheduler> decisions =
+        Supplier<Scheduler> schedulerFactory =
                 arm.variant().isEmpty()
-                        ? arm.scheduler().decisions()
+                        ? arm.scheduler().schedulerFactory()
                         : variants.get(arm.variant().replace("{x}", run.value()));
         SimulationRun.SimulationResult result =
-                SimulationRun.run(experiment.dayOf(run), null, arm.straight(), decisions);
-        ServiceLevelRecorder s = result.serviceLevels();
-        Map<String, Double> categories = new LinkedHashMap<>();
-        s.requestClasses().forEach((name, line) -> categories.put(name, line.serviceLevel()));
+                SimulationRun.run(
+                        experiment.scenarioOf(run), null, arm.bypassInitiators(), schedulerFactory);
+        ServiceLevelRecorder serviceLevels = result.serviceLevels();
+        Map<String, Double> serviceLevelByClass = new LinkedHashMap<>();
+        serviceLevels
+                .requestClasses()
+                .forEach(
+                        (name, requestClass) ->
+                                serviceLevelByClass.put(name, requestClass.serviceLevel()));
         return new ResultRow(
                 arm.name(),
                 run.value(),
                 run.seed(),
-                s.overallServiceLevel(),
-                categories,
-                s.inTimeByPlan(),
+                serviceLevels.overallServiceLevel(),
+                serviceLevelByClass,
+                serviceLevels.inTimeByPlan(),
                 result.serviceLevelBySecond(),
-                s.latencies().getValueAtPercentile(50) / 1e3,
-                s.latencies().getValueAtPercentile(99) / 1e3,
-                s.fairnessIndex(),
+                serviceLevels.latencies().getValueAtPercentile(50) / 1e3,
+                serviceLevels.latencies().getValueAtPercentile(99) / 1e3,
+                serviceLevels.fairnessIndex(),
                 result.warmUpBudgetUsed(),
-                s.totalRequests(),
+                serviceLevels.totalRequests(),
                 result.unfinished(),
                 String.format("%016x", result.digest()),
                 result.eventCount(),
--- a/simulation/src/main/java/milletyoke/simulation/experiment/ResultStore.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/ResultStore.java
@@ -38,15 +38,15 @@
     public ResultStore(Path file) throws IOException {
         this.file = file;
         if (Files.exists(file)) {
-            List<ResultRow> kept = read(file);
-            Path aside = file.resolveSibling(file.getFileName() + ".new");
-            Files.write(aside, kept.stream().map(ResultStore::line).toList());
+            List<ResultRow> storedRows = read(file);
+            Path temporaryFile = file.resolveSibling(file.getFileName() + ".new");
+            Files.write(temporaryFile, storedRows.stream().map(ResultStore::jsonLine).toList());
             Files.move(
-                    aside,
+                    temporaryFile,
                     file,
                     StandardCopyOption.ATOMIC_MOVE,
                     StandardCopyOption.REPLACE_EXISTING);
-            kept.forEach(r -> rows.put(r.key(), r));
+            storedRows.forEach(row -> rows.put(row.key(), row));
         }
         out = Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
     }
@@ -54,38 +54,35 @@
     /**
      * Reads the rows of a file without opening it for writing. An incomplete last line is left out.
      *
-     * @throws IOException if the file cannot be read or a line before the last is not a row
+     * @throws IOException if the file cannot be read or a line before the last is not a row; the
+     *     message names the line
      */
     public static List<ResultRow> read(Path file) throws IOException {
         String text = Files.readString(file, StandardCharsets.UTF_8);
         String[] lines = text.split("\n", -1);
         List<ResultRow> rows = new ArrayList<>();
-        for (int n = 0; n < lines.length; n++) {
-            if (lines[n].isBlank()) {
+        for (int i = 0; i < lines.length; i++) {
+            if (lines[i].isBlank()) {
                 continue;
             }
             try {
-                rows.add(JSON.readValue(lines[n], ResultRow.class));
-            } catch (JsonProcessingException bad) {
-                if (n == lines.length - 1) {
+                rows.add(JSON.readValue(lines[i], ResultRow.class));
+            } catch (JsonProcessingException e) {
+                if (i == lines.length - 1) {
                     break; // no newline follows: the write was interrupted
                 }
                 throw new IOException(
-                        file
-                                + ":"
-                                + (n + 1)
-                                + ": not a row of results: "
-                                + bad.getOriginalMessage());
+                        file + ":" + (i + 1) + ": invalid result row: " + e.getOriginalMessage());
             }
         }
         return rows;
     }
 
-    private static String line(ResultRow row) {
+    private static String jsonLine(ResultRow row) {
         try {
             return JSON.writeValueAsString(row);
-        } catch (JsonProcessingException impossible) {
-            throw new IllegalStateException(impossible);
+        } catch (JsonProcessingException e) {
+            throw new IllegalStateException(e);
         }
     }
 
@@ -94,10 +91,14 @@
         return rows.containsKey(key);
     }
 
-    /** Adds a row and flushes it to the file. */
+    /**
+     * Adds a row and flushes it to the file.
+     *
+     * @throws IOException if the file cannot be written
+     */
     public synchronized void add(ResultRow row) throws IOException {
         rows.put(row.key(), row);
-        out.write(line(row));
+        out.write(jsonLine(row));
         out.newLine();
         out.flush();
     }
@@ -113,13 +114,14 @@
     }
 
     /**
-     * Writes all rows as a CSV file beside the JSON lines.
+     * Writes all rows as a CSV file next to the results file.
      *
      * @return the file written
+     * @throws IOException if the file cannot be written
      */
     public synchronized Path writeCsv() throws IOException {
         TreeSet<String> categories = new TreeSet<>();
-        rows.values().forEach(r -> categories.addAll(r.categories().keySet()));
+        rows.values().forEach(row -> categories.addAll(row.categories().keySet()));
         List<String> lines = new ArrayList<>();
         lines.add(
                 "arm,value,seed,service,"
@@ -141,15 +143,15 @@
         cells.add(quoted(row.arm()));
         cells.add(quoted(row.value()));
         cells.add(Integer.toString(row.seed()));
-        cells.add(figure(row.service()));
+        cells.add(decimal(row.service()));
         for (String category : categories) {
             Double service = row.categories().get(category);
-            cells.add(service == null ? "" : figure(service));
+            cells.add(service == null ? "" : decimal(service));
         }
-        cells.add(figure(row.p50()));
-        cells.add(figure(row.p99()));
-        cells.add(figure(row.evenness()));
-        cells.add(figure(row.coldUsed()));
+        cells.add(decimal(row.p50()));
+        cells.add(decimal(row.p99()));
+        cells.add(decimal(row.evenness()));
+        cells.add(decimal(row.coldUsed()));
         cells.add(Long.toString(row.asked()));
         cells.add(Long.toString(row.unfinished()));
         cells.add(row.digest());
@@ -158,8 +160,8 @@
         return String.join(",", cells);
     }
 
-    private static String figure(double figure) {
-        return String.format(Locale.ROOT, "%.6f", figure);
+    private static String decimal(double value) {
+        return String.format(Locale.ROOT, "%.6f", value);
     }
 
     private static String quoted(String text) {
--- a/simulation/src/main/java/milletyoke/simulation/experiment/Statistics.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/Statistics.java
@@ -14,13 +14,13 @@
     /**
      * A mean and its confidence interval.
      *
-     * @param half half of the interval's width; 0 for fewer than two samples
+     * @param halfWidth half of the interval's width; 0 for fewer than two samples
      * @param count number of samples
      */
-    public record Mean(double mean, double half, int count) {
-        /** The mean and its interval with four decimals. */
+    public record Mean(double mean, double halfWidth, int count) {
+        /** Formats the mean and its interval with four decimals. */
         public String text() {
-            return String.format("%.4f ± %.4f", mean, half);
+            return String.format("%.4f ± %.4f", mean, halfWidth);
         }
     }
 
@@ -28,26 +28,28 @@
      * Comparison of two arms on the same seeds.
      *
      * @param difference second arm minus first
-     * @param chance two-sided p-value of that difference
+     * @param pValue two-sided p-value of the difference
      */
-    public record Paired(Mean difference, double chance) {}
+    public record Paired(Mean difference, double pValue) {}
 
-    /** The mean of the samples with its interval; NaN for no samples. */
-    public static Mean mean(List<Double> figures) {
-        int n = figures.size();
-        double mean = figures.stream().mapToDouble(d -> d).average().orElse(Double.NaN);
-        return new Mean(mean, n < 2 ? 0 : quantile(n) * standardError(figures, mean), n);
+    /** Returns the mean of the samples with its interval; NaN for no samples. */
+    public static Mean mean(List<Double> samples) {
+        int count = samples.size();
+        double mean = samples.stream().mapToDouble(sample -> sample).average().orElse(Double.NaN);
+        return new Mean(
+                mean, count < 2 ? 0 : quantile(count) * standardError(samples, mean), count);
     }
 
-    private static double quantile(int n) {
-        return TDistribution.of(n - 1.0).inverseCumulativeProbability(0.5 + CONFIDENCE / 2);
+    private static double quantile(int count) {
+        return TDistribution.of(count - 1.0).inverseCumulativeProbability(0.5 + CONFIDENCE / 2);
     }
 
-    /** Standard error of the mean. */
-    private static double standardError(List<Double> figures, double mean) {
-        int n = figures.size();
-        double squares = figures.stream().mapToDouble(d -> (d - mean) * (d - mean)).sum();
-        return Math.sqrt(squares / (n - 1) / n);
+    /** Returns the standard error of the mean. */
+    private static double standardError(List<Double> samples, double mean) {
+        int count = samples.size();
+        double squares =
+                samples.stream().mapToDouble(sample -> (sample - mean) * (sample - mean)).sum();
+        return Math.sqrt(squares / (count - 1) / count);
     }
 
     /**
@@ -58,9 +60,9 @@
     public static Paired paired(List<Double> first, List<Double> second) {
         if (first.size() != second.size() || first.size() < 2) {
             throw new IllegalArgumentException(
-                    "at least two pairs are compared, not "
+                    "expected at least two pairs, got lists of "
                             + first.size()
-                            + " figures with "
+                            + " and "
                             + second.size());
         }
         List<Double> differences =
--- a/simulation/src/main/java/milletyoke/simulation/experiment/package-info.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Experiments: what varies, the runs that follow from it, their stored results and statistics. Runs
- * are spread over a fixed pool of worker threads; each run stays on one of them.
+ * Experiments: their definition, the runs derived from it, the stored results and statistics. Runs
+ * are distributed over a fixed pool of worker threads; each run stays on one of them.
  */
 package milletyoke.simulation.experiment;
--- a/simulation/src/main/java/milletyoke/simulation/policy/BaselineScheduler.java
+++ b/simulation/src/main/java/milletyoke/simulation/policy/BaselineScheduler.java
@@ -15,15 +15,17 @@
 import milletyoke.scheduler.api.SchedulerSettings.Idempotency;
 
 /**
- * A textbook policy with no memory of targets: a fixed number of attempts in flight at each,
- * volumes in turn, one retry where it is safe. It answers in time, executes no request twice that
- * must not be, and keeps even parts of rate limits; it ignores warm-up, key order and the retry
- * budget.
+ * A simple baseline that keeps no health or load state of targets: a fixed limit of attempts in
+ * flight at each target, round-robin between volumes, and one retry if it is safe. Requests get
+ * their responses by their deadlines, non-idempotent requests are never executed twice, and each
+ * initiator enforces an equal share of every rate limit. Warm-up, key order and the retry budget
+ * are ignored.
  */
 final class BaselineScheduler implements Scheduler {
-    /** How long before a request's deadline its final answer leaves. */
+    /** How long before a request's deadline its final response is sent, at the latest. */
     private static final long ANSWER_LEAD_MICROS = 10_000;
 
+    /** Interval of wake-ups while requests are queued. */
     private static final long CHECK_MICROS = 5_000;
 
     private static final class PendingRequest {
@@ -32,13 +34,13 @@
         String target;
         int attempts;
 
-        PendingRequest(Event.RequestReceived access, long until) {
-            this.received = access;
-            this.deadlineAt = until;
+        PendingRequest(Event.RequestReceived received, long deadlineAt) {
+            this.received = received;
+            this.deadlineAt = deadlineAt;
         }
     }
 
-    /** The target of one shard, the requests queued for it, and the attempts in flight there. */
+    /** The target of one shard, the requests queued for it and its number of attempts in flight. */
     private static final class TargetQueue {
         String target;
         int inFlight;
@@ -63,16 +65,16 @@
     private int queued;
     private boolean hasWakeUp;
 
-    BaselineScheduler(int window) {
-        this.concurrencyLimit = window;
+    BaselineScheduler(int concurrencyLimit) {
+        this.concurrencyLimit = concurrencyLimit;
     }
 
     @Override
     public List<Action> decide(long time, List<Event> events) {
         now = time;
         actions = new ArrayList<>();
-        events.forEach(this::handle);
-        queuesByShard.values().forEach(this::serve);
+        events.forEach(this::handleEvent);
+        queuesByShard.values().forEach(this::sendQueued);
         if (queued > 0 && !hasWakeUp) {
             hasWakeUp = true;
             actions.add(new Action.ScheduleWakeUp(CHECK_MICROS));
@@ -80,60 +82,63 @@
         return actions;
     }
 
-    private void handle(Event event) {
-        if (event instanceof Event.Started e) {
-            settings = e.settings();
-            random = new SplittableRandom(e.seed());
+    private void handleEvent(Event event) {
+        if (event instanceof Event.Started started) {
+            settings = started.settings();
+            random = new SplittableRandom(started.seed());
             if (settings.mustWatchEndpoints()) {
                 actions.add(new Action.WatchEndpoints());
             }
-        } else if (event instanceof Event.SettingsChanged e) {
-            settings = e.settings();
-        } else if (event instanceof Event.EndpointListReceived e) {
-            applyEndpointList(e);
-        } else if (event instanceof Event.RequestReceived e) {
-            admit(e);
-        } else if (event instanceof Event.AttemptEnded e) {
-            completeAttempt(e);
-        } else if (event instanceof Event.RequestClosed e) {
-            PendingRequest request = pending.remove(e.id());
+        } else if (event instanceof Event.SettingsChanged changed) {
+            settings = changed.settings();
+        } else if (event instanceof Event.EndpointListReceived list) {
+            applyEndpointList(list);
+        } else if (event instanceof Event.RequestReceived received) {
+            admit(received);
+        } else if (event instanceof Event.AttemptEnded ended) {
+            completeAttempt(ended);
+        } else if (event instanceof Event.RequestClosed closed) {
+            PendingRequest request = pending.remove(closed.id());
             if (request != null && request.target == null) {
                 queued--;
             }
         } else if (event instanceof Event.WakeUp) {
             hasWakeUp = false;
-            queuesByShard.values().forEach(this::rejectLate);
+            queuesByShard.values().forEach(this::rejectLateRequests);
         }
     }
 
-    private void applyEndpointList(Event.EndpointListReceived e) {
-        if (e.scope() == Event.ListScope.UNAVAILABLE) {
+    private void applyEndpointList(Event.EndpointListReceived list) {
+        if (list.scope() == Event.ListScope.UNAVAILABLE) {
             return;
         }
-        if (e.scope() != Event.ListScope.UPDATE) {
+        if (list.scope() != Event.ListScope.UPDATE) {
             queuesByShard.values().forEach(queue -> queue.target = null);
         }
-        for (Event.Target t : e.targets()) {
-            TargetQueue queue = queuesByShard.computeIfAbsent(t.shard(), s -> new TargetQueue());
-            shardOfTarget.put(t.id(), t.shard());
-            if (t.health() == Event.Health.ACTIVE) {
-                queue.target = t.id();
-            } else if (t.id().equals(queue.target)) {
+        for (Event.Target target : list.targets()) {
+            TargetQueue queue =
+                    queuesByShard.computeIfAbsent(target.shard(), s -> new TargetQueue());
+            shardOfTarget.put(target.id(), target.shard());
+            if (target.health() == Event.Health.ACTIVE) {
+                queue.target = target.id();
+            } else if (target.id().equals(queue.target)) {
                 queue.target = null;
             }
         }
     }
 
-    private void admit(Event.RequestReceived e) {
+    private void admit(Event.RequestReceived received) {
         int shard =
-                e.shard() >= 0 || queuesByShard.isEmpty()
-                        ? e.shard()
+                received.shard() >= 0 || queuesByShard.isEmpty()
+                        ? received.shard()
                         : new ArrayList<>(queuesByShard.keySet())
                                 .get(random.nextInt(queuesByShard.size()));
         PendingRequest request =
-                new PendingRequest(e, now + e.timeLeftMicros() - ANSWER_LEAD_MICROS);
-        pending.put(e.id(), request);
-        if (request.deadlineAt <= now || !queuesByShard.containsKey(shard) || !takeTokens(e)) {
+                new PendingRequest(received, now + received.timeLeftMicros() - ANSWER_LEAD_MICROS);
+        pending.put(received.id(), request);
+        if (request.deadlineAt <= now
+                || !queuesByShard.containsKey(shard)
+                || !takeTokens(received)) {
             reject(request);
             return;
         }
@@ -141,39 +146,40 @@
         queuesByShard
                 .get(shard)
                 .queuedByVolume
-                .computeIfAbsent(e.volume(), v -> new ArrayDeque<>())
+                .computeIfAbsent(received.volume(), v -> new ArrayDeque<>())
                 .add(request);
     }
 
-    /** Whether this initiator's even part of the volume's rate limit covers the request. */
-    private boolean takeTokens(Event.RequestReceived e) {
+    /** Takes the request's units from this initiator's share of its volume's rate limit. */
+    private boolean takeTokens(Event.RequestReceived received) {
         SchedulerSettings.ServicePlan plan =
                 settings.plans().stream()
-                        .filter(p -> p.name().equals(e.plan()))
+                        .filter(p -> p.name().equals(received.plan()))
                         .findFirst()
                         .orElseThrow();
         if (plan.limitRate() <= 0) {
             return true;
         }
-        TokenBucket bucket = limitBuckets.computeIfAbsent(e.volume(), v -> new TokenBucket());
-        double depth = plan.limitBurst() / e.initiatorCount();
+        TokenBucket bucket =
+                limitBuckets.computeIfAbsent(received.volume(), v -> new TokenBucket());
+        double depth = plan.limitBurst() / received.initiatorCount();
         bucket.units =
                 Math.min(
                         depth,
                         bucket.units
                                 + plan.limitRate()
-                                        / e.initiatorCount()
+                                        / received.initiatorCount()
                                         * (now - bucket.filledAt)
                                         / 1e6);
         bucket.filledAt = now;
-        if (bucket.units < e.units()) {
+        if (bucket.units < received.units()) {
             return false;
         }
-        bucket.units -= e.units();
+        bucket.units -= received.units();
         return true;
     }
 
-    private void serve(TargetQueue queue) {
+    private void sendQueued(TargetQueue queue) {
         while (queue.target != null
                 && queue.inFlight < concurrencyLimit
                 && !queue.queuedByVolume.isEmpty()) {
@@ -185,7 +191,7 @@
         }
     }
 
-    /** Takes the next request of the first volume, which then goes behind the others. */
+    /** Takes a request of the first volume and moves that volume behind the others. */
     private static PendingRequest pollNextVolume(
             Map<String, ArrayDeque<PendingRequest>> queuedByVolume) {
         Iterator<Map.Entry<String, ArrayDeque<PendingRequest>>> volumes =
@@ -207,47 +213,47 @@
                 new Action.SendAttempt(request.received.id(), request.deadlineAt, queue.target));
     }
 
-    private void completeAttempt(Event.AttemptEnded e) {
-        PendingRequest request = pending.get(e.id());
+    private void completeAttempt(Event.AttemptEnded ended) {
+        PendingRequest request = pending.get(ended.id());
         if (request == null) {
             return;
         }
         TargetQueue queue = queuesByShard.get(shardOfTarget.get(request.target));
         queue.inFlight--;
-        if (e.answered() || e.outcome() == Outcome.SUCCEEDED) {
-            pending.remove(e.id());
+        if (ended.answered() || ended.outcome() == Outcome.SUCCEEDED) {
+            pending.remove(ended.id());
             return;
         }
-        boolean neverRan =
-                e.outcome() == Outcome.OVERLOADED
-                        || e.outcome() == Outcome.NOT_STARTED
-                        || e.outcome() == Outcome.NO_CONNECTION;
-        Idempotency repeats =
+        boolean wasNotExecuted =
+                ended.outcome() == Outcome.OVERLOADED
+                        || ended.outcome() == Outcome.NOT_STARTED
+                        || ended.outcome() == Outcome.NO_CONNECTION;
+        Idempotency idempotency =
                 settings.requestClasses().stream()
                         .filter(c -> c.name().equals(request.received.requestClass()))
                         .findFirst()
                         .orElseThrow()
                         .idempotency();
-        boolean may = neverRan || repeats == Idempotency.IDEMPOTENT;
-        if (may
+        boolean canRetry = wasNotExecuted || idempotency == Idempotency.IDEMPOTENT;
+        if (canRetry
                 && request.attempts < Math.min(2, settings.capabilities().maxAttempts())
                 && now < request.deadlineAt
                 && queue.target != null) {
             send(queue, request);
-        } else if (may) {
+        } else if (canRetry) {
             reject(request);
         } else {
-            pending.remove(e.id());
-            actions.add(new Action.Fail(e.id()));
+            pending.remove(ended.id());
+            actions.add(new Action.Fail(ended.id()));
         }
     }
 
-    private void rejectLate(TargetQueue queue) {
+    private void rejectLateRequests(TargetQueue queue) {
         queue.queuedByVolume.values().forEach(requests -> requests.removeIf(this::rejectIfLate));
         queue.queuedByVolume.values().removeIf(ArrayDeque::isEmpty);
     }
 
-    /** Whether the request is to leave its queue: it is late, or was closed before. */
+    /** Rejects a pending request that is late. Returns whether the request must leave its queue. */
     private boolean rejectIfLate(PendingRequest request) {
         boolean isLate = now + CHECK_MICROS >= request.deadlineAt;
         boolean isPending = pending.get(request.received.id()) == request;
--- a/simulation/src/main/java/milletyoke/simulation/policy/SchedulerChoice.java
+++ b/simulation/src/main/java/milletyoke/simulation/policy/SchedulerChoice.java
@@ -3,23 +3,25 @@
 import java.util.function.Supplier;
 import milletyoke.scheduler.api.Scheduler;
 
-/** Which scheduler a simulation runs: the product's own, or a baseline to compare it with. */
+/** The scheduler that a simulation runs: the production scheduler or a baseline for comparison. */
 public enum SchedulerChoice {
-    /** The product's own. */
+    /** The production scheduler. */
     MILLETYOKE(null),
-    /** Sends everything at once, within an even part of each limit. */
+    /** Sends every request immediately, within an equal share of each rate limit. */
     AT_ONCE(() -> new BaselineScheduler(Integer.MAX_VALUE)),
-    /** A fixed number in flight at each target; volumes take turns (Nagle, RFC 970). */
+    /**
+     * Limits the attempts in flight at each target and serves volumes round-robin (Nagle, RFC 970).
+     */
     FAIR_ROUNDS(() -> new BaselineScheduler(4));
 
-    private final Supplier<Scheduler> made;
+    private final Supplier<Scheduler> factory;
 
-    SchedulerChoice(Supplier<Scheduler> made) {
-        this.made = made;
+    SchedulerChoice(Supplier<Scheduler> factory) {
+        this.factory = factory;
     }
 
-    /** A factory of schedulers; null for the product's own. */
-    public Supplier<Scheduler> decisions() {
-        return made;
+    /** Returns a factory of schedulers, or null for the production scheduler. */
+    public Supplier<Scheduler> schedulerFactory() {
+        return factory;
     }
 }
--- a/simulation/src/main/java/milletyoke/simulation/policy/SchedulerVariant.java
+++ b/simulation/src/main/java/milletyoke/simulation/policy/SchedulerVariant.java
@@ -9,14 +9,17 @@
 import milletyoke.scheduler.SchedulerTuning;
 import milletyoke.scheduler.api.Scheduler;
 
-/** The product's scheduler with other tuning figures, for experiments alone. */
+/** The production scheduler with other tuning parameters, for experiments only. */
 public final class SchedulerVariant {
     private static final Pattern ASSIGNMENT =
             Pattern.compile("\\s*([A-Z_]+)\\s*=\\s*([-0-9._/ ]+?)\\s*");
     private static final Pattern NUMBER = Pattern.compile("-?[0-9][0-9_]*(\\.[0-9]*)?|-?\\.[0-9]+");
 
-    /** The names of figures in experiment files; they are kept although the fields' differ. */
-    private enum Figure {
+    /**
+     * Parameter names as experiment files write them. They stay stable although the fields of
+     * {@link SchedulerTuning} have other names.
+     */
+    private enum Parameter {
         BASE_BATCH,
         LOTS,
         FIRST_WINDOW,
@@ -38,16 +41,16 @@
         COLD_QUEUE
     }
 
-    private final Map<Figure, Double> figures = new EnumMap<>(Figure.class);
+    private final Map<Parameter, Double> values = new EnumMap<>(Parameter.class);
 
     private SchedulerVariant() {}
 
     /**
-     * A factory of schedulers with these figures.
+     * Returns a factory of schedulers with the given parameters.
      *
-     * @param assignments as {@code MARGIN_STEPS = 0.5; LATE_PART = 1.0 / 3}; what is not named
-     *     keeps its default
-     * @throws VariantFormatException that names the figure that is unknown or malformed
+     * @param assignments for example {@code MARGIN_STEPS = 0.5; LATE_PART = 1.0 / 3}; parameters
+     *     not assigned keep their defaults
+     * @throws VariantFormatException if a parameter is unknown or its value is invalid
      */
     public static Supplier<Scheduler> of(String assignments) throws VariantFormatException {
         SchedulerTuning tuning = parse(assignments);
@@ -55,10 +58,10 @@
     }
 
     /**
-     * The tuning with these figures.
+     * Returns the tuning with the given parameters.
      *
      * @param assignments as in {@link #of}
-     * @throws VariantFormatException that names the figure that is unknown or malformed
+     * @throws VariantFormatException if a parameter is unknown or its value is invalid
      */
     public static SchedulerTuning parse(String assignments) throws VariantFormatException {
         SchedulerVariant variant = new SchedulerVariant();
@@ -72,78 +75,81 @@
         Matcher matcher = ASSIGNMENT.matcher(assignment);
         if (!matcher.matches()) {
             throw new VariantFormatException(
-                    "a variant is written as NAME = figure; ..., not \""
+                    "expected a variant of the form NAME = value; ..., got \""
                             + assignment.strip()
                             + "\"");
         }
-        figures.put(figure(matcher.group(1)), quotient(matcher.group(1), matcher.group(2)));
+        values.put(
+                parseParameter(matcher.group(1)),
+                parseQuotient(matcher.group(1), matcher.group(2)));
     }
 
-    private static Figure figure(String name) throws VariantFormatException {
-        for (Figure figure : Figure.values()) {
-            if (figure.name().equals(name)) {
-                return figure;
+    private static Parameter parseParameter(String name) throws VariantFormatException {
+        for (Parameter parameter : Parameter.values()) {
+            if (parameter.name().equals(name)) {
+                return parameter;
             }
         }
-        throw new VariantFormatException("the scheduler has no figure " + name);
+        throw new VariantFormatException("unknown tuning parameter " + name);
     }
 
-    /** A number, or several with division signs between them. */
-    private static double quotient(String name, String text) throws VariantFormatException {
+    /** Evaluates a number or a quotient such as {@code 1.0 / 3}. */
+    private static double parseQuotient(String name, String text) throws VariantFormatException {
         String[] parts = text.split("/", -1);
-        double value = number(name, parts[0]);
+        double value = parseNumber(name, parts[0]);
         for (int i = 1; i < parts.length; i++) {
-            value /= number(name, parts[i]);
+            value /= parseNumber(name, parts[i]);
         }
         if (!Double.isFinite(value)) {
-            throw new VariantFormatException(name + " is no finite number: " + text);
+            throw new VariantFormatException(name + " is not a finite number: " + text);
         }
         return value;
     }
 
-    private static double number(String name, String text) throws VariantFormatException {
+    private static double parseNumber(String name, String text) throws VariantFormatException {
         String digits = text.strip();
         if (!NUMBER.matcher(digits).matches()) {
-            throw new VariantFormatException(name + " is no number: \"" + digits + "\"");
+            throw new VariantFormatException(name + " is not a number: \"" + digits + "\"");
         }
         return Double.parseDouble(digits.replace("_", ""));
     }
 
-    private double decimal(Figure figure, double usual) {
-        return figures.getOrDefault(figure, usual);
+    private double doubleValue(Parameter parameter, double defaultValue) {
+        return values.getOrDefault(parameter, defaultValue);
     }
 
-    private long whole(Figure figure, long usual) throws VariantFormatException {
-        Double value = figures.get(figure);
+    private long longValue(Parameter parameter, long defaultValue) throws VariantFormatException {
+        Double value = values.get(parameter);
         if (value == null) {
-            return usual;
+            return defaultValue;
         }
         if (value != Math.rint(value) || Math.abs(value) > Integer.MAX_VALUE) {
-            throw new VariantFormatException(figure + " is no whole number: " + value);
+            throw new VariantFormatException(
+                    parameter + " is not an integer within int range: " + value);
         }
         return value.longValue();
     }
 
-    private SchedulerTuning tuning(SchedulerTuning usual) throws VariantFormatException {
+    private SchedulerTuning tuning(SchedulerTuning defaults) throws VariantFormatException {
         return new SchedulerTuning(
-                (int) whole(Figure.BASE_BATCH, usual.baseBatchSize()),
-                (int) whole(Figure.LOTS, usual.placementDraws()),
-                decimal(Figure.FIRST_WINDOW, usual.initialConcurrencyLimit()),
-                decimal(Figure.WINDOW_CEILING, usual.maxConcurrencyLimit()),
-                decimal(Figure.MARGIN_STEPS, usual.marginSteps()),
-                decimal(Figure.LATE_PART, usual.lateFraction()),
-                decimal(Figure.SMOOTHING, usual.smoothing()),
-                decimal(Figure.PATIENCE, usual.patienceFactor()),
-                decimal(Figure.SUSPECT, usual.suspectLateShare()),
-                decimal(Figure.JOIN_OWED, usual.joinFractionBelowReservation()),
-                decimal(Figure.JOIN_OTHERS, usual.joinFractionOthers()),
-                decimal(Figure.LEAST_FURTHER, usual.minRetryProbability()),
-                whole(Figure.LONGEST_TRIAL, usual.maxBackoffObjectives()),
-                whole(Figure.LOOK_WAITING, usual.queuedCheckMicros()),
-                whole(Figure.LOOK_IDLE, usual.inFlightCheckMicros()),
-                whole(Figure.ANSWER_AHEAD, usual.answerLeadMicros()),
-                whole(Figure.FIRST_ASK, usual.initialWatchDelayMicros()),
-                decimal(Figure.SLACK_USED, usual.usedSlackFraction()),
-                decimal(Figure.COLD_QUEUE, usual.warmUpQueueFraction()));
+                (int) longValue(Parameter.BASE_BATCH, defaults.baseBatchSize()),
+                (int) longValue(Parameter.LOTS, defaults.placementDraws()),
+                doubleValue(Parameter.FIRST_WINDOW, defaults.initialConcurrencyLimit()),
+                doubleValue(Parameter.WINDOW_CEILING, defaults.maxConcurrencyLimit()),
+                doubleValue(Parameter.MARGIN_STEPS, defaults.marginSteps()),
+                doubleValue(Parameter.LATE_PART, defaults.lateFraction()),
+                doubleValue(Parameter.SMOOTHING, defaults.smoothing()),
+                doubleValue(Parameter.PATIENCE, defaults.patienceFactor()),
+                doubleValue(Parameter.SUSPECT, defaults.suspectLateShare()),
+                doubleValue(Parameter.JOIN_OWED, defaults.joinFractionBelowReservation()),
+                doubleValue(Parameter.JOIN_OTHERS, defaults.joinFractionOthers()),
+                doubleValue(Parameter.LEAST_FURTHER, defaults.minRetryProbability()),
+                longValue(Parameter.LONGEST_TRIAL, defaults.maxBackoffObjectives()),
+                longValue(Parameter.LOOK_WAITING, defaults.queuedCheckMicros()),
+                longValue(Parameter.LOOK_IDLE, defaults.inFlightCheckMicros()),
+                longValue(Parameter.ANSWER_AHEAD, defaults.answerLeadMicros()),
+                longValue(Parameter.FIRST_ASK, defaults.initialWatchDelayMicros()),
+                doubleValue(Parameter.SLACK_USED, defaults.usedSlackFraction()),
+                doubleValue(Parameter.COLD_QUEUE, defaults.warmUpQueueFraction()));
     }
 }
--- a/simulation/src/main/java/milletyoke/simulation/policy/package-info.java
+++ b/simulation/src/main/java/milletyoke/simulation/policy/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The schedulers that simulations compare: the product's own, with other tuning figures if asked
- * for, and baselines. Each scheduler is used by the one thread of its simulation.
+ * The schedulers that simulations compare: the production scheduler, optionally with other tuning
+ * parameters, and baselines. Each scheduler is used only by the thread of its simulation.
  */
 package milletyoke.simulation.policy;
--- a/simulation/src/main/java/milletyoke/simulation/report/Report.java
+++ b/simulation/src/main/java/milletyoke/simulation/report/Report.java
@@ -26,8 +26,8 @@
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
 /**
- * Tables, intervals, comparisons and plots of one set of results: files beside each other, and one
- * page that needs none.
+ * Formats the results of an experiment as text, plots and a self-contained HTML page, with
+ * confidence intervals and paired comparisons of the arms.
  */
 public final class Report {
     private final String name;
@@ -37,138 +37,146 @@
     private final List<String> values;
 
     /**
-     * @param axis what the values are
-     * @param first arms in this order before any others; the first of all is what the others are
-     *     compared with
+     * Creates a report.
+     *
+     * @param name title of the report
+     * @param axis description of the experiment's values
+     * @param firstArms arms listed before any others, in this order; the first arm of all is the
+     *     reference that the others are compared with
      */
-    public Report(String name, String axis, List<ResultRow> rows, List<String> first) {
+    public Report(String name, String axis, List<ResultRow> rows, List<String> firstArms) {
         this.name = name;
         this.axis = axis;
         this.rows = rows;
-        Set<String> a = new LinkedHashSet<>(first);
-        Set<String> v = new LinkedHashSet<>();
+        Set<String> distinctArms = new LinkedHashSet<>(firstArms);
+        Set<String> distinctValues = new LinkedHashSet<>();
         rows.forEach(
-                r -> {
-                    a.add(r.arm());
-                    v.add(r.value());
+                row -> {
+                    distinctArms.add(row.arm());
+                    distinctValues.add(row.value());
                 });
-        arms = List.copyOf(a);
+        arms = List.copyOf(distinctArms);
         values =
-                v.stream()
+                distinctValues.stream()
                         .sorted(
-                                (x, y) ->
-                                        isFigure(x) && isFigure(y)
+                                (first, second) ->
+                                        isNumber(first) && isNumber(second)
                                                 ? Double.compare(
-                                                        Double.parseDouble(x),
-                                                        Double.parseDouble(y))
-                                                : x.compareTo(y))
+                                                        Double.parseDouble(first),
+                                                        Double.parseDouble(second))
+                                                : first.compareTo(second))
                         .toList();
     }
 
-    private static boolean isFigure(String text) {
+    private static boolean isNumber(String text) {
         return text.matches("-?[0-9]+(\\.[0-9]+)?");
     }
 
-    private List<Double> figures(String arm, String value, ToDoubleFunction<ResultRow> of) {
+    private List<Double> samples(String arm, String value, ToDoubleFunction<ResultRow> metric) {
         return rows.stream()
-                .filter(r -> r.arm().equals(arm) && r.value().equals(value))
-                .map(of::applyAsDouble)
+                .filter(row -> row.arm().equals(arm) && row.value().equals(value))
+                .map(metric::applyAsDouble)
                 .toList();
     }
 
-    /** Seeds that both arms played, so that they stand in pairs. */
+    /** Compares two arms on the seeds that both have; null for fewer than two such seeds. */
     private Paired compare(String first, String second, String value) {
-        Map<Integer, Double> a = new LinkedHashMap<>();
+        Map<Integer, Double> firstBySeed = new LinkedHashMap<>();
         rows.stream()
-                .filter(r -> r.arm().equals(first) && r.value().equals(value))
-                .forEach(r -> a.put(r.seed(), r.service()));
-        List<Double> one = new ArrayList<>();
-        List<Double> other = new ArrayList<>();
+                .filter(row -> row.arm().equals(first) && row.value().equals(value))
+                .forEach(row -> firstBySeed.put(row.seed(), row.service()));
+        List<Double> firstSamples = new ArrayList<>();
+        List<Double> secondSamples = new ArrayList<>();
         rows.stream()
                 .filter(
-                        r ->
-                                r.arm().equals(second)
-                                        && r.value().equals(value)
-                                        && a.containsKey(r.seed()))
+                        row ->
+                                row.arm().equals(second)
+                                        && row.value().equals(value)
+                                        && firstBySeed.containsKey(row.seed()))
                 .forEach(
-                        r -> {
-                            one.add(a.get(r.seed()));
-                            other.add(r.service());
+                        row -> {
+                            firstSamples.add(firstBySeed.get(row.seed()));
+                            secondSamples.add(row.service());
                         });
-        return one.size() < 2 ? null : Statistics.paired(one, other);
+        return firstSamples.size() < 2 ? null : Statistics.paired(firstSamples, secondSamples);
     }
 
-    /** Means with their intervals, and every arm against the first. */
+    /** Returns means with their intervals, and comparisons with the first arm, as text. */
     public String text() {
         StringBuilder text = new StringBuilder(name + "\n");
         for (String value : values) {
             text.append(value.isEmpty() ? "" : axis + " " + value + "\n");
             for (String arm : arms) {
-                List<Double> service = figures(arm, value, ResultRow::service);
-                if (service.isEmpty()) {
+                List<Double> serviceLevels = samples(arm, value, ResultRow::service);
+                if (serviceLevels.isEmpty()) {
                     continue;
                 }
                 text.append(
                         String.format(
                                 "  %-24s service %s  evenness %.3f  p99 %.1f ms  passed %.0f%s  %d plays",
                                 arm,
-                                Statistics.mean(service).text(),
-                                Statistics.mean(figures(arm, value, ResultRow::evenness)).mean(),
-                                Statistics.mean(figures(arm, value, ResultRow::p99)).mean(),
+                                Statistics.mean(serviceLevels).text(),
+                                Statistics.mean(samples(arm, value, ResultRow::evenness)).mean(),
+                                Statistics.mean(samples(arm, value, ResultRow::p99)).mean(),
                                 Statistics.mean(
-                                                figures(
+                                                samples(
                                                         arm,
                                                         value,
-                                                        r ->
-                                                                r.plans().values().stream()
-                                                                        .mapToLong(n -> n)
+                                                        row ->
+                                                                row.plans().values().stream()
+                                                                        .mapToLong(count -> count)
                                                                         .sum()))
                                         .mean(),
-                                ratio(arm, value),
-                                service.size()));
-                Paired p = arm.equals(arms.get(0)) ? null : compare(arms.get(0), arm, value);
+                                planRatio(arm, value),
+                                serviceLevels.size()));
+                Paired paired = arm.equals(arms.get(0)) ? null : compare(arms.get(0), arm, value);
                 text.append(
-                                p == null
+                                paired == null
                                         ? ""
                                         : String.format(
                                                 "  against %s %s, by chance %.2g",
-                                                arms.get(0), p.difference().text(), p.chance()))
+                                                arms.get(0),
+                                                paired.difference().text(),
+                                                paired.pValue()))
                         .append('\n');
             }
         }
         return text.toString();
     }
 
-    /** What two plans got, as the paper tells it; empty where there are not two. */
-    private String ratio(String arm, String value) {
-        if (!rows.stream().allMatch(r -> r.plans().size() == 2)) {
+    /** Formats the ratio of requests in time if there are exactly two plans; empty otherwise. */
+    private String planRatio(String arm, String value) {
+        if (!rows.stream().allMatch(row -> row.plans().size() == 2)) {
             return "";
         }
-        List<String> two = List.copyOf(rows.get(0).plans().keySet());
+        List<String> plans = List.copyOf(rows.get(0).plans().keySet());
         return "  ratio "
                 + Statistics.mean(
-                                figures(
+                                samples(
                                         arm,
                                         value,
-                                        r ->
-                                                r.plans().get(two.get(0))
+                                        row ->
+                                                row.plans().get(plans.get(0))
                                                         / (double)
                                                                 Math.max(
                                                                         1,
-                                                                        r.plans().get(two.get(1)))))
+                                                                        row.plans()
+                                                                                .get(
+                                                                                        plans.get(
+                                                                                                1)))))
                         .text();
     }
 
     // ---- Plots ----
 
-    private XYChart chart(String title, String x, String y) {
+    private XYChart chart(String title, String xTitle, String yTitle) {
         XYChart chart =
                 new XYChartBuilder()
                         .width(760)
                         .height(380)
                         .title(title)
-                        .xAxisTitle(x)
-                        .yAxisTitle(y)
+                        .xAxisTitle(xTitle)
+                        .yAxisTitle(yTitle)
                         .build();
         chart.getStyler()
                 .setLegendPosition(Styler.LegendPosition.OutsideE)
@@ -177,145 +185,152 @@
         return chart;
     }
 
-    /** Service up to each second, the mean over seeds, for the first value. */
-    private XYChart overTime() {
-        XYChart chart = chart("Service so far", "seconds", "importance in time over asked");
+    /** Plots the service level up to each second: mean over all seeds, for the first value. */
+    private XYChart plotServiceLevelBySecond() {
+        XYChart chart = chart("Cumulative service level", "seconds", "importance in time / total");
         for (String arm : arms) {
-            List<ResultRow> of =
+            List<ResultRow> armRows =
                     rows.stream()
-                            .filter(r -> r.arm().equals(arm) && r.value().equals(values.get(0)))
+                            .filter(
+                                    row ->
+                                            row.arm().equals(arm)
+                                                    && row.value().equals(values.get(0)))
                             .toList();
-            int seconds = of.stream().mapToInt(r -> r.seconds().size()).min().orElse(0);
+            int seconds = armRows.stream().mapToInt(row -> row.seconds().size()).min().orElse(0);
             if (seconds > 0) {
-                double[] x = new double[seconds];
-                double[] y = new double[seconds];
-                for (int s = 0; s < seconds; s++) {
-                    int second = s;
-                    x[s] = s + 1;
-                    y[s] =
-                            of.stream()
-                                    .mapToDouble(r -> r.seconds().get(second))
+                double[] xValues = new double[seconds];
+                double[] yValues = new double[seconds];
+                for (int i = 0; i < seconds; i++) {
+                    int second = i;
+                    xValues[i] = i + 1;
+                    yValues[i] =
+                            armRows.stream()
+                                    .mapToDouble(row -> row.seconds().get(second))
                                     .average()
                                     .orElse(0);
                 }
-                chart.addSeries(arm, x, y).setMarker(SeriesMarkers.NONE);
+                chart.addSeries(arm, xValues, yValues).setMarker(SeriesMarkers.NONE);
             }
         }
         return chart;
     }
 
     /**
-     * A figure over the values, with the interval of its mean; values that are no figures stand at
-     * 1, 2, 3.
+     * Plots the mean of a metric, with its interval, over the experiment's values. Values that are
+     * not numbers are placed at 1, 2, 3 and so on.
      */
-    private XYChart over(String title, String y, ToDoubleFunction<ResultRow> of) {
-        XYChart chart = chart(title, axis, y);
+    private XYChart plotByValue(String title, String yTitle, ToDoubleFunction<ResultRow> metric) {
+        XYChart chart = chart(title, axis, yTitle);
         for (String arm : arms) {
-            List<Double> at = new ArrayList<>();
+            List<Double> positions = new ArrayList<>();
             List<Double> means = new ArrayList<>();
-            List<Double> halves = new ArrayList<>();
-            for (int v = 0; v < values.size(); v++) {
-                List<Double> figures = figures(arm, values.get(v), of);
-                if (!figures.isEmpty()) {
-                    Mean mean = Statistics.mean(figures);
-                    at.add(isFigure(values.get(v)) ? Double.parseDouble(values.get(v)) : v + 1.0);
+            List<Double> halfWidths = new ArrayList<>();
+            for (int i = 0; i < values.size(); i++) {
+                List<Double> samples = samples(arm, values.get(i), metric);
+                if (!samples.isEmpty()) {
+                    Mean mean = Statistics.mean(samples);
+                    positions.add(
+                            isNumber(values.get(i)) ? Double.parseDouble(values.get(i)) : i + 1.0);
                     means.add(mean.mean());
-                    halves.add(mean.half());
+                    halfWidths.add(mean.halfWidth());
                 }
             }
-            if (!at.isEmpty()) {
-                chart.addSeries(arm, at, means, halves);
+            if (!positions.isEmpty()) {
+                chart.addSeries(arm, positions, means, halfWidths);
             }
         }
         return chart;
     }
 
     private Map<String, XYChart> charts() {
-        Map<String, XYChart> all = new LinkedHashMap<>();
-        all.put("service-over-time", overTime());
-        all.put("service", over("Service", "service", ResultRow::service));
-        all.put("p99", over("Answer times, 99th percentile", "ms", ResultRow::p99));
-        all.put("p50", over("Answer times, median", "ms", ResultRow::p50));
-        if (rows.stream().anyMatch(r -> r.coldUsed() > 0)) {
-            all.put(
+        Map<String, XYChart> charts = new LinkedHashMap<>();
+        charts.put("service-over-time", plotServiceLevelBySecond());
+        charts.put("service", plotByValue("Service", "service", ResultRow::service));
+        charts.put("p99", plotByValue("Latency, 99th percentile", "ms", ResultRow::p99));
+        charts.put("p50", plotByValue("Latency, median", "ms", ResultRow::p50));
+        if (rows.stream().anyMatch(row -> row.coldUsed() > 0)) {
+            charts.put(
                     "cold",
-                    over(
-                            "Most that a cold target was sent",
-                            "part of what it bears",
+                    plotByValue(
+                            "Largest warm-up load of a target",
+                            "fraction of its warm-up capacity",
                             ResultRow::coldUsed));
         }
-        all.put("evenness", over("Evenness between volumes", "Jain's index", ResultRow::evenness));
-        all.put(
+        charts.put(
+                "evenness",
+                plotByValue("Fairness between volumes", "Jain's index", ResultRow::evenness));
+        charts.put(
                 "passed",
-                over(
-                        "Answered in time",
-                        "accesses",
-                        r -> r.plans().values().stream().mapToLong(n -> n).sum()));
-        if (rows.stream().allMatch(r -> r.plans().size() == 2)) {
-            List<String> two = List.copyOf(rows.get(0).plans().keySet());
-            all.put(
+                plotByValue(
+                        "Requests in time",
+                        "requests",
+                        row -> row.plans().values().stream().mapToLong(count -> count).sum()));
+        if (rows.stream().allMatch(row -> row.plans().size() == 2)) {
+            List<String> plans = List.copyOf(rows.get(0).plans().keySet());
+            charts.put(
                     "ratio",
-                    over(
-                            two.get(0) + " to " + two.get(1),
-                            "answered in time, ratio",
-                            r ->
-                                    r.plans().get(two.get(0))
-                                            / (double) Math.max(1, r.plans().get(two.get(1)))));
+                    plotByValue(
+                            plans.get(0) + " to " + plans.get(1),
+                            "requests in time, ratio",
+                            row ->
+                                    row.plans().get(plans.get(0))
+                                            / (double) Math.max(1, row.plans().get(plans.get(1)))));
         }
-        all.put(
+        charts.put(
                 "cost",
-                over(
-                        "What a play costs",
-                        "events of the lab a second of wall time",
-                        r -> r.events() * 1e6 / Math.max(1, r.wall())));
-        return all;
+                plotByValue(
+                        "Simulation speed",
+                        "events per second of wall-clock time",
+                        row -> row.events() * 1e6 / Math.max(1, row.wall())));
+        return charts;
     }
 
     /**
-     * Writes {@code index.html}, and each plot as SVG and PNG beside it.
+     * Writes the page as {@code index.html}, and each plot as an SVG and a PNG file.
      *
      * @return the page
+     * @throws IOException if a file cannot be written
      */
     public Path write(Path folder) throws IOException {
         Files.createDirectories(folder);
-        StringBuilder figures = new StringBuilder();
-        for (Map.Entry<String, XYChart> each : charts().entrySet()) {
-            if (each.getValue().getSeriesMap().isEmpty()) {
+        StringBuilder plots = new StringBuilder();
+        for (Map.Entry<String, XYChart> entry : charts().entrySet()) {
+            if (entry.getValue().getSeriesMap().isEmpty()) {
                 continue;
             }
             ByteArrayOutputStream svg = new ByteArrayOutputStream();
             VectorGraphicsEncoder.saveVectorGraphic(
-                    each.getValue(), svg, VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
-            String drawn = svg.toString(StandardCharsets.UTF_8);
-            Files.writeString(folder.resolve(each.getKey() + ".svg"), drawn);
+                    entry.getValue(), svg, VectorGraphicsEncoder.VectorGraphicsFormat.SVG);
+            String image = svg.toString(StandardCharsets.UTF_8);
+            Files.writeString(folder.resolve(entry.getKey() + ".svg"), image);
             BitmapEncoder.saveBitmap(
-                    each.getValue(),
-                    folder.resolve(each.getKey() + ".png").toString(),
+                    entry.getValue(),
+                    folder.resolve(entry.getKey() + ".png").toString(),
                     BitmapEncoder.BitmapFormat.PNG);
-            figures.append("<figure>")
-                    .append(drawn.substring(drawn.indexOf("<svg")))
+            plots.append("<figure>")
+                    .append(image.substring(image.indexOf("<svg")))
                     .append("</figure>\n");
         }
         Path page = folder.resolve("index.html");
-        Files.writeString(page, page(figures.toString()));
+        Files.writeString(page, page(plots.toString()));
         return page;
     }
 
-    private String page(String figures) {
-        Set<String> categories = new TreeSet<>();
-        rows.forEach(r -> categories.addAll(r.categories().keySet()));
+    private String page(String plots) {
+        Set<String> requestClasses = new TreeSet<>();
+        rows.forEach(row -> requestClasses.addAll(row.categories().keySet()));
         StringBuilder table =
                 new StringBuilder(
                         "<table><tr><th>arm<th>" + escaped(axis) + "<th>plays<th>service");
-        categories.forEach(c -> table.append("<th>").append(escaped(c)));
+        requestClasses.forEach(requestClass -> table.append("<th>").append(escaped(requestClass)));
         table.append("<th>p50 ms<th>p99 ms<th>evenness<th>against ")
                 .append(escaped(arms.get(0)))
                 .append("<th>by chance</tr>\n");
         for (String value : values) {
             for (String arm : arms) {
-                List<Double> service = figures(arm, value, ResultRow::service);
-                if (!service.isEmpty()) {
-                    table.append(row(arm, value, service, categories));
+                List<Double> serviceLevels = samples(arm, value, ResultRow::service);
+                if (!serviceLevels.isEmpty()) {
+                    table.append(tableRow(arm, value, serviceLevels, requestClasses));
                 }
             }
         }
@@ -330,45 +345,47 @@
                 %s</table>
                 %s</html>
                 """
-                .formatted(
-                        escaped(name), escaped(name), 100 * Statistics.CONFIDENCE, table, figures);
+                .formatted(escaped(name), escaped(name), 100 * Statistics.CONFIDENCE, table, plots);
     }
 
-    private String row(String arm, String value, List<Double> service, Set<String> categories) {
-        Paired p = arm.equals(arms.get(0)) ? null : compare(arms.get(0), arm, value);
+    private String tableRow(
+            String arm, String value, List<Double> serviceLevels, Set<String> requestClasses) {
+        Paired paired = arm.equals(arms.get(0)) ? null : compare(arms.get(0), arm, value);
         return "<tr><td>"
                 + escaped(arm)
                 + "<td>"
                 + escaped(value)
                 + "<td>"
-                + service.size()
+                + serviceLevels.size()
                 + "<td>"
-                + Statistics.mean(service).text()
-                + categories.stream()
+                + Statistics.mean(serviceLevels).text()
+                + requestClasses.stream()
                         .map(
-                                c ->
+                                requestClass ->
                                         String.format(
                                                 "<td>%.3f",
                                                 Statistics.mean(
-                                                                figures(
+                                                                samples(
                                                                         arm,
                                                                         value,
-                                                                        r ->
-                                                                                r.categories()
+                                                                        row ->
+                                                                                row.categories()
                                                                                         .getOrDefault(
-                                                                                                c,
+                                                                                                requestClass,
                                                                                                 Double
                                                                                                         .NaN)))
                                                         .mean()))
                         .collect(Collectors.joining())
                 + String.format(
                         "<td>%.1f<td>%.1f<td>%.3f",
-                        Statistics.mean(figures(arm, value, ResultRow::p50)).mean(),
-                        Statistics.mean(figures(arm, value, ResultRow::p99)).mean(),
-                        Statistics.mean(figures(arm, value, ResultRow::evenness)).mean())
-                + (p == null
+                        Statistics.mean(samples(arm, value, ResultRow::p50)).mean(),
+                        Statistics.mean(samples(arm, value, ResultRow::p99)).mean(),
+                        Statistics.mean(samples(arm, value, ResultRow::evenness)).mean())
+                + (paired == null
                         ? "<td><td>"
-                        : "<td>" + p.difference().text() + String.format("<td>%.2g", p.chance()))
+                        : "<td>"
+                                + paired.difference().text()
+                                + String.format("<td>%.2g", paired.pValue()))
                 + "</tr>\n";
     }
 
--- a/simulation/src/main/java/milletyoke/simulation/report/package-info.java
+++ b/simulation/src/main/java/milletyoke/simulation/report/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Reports on the results of an experiment, as text and as a page with plots. It starts no thread of
- * its own.
+ * Reports on the results of an experiment, as text and as an HTML page with plots. Reports start no
+ * threads of their own.
  */
 package milletyoke.simulation.report;
--- a/simulation/src/main/java/milletyoke/simulation/run/SimulationRun.java
+++ b/simulation/src/main/java/milletyoke/simulation/run/SimulationRun.java
@@ -11,24 +11,28 @@
 import milletyoke.simulation.environment.SimulatedEnvironment;
 import milletyoke.standins.ServiceLevelRecorder;
 
-/** Runs a scenario in virtual time, with the scenario runner's own daemons and stand-ins. */
+/** Runs a scenario in virtual time, with the initiators and stand-ins of {@link ScenarioRunner}. */
 public final class SimulationRun {
-    /** Keeps the draws of the network apart from those of the scenario, which has the same seed. */
+    /**
+     * Separates the network's random numbers from those of the scenario, which has the same seed.
+     */
     private static final long NETWORK_SEED_MASK = 0x6C6162L;
 
-    private static final long SEED_STEP_PER_TURN = 31;
+    private static final long SEED_STEP_PER_VARIATION = 31;
 
     private SimulationRun() {}
 
     /**
      * The result of one run.
      *
-     * @param serviceLevelBySecond service level up to the end of each second, in order of time
-     * @param unfinished attempts without a reply when all should have had one
-     * @param isClean every initiator that ran at the end shut down with no request pending
+     * @param serviceLevels service levels, latencies and request counts of the whole run
+     * @param serviceLevelBySecond service level from the start to the end of each second
+     * @param unfinished requests without a response after the last one should have ended
+     * @param isClean whether every initiator that was running at the end shut down with no request
+     *     pending
      * @param warmUpBudgetUsed the largest fraction of its warm-up capacity that any target was sent
      * @param digest a hash over every frame delivered and its time; equal for equal runs
-     * @param eventCount events that were executed
+     * @param eventCount number of events that were run
      * @param elapsedMicros wall-clock duration of the run, in microseconds
      */
     public record SimulationResult(
@@ -42,7 +46,7 @@
             long elapsedMicros) {}
 
     /**
-     * Runs a scenario with the product's own scheduler.
+     * Runs a scenario with the production scheduler.
      *
      * @param recording file that receives the recorded frames; null for none
      * @throws IOException if the run fails or its thread is interrupted
@@ -52,63 +56,77 @@
     }
 
     /**
-     * Runs a scenario with a scheduler of the caller's choice.
+     * Runs a scenario with a given scheduler.
      *
      * @param recording file that receives the recorded frames; null for none
-     * @param straight whether clients connect to the targets directly, for comparison
-     * @param instead creates the scheduler; null for the product's own
+     * @param bypassInitiators whether clients connect to the targets directly, for comparison
+     * @param schedulerFactory creates the schedulers; null for the production scheduler
      * @throws IOException if the run fails or its thread is interrupted
      */
     public static SimulationResult run(
-            Scenario scenario, Path recording, boolean straight, Supplier<Scheduler> instead)
+            Scenario scenario,
+            Path recording,
+            boolean bypassInitiators,
+            Supplier<Scheduler> schedulerFactory)
             throws IOException {
-        return run(scenario, recording, straight, instead, 0);
+        return run(scenario, recording, bypassInitiators, schedulerFactory, 0);
     }
 
     /**
-     * Runs a scenario with the network latencies of a given repetition.
+     * Runs a scenario with a given variation of the network latencies.
      *
      * @param recording file that receives the recorded frames; null for none
-     * @param straight whether clients connect to the targets directly, for comparison
-     * @param instead creates the scheduler; null for the product's own
-     * @param turn number of the repetition: another one changes the network's draws and leaves the
-     *     scenario's as they are
+     * @param bypassInitiators whether clients connect to the targets directly, for comparison
+     * @param schedulerFactory creates the schedulers; null for the production scheduler
+     * @param variation changes the network's random numbers and leaves the scenario's unchanged; 0
+     *     for those of the other overloads
      * @throws IOException if the run fails or its thread is interrupted
      */
     public static SimulationResult run(
             Scenario scenario,
             Path recording,
-            boolean straight,
-            Supplier<Scheduler> instead,
-            long turn)
+            boolean bypassInitiators,
+            Supplier<Scheduler> schedulerFactory,
+            long variation)
             throws IOException {
         long startNanos = System.nanoTime();
         Scenario.Network network = scenario.network();
-        SimulatedEnvironment.Physics physics =
-                new SimulatedEnvironment.Physics(
+        SimulatedEnvironment.Timing timing =
+                new SimulatedEnvironment.Timing(
                         network.latencyMicros()[0],
                         network.latencyMicros()[1],
                         network.loopTurnMicros());
         SimulatedEnvironment environment =
                 new SimulatedEnvironment(
-                        (scenario.seed() ^ NETWORK_SEED_MASK) + SEED_STEP_PER_TURN * turn, physics);
+                        (scenario.seed() ^ NETWORK_SEED_MASK) + SEED_STEP_PER_VARIATION * variation,
+                        timing);
         try (ScenarioRunner runner =
-                new ScenarioRunner(scenario, recording, straight, null, environment, instead)) {
-            List<Double> seconds = new ArrayList<>();
+                new ScenarioRunner(
+                        scenario,
+                        recording,
+                        bypassInitiators,
+                        null,
+                        environment,
+                        schedulerFactory)) {
+            List<Double> serviceLevelBySecond = new ArrayList<>();
             ScenarioRunner.ScenarioResult result =
-                    runner.run(service -> seconds.add(service.overallServiceLevel()), () -> {});
+                    runner.run(
+                            serviceLevels ->
+                                    serviceLevelBySecond.add(serviceLevels.overallServiceLevel()),
+                            () -> {});
             return new SimulationResult(
                     result.serviceLevels(),
-                    seconds,
+                    serviceLevelBySecond,
                     result.unfinished(),
                     result.isShutdownClean(),
                     result.warmUpBudgetUsed(),
                     environment.digest(),
                     environment.eventCount(),
                     (System.nanoTime() - startNanos) / 1000);
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted while " + scenario.name() + " was played", stopped);
+            throw new IOException(
+                    "interrupted while scenario " + scenario.name() + " was simulated", e);
         }
     }
 }
--- a/simulation/src/main/java/milletyoke/simulation/run/package-info.java
+++ b/simulation/src/main/java/milletyoke/simulation/run/package-info.java
@@ -1,5 +1,4 @@
 /**
- * Runs one scenario in virtual time and collects its result. A run uses only the thread that calls
- * it.
+ * Runs one scenario in virtual time and collects its result. A run uses only the calling thread.
  */
 package milletyoke.simulation.run;
--- a/simulation/src/test/java/milletyoke/simulation/ExperimentTest.java
+++ b/simulation/src/test/java/milletyoke/simulation/ExperimentTest.java
@@ -142,12 +142,12 @@
     void intervalsAndPairsAgreeWithTheTables() {
         Statistics.Mean mean = Statistics.mean(List.of(1.0, 2.0, 3.0, 4.0, 5.0));
         assertEquals(3, mean.mean(), 1e-12);
-        assertEquals(2.776 * Math.sqrt(2.5 / 5), mean.half(), 1e-3);
+        assertEquals(2.776 * Math.sqrt(2.5 / 5), mean.halfWidth(), 1e-3);
         Statistics.Paired p =
                 Statistics.paired(List.of(1.0, 2.0, 3.0, 4.0), List.of(1.1, 2.3, 3.2, 4.4));
         assertEquals(0.25, p.difference().mean(), 1e-12);
-        assertEquals(0.0305, p.chance(), 5e-4); // t = 3.873 with 3 degrees
-        assertEquals(1, Statistics.paired(List.of(1.0, 2.0), List.of(1.0, 2.0)).chance());
+        assertEquals(0.0305, p.pValue(), 5e-4); // t = 3.873 with 3 degrees
+        assertEquals(1, Statistics.paired(List.of(1.0, 2.0), List.of(1.0, 2.0)).pValue());
         assertThrows(
                 IllegalArgumentException.class,
                 () -> Statistics.paired(List.of(1.0), List.of(1.0)));
--- a/simulation/src/test/java/milletyoke/simulation/SimulationTest.java
+++ b/simulation/src/test/java/milletyoke/simulation/SimulationTest.java
@@ -157,7 +157,7 @@
                 List.of(SchedulerChoice.AT_ONCE, SchedulerChoice.FAIR_ROUNDS)) {
             Path recording = folder.resolve("recording");
             SimulationRun.SimulationResult result =
-                    SimulationRun.run(scenario, recording, false, scheduler.decisions());
+                    SimulationRun.run(scenario, recording, false, scheduler.schedulerFactory());
             Audit.Report report = Audit.audit(recording);
             for (int rule : new int[] {1, 2, 7}) {
                 assertEquals(
@@ -266,7 +266,7 @@
                         ScenarioParser.read("d", "d", text),
                         null,
                         false,
-                        SchedulerChoice.AT_ONCE.decisions())
+                        SchedulerChoice.AT_ONCE.schedulerFactory())
                 .serviceLevels()
                 .overallServiceLevel();
     }
@@ -285,7 +285,7 @@
                         null,
                         false,
                         null,
-                        new SimulatedEnvironment(3, SimulatedEnvironment.Physics.LOOPBACK),
+                        new SimulatedEnvironment(3, SimulatedEnvironment.Timing.LOOPBACK),
                         null)) {
             runner.capture(folder.resolve("traffic"));
             firstTries = runner.run(s -> {}).serviceLevels().totalRequests();
@@ -341,7 +341,7 @@
         Scenario scenario = ScenarioParser.read(REHEARSALS.resolve("slow.day"));
         Path recording = folder.resolve("recording");
         SimulatedEnvironment world =
-                new SimulatedEnvironment(4, SimulatedEnvironment.Physics.LOOPBACK);
+                new SimulatedEnvironment(4, SimulatedEnvironment.Timing.LOOPBACK);
         int[] calls = new int[1];
         try (ScenarioRunner runner =
                 new ScenarioRunner(
@@ -376,7 +376,7 @@
     @Test
     void aFloodOfOneMomentLosesNothing() throws Exception {
         SimulatedEnvironment world =
-                new SimulatedEnvironment(5, SimulatedEnvironment.Physics.LOOPBACK);
+                new SimulatedEnvironment(5, SimulatedEnvironment.Timing.LOOPBACK);
         Discovery discovery =
                 new Discovery(
                         0, 1, world.newTimerExecutor("discovery", 1), FrameObserver.NONE, world);
