--- a/simulation/src/main/java/milletyoke/simulation/faults/FaultFormatter.java
+++ b/simulation/src/main/java/milletyoke/simulation/faults/FaultFormatter.java
@@ -5,111 +5,133 @@
 import milletyoke.scenario.script.Scenario.Fault;
 
 /**
- * Writes a trouble as a line of a script, so that a day that was found can be kept and played again
- * by name.
+ * Formats faults as statements of a scenario script, so that a generated scenario can be saved and
+ * run again.
  */
 public final class FaultFormatter {
     private FaultFormatter() {}
 
     /**
-     * @throws IllegalArgumentException for a trouble that storms do not draw
+     * Formats a fault as one line of a scenario script.
+     *
+     * @throws IllegalArgumentException for {@link Scenario.FaultType#LIMIT}, which is never
+     *     generated
      */
-    public static String of(Fault fault) {
-        String whom =
+    public static String format(Fault fault) {
+        String selection =
                 fault.selection().number() > 0
                         ? "" + fault.selection().number()
-                        : percent(fault.selection().part());
-        String span = " for=" + time(fault.durationMicros());
+                        : formatPercent(fault.selection().part());
+        String duration = " for=" + formatMicros(fault.durationMicros());
         String start =
                 fault.belowServiceLevel() > 0
                         ? "when service under="
-                                + percent(fault.belowServiceLevel())
+                                + formatPercent(fault.belowServiceLevel())
                                 + " from="
-                                + time(fault.atMicros())
+                                + formatMicros(fault.atMicros())
                                 + " "
-                        : "at " + time(fault.atMicros()) + " ";
+                        : "at " + formatMicros(fault.atMicros()) + " ";
         return start
                 + switch (fault.type()) {
-                    case HANG, UNREACHABLE, DRAIN, STILL -> name(fault) + " " + whom + span;
-                    case SLOW -> "slow " + whom + " by=" + fault.magnitude() + span;
+                    case HANG, UNREACHABLE, DRAIN, STILL ->
+                            keyword(fault) + " " + selection + duration;
+                    case SLOW -> "slow " + selection + " by=" + fault.magnitude() + duration;
                     case PAUSES ->
                             "pauses "
-                                    + whom
+                                    + selection
                                     + " of="
-                                    + times(fault.range())
+                                    + formatRange(fault.range())
                                     + " every="
-                                    + time(fault.intervalMicros())
-                                    + span;
+                                    + formatMicros(fault.intervalMicros())
+                                    + duration;
                     case ERRORS, LOST ->
-                            name(fault) + " " + whom + " part=" + percent(fault.magnitude()) + span;
+                            keyword(fault)
+                                    + " "
+                                    + selection
+                                    + " part="
+                                    + formatPercent(fault.magnitude())
+                                    + duration;
                     case RESETS ->
-                            "resets " + whom + " every=" + time(fault.intervalMicros()) + span;
-                    case RESTART -> "restart " + whom + " down=" + times(fault.range());
+                            "resets "
+                                    + selection
+                                    + " every="
+                                    + formatMicros(fault.intervalMicros())
+                                    + duration;
+                    case RESTART -> "restart " + selection + " down=" + formatRange(fault.range());
                     case ROLL ->
                             "roll "
-                                    + whom
+                                    + selection
                                     + " over="
-                                    + time(fault.durationMicros())
+                                    + formatMicros(fault.durationMicros())
                                     + " down="
-                                    + time(fault.downtimeMicros());
+                                    + formatMicros(fault.downtimeMicros());
                     case AGE ->
                             "age "
-                                    + whom
+                                    + selection
                                     + " to="
                                     + fault.magnitude()
                                     + " over="
-                                    + time(fault.durationMicros())
+                                    + formatMicros(fault.durationMicros())
                                     + " down="
-                                    + time(fault.downtimeMicros());
-                    case LIST_LATE -> "list late by=" + times(fault.range()) + span;
-                    case LIST_PARTIAL -> "list partial " + whom + span;
+                                    + formatMicros(fault.downtimeMicros());
+                    case LIST_LATE -> "list late by=" + formatRange(fault.range()) + duration;
+                    case LIST_PARTIAL -> "list partial " + selection + duration;
                     case LIST_FLAP ->
-                            "list flap " + whom + " every=" + time(fault.intervalMicros()) + span;
-                    case LIST_UNAVAILABLE -> "list unavailable" + span;
-                    case KILL, LEAVE -> name(fault) + " " + whom + " down=" + times(fault.range());
+                            "list flap "
+                                    + selection
+                                    + " every="
+                                    + formatMicros(fault.intervalMicros())
+                                    + duration;
+                    case LIST_UNAVAILABLE -> "list unavailable" + duration;
+                    case KILL, LEAVE ->
+                            keyword(fault)
+                                    + " "
+                                    + selection
+                                    + " down="
+                                    + formatRange(fault.range());
                     case SURGE ->
                             "surge volumes="
                                     + fault.count()
                                     + " by="
-                                    + percent(fault.magnitude())
-                                    + span;
-                    case HOTKEY -> "hotkey part=" + percent(fault.magnitude()) + span;
+                                    + formatPercent(fault.magnitude())
+                                    + duration;
+                    case HOTKEY -> "hotkey part=" + formatPercent(fault.magnitude()) + duration;
                     case RECONNECT -> "reconnect";
                     case PARTITION ->
                             "partition "
-                                    + whom
+                                    + selection
                                     + " targets="
                                     + (fault.count() > 0
                                             ? "" + fault.count()
-                                            : percent(fault.magnitude()))
+                                            : formatPercent(fault.magnitude()))
                                     + ((fault.intervalMicros() & Scenario.ONE_WAY) != 0
                                             ? " oneway"
                                             : "")
                                     + ((fault.intervalMicros() & Scenario.GREY) != 0 ? " grey" : "")
-                                    + span;
+                                    + duration;
                     case CLOCK ->
                             "clock "
                                     + (fault.durationMicros() < 0 ? "back=" : "ahead=")
-                                    + time(Math.abs(fault.durationMicros()));
+                                    + formatMicros(Math.abs(fault.durationMicros()));
                     case LIMIT ->
                             throw new IllegalArgumentException(
-                                    "a change of a limit is written by hand");
+                                    "LIMIT faults cannot be formatted as a statement");
                 };
     }
 
-    private static String name(Fault fault) {
+    private static String keyword(Fault fault) {
         return fault.type().name().toLowerCase(Locale.ROOT);
     }
 
-    private static String percent(double part) {
-        return Math.round(100 * part) + "%";
+    private static String formatPercent(double fraction) {
+        return Math.round(100 * fraction) + "%";
     }
 
-    private static String time(long micros) {
+    private static String formatMicros(long micros) {
         return micros % 1000 == 0 ? micros / 1000 + "ms" : micros + "us";
     }
 
-    private static String times(long[] range) {
-        return time(range[0]) + ".." + time(range[1]);
+    private static String formatRange(long[] range) {
+        return formatMicros(range[0]) + ".." + formatMicros(range[1]);
     }
 }
--- a/simulation/src/main/java/milletyoke/simulation/faults/FaultGenerator.java
+++ b/simulation/src/main/java/milletyoke/simulation/faults/FaultGenerator.java
@@ -10,8 +10,8 @@
 import milletyoke.scenario.script.Scenario.Selection;
 
 /**
- * Draws troubles for a day from a seed: some at once, some in a cascade, whatever the day itself
- * had is left out.
+ * Replaces the faults of a scenario by random ones drawn from a seed. Faults start at independent
+ * times or follow shortly after the one drawn before.
  */
 public final class FaultGenerator {
     private static final List<FaultType> FAULT_TYPES =
@@ -41,13 +41,14 @@
                     FaultType.CLOCK);
 
     /**
-     * Within what storms are drawn.
+     * The ranges that faults are drawn from.
      *
-     * @param faultTypes of troubles
-     * @param maxFaults troubles in one storm
-     * @param minTargetFraction of targets that one strikes, and {@code maxTargetFraction}; in
-     *     tenths
-     * @param maxDurationFraction a trouble lasts, as a part of the day
+     * @param faultTypes types of faults that may be drawn; {@link FaultType#LIMIT} is not allowed
+     * @param maxFaults most faults in one scenario
+     * @param minTargetFraction smallest fraction of the targets that one fault hits, in steps of
+     *     0.1
+     * @param maxTargetFraction largest fraction of the targets that one fault hits, in steps of 0.1
+     * @param maxDurationFraction longest duration of one fault as a fraction of the scenario's
      */
     public record Ranges(
             List<FaultType> faultTypes,
@@ -55,6 +56,11 @@
             double minTargetFraction,
             double maxTargetFraction,
             double maxDurationFraction) {
+        /**
+         * Validates the ranges.
+         *
+         * @throws IllegalArgumentException if a value is out of range
+         */
         public Ranges {
             if (faultTypes.isEmpty()
                     || faultTypes.contains(FaultType.LIMIT)
@@ -64,93 +70,115 @@
                             && maxTargetFraction <= 1)
                     || !(maxDurationFraction > 0 && maxDurationFraction <= 1)) {
                 throw new IllegalArgumentException(
-                        "some troubles but limit, one or more in a storm, parts of 10% to 100% and"
-                                + " the least first, and a longest of up to the whole day are expected");
+                        "expected one or more fault types other than LIMIT, one or more faults,"
+                                + " 10% <= least <= most <= 100% of the targets, and a longest duration"
+                                + " above 0% and up to 100% of the scenario");
             }
         }
 
-        /** All troubles, a tenth to four fifths of the targets, up to half of the day. */
-        public static Ranges defaults(int most) {
-            return new Ranges(FAULT_TYPES, most, 0.1, 0.8, 0.5);
+        /**
+         * Returns the default ranges: all types, 10% to 80% of the targets, up to half of the
+         * scenario's duration.
+         *
+         * @param maxFaults most faults in one scenario
+         */
+        public static Ranges defaults(int maxFaults) {
+            return new Ranges(FAULT_TYPES, maxFaults, 0.1, 0.8, 0.5);
         }
     }
 
     private FaultGenerator() {}
 
-    /** A day with other troubles, at least one. */
+    /** Returns the scenario with one or more generated faults in place of its own. */
     public static Scenario generate(Scenario base, long seed, Ranges ranges) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        int count = 1 + chance.nextInt(ranges.maxFaults());
-        List<Fault> all = new ArrayList<>();
-        long at = 0;
-        for (int n = 0; n < count; n++) {
-            boolean cascade = n > 0 && chance.nextInt(3) == 0; // soon after the one before
-            at =
-                    cascade
-                            ? at + 1000 * (1 + chance.nextLong(1500))
-                            : 1000 * chance.nextLong(base.durationMicros() * 8 / 10_000);
-            all.add(drawFault(chance, at, ranges, base));
+        SplittableRandom random = new SplittableRandom(seed);
+        int count = 1 + random.nextInt(ranges.maxFaults());
+        List<Fault> faults = new ArrayList<>();
+        long atMicros = 0;
+        for (int i = 0; i < count; i++) {
+            boolean followsPrevious = i > 0 && random.nextInt(3) == 0;
+            atMicros =
+                    followsPrevious
+                            ? atMicros + 1000 * (1 + random.nextLong(1500))
+                            : 1000 * random.nextLong(base.durationMicros() * 8 / 10_000);
+            faults.add(drawFault(random, atMicros, ranges, base));
         }
-        all.sort(Comparator.comparingLong(Fault::atMicros));
+        faults.sort(Comparator.comparingLong(Fault::atMicros));
         return base.withFaults(
-                base.name() + "-storm-" + Long.toUnsignedString(seed, 36), base.seed() + seed, all);
+                base.name() + "-storm-" + Long.toUnsignedString(seed, 36),
+                base.seed() + seed,
+                faults);
     }
 
-    private static Fault drawFault(SplittableRandom c, long at, Ranges in, Scenario base) {
-        FaultType type = in.faultTypes().get(c.nextInt(in.faultTypes().size()));
-        int tenths = (int) Math.round(10 * in.minTargetFraction());
-        boolean initiator =
+    private static Fault drawFault(
+            SplittableRandom random, long atMicros, Ranges ranges, Scenario base) {
+        FaultType type = ranges.faultTypes().get(random.nextInt(ranges.faultTypes().size()));
+        int minTenths = (int) Math.round(10 * ranges.minTargetFraction());
+        boolean hitsInitiators =
                 switch (type) {
                     case KILL, STILL, LEAVE, PARTITION -> true;
                     default -> false;
                 };
-        Selection whom =
-                initiator
-                        ? new Selection(0, 1 + c.nextInt(base.initiators()))
+        Selection selection =
+                hitsInitiators
+                        ? new Selection(0, 1 + random.nextInt(base.initiators()))
                         : new Selection(
-                                (tenths
-                                                + c.nextInt(
+                                (minTenths
+                                                + random.nextInt(
                                                         (int)
                                                                         Math.round(
                                                                                 10
-                                                                                        * in
+                                                                                        * ranges
                                                                                                 .maxTargetFraction())
-                                                                - tenths
+                                                                - minTenths
                                                                 + 1))
                                         / 10.0,
                                 0);
-        long span =
+        long durationMicros =
                 1000
                         * (500
-                                + c.nextLong(
+                                + random.nextLong(
                                         Math.max(
                                                 1,
                                                 (long)
                                                         (base.durationMicros()
-                                                                * in.maxDurationFraction()
+                                                                * ranges.maxDurationFraction()
                                                                 / 1000))));
-        double figure =
+        double magnitude =
                 switch (type) {
-                    case SLOW, AGE -> 2 + c.nextInt(7);
-                    case ERRORS, LOST, HOTKEY, PARTITION -> (1 + c.nextInt(9)) / 10.0;
-                    case SURGE -> (2 + c.nextInt(20)) / 10.0;
+                    case SLOW, AGE -> 2 + random.nextInt(7);
+                    case ERRORS, LOST, HOTKEY, PARTITION -> (1 + random.nextInt(9)) / 10.0;
+                    case SURGE -> (2 + random.nextInt(20)) / 10.0;
                     default -> 0;
                 };
         long[] range =
                 switch (type) {
                     case PAUSES -> new long[] {100_000, 400_000};
-                    case LIST_LATE -> new long[] {1_000_000, 1_000_000 + 1000 * c.nextLong(3_000)};
-                    default -> new long[] {300_000, 300_000 + 1000 * c.nextLong(1_500)};
+                    case LIST_LATE ->
+                            new long[] {1_000_000, 1_000_000 + 1000 * random.nextLong(3_000)};
+                    default -> new long[] {300_000, 300_000 + 1000 * random.nextLong(1_500)};
                 };
-        long every =
+        long intervalMicros =
                 switch (type) {
-                    case PARTITION -> c.nextInt(4);
-                    default -> 1000 * (100 + c.nextLong(900));
+                    case PARTITION -> random.nextInt(4);
+                    default -> 1000 * (100 + random.nextLong(900));
                 };
         if (type == FaultType.CLOCK) {
-            span = (c.nextBoolean() ? 1 : -1) * 1_000_000 * (1 + c.nextLong(30));
+            durationMicros =
+                    (random.nextBoolean() ? 1 : -1) * 1_000_000 * (1 + random.nextLong(30));
         }
-        int count = type == FaultType.SURGE ? 1 + c.nextInt(4) : 0;
-        return new Fault(at, 0, type, whom, span, figure, range, every, count, 300_000, "");
+        int count = type == FaultType.SURGE ? 1 + random.nextInt(4) : 0;
+        return new Fault(
+                atMicros,
+                0,
+                type,
+                selection,
+                durationMicros,
+                magnitude,
+                range,
+                intervalMicros,
+                count,
+                300_000,
+                "");
     }
 }
--- a/simulation/src/main/java/milletyoke/simulation/faults/FaultSearch.java
+++ b/simulation/src/main/java/milletyoke/simulation/faults/FaultSearch.java
@@ -16,90 +16,116 @@
 import milletyoke.scenario.script.Scenario;
 import milletyoke.simulation.run.SimulationRun;
 
-/** Looks for the storm that breaks a rule, or costs most service, and shrinks it. */
+/**
+ * Searches random sets of faults for one that breaks a rule or costs most service, and shrinks it.
+ */
 public final class FaultSearch {
-    /** What is looked for. */
+    /** The kind of failure that is searched for. */
     public enum SearchGoal {
+        /** A broken rule, a request without a response, an unclean shutdown or a failed run. */
         RULES,
+        /** The lowest service level. */
         SERVICE
     }
 
     /**
-     * One storm played.
+     * The result of running one generated scenario.
      *
-     * @param isBroken a rule was broken, an access was left without its answer, or the play itself
-     *     failed
-     * @param reason of that, in a line; empty where nothing broke
+     * @param serviceLevel service level of the whole run; 0 if the run failed
+     * @param isBroken whether a rule was broken, a request was left without a response, an
+     *     initiator did not shut down cleanly, or the run failed
+     * @param reason why the run counts as broken, in one line; empty if it does not
      */
     public record Failure(
             Scenario scenario, double serviceLevel, boolean isBroken, String reason) {}
 
+    /** Fraction of the loss of service that a shrunk scenario must still cause. */
+    private static final double KEPT_LOSS_FRACTION = 0.9;
+
     private final Scenario base;
     private final FaultGenerator.Ranges ranges;
     private final int threads;
 
+    /**
+     * Creates a search.
+     *
+     * @param base the scenario whose faults are replaced
+     * @param threads number of scenarios that run at the same time
+     */
     public FaultSearch(Scenario base, FaultGenerator.Ranges ranges, int threads) {
         this.base = base;
         this.ranges = ranges;
         this.threads = threads;
     }
 
-    /** All storms, the worst first; the same for any number of threads. */
-    public List<Failure> run(long firstSeed, int storms, SearchGoal quarry)
+    /**
+     * Runs generated scenarios with consecutive seeds.
+     *
+     * @param runs number of scenarios
+     * @return all results, the worst first; independent of the number of threads
+     * @throws IOException if a scenario cannot be run
+     * @throws InterruptedException if the calling thread is interrupted
+     */
+    public List<Failure> run(long firstSeed, int runs, SearchGoal goal)
             throws InterruptedException, IOException {
         ExecutorService workers = Executors.newFixedThreadPool(threads);
         try {
-            List<Future<Failure>> plays = new ArrayList<>();
-            for (int n = 0; n < storms; n++) {
-                Scenario scenario = FaultGenerator.generate(base, firstSeed + n, ranges);
-                plays.add(workers.submit(() -> evaluate(scenario, quarry == SearchGoal.RULES)));
+            List<Future<Failure>> futures = new ArrayList<>();
+            for (int i = 0; i < runs; i++) {
+                Scenario scenario = FaultGenerator.generate(base, firstSeed + i, ranges);
+                futures.add(workers.submit(() -> evaluate(scenario, goal == SearchGoal.RULES)));
             }
-            List<Failure> all = new ArrayList<>();
-            for (Future<Failure> play : plays) {
-                all.add(play.get());
+            List<Failure> results = new ArrayList<>();
+            for (Future<Failure> future : futures) {
+                results.add(future.get());
             }
-            all.sort(
-                    Comparator.comparing((Failure c) -> !c.isBroken())
+            results.sort(
+                    Comparator.comparing((Failure result) -> !result.isBroken())
                             .thenComparingDouble(Failure::serviceLevel)
-                            .thenComparing(c -> c.scenario().name()));
-            return all;
-        } catch (ExecutionException failed) {
-            throw new IOException("a storm could not be played", failed.getCause());
+                            .thenComparing(result -> result.scenario().name()));
+            return results;
+        } catch (ExecutionException e) {
+            throw new IOException("a generated scenario could not be run", e.getCause());
         } finally {
             workers.shutdownNow();
         }
     }
 
     /**
-     * Plays a day and judges it. @param audited rules are looked at too, which costs a recording
+     * Runs a scenario and evaluates the result.
+     *
+     * @param audited whether the rules are checked too, which requires a recording
      */
     public static Failure evaluate(Scenario scenario, boolean audited) {
         Path recording = null;
         try {
             recording = audited ? Files.createTempFile("milletyoke-", ".recording") : null;
             SimulationRun.SimulationResult result = SimulationRun.run(scenario, recording);
-            String why =
+            String reason =
                     result.unfinished() > 0
-                            ? result.unfinished() + " without an answer"
-                            : !result.isClean() ? "not left clean" : "";
-            if (audited && why.isEmpty()) {
+                            ? result.unfinished() + " requests without a response"
+                            : !result.isClean() ? "an initiator did not shut down cleanly" : "";
+            if (audited && reason.isEmpty()) {
                 Audit.Report report = Audit.audit(recording);
-                why =
+                reason =
                         report.isClean()
                                 ? ""
                                 : report.text(false)
                                         .lines()
-                                        .filter(l -> l.contains("BREACHES"))
+                                        .filter(line -> line.contains("BREACHES"))
                                         .findFirst()
                                         .orElse("a rule was broken")
                                         .strip();
             }
             return new Failure(
-                    scenario, result.serviceLevels().overallServiceLevel(), !why.isEmpty(), why);
-        } catch (IOException failed) {
-            throw new UncheckedIOException(failed);
-        } catch (RuntimeException fault) {
-            return new Failure(scenario, 0, true, "the play failed: " + fault);
+                    scenario,
+                    result.serviceLevels().overallServiceLevel(),
+                    !reason.isEmpty(),
+                    reason);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        } catch (RuntimeException e) {
+            return new Failure(scenario, 0, true, "the run failed: " + e);
         } finally {
             delete(recording);
         }
@@ -110,16 +136,17 @@
             if (recording != null) {
                 Files.deleteIfExists(recording);
             }
-        } catch (IOException left) {
+        } catch (IOException e) {
             recording.toFile().deleteOnExit();
         }
     }
 
     /**
-     * The smallest day that still breaks, or that still costs nine tenths of what this one does.
+     * Shrinks the faults of a result to a smaller set that still fails or, for {@link
+     * SearchGoal#SERVICE}, still causes nine tenths of the loss of service.
      */
-    public Failure shrink(Failure found, SearchGoal quarry) {
-        double quiet =
+    public Failure shrink(Failure found, SearchGoal goal) {
+        double faultFreeServiceLevel =
                 evaluate(
                                 base.withFaults(
                                         found.scenario().name(),
@@ -127,46 +154,52 @@
                                         List.of()),
                                 false)
                         .serviceLevel();
-        double bar = quiet - 0.9 * (quiet - found.serviceLevel());
-        ScenarioShrinker shrink =
+        double maxServiceLevel =
+                faultFreeServiceLevel
+                        - KEPT_LOSS_FRACTION * (faultFreeServiceLevel - found.serviceLevel());
+        ScenarioShrinker shrinker =
                 new ScenarioShrinker(
                         scenario -> {
-                            Failure next = evaluate(scenario, quarry == SearchGoal.RULES);
-                            return quarry == SearchGoal.RULES
-                                    ? next.isBroken()
-                                    : next.serviceLevel() <= bar;
+                            Failure result = evaluate(scenario, goal == SearchGoal.RULES);
+                            return goal == SearchGoal.RULES
+                                    ? result.isBroken()
+                                    : result.serviceLevel() <= maxServiceLevel;
                         });
-        return evaluate(shrink.smallest(found.scenario()), quarry == SearchGoal.RULES);
+        return evaluate(shrinker.shrink(found.scenario()), goal == SearchGoal.RULES);
     }
 
-    /** The day as a script: the base's own text with these troubles in place of its own. */
+    /**
+     * Returns a scenario script: the base script with its seed and faults replaced by those of a
+     * result.
+     */
     public static String script(String baseText, Failure found) {
-        String kept =
+        String baseStatements =
                 baseText.lines()
                         .filter(
-                                l ->
-                                        !l.strip().startsWith("at ")
-                                                && !l.strip().startsWith("then ")
-                                                && !l.strip().startsWith("when ")
-                                                && !l.strip().startsWith("seed ")
-                                                && !l.strip().startsWith("#"))
+                                line ->
+                                        !line.strip().startsWith("at ")
+                                                && !line.strip().startsWith("then ")
+                                                && !line.strip().startsWith("when ")
+                                                && !line.strip().startsWith("seed ")
+                                                && !line.strip().startsWith("#"))
                         .collect(Collectors.joining("\n"));
-        String troubles =
+        String faultStatements =
                 found.scenario().faults().stream()
-                        .map(FaultFormatter::of)
+                        .map(FaultFormatter::format)
                         .collect(Collectors.joining("\n"));
-        String said =
+        String finding =
                 found.isBroken()
                         ? found.reason()
-                        : String.format("service %.4f in the lab", found.serviceLevel());
-        return "# Found by a hunt: "
-                + said
+                        : String.format(
+                                "service level %.4f in the simulation", found.serviceLevel());
+        return "# Found by fault search: "
+                + finding
                 + ".\nseed "
                 + found.scenario().seed()
                 + "\n"
-                + kept.strip()
+                + baseStatements.strip()
                 + "\n"
-                + troubles
+                + faultStatements
                 + "\n";
     }
 }
--- a/simulation/src/main/java/milletyoke/simulation/faults/ScenarioShrinker.java
+++ b/simulation/src/main/java/milletyoke/simulation/faults/ScenarioShrinker.java
@@ -8,65 +8,76 @@
 import milletyoke.scenario.script.Scenario.Selection;
 
 /**
- * Takes from a day what it does not need to be as bad: whole troubles first (delta debugging,
- * Zeller and Hildebrandt, IEEE Transactions on Software Engineering 28(2), 2002, with one at a
- * time), then half of how long and of how many.
+ * Reduces the faults of a failing scenario to those needed for the failure. Whole faults are
+ * removed first, one at a time (delta debugging, Zeller and Hildebrandt, IEEE Transactions on
+ * Software Engineering 28(2), 2002); then the durations and the fractions of targets hit are
+ * halved.
  */
 public final class ScenarioShrinker {
+    /** Durations up to this are not halved. */
+    private static final long MAX_UNHALVED_MICROS = 400_000;
+
+    /** Fractions of targets up to this are not halved. */
+    private static final double MAX_UNHALVED_FRACTION = 0.2;
+
     private final Predicate<Scenario> stillFails;
     private int runCount;
 
     /**
-     * @param stillFails plays the day; must say the same of the same day every time
+     * Creates a shrinker.
+     *
+     * @param stillFails runs a scenario and returns whether it still fails; must be deterministic
      */
-    public ScenarioShrinker(Predicate<Scenario> stillBad) {
-        this.stillFails = stillBad;
+    public ScenarioShrinker(Predicate<Scenario> stillFails) {
+        this.stillFails = stillFails;
     }
 
-    /** The smallest found; the day itself where nothing can go. */
-    public Scenario smallest(Scenario scenario) {
-        Scenario best = scenario;
-        for (Scenario next = nextSmaller(best); next != null; next = nextSmaller(best)) {
-            best = next;
+    /**
+     * Returns the smallest failing scenario found, or the scenario itself if it cannot be reduced.
+     */
+    public Scenario shrink(Scenario scenario) {
+        Scenario smallest = scenario;
+        for (Scenario next = nextSmaller(smallest); next != null; next = nextSmaller(smallest)) {
+            smallest = next;
         }
-        return best;
+        return smallest;
     }
 
-    /** How many days were played for it. */
+    /** Returns the number of scenarios that were run. */
     public int runCount() {
         return runCount;
     }
 
     private Scenario nextSmaller(Scenario scenario) {
-        List<Fault> all = scenario.faults();
-        for (int n = 0; n < all.size() && all.size() > 1; n++) {
-            List<Fault> fewer = new ArrayList<>(all);
-            fewer.remove(n);
-            if (fails(scenario, fewer)) {
-                return scenario.withFaults(scenario.name(), scenario.seed(), fewer);
+        List<Fault> faults = scenario.faults();
+        for (int i = 0; i < faults.size() && faults.size() > 1; i++) {
+            List<Fault> remaining = new ArrayList<>(faults);
+            remaining.remove(i);
+            if (fails(scenario, remaining)) {
+                return scenario.withFaults(scenario.name(), scenario.seed(), remaining);
             }
         }
-        for (int n = 0; n < all.size(); n++) {
-            for (Fault smaller : smaller(all.get(n))) {
-                List<Fault> with = new ArrayList<>(all);
-                with.set(n, smaller);
-                if (fails(scenario, with)) {
-                    return scenario.withFaults(scenario.name(), scenario.seed(), with);
+        for (int i = 0; i < faults.size(); i++) {
+            for (Fault variant : halvedVariants(faults.get(i))) {
+                List<Fault> changed = new ArrayList<>(faults);
+                changed.set(i, variant);
+                if (fails(scenario, changed)) {
+                    return scenario.withFaults(scenario.name(), scenario.seed(), changed);
                 }
             }
         }
         return null;
     }
 
-    private boolean fails(Scenario scenario, List<Fault> troubles) {
+    private boolean fails(Scenario scenario, List<Fault> faults) {
         runCount++;
-        return stillFails.test(scenario.withFaults(scenario.name(), scenario.seed(), troubles));
+        return stillFails.test(scenario.withFaults(scenario.name(), scenario.seed(), faults));
     }
 
-    private static List<Fault> smaller(Fault fault) {
-        List<Fault> all = new ArrayList<>();
-        if (fault.durationMicros() > 400_000) {
-            all.add(
+    private static List<Fault> halvedVariants(Fault fault) {
+        List<Fault> variants = new ArrayList<>();
+        if (fault.durationMicros() > MAX_UNHALVED_MICROS) {
+            variants.add(
                     new Fault(
                             fault.atMicros(),
                             fault.line(),
@@ -81,8 +92,8 @@
                             fault.name(),
                             fault.belowServiceLevel()));
         }
-        if (fault.selection().part() > 0.2) {
-            all.add(
+        if (fault.selection().part() > MAX_UNHALVED_FRACTION) {
+            variants.add(
                     new Fault(
                             fault.atMicros(),
                             fault.line(),
@@ -97,6 +108,6 @@
                             fault.name(),
                             fault.belowServiceLevel()));
         }
-        return all;
+        return variants;
     }
 }
--- a/simulation/src/main/java/milletyoke/simulation/faults/package-info.java
+++ b/simulation/src/main/java/milletyoke/simulation/faults/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Random fault scenarios: generating them, searching for the worst and shrinking it. A search
- * evaluates its scenarios on a fixed pool of worker threads.
+ * Random fault scenarios: generates them, searches for the worst and shrinks it. A search runs its
+ * scenarios on a fixed pool of worker threads.
  */
 package milletyoke.simulation.faults;
--- a/simulation/src/test/java/milletyoke/simulation/ExperimentTest.java
+++ b/simulation/src/test/java/milletyoke/simulation/ExperimentTest.java
@@ -231,7 +231,7 @@
                                     return d.faults().stream()
                                             .anyMatch(fault -> fault.type() == FaultType.KILL);
                                 })
-                        .smallest(scenario);
+                        .shrink(scenario);
         assertEquals(1, small.faults().size());
         assertEquals(FaultType.KILL, small.faults().get(0).type());
         assertTrue(seen.size() < 100);
