--- a/simulation/src/test/java/milletyoke/simulation/ExperimentTest.java
+++ b/simulation/src/test/java/milletyoke/simulation/ExperimentTest.java
@@ -35,10 +35,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Experiments that go on after a kill, figures against worked examples, storms that shrink. */
+/**
+ * Tests that interrupted experiments resume, that statistics agree with published tables, that
+ * scheduler variants apply, and that random faults are generated, searched, shrunk and saved
+ * correctly.
+ */
 class ExperimentTest {
-    private static final Path DAY = Path.of("../scenario/days/hang.day").toAbsolutePath();
-    private static final Path DECIDE =
+    private static final Path SCENARIO_FILE = Path.of("../scenario/days/hang.day").toAbsolutePath();
+    private static final Path SCHEDULER_SOURCE =
             Path.of("../core/src/main/java/milletyoke/scheduler/RequestScheduler.java");
 
     @TempDir Path folder;
@@ -48,9 +52,9 @@
         Files.writeString(
                 file,
                 "{name: \"e\", day: \""
-                        + DAY
+                        + SCENARIO_FILE
                         + "\", source: \""
-                        + DECIDE.toAbsolutePath()
+                        + SCHEDULER_SOURCE.toAbsolutePath()
                         + "\", seeds: 2, values: \"100 200\", arms: ["
                         + arms
                         + "]}");
@@ -62,42 +66,43 @@
                     + "{name: \"b\", set: \"load {x}/s; lasts 2s; calm\", scheduler: \"at-once\"}";
 
     @Test
-    void aKilledRunGoesOnAndEndsWithTheSameRows() throws Exception {
-        Experiment e = experiment(ARMS);
-        Path whole = folder.resolve("whole.jsonl");
-        try (ResultStore results = new ResultStore(whole)) {
-            assertEquals(8, new ExperimentRunner(e, results, 3).run(line -> {}));
+    void anInterruptedExperimentResumesAndProducesTheSameRows() throws Exception {
+        Experiment experiment = experiment(ARMS);
+        Path complete = folder.resolve("whole.jsonl");
+        try (ResultStore results = new ResultStore(complete)) {
+            assertEquals(8, new ExperimentRunner(experiment, results, 3).run(line -> {}));
         }
-        Path cut = folder.resolve("cut.jsonl");
-        List<String> lines = Files.readAllLines(whole);
+        Path truncated = folder.resolve("cut.jsonl");
+        List<String> lines = Files.readAllLines(complete);
         Files.writeString(
-                cut, String.join("\n", lines.subList(0, 3)) + "\n" + lines.get(3).substring(0, 40));
-        try (ResultStore results = new ResultStore(cut)) {
+                truncated,
+                String.join("\n", lines.subList(0, 3)) + "\n" + lines.get(3).substring(0, 40));
+        try (ResultStore results = new ResultStore(truncated)) {
             assertEquals(
                     5,
-                    new ExperimentRunner(e, results, 1).run(line -> {}),
-                    "three were whole, the fourth was cut off");
+                    new ExperimentRunner(experiment, results, 1).run(line -> {}),
+                    "three rows were complete, the fourth was truncated");
         }
-        assertEquals(facts(whole), facts(cut));
-        try (ResultStore results = new ResultStore(cut)) {
+        assertEquals(reproducibleFields(complete), reproducibleFields(truncated));
+        try (ResultStore results = new ResultStore(truncated)) {
             assertEquals(
                     0,
-                    new ExperimentRunner(e, results, 2).run(line -> {}),
-                    "nothing is played twice");
+                    new ExperimentRunner(experiment, results, 2).run(line -> {}),
+                    "runs with a stored result are not repeated");
         }
     }
 
-    /** All but how long it took. */
-    private static Set<String> facts(Path file) throws IOException {
-        Set<String> all = new HashSet<>();
-        for (ResultRow r : ResultStore.read(file)) {
-            all.add(r.key() + r.service() + r.digest() + r.categories() + r.events());
+    /** Returns everything in the rows that must not differ between two executions. */
+    private static Set<String> reproducibleFields(Path file) throws IOException {
+        Set<String> fields = new HashSet<>();
+        for (ResultRow row : ResultStore.read(file)) {
+            fields.add(row.key() + row.service() + row.digest() + row.categories() + row.events());
         }
-        return all;
+        return fields;
     }
 
     @Test
-    void aDamagedLineIsNamed() throws Exception {
+    void anInvalidResultRowIsReportedWithItsLine() throws Exception {
         Path file = folder.resolve("r.jsonl");
         Files.writeString(file, "no row\n");
         Files.writeString(file, "{}\n", StandardOpenOption.APPEND);
@@ -108,7 +113,7 @@
     }
 
     @Test
-    void wrongExperimentsAreToldWithTheirLine() {
+    void invalidExperimentsAreReportedWithTheirFile() {
         for (String arms :
                 List.of(
                         "{name: \"a\", set: \"lod 5/s\"}",
@@ -124,29 +129,33 @@
     }
 
     @Test
-    void theReportStandsByItself() throws Exception {
-        Experiment e = experiment(ARMS);
+    void theReportLoadsNoExternalResources() throws Exception {
+        Experiment experiment = experiment(ARMS);
         try (ResultStore results = new ResultStore(folder.resolve("r.jsonl"))) {
-            new ExperimentRunner(e, results, 4).run(line -> {});
+            new ExperimentRunner(experiment, results, 4).run(line -> {});
             Report report = new Report("e <1>", "load", results.rows(), List.of("a", "b"));
             String page = Files.readString(report.write(folder.resolve("report")));
             assertTrue(page.contains("e &lt;1&gt;") && page.contains("<svg"));
-            assertFalse(page.matches("(?s).*(src|href)=\"?http.*"), "it loads nothing");
+            assertFalse(
+                    page.matches("(?s).*(src|href)=\"?http.*"),
+                    "the page loads no external resources");
             assertTrue(Files.size(folder.resolve("report/service.png")) > 1000);
             assertTrue(Files.readString(results.writeCsv()).lines().count() == 9);
         }
     }
 
-    /** Figures worked by hand from Student's table: t of 4 degrees at 97.5% is 2.776. */
+    /**
+     * Expected values follow from a table of Student's t: 2.776 for 4 degrees of freedom at 97.5%.
+     */
     @Test
-    void intervalsAndPairsAgreeWithTheTables() {
+    void intervalsAndPairedTestsAgreeWithTables() {
         Statistics.Mean mean = Statistics.mean(List.of(1.0, 2.0, 3.0, 4.0, 5.0));
         assertEquals(3, mean.mean(), 1e-12);
         assertEquals(2.776 * Math.sqrt(2.5 / 5), mean.halfWidth(), 1e-3);
-        Statistics.Paired p =
+        Statistics.Paired paired =
                 Statistics.paired(List.of(1.0, 2.0, 3.0, 4.0), List.of(1.1, 2.3, 3.2, 4.4));
-        assertEquals(0.25, p.difference().mean(), 1e-12);
-        assertEquals(0.0305, p.pValue(), 5e-4); // t = 3.873 with 3 degrees
+        assertEquals(0.25, paired.difference().mean(), 1e-12);
+        assertEquals(0.0305, paired.pValue(), 5e-4); // t = 3.873 with 3 degrees of freedom
         assertEquals(1, Statistics.paired(List.of(1.0, 2.0), List.of(1.0, 2.0)).pValue());
         assertThrows(
                 IllegalArgumentException.class,
@@ -154,15 +163,15 @@
     }
 
     @Test
-    void aVariantWithTheSameFiguresPlaysTheSameAndAnotherDoesNot() throws Exception {
-        Scenario scenario = ScenarioParser.read(DAY);
-        long own = SimulationRun.run(scenario, null).digest();
+    void onlyAVariantWithOtherParametersChangesTheRun() throws Exception {
+        Scenario scenario = ScenarioParser.read(SCENARIO_FILE);
+        long defaultDigest = SimulationRun.run(scenario, null).digest();
         assertEquals(
-                own,
+                defaultDigest,
                 SimulationRun.run(scenario, null, false, SchedulerVariant.of("MARGIN_STEPS = 1.5"))
                         .digest());
         assertNotEquals(
-                own,
+                defaultDigest,
                 SimulationRun.run(
                                 scenario,
                                 null,
@@ -185,7 +194,7 @@
     }
 
     @Test
-    void theNamesOfExperimentFilesSpellAllDefaultFigures() throws Exception {
+    void variantNamesCoverAllTuningParameters() throws Exception {
         assertEquals(
                 SchedulerTuning.DEFAULT,
                 SchedulerVariant.parse(
@@ -196,7 +205,7 @@
                                 + "LOOK_WAITING = 4_000; LOOK_IDLE = 40_000;"
                                 + "ANSWER_AHEAD = 5_000; FIRST_ASK = 500_000;"
                                 + "SLACK_USED = 0.9; COLD_QUEUE = 1.0 / 8"));
-        SchedulerTuning other =
+        SchedulerTuning variant =
                 SchedulerVariant.parse(
                         "BASE_BATCH = 1; LOTS = 2; FIRST_WINDOW = 3; WINDOW_CEILING = 4;"
                                 + "MARGIN_STEPS = 5; LATE_PART = 6; SMOOTHING = 7; PATIENCE = 8;"
@@ -207,49 +216,57 @@
         assertEquals(
                 new SchedulerTuning(
                         1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19),
-                other);
+                variant);
     }
 
     @Test
-    void aStormShrinksToWhatMakesItBad() throws Exception {
-        Scenario base = ScenarioParser.read(DAY);
+    void shrinkingKeepsOnlyTheFaultThatCausesTheFailure() throws Exception {
+        Scenario base = ScenarioParser.read(SCENARIO_FILE);
         Scenario scenario = null;
-        for (long seed = 1; scenario == null; seed++) { // one with a kill among others
-            Scenario drawn = FaultGenerator.generate(base, seed, FaultGenerator.Ranges.defaults(8));
+        for (long seed = 1;
+                scenario == null;
+                seed++) { // find a scenario with a kill among other faults
+            Scenario generated =
+                    FaultGenerator.generate(base, seed, FaultGenerator.Ranges.defaults(8));
             scenario =
-                    drawn.faults().size() > 4
-                                    && drawn.faults().stream()
+                    generated.faults().size() > 4
+                                    && generated.faults().stream()
                                             .anyMatch(fault -> fault.type() == FaultType.KILL)
-                            ? drawn
+                            ? generated
                             : null;
         }
-        List<Integer> seen = new ArrayList<>();
-        Scenario small =
+        List<Integer> faultCounts = new ArrayList<>();
+        Scenario shrunk =
                 new ScenarioShrinker(
-                                d -> {
-                                    seen.add(d.faults().size());
-                                    return d.faults().stream()
+                                candidate -> {
+                                    faultCounts.add(candidate.faults().size());
+                                    return candidate.faults().stream()
                                             .anyMatch(fault -> fault.type() == FaultType.KILL);
                                 })
                         .shrink(scenario);
-        assertEquals(1, small.faults().size());
-        assertEquals(FaultType.KILL, small.faults().get(0).type());
-        assertTrue(seen.size() < 100);
+        assertEquals(1, shrunk.faults().size());
+        assertEquals(FaultType.KILL, shrunk.faults().get(0).type());
+        assertTrue(faultCounts.size() < 100);
     }
 
     @Test
-    void stormsStayWithinTheirRanges() throws Exception {
-        FaultGenerator.Ranges in =
+    void generatedFaultsStayWithinTheirRanges() throws Exception {
+        FaultGenerator.Ranges ranges =
                 new FaultGenerator.Ranges(
                         List.of(FaultType.HANG, FaultType.SLOW), 3, 0.2, 0.4, 0.25);
         for (long seed = 0; seed < 200; seed++) {
-            for (var fault : FaultGenerator.generate(ScenarioParser.read(DAY), seed, in).faults()) {
+            for (var fault :
+                    FaultGenerator.generate(ScenarioParser.read(SCENARIO_FILE), seed, ranges)
+                            .faults()) {
                 assertTrue(
-                        in.faultTypes().contains(fault.type())
+                        ranges.faultTypes().contains(fault.type())
                                 && fault.selection().part() >= 0.2
                                 && fault.selection().part() <= 0.4
                                 && fault.durationMicros()
-                                        <= 500_000 + ScenarioParser.read(DAY).durationMicros() / 4,
+                                        <= 500_000
+                                                + ScenarioParser.read(SCENARIO_FILE)
+                                                                .durationMicros()
+                                                        / 4,
                         "" + fault);
             }
         }
@@ -259,79 +276,93 @@
     }
 
     /**
-     * Means of one, so that a fleet does as much whatever the spread; spreads in the order that
-     * their names promise.
+     * The mean factor must be 1, so that the capacity of the targets does not depend on the
+     * distribution. The distributions are listed by increasing variance.
      */
     @Test
-    void workVariesRoundItsMean() {
-        double last = 0;
-        for (String text : List.of("even", "gamma:4", "exponential", "lognormal:1.2")) {
-            WorkDistribution work = WorkDistribution.of(text);
-            double sum = 0;
-            double squares = 0;
-            int n = 200_000;
-            for (int i = 0; i < n; i++) {
-                double f = work.factor((i + 0.5) / n);
-                sum += f;
-                squares += f * f;
+    void workDistributionsHaveMeanOneAndOrderedVariance() {
+        double lastVariance = 0;
+        for (String distribution : List.of("even", "gamma:4", "exponential", "lognormal:1.2")) {
+            WorkDistribution work = WorkDistribution.of(distribution);
+            double total = 0;
+            double totalOfSquares = 0;
+            int sampleCount = 200_000;
+            for (int i = 0; i < sampleCount; i++) {
+                double factor = work.factor((i + 0.5) / sampleCount);
+                total += factor;
+                totalOfSquares += factor * factor;
             }
-            double spread = squares / n - sum / n * (sum / n);
-            assertEquals(1, sum / n, 0.01, text);
-            assertTrue(spread > last, text + " spreads " + spread + ", the one before " + last);
-            last = spread;
+            double variance =
+                    totalOfSquares / sampleCount - total / sampleCount * (total / sampleCount);
+            assertEquals(1, total / sampleCount, 0.01, distribution);
+            assertTrue(
+                    variance > lastVariance,
+                    distribution
+                            + " has variance "
+                            + variance
+                            + ", the one before "
+                            + lastVariance);
+            lastVariance = variance;
         }
-        for (String bad : List.of("", "odd", "gamma", "gamma:0", "lognormal:x", "even:2")) {
-            assertThrows(IllegalArgumentException.class, () -> WorkDistribution.of(bad), bad);
+        for (String invalid : List.of("", "odd", "gamma", "gamma:0", "lognormal:x", "even:2")) {
+            assertThrows(
+                    IllegalArgumentException.class, () -> WorkDistribution.of(invalid), invalid);
         }
     }
 
-    /**
-     * What was found is the same day when it is read again: by its text and by all that travels.
-     */
+    /** A generated scenario that is saved as a script and read again runs identically. */
     @Test
-    void stormsAreKeptAsScriptsAndPlayTheSame() throws Exception {
-        Scenario base = ScenarioParser.read(DAY);
-        String text = Files.readString(DAY);
-        Set<FaultType> met = new HashSet<>();
+    void generatedScenariosSavedAsScriptsRunIdentically() throws Exception {
+        Scenario base = ScenarioParser.read(SCENARIO_FILE);
+        String baseScript = Files.readString(SCENARIO_FILE);
+        Set<FaultType> generatedTypes = new HashSet<>();
         for (long seed = 1; seed <= 40; seed++) {
             Scenario scenario =
                     FaultGenerator.generate(base, seed, FaultGenerator.Ranges.defaults(6));
-            scenario.faults().forEach(fault -> met.add(fault.type()));
+            scenario.faults().forEach(fault -> generatedTypes.add(fault.type()));
             String script =
-                    FaultSearch.script(text, new FaultSearch.Failure(scenario, 0.5, false, ""));
-            Scenario again = ScenarioParser.read("found.day", scenario.name(), script);
-            assertEquals(scenario.faults().size(), again.faults().size(), script);
+                    FaultSearch.script(
+                            baseScript, new FaultSearch.Failure(scenario, 0.5, false, ""));
+            Scenario reread = ScenarioParser.read("found.day", scenario.name(), script);
+            assertEquals(scenario.faults().size(), reread.faults().size(), script);
             if (seed <= 4) {
                 assertEquals(
                         SimulationRun.run(scenario, null).digest(),
-                        SimulationRun.run(again, null).digest(),
+                        SimulationRun.run(reread, null).digest(),
                         script);
             }
         }
-        assertTrue(met.size() > 15, "hardly any sort of trouble was drawn: " + met);
+        assertTrue(
+                generatedTypes.size() > 15,
+                "expected more than 15 types of faults, got " + generatedTypes);
     }
 
     @Test
-    void aHuntFindsTheSameOnAnyNumberOfThreads() throws Exception {
-        FaultSearch one =
-                new FaultSearch(ScenarioParser.read(DAY), FaultGenerator.Ranges.defaults(3), 1);
-        FaultSearch four =
-                new FaultSearch(ScenarioParser.read(DAY), FaultGenerator.Ranges.defaults(3), 4);
-        List<FaultSearch.Failure> first = one.run(100, 6, FaultSearch.SearchGoal.RULES);
+    void aSearchFindsTheSameOnAnyNumberOfThreads() throws Exception {
+        FaultSearch singleThreaded =
+                new FaultSearch(
+                        ScenarioParser.read(SCENARIO_FILE), FaultGenerator.Ranges.defaults(3), 1);
+        FaultSearch multiThreaded =
+                new FaultSearch(
+                        ScenarioParser.read(SCENARIO_FILE), FaultGenerator.Ranges.defaults(3), 4);
+        List<FaultSearch.Failure> singleThreadedResults =
+                singleThreaded.run(100, 6, FaultSearch.SearchGoal.RULES);
         assertEquals(
-                first.stream().map(c -> c.scenario().name() + c.serviceLevel()).toList(),
-                four.run(100, 6, FaultSearch.SearchGoal.RULES).stream()
-                        .map(c -> c.scenario().name() + c.serviceLevel())
+                singleThreadedResults.stream()
+                        .map(result -> result.scenario().name() + result.serviceLevel())
+                        .toList(),
+                multiThreaded.run(100, 6, FaultSearch.SearchGoal.RULES).stream()
+                        .map(result -> result.scenario().name() + result.serviceLevel())
                         .toList());
         assertTrue(
-                first.stream().noneMatch(FaultSearch.Failure::isBroken),
-                () -> "a storm broke a rule: " + first);
+                singleThreadedResults.stream().noneMatch(FaultSearch.Failure::isBroken),
+                () -> "a generated scenario broke a rule: " + singleThreadedResults);
     }
 
     @Test
-    void everyDayThatStandsHereCanBeRead() throws Exception {
-        for (String place : List.of("days", "scale", "experiments")) {
-            try (Stream<Path> files = Files.list(Path.of(place))) {
+    void allScenariosAndExperimentsOfTheModuleCanBeRead() throws Exception {
+        for (String directory : List.of("days", "scale", "experiments")) {
+            try (Stream<Path> files = Files.list(Path.of(directory))) {
                 for (Path file : files.toList()) {
                     if (file.toString().endsWith(".day")) {
                         ScenarioParser.read(file);
--- a/simulation/src/test/java/milletyoke/simulation/SimulationTest.java
+++ b/simulation/src/test/java/milletyoke/simulation/SimulationTest.java
@@ -46,39 +46,45 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The product in virtual time: the rules on days that the rehearsal plays too, the hard cases, and
- * repeatability.
+ * Runs the production code in virtual time: checks the rules on this module's scenarios and on
+ * those of the scenario module, and that runs are reproducible.
  */
 class SimulationTest {
-    private static final Path REHEARSALS = Path.of("../scenario/days"), OWN = Path.of("days");
+    private static final Path SHARED_SCENARIOS = Path.of("../scenario/days");
+    private static final Path OWN_SCENARIOS = Path.of("days");
 
     @TempDir Path folder;
 
-    static Stream<Path> ownDays() throws Exception {
-        try (Stream<Path> all = Files.list(OWN)) {
-            return all.filter(f -> f.toString().endsWith(".day")).sorted().toList().stream();
+    static Stream<Path> ownScenarios() throws Exception {
+        try (Stream<Path> files = Files.list(OWN_SCENARIOS)) {
+            return files
+                    .filter(file -> file.toString().endsWith(".day"))
+                    .sorted()
+                    .toList()
+                    .stream();
         }
     }
 
-    private Audit.Report kept(Scenario scenario) throws Exception {
+    private Audit.Report runAndAudit(Scenario scenario) throws Exception {
         Path recording = folder.resolve("recording");
         SimulationRun.SimulationResult result = SimulationRun.run(scenario, recording);
         Audit.Report report = Audit.audit(recording);
         assertTrue(report.isClean(), () -> scenario.name() + "\n" + report.text(true));
-        assertEquals(0, result.unfinished(), "every access has its answer");
+        assertEquals(0, result.unfinished(), "requests without a response");
         assertTrue(
                 result.warmUpBudgetUsed() <= 1,
-                "no cold target is sent more than it bears: " + result.warmUpBudgetUsed());
-        assertTrue(result.isClean(), "every initiator left with nothing unanswered");
+                "a target was sent too much for its warm-up capacity, as a fraction of it: "
+                        + result.warmUpBudgetUsed());
+        assertTrue(result.isClean(), "an initiator did not shut down cleanly");
         return report;
     }
 
     @ParameterizedTest
-    @MethodSource("ownDays")
-    void hardCasesKeepEveryRule(Path script) throws Exception {
+    @MethodSource("ownScenarios")
+    void ownScenariosKeepEveryRule(Path script) throws Exception {
         assertTrue(
-                kept(ScenarioParser.read(script)).rule(1).tested() > 500,
-                "hardly anything was asked");
+                runAndAudit(ScenarioParser.read(script)).rule(1).tested() > 500,
+                "expected more than 500 checks of rule 1");
     }
 
     @ParameterizedTest
@@ -94,33 +100,36 @@
                 "overlap-list-roll-burst",
                 "still"
             })
-    void aRehearsalPlaysHereToo(String name) throws Exception {
-        kept(ScenarioParser.read(REHEARSALS.resolve(name + ".day")));
+    void scenariosOfTheScenarioModuleKeepEveryRule(String name) throws Exception {
+        runAndAudit(ScenarioParser.read(SHARED_SCENARIOS.resolve(name + ".day")));
     }
 
     @Test
-    void theAuditSeesTheRulesTestedHereAsOnSockets() throws Exception {
-        Audit.Report report = kept(ScenarioParser.read(REHEARSALS.resolve("all-rules.day")));
+    void oneScenarioTestsEveryRule() throws Exception {
+        Audit.Report report =
+                runAndAudit(ScenarioParser.read(SHARED_SCENARIOS.resolve("all-rules.day")));
         for (int rule = 1; rule <= 7; rule++) {
-            assertTrue(report.rule(rule).tested() > 0, "rule " + rule + " was not put to the test");
+            assertTrue(report.rule(rule).tested() > 0, "rule " + rule + " was not tested");
         }
     }
 
-    /** Repeatable, also with others beside it; another seed is another day. */
+    /**
+     * Runs are reproducible even when others run at the same time; another seed changes the run.
+     */
     @Test
-    void theSameSeedPlaysTheSameOnAnyNumberOfThreads() throws Exception {
+    void equalSeedsGiveEqualRunsOnAnyNumberOfThreads() throws Exception {
         Scenario scenario =
-                ScenarioParser.read(REHEARSALS.resolve("overlap-hang-restart-kill.day"));
+                ScenarioParser.read(SHARED_SCENARIOS.resolve("overlap-hang-restart-kill.day"));
         SimulationRun.SimulationResult alone = SimulationRun.run(scenario, null);
         for (int threads : new int[] {2, 6}) {
             ExecutorService workers = Executors.newFixedThreadPool(threads);
-            List<Future<SimulationRun.SimulationResult>> plays =
+            List<Future<SimulationRun.SimulationResult>> futures =
                     IntStream.range(0, 6)
-                            .mapToObj(n -> workers.submit(() -> SimulationRun.run(scenario, null)))
+                            .mapToObj(i -> workers.submit(() -> SimulationRun.run(scenario, null)))
                             .toList();
-            for (Future<SimulationRun.SimulationResult> play : plays) {
-                assertEquals(alone.digest(), play.get().digest());
-                assertEquals(alone.serviceLevels().text(), play.get().serviceLevels().text());
+            for (Future<SimulationRun.SimulationResult> future : futures) {
+                assertEquals(alone.digest(), future.get().digest());
+                assertEquals(alone.serviceLevels().text(), future.get().serviceLevels().text());
             }
             workers.shutdown();
         }
@@ -134,25 +143,31 @@
     }
 
     @Test
-    void aGreyPartitionHurtsWhomItCutsOffAndNobodyElse() throws Exception {
-        Scenario cut = ScenarioParser.read(OWN.resolve("grey-partition.day"));
-        double quiet =
-                SimulationRun.run(cut.withFaults(cut.name(), cut.seed(), List.of()), null)
+    void aGreyPartitionAffectsOnlyTheInitiatorItCutsOff() throws Exception {
+        Scenario partitioned = ScenarioParser.read(OWN_SCENARIOS.resolve("grey-partition.day"));
+        double undisturbed =
+                SimulationRun.run(
+                                partitioned.withFaults(
+                                        partitioned.name(), partitioned.seed(), List.of()),
+                                null)
                         .serviceLevels()
                         .overallServiceLevel();
-        double grey = SimulationRun.run(cut, null).serviceLevels().overallServiceLevel();
-        assertTrue(quiet - grey > 0.005, "it costs something: " + quiet + ", " + grey);
+        double grey = SimulationRun.run(partitioned, null).serviceLevels().overallServiceLevel();
+        assertTrue(
+                undisturbed - grey > 0.005,
+                "the partition has no effect on the service level: " + undisturbed + ", " + grey);
         assertTrue(
-                quiet - grey < 0.15,
-                "a third of accesses at half of the targets for a fifth of the time is a thirtieth: "
-                        + quiet
+                undisturbed - grey < 0.15,
+                "one of three initiators loses half of the targets for a fifth of the time, which"
+                        + " affects a thirtieth of the requests: "
+                        + undisturbed
                         + ", "
                         + grey);
     }
 
     @Test
-    void plainPoliciesAnswerEverythingInTime() throws Exception {
-        Scenario scenario = ScenarioParser.read(REHEARSALS.resolve("slow.day"));
+    void baselineSchedulersRespondToEveryRequestInTime() throws Exception {
+        Scenario scenario = ScenarioParser.read(SHARED_SCENARIOS.resolve("slow.day"));
         for (SchedulerChoice scheduler :
                 List.of(SchedulerChoice.AT_ONCE, SchedulerChoice.FAIR_ROUNDS)) {
             Path recording = folder.resolve("recording");
@@ -170,23 +185,24 @@
     }
 
     @Test
-    void aTroubleThatWaitsForServiceComesOnceItHasFallen() throws Exception {
-        String text = Files.readString(OWN.resolve("cascade.day"));
-        long without =
+    void aConditionalFaultStartsOnceTheServiceLevelHasFallen() throws Exception {
+        String text = Files.readString(OWN_SCENARIOS.resolve("cascade.day"));
+        long withoutFault =
                 SimulationRun.run(
                                 ScenarioParser.read("d", "d", text.replaceAll("(?m)^when.*$", "")),
                                 null)
                         .digest();
         assertEquals(
-                without,
+                withoutFault,
                 SimulationRun.run(
                                 ScenarioParser.read(
                                         "d", "d", text.replace("under=70%", "under=1%")),
                                 null)
                         .digest(),
-                "service never falls so low");
+                "the service level never falls below 1%");
         assertNotEquals(
-                without, SimulationRun.run(ScenarioParser.read("d", "d", text), null).digest());
+                withoutFault,
+                SimulationRun.run(ScenarioParser.read("d", "d", text), null).digest());
         assertTrue(
                 assertThrows(
                                 ScenarioFormatException.class,
@@ -200,56 +216,62 @@
     }
 
     @Test
-    void whatTargetsAreLikeShows() throws Exception {
+    void targetPropertiesAffectTheServiceLevel() throws Exception {
         String text =
-                Files.readString(REHEARSALS.resolve("mass-restart-stamped.day"))
+                Files.readString(SHARED_SCENARIOS.resolve("mass-restart-stamped.day"))
                         .replaceAll("(?m)^load [0-9]*/s", "load 2500/s")
                         .replaceAll(" limit=\\d+", "");
-        String crowd = text.replaceAll("(?m)^targets .*$", "$0 crowd=10%");
-        double plain = atOnce(text);
-        double crowded = atOnce(crowd);
+        String crowdScript = text.replaceAll("(?m)^targets .*$", "$0 crowd=10%");
+        double atOncePlain = serviceLevelAtOnce(text);
+        double atOnceCrowded = serviceLevelAtOnce(crowdScript);
         assertTrue(
-                crowded < plain - 0.05,
-                "targets that lose to a crowd do less: " + crowded + ", " + plain);
+                atOnceCrowded < atOncePlain - 0.05,
+                "targets that slow down with concurrent requests must serve less: "
+                        + atOnceCrowded
+                        + ", "
+                        + atOncePlain);
         assertTrue(
-                SimulationRun.run(ScenarioParser.read("d", "d", crowd), null)
+                SimulationRun.run(ScenarioParser.read("d", "d", crowdScript), null)
                                 .serviceLevels()
                                 .overallServiceLevel()
-                        > crowded + 0.05,
-                "windows leave them less of one");
-        Scenario cold = ScenarioParser.read(OWN.resolve("cold-restart-40.day"));
-        String byWork =
-                Files.readString(OWN.resolve("cold-restart-40.day"))
+                        > atOnceCrowded + 0.05,
+                "concurrency limits must reduce the loss");
+        Scenario coldRestart = ScenarioParser.read(OWN_SCENARIOS.resolve("cold-restart-40.day"));
+        String warmByWork =
+                Files.readString(OWN_SCENARIOS.resolve("cold-restart-40.day"))
                         .replaceAll("(?m)^targets .*$", "$0 warmunits=20");
         assertTrue(
-                SimulationRun.run(ScenarioParser.read("d", "d", byWork), null)
+                SimulationRun.run(ScenarioParser.read("d", "d", warmByWork), null)
                                 .serviceLevels()
                                 .overallServiceLevel()
-                        > SimulationRun.run(cold, null).serviceLevels().overallServiceLevel(),
-                "targets that are warm after twenty units do more");
-        String costly =
-                Files.readString(REHEARSALS.resolve("reconnect.day"))
+                        > SimulationRun.run(coldRestart, null)
+                                .serviceLevels()
+                                .overallServiceLevel(),
+                "targets that are warm after 20 units of work must serve more");
+        String costlyConnections =
+                Files.readString(SHARED_SCENARIOS.resolve("reconnect.day"))
                         .replaceAll("(?m)^targets .*$", "$0 connecting=200ms");
         assertTrue(
-                SimulationRun.run(ScenarioParser.read("d", "d", costly), null)
+                SimulationRun.run(ScenarioParser.read("d", "d", costlyConnections), null)
                                 .serviceLevels()
                                 .overallServiceLevel()
                         < SimulationRun.run(
-                                        ScenarioParser.read(REHEARSALS.resolve("reconnect.day")),
+                                        ScenarioParser.read(
+                                                SHARED_SCENARIOS.resolve("reconnect.day")),
                                         null)
                                 .serviceLevels()
                                 .overallServiceLevel());
     }
 
     @Test
-    void travelIsPartOfEveryAnswer() throws Exception {
-        String text = Files.readString(REHEARSALS.resolve("slow.day"));
-        double near =
+    void networkLatencyIsPartOfEveryResponseTime() throws Exception {
+        String text = Files.readString(SHARED_SCENARIOS.resolve("slow.day"));
+        double baseMedian =
                 SimulationRun.run(ScenarioParser.read("d", "d", text), null)
                         .serviceLevels()
                         .latencies()
                         .getValueAtPercentile(50);
-        double far =
+        double distantMedian =
                 SimulationRun.run(
                                 ScenarioParser.read("d", "d", text + "\nnetwork travel=4ms..6ms"),
                                 null)
@@ -257,11 +279,14 @@
                         .latencies()
                         .getValueAtPercentile(50);
         assertTrue(
-                far > near + 18_000 && far < near + 26_000,
-                "four ways of 4 to 6 ms: " + near + ", " + far);
+                distantMedian > baseMedian + 18_000 && distantMedian < baseMedian + 26_000,
+                "expected four one-way latencies of 4 to 6 ms more: "
+                        + baseMedian
+                        + ", "
+                        + distantMedian);
     }
 
-    private static double atOnce(String text) throws Exception {
+    private static double serviceLevelAtOnce(String text) throws Exception {
         return SimulationRun.run(
                         ScenarioParser.read("d", "d", text),
                         null,
@@ -271,14 +296,11 @@
                 .overallServiceLevel();
     }
 
-    /**
-     * Traffic as it came in at three initiators is asked again, access by access, also at another
-     * speed.
-     */
+    /** Requests captured at three initiators are replayed one by one, also at another speed. */
     @Test
-    void capturedTrafficIsAskedAgain() throws Exception {
-        Scenario scenario = ScenarioParser.read(REHEARSALS.resolve("slow.day"));
-        long firstTries;
+    void capturedTrafficIsReplayed() throws Exception {
+        Scenario scenario = ScenarioParser.read(SHARED_SCENARIOS.resolve("slow.day"));
+        long firstAttempts;
         try (ScenarioRunner runner =
                 new ScenarioRunner(
                         scenario,
@@ -288,98 +310,116 @@
                         new SimulatedEnvironment(3, SimulatedEnvironment.Timing.LOOPBACK),
                         null)) {
             runner.capture(folder.resolve("traffic"));
-            firstTries = runner.run(s -> {}).serviceLevels().totalRequests();
+            firstAttempts = runner.run(serviceLevels -> {}).serviceLevels().totalRequests();
         }
-        Map<String, Integer> came = new HashMap<>();
+        Map<String, Integer> capturedByClass = new HashMap<>();
         for (int i = 1; i <= 3; i++) {
             CapturedTraffic traffic =
                     CapturedTraffic.read(folder.resolve("traffic/initiator-" + i + ".traffic"));
             assertTrue(traffic.complete());
-            traffic.requests().forEach(a -> came.merge(a.requestClass(), 1, Integer::sum));
+            traffic.requests()
+                    .forEach(
+                            request ->
+                                    capturedByClass.merge(request.requestClass(), 1, Integer::sum));
         }
-        int all = came.values().stream().mapToInt(n -> n).sum();
+        int captured = capturedByClass.values().stream().mapToInt(count -> count).sum();
         assertTrue(
-                all >= firstTries && all < 1.3 * firstTries,
-                "further tries are traffic too: " + all + ", " + firstTries);
+                captured >= firstAttempts && captured < 1.3 * firstAttempts,
+                "the capture must also contain the clients' retries: "
+                        + captured
+                        + ", "
+                        + firstAttempts);
         String text =
-                Files.readString(REHEARSALS.resolve("slow.day"))
+                Files.readString(SHARED_SCENARIOS.resolve("slow.day"))
                         .replaceAll(
                                 "(?m)^load .*$",
                                 "load traffic=traffic/initiator-1.traffic,traffic/initiator-2.traffic,traffic/initiator-3.traffic retries=0")
                         .replaceAll("(?m)^lasts .*$", "lasts 14s");
         for (String speed : List.of("", " speed=2")) {
-            Scenario again =
+            Scenario replayScenario =
                     ScenarioParser.read(
                             folder.resolve("again.day").toString(),
                             "again",
                             text.replace("retries=0", "retries=0" + speed));
-            SimulationRun.SimulationResult replayed = SimulationRun.run(again, null);
-            came.forEach(
-                    (category, n) ->
+            SimulationRun.SimulationResult replayed = SimulationRun.run(replayScenario, null);
+            capturedByClass.forEach(
+                    (requestClass, count) ->
                             assertEquals(
-                                    n.longValue(),
-                                    replayed.serviceLevels().requestClass(category).requests()));
+                                    count.longValue(),
+                                    replayed.serviceLevels()
+                                            .requestClass(requestClass)
+                                            .requests()));
             assertEquals(0, replayed.unfinished());
         }
-        Scenario small =
+        Scenario tooFewTargets =
                 ScenarioParser.read(
                         folder.resolve("again.day").toString(),
                         "again",
                         text.replaceAll("(?m)^targets 8 ", "targets 2 "));
         assertTrue(
-                assertThrows(IOException.class, () -> SimulationRun.run(small, null))
+                assertThrows(IOException.class, () -> SimulationRun.run(tooFewTargets, null))
                         .getMessage()
                         .contains("wants shard"));
     }
 
     /**
-     * Decisions that fail break off what is held; what still comes is rejected, not left in a queue
-     * that nobody takes from.
+     * After its scheduler has thrown an exception, an event loop ends its pending requests and
+     * rejects later ones; they must not stay in a queue that is no longer processed.
      */
     @Test
-    void whatComesToALoopThatFailedIsRejected() throws Exception {
-        Scenario scenario = ScenarioParser.read(REHEARSALS.resolve("slow.day"));
+    void requestsToAFailedEventLoopAreRejected() throws Exception {
+        Scenario scenario = ScenarioParser.read(SHARED_SCENARIOS.resolve("slow.day"));
         Path recording = folder.resolve("recording");
-        SimulatedEnvironment world =
+        SimulatedEnvironment environment =
                 new SimulatedEnvironment(4, SimulatedEnvironment.Timing.LOOPBACK);
-        int[] calls = new int[1];
+        int[] decisionsWithRequests = new int[1];
         try (ScenarioRunner runner =
                 new ScenarioRunner(
                         scenario,
                         recording,
                         false,
                         null,
-                        world,
+                        environment,
                         () ->
                                 (now, events) -> {
                                     if (events.stream()
                                                     .anyMatch(
-                                                            e ->
-                                                                    e
+                                                            event ->
+                                                                    event
                                                                             instanceof
                                                                             milletyoke.scheduler.api
                                                                                     .Event
                                                                                     .RequestReceived)
-                                            && ++calls[0] > 30) {
-                                        throw new IllegalStateException("made to fail");
+                                            && ++decisionsWithRequests[0] > 30) {
+                                        throw new IllegalStateException(
+                                                "failure injected by the test");
                                     }
                                     return List.of();
                                 })) {
-            ScenarioRunner.ScenarioResult result = runner.run(s -> {});
+            ScenarioRunner.ScenarioResult result = runner.run(serviceLevels -> {});
             assertEquals(0, result.unfinished());
-            assertFalse(result.isShutdownClean(), "a loop that failed says so");
+            assertFalse(
+                    result.isShutdownClean(),
+                    "a failed event loop must not report a clean shutdown");
         }
         assertEquals(0, Audit.audit(recording).rule(1).violations());
     }
 
-    /** A loop that took more than one turn's part at once dropped what stood next in its queue. */
+    /**
+     * Guards against lost requests: an event loop that took more from its queue than one turn may
+     * process dropped the next entry.
+     */
     @Test
-    void aFloodOfOneMomentLosesNothing() throws Exception {
-        SimulatedEnvironment world =
+    void aBurstWithinOneTurnLosesNoRequest() throws Exception {
+        SimulatedEnvironment environment =
                 new SimulatedEnvironment(5, SimulatedEnvironment.Timing.LOOPBACK);
         Discovery discovery =
                 new Discovery(
-                        0, 1, world.newTimerExecutor("discovery", 1), FrameObserver.NONE, world);
+                        0,
+                        1,
+                        environment.newTimerExecutor("discovery", 1),
+                        FrameObserver.NONE,
+                        environment);
         DeploymentSettings deployment =
                 DeploymentSettings.read(
                         SettingsReader.of(
@@ -410,7 +450,7 @@
                                 null,
                                 null),
                         FrameObserver.NONE,
-                        world,
+                        environment,
                         1,
                         null);
         discovery.update(
@@ -421,9 +461,10 @@
                         .setHost("127.0.0.1")
                         .setPort(1)
                         .build());
-        Map<Long, Integer> answers = new HashMap<>();
+        Map<Long, Integer> responsesByNumber = new HashMap<>();
         PeerConnection[] client = new PeerConnection[1];
-        world.openNetwork("client", 1, FrameObserver.NONE)
+        environment
+                .openNetwork("client", 1, FrameObserver.NONE)
                 .connect(
                         "127.0.0.1",
                         initiator.port(),
@@ -436,23 +477,26 @@
 
                             @Override
                             public void onFrame(PeerConnection peer, Frame frame) {
-                                answers.merge(frame.getResponse().getNumber(), 1, Integer::sum);
+                                responsesByNumber.merge(
+                                        frame.getResponse().getNumber(), 1, Integer::sum);
                             }
 
                             @Override
-                            public void onClosed(PeerConnection peer, String why) {}
+                            public void onClosed(PeerConnection peer, String reason) {}
                         },
                         new FrameLimits(65_536, 64 << 20, 5_000_000, 0),
-                        why -> {});
-        world.sleep(1_000_000);
-        for (long n = 1; n <= 3_000; n++) { // all arrive within the time of one turn
+                        reason -> {});
+        environment.sleep(1_000_000);
+        for (long number = 1;
+                number <= 3_000;
+                number++) { // all arrive within one turn of the event loop
             client[0].enqueue(
                     Frame.newBuilder()
                             .setRequest(
                                     Request.newBuilder()
-                                            .setNumber(n)
+                                            .setNumber(number)
                                             .setShard(0)
-                                            .setVolume("v" + n % 7)
+                                            .setVolume("v" + number % 7)
                                             .setPlan("basic")
                                             .setRequestClass("read")
                                             .setInitiatorCount(1)
@@ -461,9 +505,9 @@
                             .build());
         }
         client[0].flush();
-        world.sleep(2_000_000);
-        assertEquals(3_000, answers.size());
-        assertTrue(answers.values().stream().allMatch(n -> n == 1));
+        environment.sleep(2_000_000);
+        assertEquals(3_000, responsesByNumber.size());
+        assertTrue(responsesByNumber.values().stream().allMatch(count -> count == 1));
         initiator.kill();
     }
 }
