--- a/cli/src/main/java/milletyoke/cli/simulation/SearchFaultsCommand.java
+++ b/cli/src/main/java/milletyoke/cli/simulation/SearchFaultsCommand.java
@@ -100,10 +100,10 @@
         FaultGenerator.Ranges ranges = ranges();
         FaultSearch search =
                 new FaultSearch(ScenarioParser.read(script), ranges, Math.max(1, threads));
-        List<FaultSearch.Failure> worstFirst = search.run(seed, runs, goal);
-        long broken = worstFirst.stream().filter(FaultSearch.Failure::isBroken).count();
+        List<FaultSearch.SearchResult> worstFirst = search.run(seed, runs, goal);
+        long broken = worstFirst.stream().filter(FaultSearch.SearchResult::isBroken).count();
         printResults(worstFirst, broken);
-        FaultSearch.Failure worst = worstFirst.get(0);
+        FaultSearch.SearchResult worst = worstFirst.get(0);
         if (worst.isBroken() || goal == FaultSearch.SearchGoal.SERVICE) {
             shrink(search, worst);
         }
@@ -120,11 +120,11 @@
                 maxDurationPercent / PERCENT);
     }
 
-    private static void printResults(List<FaultSearch.Failure> worstFirst, long broken) {
+    private static void printResults(List<FaultSearch.SearchResult> worstFirst, long broken) {
         worstFirst.stream().limit(SHOWN_RUNS).forEach(SearchFaultsCommand::printRun);
         double meanServiceLevel =
                 worstFirst.stream()
-                        .mapToDouble(FaultSearch.Failure::serviceLevel)
+                        .mapToDouble(FaultSearch.SearchResult::serviceLevel)
                         .average()
                         .orElse(0);
         System.out.printf(
@@ -132,14 +132,14 @@
                 worstFirst.size(), broken, meanServiceLevel);
     }
 
-    private static void printRun(FaultSearch.Failure run) {
+    private static void printRun(FaultSearch.SearchResult run) {
         System.out.printf(
                 "%-40s service %.4f  %s%n",
                 run.scenario().name(), run.serviceLevel(), run.reason());
     }
 
-    private void shrink(FaultSearch search, FaultSearch.Failure worst) throws IOException {
-        FaultSearch.Failure smallest = search.shrink(worst, goal);
+    private void shrink(FaultSearch search, FaultSearch.SearchResult worst) throws IOException {
+        FaultSearch.SearchResult smallest = search.shrink(worst, goal);
         String text = FaultSearch.script(Files.readString(script), smallest);
         System.out.printf(
                 "shrunk to %d of %d troubles, service %.4f  %s%n%s",
--- a/simulation/src/main/java/milletyoke/simulation/faults/FaultSearch.java
+++ b/simulation/src/main/java/milletyoke/simulation/faults/FaultSearch.java
@@ -36,7 +36,7 @@
      *     initiator did not shut down cleanly, or the run failed
      * @param reason why the run counts as broken, in one line; empty if it does not
      */
-    public record Failure(
+    public record SearchResult(
             Scenario scenario, double serviceLevel, boolean isBroken, String reason) {}
 
     /** Fraction of the loss of service that a shrunk scenario must still cause. */
@@ -66,22 +66,22 @@
      * @throws IOException if a scenario cannot be run
      * @throws InterruptedException if the calling thread is interrupted
      */
-    public List<Failure> run(long firstSeed, int runs, SearchGoal goal)
+    public List<SearchResult> run(long firstSeed, int runs, SearchGoal goal)
             throws InterruptedException, IOException {
         ExecutorService workers = Executors.newFixedThreadPool(threads);
         try {
-            List<Future<Failure>> futures = new ArrayList<>();
+            List<Future<SearchResult>> futures = new ArrayList<>();
             for (int i = 0; i < runs; i++) {
                 Scenario scenario = FaultGenerator.generate(base, firstSeed + i, ranges);
                 futures.add(workers.submit(() -> evaluate(scenario, goal == SearchGoal.RULES)));
             }
-            List<Failure> results = new ArrayList<>();
-            for (Future<Failure> future : futures) {
+            List<SearchResult> results = new ArrayList<>();
+            for (Future<SearchResult> future : futures) {
                 results.add(future.get());
             }
             results.sort(
-                    Comparator.comparing((Failure result) -> !result.isBroken())
-                            .thenComparingDouble(Failure::serviceLevel)
+                    Comparator.comparing((SearchResult result) -> !result.isBroken())
+                            .thenComparingDouble(SearchResult::serviceLevel)
                             .thenComparing(result -> result.scenario().name()));
             return results;
         } catch (ExecutionException e) {
@@ -96,7 +96,7 @@
      *
      * @param audited whether the rules are checked too, which requires a recording
      */
-    public static Failure evaluate(Scenario scenario, boolean audited) {
+    public static SearchResult evaluate(Scenario scenario, boolean audited) {
         Path recording = null;
         try {
             recording = audited ? Files.createTempFile("milletyoke-", ".recording") : null;
@@ -117,7 +117,7 @@
                                         .orElse("a rule was broken")
                                         .strip();
             }
-            return new Failure(
+            return new SearchResult(
                     scenario,
                     result.serviceLevels().overallServiceLevel(),
                     !reason.isEmpty(),
@@ -125,7 +125,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         } catch (RuntimeException e) {
-            return new Failure(scenario, 0, true, "the run failed: " + e);
+            return new SearchResult(scenario, 0, true, "the run failed: " + e);
         } finally {
             delete(recording);
         }
@@ -145,7 +145,7 @@
      * Shrinks the faults of a result to a smaller set that still fails or, for {@link
      * SearchGoal#SERVICE}, still causes nine tenths of the loss of service.
      */
-    public Failure shrink(Failure found, SearchGoal goal) {
+    public SearchResult shrink(SearchResult found, SearchGoal goal) {
         double faultFreeServiceLevel =
                 evaluate(
                                 base.withFaults(
@@ -160,7 +160,7 @@
         ScenarioShrinker shrinker =
                 new ScenarioShrinker(
                         scenario -> {
-                            Failure result = evaluate(scenario, goal == SearchGoal.RULES);
+                            SearchResult result = evaluate(scenario, goal == SearchGoal.RULES);
                             return goal == SearchGoal.RULES
                                     ? result.isBroken()
                                     : result.serviceLevel() <= maxServiceLevel;
@@ -172,7 +172,7 @@
      * Returns a scenario script: the base script with its seed and faults replaced by those of a
      * result.
      */
-    public static String script(String baseText, Failure found) {
+    public static String script(String baseText, SearchResult found) {
         String baseStatements =
                 baseText.lines()
                         .filter(
--- a/simulation/src/test/java/milletyoke/simulation/ExperimentTest.java
+++ b/simulation/src/test/java/milletyoke/simulation/ExperimentTest.java
@@ -322,7 +322,7 @@
             scenario.faults().forEach(fault -> generatedTypes.add(fault.type()));
             String script =
                     FaultSearch.script(
-                            baseScript, new FaultSearch.Failure(scenario, 0.5, false, ""));
+                            baseScript, new FaultSearch.SearchResult(scenario, 0.5, false, ""));
             Scenario reread = ScenarioParser.read("found.day", scenario.name(), script);
             assertEquals(scenario.faults().size(), reread.faults().size(), script);
             if (seed <= 4) {
@@ -345,7 +345,7 @@
         FaultSearch multiThreaded =
                 new FaultSearch(
                         ScenarioParser.read(SCENARIO_FILE), FaultGenerator.Ranges.defaults(3), 4);
-        List<FaultSearch.Failure> singleThreadedResults =
+        List<FaultSearch.SearchResult> singleThreadedResults =
                 singleThreaded.run(100, 6, FaultSearch.SearchGoal.RULES);
         assertEquals(
                 singleThreadedResults.stream()
@@ -355,7 +355,7 @@
                         .map(result -> result.scenario().name() + result.serviceLevel())
                         .toList());
         assertTrue(
-                singleThreadedResults.stream().noneMatch(FaultSearch.Failure::isBroken),
+                singleThreadedResults.stream().noneMatch(FaultSearch.SearchResult::isBroken),
                 () -> "a generated scenario broke a rule: " + singleThreadedResults);
     }
 
