--- a/simulation/src/main/java/milletyoke/simulation/experiment/Experiment.java
+++ b/simulation/src/main/java/milletyoke/simulation/experiment/Experiment.java
@@ -75,21 +75,20 @@
         Path folder = file.toAbsolutePath().getParent();
         List<Arm> arms = new ArrayList<>();
         Set<String> armNames = new HashSet<>();
-        for (SettingsReader armReader : reader.objects("arms", true)) {
-            String name = armReader.text("name", null);
+        for (SettingsReader arm : reader.objects("arms", true)) {
+            String name = arm.text("name", null);
             if (!armNames.add(name)) {
-                throw armReader.error(
-                        "name", "\"" + name + "\" is already the name of another arm");
+                throw arm.error("name", "\"" + name + "\" is already the name of another arm");
             }
             arms.add(
                     new Arm(
                             name,
-                            parseStatements(armReader.text("set", "")),
-                            armReader.flag("straight", false),
-                            armReader.keyword(
+                            parseStatements(arm.text("set", "")),
+                            arm.flag("straight", false),
+                            arm.keyword(
                                     "scheduler", SchedulerChoice.class, SchedulerChoice.MILLETYOKE),
-                            armReader.text("variant", "")));
-            armReader.rejectUnknown();
+                            arm.text("variant", "")));
+            arm.rejectUnknown();
         }
         Experiment experiment =
                 new Experiment(
@@ -104,8 +103,7 @@
         try {
             for (Run run : experiment.runs()) {
                 if (run.seed() == 0) {
-                    experiment.scenarioOf(
-                            run); // fails before any run if an arm's scenario is invalid
+                    experiment.scenarioOf(run); // rejects an invalid arm before any run
                 }
             }
         } catch (ScenarioFormatException | IOException e) {
--- a/simulation/src/main/java/milletyoke/simulation/policy/BaselineScheduler.java
+++ b/simulation/src/main/java/milletyoke/simulation/policy/BaselineScheduler.java
@@ -150,7 +150,10 @@
                 .add(request);
     }
 
-    /** Takes the request's units from this initiator's share of its volume's rate limit. */
+    /**
+     * Takes the request's units from this initiator's share of its volume's rate limit. Returns
+     * false if they do not suffice.
+     */
     private boolean takeTokens(Event.RequestReceived received) {
         SchedulerSettings.ServicePlan plan =
                 settings.plans().stream()
--- a/simulation/src/main/java/milletyoke/simulation/report/Report.java
+++ b/simulation/src/main/java/milletyoke/simulation/report/Report.java
@@ -186,7 +186,7 @@
     }
 
     /** Plots the service level up to each second: mean over all seeds, for the first value. */
-    private XYChart plotServiceLevelBySecond() {
+    private XYChart plotBySecond() {
         XYChart chart = chart("Cumulative service level", "seconds", "importance in time / total");
         for (String arm : arms) {
             List<ResultRow> armRows =
@@ -219,7 +219,7 @@
      * Plots the mean of a metric, with its interval, over the experiment's values. Values that are
      * not numbers are placed at 1, 2, 3 and so on.
      */
-    private XYChart plotByValue(String title, String yTitle, ToDoubleFunction<ResultRow> metric) {
+    private XYChart plot(String title, String yTitle, ToDoubleFunction<ResultRow> metric) {
         XYChart chart = chart(title, axis, yTitle);
         for (String arm : arms) {
             List<Double> positions = new ArrayList<>();
@@ -244,24 +244,23 @@
 
     private Map<String, XYChart> charts() {
         Map<String, XYChart> charts = new LinkedHashMap<>();
-        charts.put("service-over-time", plotServiceLevelBySecond());
-        charts.put("service", plotByValue("Service", "service", ResultRow::service));
-        charts.put("p99", plotByValue("Latency, 99th percentile", "ms", ResultRow::p99));
-        charts.put("p50", plotByValue("Latency, median", "ms", ResultRow::p50));
+        charts.put("service-over-time", plotBySecond());
+        charts.put("service", plot("Service", "service", ResultRow::service));
+        charts.put("p99", plot("Latency, 99th percentile", "ms", ResultRow::p99));
+        charts.put("p50", plot("Latency, median", "ms", ResultRow::p50));
         if (rows.stream().anyMatch(row -> row.coldUsed() > 0)) {
             charts.put(
                     "cold",
-                    plotByValue(
+                    plot(
                             "Largest warm-up load of a target",
                             "fraction of its warm-up capacity",
                             ResultRow::coldUsed));
         }
         charts.put(
-                "evenness",
-                plotByValue("Fairness between volumes", "Jain's index", ResultRow::evenness));
+                "evenness", plot("Fairness between volumes", "Jain's index", ResultRow::evenness));
         charts.put(
                 "passed",
-                plotByValue(
+                plot(
                         "Requests in time",
                         "requests",
                         row -> row.plans().values().stream().mapToLong(count -> count).sum()));
@@ -269,7 +268,7 @@
             List<String> plans = List.copyOf(rows.get(0).plans().keySet());
             charts.put(
                     "ratio",
-                    plotByValue(
+                    plot(
                             plans.get(0) + " to " + plans.get(1),
                             "requests in time, ratio",
                             row ->
@@ -278,7 +277,7 @@
         }
         charts.put(
                 "cost",
-                plotByValue(
+                plot(
                         "Simulation speed",
                         "events per second of wall-clock time",
                         row -> row.events() * 1e6 / Math.max(1, row.wall())));
--- a/simulation/src/main/java/milletyoke/simulation/run/SimulationRun.java
+++ b/simulation/src/main/java/milletyoke/simulation/run/SimulationRun.java
@@ -111,8 +111,7 @@
             List<Double> serviceLevelBySecond = new ArrayList<>();
             ScenarioRunner.ScenarioResult result =
                     runner.run(
-                            serviceLevels ->
-                                    serviceLevelBySecond.add(serviceLevels.overallServiceLevel()),
+                            levels -> serviceLevelBySecond.add(levels.overallServiceLevel()),
                             () -> {});
             return new SimulationResult(
                     result.serviceLevels(),
