--- a/cli/src/main/java/milletyoke/cli/InitiatorCommand.java
+++ b/cli/src/main/java/milletyoke/cli/InitiatorCommand.java
@@ -16,14 +16,14 @@
 import picocli.CommandLine.Option;
 
 /**
- * The command {@code initiator}: one initiator that speaks the product's own protocol. The main
- * thread waits for its end; a shutdown hook shuts it down gracefully.
+ * The command {@code initiator}: runs one initiator that speaks the product's native protocol. The
+ * main thread waits until its event loop ends; a shutdown hook shuts the initiator down gracefully.
  */
 @Command(
         name = "initiator",
         mixinStandardHelpOptions = true,
         description =
-                "Runs one initiator until SIGTERM or SIGINT; it then answers its pending requests and ends.")
+                "Runs one initiator until SIGTERM or SIGINT, then completes its pending requests and exits.")
 final class InitiatorCommand implements Callable<Integer> {
     private static final long END_CHECK_MILLIS = 1_000;
     private static final long MILLIS_PER_SECOND = 1_000;
@@ -32,13 +32,14 @@
             names = "--config",
             required = true,
             paramLabel = "FILE",
-            description = "Its setup, JSON5.")
+            description = "The initiator's configuration file, JSON5.")
     private Path configFile;
 
     @Option(
             names = "--record",
             paramLabel = "FILE",
-            description = "Record the frames on its sockets, for the audit.")
+            description =
+                    "Record the frames on the initiator's sockets in this file, for the audit.")
     private Path recordingFile;
 
     @Option(
@@ -52,8 +53,9 @@
             names = "--leave-time",
             paramLabel = "SECONDS",
             defaultValue = "30",
-            description = "The longest to wait for pending requests at the end (${DEFAULT-VALUE}).")
-    private int shutdownSeconds;
+            description =
+                    "Maximum time that shutdown waits for pending requests (${DEFAULT-VALUE}).")
+    private int shutdownTimeoutSeconds;
 
     @Override
     public Integer call() throws IOException, ConfigException, InterruptedException {
@@ -65,23 +67,24 @@
         if (captureFile != null) {
             initiator.captureTo(captureFile);
         }
-        System.out.println(config.name() + " takes accesses at port " + initiator.port());
-        CountDownLatch shutDown = new CountDownLatch(1);
+        System.out.println(config.name() + " accepts requests at port " + initiator.port());
+        CountDownLatch shutdownCompleted = new CountDownLatch(1);
         Runtime.getRuntime()
-                .addShutdownHook(new Thread(() -> shutDown(initiator, recorder, shutDown)));
+                .addShutdownHook(
+                        new Thread(() -> shutDown(initiator, recorder, shutdownCompleted)));
         while (!initiator.eventLoop().awaitEnd(END_CHECK_MILLIS)) {
-            // It still runs.
+            // The event loop is still running.
         }
         if (initiator.eventLoop().fault() != null) {
             System.err.println(
                     "milletyoke: the event loop failed; all pending requests were failed");
             Runtime.getRuntime().halt(ExitCode.SOFTWARE);
         }
-        shutDown.await(); // the loop ended because the shutdown hook asked it to
+        shutdownCompleted.await(); // the event loop ended because the shutdown hook stopped it
         return ExitCode.OK;
     }
 
-    /** Returns null where nothing is recorded. */
+    /** Returns a new recorder, or null if the option {@code --record} is absent. */
     private Recorder startRecorder(InitiatorConfig config) throws IOException {
         if (recordingFile == null) {
             return null;
@@ -91,15 +94,16 @@
         return recorder;
     }
 
-    private void shutDown(Initiator initiator, Recorder recorder, CountDownLatch shutDown) {
+    private void shutDown(
+            Initiator initiator, Recorder recorder, CountDownLatch shutdownCompleted) {
         try {
-            initiator.shutDown(shutdownSeconds * MILLIS_PER_SECOND);
+            initiator.shutDown(shutdownTimeoutSeconds * MILLIS_PER_SECOND);
             if (recorder != null) {
                 recorder.close();
             }
         } catch (Exception failed) {
-            System.err.println("milletyoke: shutting down failed: " + failed.getMessage());
+            System.err.println("milletyoke: shutdown failed: " + failed.getMessage());
         }
-        shutDown.countDown();
+        shutdownCompleted.countDown();
     }
 }
--- a/cli/src/test/java/milletyoke/cli/ProcessTest.java
+++ b/cli/src/test/java/milletyoke/cli/ProcessTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Runs the commands as processes: their exit codes, and the effects of SIGKILL and SIGTERM. */
+/** Tests exit codes and the effects of SIGKILL and SIGTERM with commands run as processes. */
 @Timeout(120)
 class ProcessTest {
-    private static final String SETUP =
+    private static final String CONFIG =
             """
             {name: "i1", listen: "127.0.0.1:%d", discovery: "127.0.0.1:%d", folder: "state",
              deployment: {initiators: 1,
@@ -51,15 +51,15 @@
         return process.exitValue();
     }
 
-    private int portOf(String name) throws Exception {
-        for (int i = 0; i < 3000; i++) {
+    private int awaitPort(String name) throws Exception {
+        for (int attempt = 0; attempt < 3000; attempt++) {
             String text = out(name).trim();
             if (text.contains("at port ")) {
                 return Integer.parseInt(text.substring(text.lastIndexOf(' ') + 1));
             }
             Thread.sleep(10);
         }
-        throw new AssertionError(name + " printed no port: " + err(name));
+        throw new AssertionError(name + " printed no port within 30 s: " + err(name));
     }
 
     @AfterEach
@@ -68,12 +68,12 @@
     }
 
     @Test
-    void wrongUseExitsWithTwoAndPrintsOneLine() throws Exception {
-        Path bad =
+    void usageErrorExitsWithTwoAndPrintsOneLine() throws Exception {
+        Path invalid =
                 Files.writeString(
                         folder.resolve("bad.json5"),
-                        String.format(SETUP, 0, 1).replace("\"1 s\"", "1"));
-        assertEquals(2, awaitExit(start("a", "initiator", "--config", bad.toString())));
+                        String.format(CONFIG, 0, 1).replace("\"1 s\"", "1"));
+        assertEquals(2, awaitExit(start("a", "initiator", "--config", invalid.toString())));
         assertTrue(
                 err("a").contains(
                                 "bad.json5:3: deployment.categories[0].agreedTime: a time with its unit"),
@@ -83,8 +83,8 @@
         assertEquals(2, awaitExit(start("c", "frobnicate")));
         assertEquals(2, awaitExit(start("d", "rehearse", "no-such.day")));
         assertEquals(2, awaitExit(start("d-renamed", "scenario", "no-such.day")));
-        Path good = Files.writeString(folder.resolve("good.json5"), String.format(SETUP, 0, 1));
-        assertEquals(0, awaitExit(start("e", "check", good.toString())));
+        Path valid = Files.writeString(folder.resolve("good.json5"), String.format(CONFIG, 0, 1));
+        assertEquals(0, awaitExit(start("e", "check", valid.toString())));
     }
 
     @Test
@@ -93,7 +93,7 @@
             Path file =
                     Files.writeString(
                             folder.resolve("i.json5"),
-                            String.format(SETUP, occupied.getLocalPort(), 1));
+                            String.format(CONFIG, occupied.getLocalPort(), 1));
             assertEquals(2, awaitExit(start("a", "initiator", "--config", file.toString())));
             assertTrue(
                     err("a").contains("cannot listen at 127.0.0.1:" + occupied.getLocalPort()),
@@ -101,33 +101,44 @@
         }
     }
 
-    /** SIGKILL under load, a start from the stored endpoint list alone, and SIGTERM under load. */
+    /**
+     * Covers SIGKILL under load, a start from the stored endpoint list alone, and SIGTERM under
+     * load.
+     */
     @Test
-    void killedUnderLoadItRestartsAndOnShutdownItAnswersEveryRequest() throws Exception {
+    void initiatorRestartsAfterKillAndAnswersEveryRequestOnShutdown() throws Exception {
         start("target", "target", "--id", "a", "--shard", "0");
-        start("discovery", "discovery", "--target", "a=0@127.0.0.1:" + portOf("target"));
+        start("discovery", "discovery", "--target", "a=0@127.0.0.1:" + awaitPort("target"));
         Path file =
                 Files.writeString(
-                        folder.resolve("i.json5"), String.format(SETUP, 0, portOf("discovery")));
+                        folder.resolve("i.json5"),
+                        String.format(CONFIG, 0, awaitPort("discovery")));
         Process first = start("first", "initiator", "--config", file.toString());
-        int port = portOf("first");
+        int port = awaitPort("first");
         Process load = startLoad(file, port);
         Thread.sleep(2500);
         first.destroyForcibly();
         awaitExit(first);
-        // Discovery is unreachable from now on: only the stored endpoint list is left.
-        Files.writeString(file, String.format(SETUP, port, 1));
+        // The new configuration names an unreachable discovery: only the stored endpoint list is
+        // left.
+        Files.writeString(file, String.format(CONFIG, port, 1));
         Process second = start("second", "initiator", "--config", file.toString());
-        portOf("second");
-        assertTrue(err("second").contains("1 targets known from before"), err("second"));
+        awaitPort("second");
+        assertTrue(
+                err("second").contains("1 targets in the last known endpoint list"), err("second"));
         Thread.sleep(2000);
         second.destroy();
         assertEquals(143, awaitExit(second));
-        String left =
-                err("second").lines().filter(l -> l.contains("has left")).findFirst().orElse("");
-        assertTrue(left.contains("answered=") && !left.contains("unanswered"), err("second"));
-        assertEquals(
-                0, awaitExit(load), "every request of the clients was completed: " + out("load"));
+        String shutdownLine =
+                err("second")
+                        .lines()
+                        .filter(line -> line.contains("has left"))
+                        .findFirst()
+                        .orElse("");
+        assertTrue(
+                shutdownLine.contains("answered=") && !shutdownLine.contains("unanswered"),
+                err("second"));
+        assertEquals(0, awaitExit(load), "a client request was not completed: " + out("load"));
     }
 
     private Process startLoad(Path config, int port) throws IOException {
--- a/gateway/src/main/java/milletyoke/gateway/Initiator.java
+++ b/gateway/src/main/java/milletyoke/gateway/Initiator.java
@@ -195,7 +195,7 @@
         }
         discoveryWatch.connect();
         LOG.info(
-                "{} takes accesses at {}:{}, {} targets known from before",
+                "{} accepts requests at {}:{}, {} targets in the last known endpoint list",
                 config.name(),
                 config.listen().host(),
                 port(),
