--- a/cli/src/main/java/milletyoke/cli/ArchiveTraining.java
+++ b/cli/src/main/java/milletyoke/cli/ArchiveTraining.java
@@ -16,19 +16,19 @@
 import picocli.CommandLine.ExitCode;
 
 /**
- * The command {@code practise}: a training run for the JVM's class archive. It serves a few
- * requests to itself on loopback and ends; the build runs it once with {@code
- * -XX:ArchiveClassesAtExit}, and the program then starts from that archive in a fraction of the
- * time.
+ * The command {@code practise}: a training run for the JVM's class archive. The process serves a
+ * few requests of its own over loopback and exits. The build runs it once with {@code
+ * -XX:ArchiveClassesAtExit}; starting the program from that archive takes a fraction of the time.
  */
 @Command(
         name = ArchiveTraining.NAME,
         hidden = true,
         mixinStandardHelpOptions = true,
         description =
-                "Serves a few requests to itself on loopback and ends; the build makes its class archive so.")
+                "Serves a few requests of its own over loopback and exits;"
+                        + " the build runs it to create the class archive.")
 final class ArchiveTraining implements Callable<Integer> {
-    /** The build in deploy/balancer.toml calls the command by this name. */
+    /** The build command in deploy/balancer.toml uses this name. */
     static final String NAME = "practise";
 
     private static final int REQUESTS = 200;
@@ -59,7 +59,8 @@
                     new ScriptedHttpServer(
                             "registry",
                             (connection, request) -> {
-                                // A watch, which names the revision it starts from, stays open.
+                                // A watch, whose request names a start revision, stays open without
+                                // a response.
                                 if (!request.target().contains("from")) {
                                     ScriptedHttpServer.answer(
                                             connection,
@@ -80,18 +81,18 @@
                 CONFIG.replace("PORT", Integer.toString(registryPort))
                         .replace("KNOWN", endpointList));
         InitiatorProcess process = InitiatorProcess.start(config);
-        int answered = 0;
+        int succeeded = 0;
         for (int number = 0; number < REQUESTS; number++) {
-            answered += isAnswered(process.port(), number) ? 1 : 0;
+            succeeded += sendRequest(process.port(), number) ? 1 : 0;
         }
         process.kill();
         Files.delete(config);
-        System.out.println(answered + " of " + REQUESTS + " answered");
-        return answered > 0 ? ExitCode.OK : ExitCode.SOFTWARE;
+        System.out.println(succeeded + " of " + REQUESTS + " requests succeeded");
+        return succeeded > 0 ? ExitCode.OK : ExitCode.SOFTWARE;
     }
 
-    /** Sends one request, writes and reads in turn, on a connection of its own. */
-    private static boolean isAnswered(int port, int number) throws IOException {
+    /** Sends one request on its own connection: a write if the number is even, else a read. */
+    private static boolean sendRequest(int port, int number) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             boolean isWrite = number % 2 == 0;
             String body = isWrite ? "x".repeat(number) : "";
--- a/cli/src/main/java/milletyoke/cli/AuditCommand.java
+++ b/cli/src/main/java/milletyoke/cli/AuditCommand.java
@@ -8,13 +8,14 @@
 import picocli.CommandLine.ExitCode;
 import picocli.CommandLine.Parameters;
 
-/** The command {@code audit}: checks a recording against the seven rules. */
+/** The command {@code audit}: checks a recording against the seven audit rules. */
 @Command(
         name = "audit",
         mixinStandardHelpOptions = true,
-        description = "Checks a recording against the seven rules; 0 only if none was broken.")
+        description =
+                "Checks a recording against the seven audit rules; exits with 0 only if none is violated.")
 final class AuditCommand implements Callable<Integer> {
-    @Parameters(paramLabel = "RECORDING")
+    @Parameters(paramLabel = "RECORDING", description = "File that --record wrote.")
     private Path recording;
 
     @Override
--- a/cli/src/main/java/milletyoke/cli/CheckCommand.java
+++ b/cli/src/main/java/milletyoke/cli/CheckCommand.java
@@ -12,14 +12,15 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * The command {@code check}: reads an initiator's setup or a scenario script without running it.
+ * The command {@code check}: validates an initiator's configuration or a scenario script without
+ * running it.
  */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
         description =
-                "Checks an initiator's setup, or a scenario script that ends in .day;"
-                        + " an error names file and line.")
+                "Validates an initiator's configuration, or a scenario script whose name ends in .day;"
+                        + " an error names the file and the line.")
 final class CheckCommand implements Callable<Integer> {
     private static final String SCRIPT_SUFFIX = ".day";
 
@@ -31,7 +32,7 @@
         if (file.toString().endsWith(SCRIPT_SUFFIX)) {
             checkScenario();
         } else {
-            checkSetup();
+            checkConfig();
         }
         return ExitCode.OK;
     }
@@ -39,14 +40,14 @@
     private void checkScenario() throws ScenarioFormatException {
         Scenario scenario = ScenarioParser.read(file);
         System.out.printf(
-                "%s: %d initiators, %d targets, %d troubles: can be played%n",
+                "%s: %d initiators, %d targets, %d faults: valid%n",
                 file, scenario.initiators(), scenario.fleet().targets(), scenario.faults().size());
     }
 
-    private void checkSetup() throws ConfigException {
+    private void checkConfig() throws ConfigException {
         InitiatorConfig config = InitiatorConfig.read(file);
         System.out.printf(
-                "%s: %s at %s, %d categories, %d plans: can be used%n",
+                "%s: %s at %s, %d request classes, %d plans: valid%n",
                 file,
                 config.name(),
                 config.listen(),
--- a/cli/src/main/java/milletyoke/cli/DemoCommand.java
+++ b/cli/src/main/java/milletyoke/cli/DemoCommand.java
@@ -16,30 +16,30 @@
 import picocli.CommandLine.ExitCode;
 import picocli.CommandLine.Option;
 
-/** The command {@code demo}: runs a small scenario on loopback and audits it. */
+/** The command {@code demo}: runs a small scenario on loopback and audits its recording. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
         description =
                 "Runs three initiators, eight targets and a small load on loopback, in this process, for 12 s.")
 final class DemoCommand implements Callable<Integer> {
-    private static final String SCRIPT = "demo.day";
+    private static final String SCRIPT_RESOURCE = "demo.day";
     private static final long MICROS_PER_SECOND = 1_000_000;
 
-    @Option(names = "--show-script", description = "Print the scenario script and run nothing.")
+    @Option(names = "--show-script", description = "Print the scenario script without running it.")
     private boolean showScript;
 
     @Override
     public Integer call() throws IOException, InterruptedException, ScenarioFormatException {
-        String text;
-        try (InputStream in = DemoCommand.class.getResourceAsStream("/" + SCRIPT)) {
-            text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
+        String script;
+        try (InputStream in = DemoCommand.class.getResourceAsStream("/" + SCRIPT_RESOURCE)) {
+            script = new String(in.readAllBytes(), StandardCharsets.UTF_8);
         }
         if (showScript) {
-            System.out.print(text);
+            System.out.print(script);
             return ExitCode.OK;
         }
-        return run(ScenarioParser.read(SCRIPT, "demo", text));
+        return run(ScenarioParser.read(SCRIPT_RESOURCE, "demo", script));
     }
 
     private static int run(Scenario scenario) throws IOException, InterruptedException {
@@ -53,9 +53,9 @@
             System.out.print(result.serviceLevels().text());
             Audit.Report report = Audit.audit(recording);
             System.out.print(report.text(true));
-            boolean isKept =
+            boolean hasPassed =
                     report.isClean() && result.isShutdownClean() && result.unfinished() == 0;
-            return isKept ? ExitCode.OK : ExitCode.SOFTWARE;
+            return hasPassed ? ExitCode.OK : ExitCode.SOFTWARE;
         } finally {
             Files.deleteIfExists(recording);
         }
@@ -63,7 +63,7 @@
 
     private static void printIntroduction(Scenario scenario) {
         System.out.printf(
-                "%d initiators, %d targets, %.0f accesses a second for %d s; a target hangs at 4 s%n",
+                "%d initiators, %d targets, %.0f requests per second for %d s; a target hangs at 4 s%n",
                 scenario.initiators(),
                 scenario.fleet().targets(),
                 scenario.load().requestsPerSecond(),
--- a/cli/src/main/java/milletyoke/cli/DiscoveryCommand.java
+++ b/cli/src/main/java/milletyoke/cli/DiscoveryCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command {@code discovery}: a stand-in for discovery with a fixed endpoint list. */
+/** The command {@code discovery}: runs a stand-in for discovery with a fixed endpoint list. */
 @Command(
         name = "discovery",
         mixinStandardHelpOptions = true,
@@ -21,14 +21,17 @@
 final class DiscoveryCommand implements Callable<Integer> {
     private static final String ZONE = "zone-1";
 
-    @Option(names = "--port", defaultValue = "0", description = "0 picks a free one.")
+    @Option(
+            names = "--port",
+            defaultValue = "0",
+            description = "Port to listen on; 0 picks a free port.")
     private int port;
 
     @Option(
             names = "--target",
             required = true,
             paramLabel = "ID=SHARD@HOST:PORT",
-            description = "May be repeated.")
+            description = "A target in the endpoint list; may be repeated.")
     private List<String> targets;
 
     @Override
@@ -43,7 +46,7 @@
             discovery.update(parseTarget(text));
         }
         System.out.println(
-                "discovery tells of " + targets.size() + " targets at port " + discovery.port());
+                "discovery serves " + targets.size() + " targets at port " + discovery.port());
         Thread.currentThread().join();
         return 0;
     }
@@ -52,7 +55,8 @@
         String[] parts = text.split("[=@]", 3);
         if (parts.length != 3 || !parts[1].matches("\\d{1,5}")) {
             throw new IllegalArgumentException(
-                    "--target: a1=0@127.0.0.1:7500 is expected, not " + text);
+                    "--target: expected ID=SHARD@HOST:PORT, for example a1=0@127.0.0.1:7500, not "
+                            + text);
         }
         Address address = Address.of(parts[2]);
         return Target.newBuilder()
--- a/cli/src/main/java/milletyoke/cli/LoadCommand.java
+++ b/cli/src/main/java/milletyoke/cli/LoadCommand.java
@@ -17,12 +17,12 @@
 import picocli.CommandLine.ExitCode;
 import picocli.CommandLine.Option;
 
-/** The command {@code load}: an open-loop load on running initiators. */
+/** The command {@code load}: generates an open-loop load on running initiators. */
 @Command(
         name = "load",
         mixinStandardHelpOptions = true,
         description =
-                "Sends requests to running initiators at a rate, whether or not earlier ones were answered.")
+                "Sends requests to running initiators at a fixed rate, without waiting for earlier replies.")
 final class LoadCommand implements Callable<Integer> {
     private static final int MAX_SECONDS = 3600;
     private static final int MIN_UNITS = 1;
@@ -32,63 +32,67 @@
     private static final long CONNECT_TIMEOUT_MILLIS = 5_000;
     private static final long STOP_GRACE_MILLIS = 1_000;
     private static final long MICROS_PER_MILLI = 1_000;
-    private static final int THREADS = 2;
+    private static final int GENERATOR_THREADS = 2;
 
     @Option(
             names = "--config",
             required = true,
             paramLabel = "FILE",
-            description = "An initiator's setup; its request classes and plans are used.")
+            description =
+                    "An initiator's configuration file; the load uses its request classes and service plans.")
     private Path configFile;
 
     @Option(
             names = "--initiator",
             required = true,
             paramLabel = "HOST:PORT",
-            description = "May be repeated.")
+            description = "An initiator to send requests to; may be repeated.")
     private List<String> initiators;
 
     @Option(
             names = "--shards",
             required = true,
-            description = "Number of shards; requests go to shards 0 to this less one.")
+            description = "Number of shards; requests go to the shards 0 to N-1.")
     private int shards;
 
     @Option(
             names = "--rate",
             defaultValue = "200",
-            description = "Requests a second (${DEFAULT-VALUE}).")
+            description = "Requests per second (${DEFAULT-VALUE}).")
     private double requestsPerSecond;
 
-    @Option(names = "--seconds", defaultValue = "10", description = "How long (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--seconds",
+            defaultValue = "10",
+            description = "Duration of the load (${DEFAULT-VALUE}).")
     private int seconds;
 
     @Option(
             names = "--abandon-millis",
             defaultValue = "4000",
-            description = "How long each client waits for an answer (${DEFAULT-VALUE}).")
+            description = "Time after which a client abandons a request (${DEFAULT-VALUE}).")
     private long deadlineMillis;
 
     @Override
     public Integer call() throws IOException, ConfigException, InterruptedException {
         if (requestsPerSecond <= 0 || seconds < 1 || seconds > MAX_SECONDS || shards < 1) {
             throw new IllegalArgumentException(
-                    "--rate over 0, --seconds of 1 to 3600 and --shards of 1 or more are"
-                            + " expected");
+                    "expected --rate above 0, --seconds from 1 to 3600"
+                            + " and --shards of at least 1");
         }
         LoadGenerator generator =
                 new LoadGenerator(
                         loadProfile(InitiatorConfig.read(configFile)),
                         false,
                         System.nanoTime(),
-                        Executors.newScheduledThreadPool(THREADS),
+                        Executors.newScheduledThreadPool(GENERATOR_THREADS),
                         FrameObserver.NONE);
-        for (String text : initiators) {
-            Address address = Address.of(text);
+        for (String initiator : initiators) {
+            Address address = Address.of(initiator);
             generator.addServer(address.host(), address.port());
         }
         if (!generator.awaitConnected(CONNECT_TIMEOUT_MILLIS)) {
-            System.err.println("milletyoke: no way in within 5 s");
+            System.err.println("milletyoke: not every initiator was connected within 5 s");
             return ExitCode.SOFTWARE;
         }
         return run(generator);
@@ -145,7 +149,9 @@
                 false);
     }
 
-    /** One volume a plan, with data on every shard and requests through every initiator. */
+    /**
+     * Returns one volume per plan, with data on every shard and requests through every initiator.
+     */
     private List<LoadProfile.Volume> volumes(List<SchedulerSettings.ServicePlan> plans) {
         List<Integer> allShards = IntStream.range(0, shards).boxed().toList();
         List<Integer> allInitiators = IntStream.range(0, initiators.size()).boxed().toList();
--- a/cli/src/main/java/milletyoke/cli/Logging.java
+++ b/cli/src/main/java/milletyoke/cli/Logging.java
@@ -10,20 +10,20 @@
 import net.logstash.logback.encoder.LogstashEncoder;
 import org.slf4j.LoggerFactory;
 
-/** Configures the log on standard error: lines of text or of JSON. */
+/** Configures the log on standard error, as lines of text or of JSON. */
 final class Logging {
     private static final String OWN_LOGGERS = "milletyoke";
     private static final String GRIZZLY_LOGGERS = "org.glassfish.grizzly";
     private static final String SIMPLE_LOGGER = "org.slf4j.simpleLogger.";
     private static final String TEXT_PATTERN = "%d{HH:mm:ss.SSS} %-5level %logger{0}: %msg%n";
 
-    /** The format of a line; the constants are the values of the option {@code --log}. */
+    /** The format of a log line; the constants are the values of the option {@code --log}. */
     enum Format {
         text,
         json
     }
 
-    /** The least severe level that is shown; the constants are the values of the option. */
+    /** The least severe level shown; the constants are the values of {@code --log-level}. */
     enum Threshold {
         error,
         warn,
@@ -34,9 +34,9 @@
     private Logging() {}
 
     /**
-     * Configures the plainest logger, whose lines start with the milliseconds since the process
-     * started. It takes a third of the time that Logback takes to start, which counts during a
-     * restart on a fraction of a core.
+     * Configures slf4j-simple, whose lines start with the milliseconds since the process started.
+     * It takes a third of Logback's start-up time, which matters for a restart on a fraction of a
+     * core.
      */
     static void configureSimpleLogger() {
         System.setProperty("slf4j.provider", "org.slf4j.simple.SimpleServiceProvider");
@@ -46,10 +46,10 @@
         System.setProperty(SIMPLE_LOGGER + "defaultLogLevel", "warn");
         String ownLevel = System.getenv().getOrDefault("MILLETYOKE_LOG", "info");
         System.setProperty(SIMPLE_LOGGER + "log." + OWN_LOGGERS, ownLevel);
-        quietGrizzly();
+        limitGrizzlyToSevere();
     }
 
-    /** Configures Logback for the other commands. */
+    /** Configures Logback, for commands that are run through the command line parser. */
     static void configure(Format format, Threshold threshold) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
@@ -57,7 +57,7 @@
         root.addAppender(newAppender(context, format));
         root.setLevel(Level.WARN);
         context.getLogger(OWN_LOGGERS).setLevel(Level.toLevel(threshold.name()));
-        quietGrizzly();
+        limitGrizzlyToSevere();
     }
 
     private static ConsoleAppender<ILoggingEvent> newAppender(
@@ -82,7 +82,7 @@
         return encoder;
     }
 
-    private static void quietGrizzly() {
+    private static void limitGrizzlyToSevere() {
         java.util.logging.Logger.getLogger(GRIZZLY_LOGGERS)
                 .setLevel(java.util.logging.Level.SEVERE);
     }
--- a/cli/src/main/java/milletyoke/cli/Main.java
+++ b/cli/src/main/java/milletyoke/cli/Main.java
@@ -20,8 +20,8 @@
 import picocli.CommandLine.ScopeType;
 
 /**
- * Entry point of the command line. The exit code is 0 on success, 1 if the command failed, and 2 if
- * it was used wrongly or a file cannot be used.
+ * Entry point of the command line. The exit code is 0 on success, 1 if the command failed, and 2 on
+ * a usage error, an invalid or unreadable file, or a port in use.
  */
 @Command(
         name = "milletyoke",
@@ -52,7 +52,11 @@
             SimulateCommand.class
         },
         exitCodeListHeading = "%nExit codes:%n",
-        exitCodeList = {"0:done", "1:failed", "2:wrong use, or a file that cannot be used"})
+        exitCodeList = {
+            "0:done",
+            "1:failed",
+            "2:usage error, invalid or unreadable file, or port in use"
+        })
 public final class Main implements Callable<Integer> {
     @Option(
             names = "--log",
@@ -66,7 +70,7 @@
             names = "--log-level",
             scope = ScopeType.INHERIT,
             defaultValue = "info",
-            description = "Least severe lines shown: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
+            description = "Least severe level shown: ${COMPLETION-CANDIDATES} (${DEFAULT-VALUE})")
     private Logging.Threshold logLevel;
 
     /** Runs one command and ends the process with its exit code. */
@@ -84,7 +88,8 @@
                     Logging.configure(main.logFormat, main.logLevel);
                     return new CommandLine.RunLast().execute(parsed);
                 });
-        commandLine.setExecutionExceptionHandler((failure, command, parsed) -> report(failure));
+        commandLine.setExecutionExceptionHandler(
+                (failure, command, parsed) -> reportFailure(failure));
         System.exit(commandLine.execute(args));
     }
 
@@ -95,9 +100,9 @@
     }
 
     /**
-     * Runs a command without the command line's parser, which alone takes half of the time to start
-     * and whose classes are in no class archive. During a restart on a fraction of a core, clients
-     * have no initiator for that time.
+     * Runs a command without the command line parser, which alone accounts for half of the start-up
+     * time and whose classes are not in the class archive. During a restart on a fraction of a
+     * core, clients have no initiator for that time.
      */
     private static int runWithoutParser(String command) {
         Logging.configureSimpleLogger();
@@ -105,8 +110,8 @@
             return command.equals(ServeCommand.NAME)
                     ? new ServeCommand().runFromEnvironment()
                     : new ArchiveTraining().call();
-        } catch (ConfigException unusable) {
-            System.err.println("milletyoke: " + unusable.getMessage());
+        } catch (ConfigException invalid) {
+            System.err.println("milletyoke: " + invalid.getMessage());
             return ExitCode.USAGE;
         } catch (Exception failed) {
             System.err.println("milletyoke: " + failed);
@@ -114,19 +119,19 @@
         }
     }
 
-    /** Prints a command's failure in one line, a programming error with its stack trace. */
-    private static int report(Exception failure) {
-        boolean isWrongUse = isWrongUse(failure);
-        if (isWrongUse || failure instanceof IOException) {
+    /** Prints a command's failure in one line, and a programming error with its stack trace. */
+    private static int reportFailure(Exception failure) {
+        boolean isUsageError = isUsageError(failure);
+        if (isUsageError || failure instanceof IOException) {
             System.err.println("milletyoke: " + failure.getMessage());
         } else {
             System.err.println("milletyoke: " + failure);
             failure.printStackTrace();
         }
-        return isWrongUse || isPortInUse(failure) ? ExitCode.USAGE : ExitCode.SOFTWARE;
+        return isUsageError || isPortInUse(failure) ? ExitCode.USAGE : ExitCode.SOFTWARE;
     }
 
-    private static boolean isWrongUse(Exception failure) {
+    private static boolean isUsageError(Exception failure) {
         return failure instanceof ConfigException
                 || failure instanceof ScenarioFormatException
                 || failure instanceof IllegalArgumentException;
--- a/cli/src/main/java/milletyoke/cli/RatesCommand.java
+++ b/cli/src/main/java/milletyoke/cli/RatesCommand.java
@@ -16,25 +16,29 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command {@code rates}: what the initiators add to latency, at several rates of requests. */
+/**
+ * The command {@code rates}: measures the latency that initiators add, at several request rates.
+ */
 @Command(
         name = "rates",
         mixinStandardHelpOptions = true,
         description =
                 "Runs one scenario at several rates, through the initiators and directly to the targets,"
-                        + " in this one process, and prints what the initiators add."
-                        + " Nothing is recorded or audited: see scenario.")
+                        + " in this process, and prints the latency that the initiators add."
+                        + " Nothing is recorded or audited; the command scenario does that.")
 final class RatesCommand implements Callable<Integer> {
     private static final double MICROS_PER_MILLI = 1e3;
     private static final String HEADER =
-            "   rate  asked through: in time   p50     p99 ms   straight: in time   p50     p99 ms"
-                    + "   added: p50    p99 ms   turn p99 us (slowest initiator)  CPU us/access";
+            "   rate requests  scheduled: in time     p50   p99 ms   direct: in time     p50   p99 ms "
+                    + "  added: p50   p99 ms  turn p99 us (slowest)  CPU us/request";
 
-    /** The time of an event loop's turn in an initiator's line of counters. */
+    /** Matches the 99th percentile of the event loop's turn times in an initiator's counters. */
     private static final Pattern TURN_TIMES =
             Pattern.compile(".*turns p50 \\d+ us, p99 (\\d+) us.*");
 
-    @Parameters(paramLabel = "SCRIPT", description = "Scenario script; its own rate is not used.")
+    @Parameters(
+            paramLabel = "SCRIPT",
+            description = "Scenario script; its own request rate is ignored.")
     private Path script;
 
     @Option(
@@ -42,7 +46,7 @@
             split = ",",
             required = true,
             paramLabel = "RATE",
-            description = "Requests a second.")
+            description = "Requests per second, separated by commas.")
     private List<Integer> rates;
 
     @Override
@@ -50,7 +54,7 @@
         Scenario scenario = ScenarioParser.read(script);
         if (rates.stream().anyMatch(rate -> rate < 1)) {
             throw new IllegalArgumentException(
-                    "--at takes rates of 1 a second and more, not " + rates);
+                    "--at: expected rates of at least 1 per second, not " + rates);
         }
         warmUpCompiler(scenario.withRate(rates.get(0)));
         System.out.println(HEADER);
@@ -62,7 +66,7 @@
         return ExitCode.OK;
     }
 
-    /** Lets the JVM compile both paths before anything is measured. */
+    /** Runs both paths once so that the JVM compiles them before the measured runs. */
     private static void warmUpCompiler(Scenario scenario) throws IOException, InterruptedException {
         run(scenario, false);
         run(scenario, true);
@@ -83,7 +87,7 @@
         double directMedian = millis(directLatencies, 50);
         double directTail = millis(directLatencies, 99);
         System.out.printf(
-                "%7d %7d %15.3f %7.2f %9.2f %18.3f %7.2f %9.2f %12.2f %8.2f %12s %26.0f%n",
+                "%7d %8d %19.3f %7.2f %8.2f %17.3f %7.2f %8.2f %12.2f %8.2f %22s %15.0f%n",
                 rate,
                 scheduled.serviceLevels().totalRequests(),
                 scheduled.serviceLevels().overallServiceLevel(),
@@ -98,7 +102,7 @@
                 scheduled.cpuMicrosPerRequest());
     }
 
-    /** The largest 99th percentile of an event loop's turn among the initiators. */
+    /** Returns the largest 99th percentile of event loop turn times among the initiators. */
     private static int slowestTurnMicros(ScenarioResult result) {
         return result.initiatorCounters().stream()
                 .map(line -> TURN_TIMES.matcher(line).replaceAll("$1"))
--- a/cli/src/main/java/milletyoke/cli/ScenarioCommand.java
+++ b/cli/src/main/java/milletyoke/cli/ScenarioCommand.java
@@ -26,7 +26,8 @@
         aliases = "rehearse",
         mixinStandardHelpOptions = true,
         description =
-                "Runs scenarios on loopback sockets, then audits the rules; 0 only if every rule was kept.")
+                "Runs scenarios on loopback sockets and audits the recordings;"
+                        + " exits with 0 only if every rule was kept and every request was answered.")
 final class ScenarioCommand implements Callable<Integer> {
     private static final long VIEWER_POLL_MILLIS = 200;
     private static final double MICROS_PER_MILLI = 1e3;
@@ -37,13 +38,13 @@
     @Option(
             names = "--record",
             paramLabel = "FILE",
-            description = "Keep the recording here (one script only).")
+            description = "Keep the recording in this file (one script only).")
     private Path recordingFile;
 
     @Option(
             names = "--straight",
             description =
-                    "Afterwards run the same load directly to the targets, without initiators,"
+                    "Afterwards run the same load directly on the targets, without initiators,"
                             + " and compare.")
     private boolean isComparedWithDirect;
 
@@ -51,35 +52,38 @@
             names = "--viewers",
             paramLabel = "N",
             description =
-                    "So many viewers poll the first initiator's console and as many keep a"
-                            + " stream; the same scenario is run without them for comparison.")
+                    "Number of viewers that poll the first initiator's console, and of viewers that keep a"
+                            + " stream open; the scenario first runs without viewers, for comparison.")
     private int viewers;
 
     @Option(
             names = "--capture",
             paramLabel = "FOLDER",
-            description = "Capture each initiator's requests there, for replay (one script only).")
+            description =
+                    "Capture each initiator's requests in this folder, for replay (one script only).")
     private Path captureFolder;
 
-    @Option(names = "--quiet", description = "No line every second.")
+    @Option(names = "--quiet", description = "Omit the progress line printed every second.")
     private boolean isQuiet;
 
     @Override
     public Integer call() throws IOException, InterruptedException, ScenarioFormatException {
         if (captureFolder != null && (scripts.size() > 1 || viewers > 0)) {
-            throw new IllegalArgumentException("--capture takes one script, without --viewers");
+            throw new IllegalArgumentException(
+                    "--capture takes a single script and excludes --viewers");
         }
         if (recordingFile != null && scripts.size() > 1) {
-            throw new IllegalArgumentException("--record takes one script, not " + scripts.size());
+            throw new IllegalArgumentException(
+                    "--record takes a single script, not " + scripts.size());
         }
-        boolean isClean = true;
+        boolean allPassed = true;
         for (Scenario scenario : ScenarioParser.readAll(scripts)) {
-            isClean &= runAndAudit(scenario);
+            allPassed &= runAndAudit(scenario);
         }
-        return isClean ? ExitCode.OK : ExitCode.SOFTWARE;
+        return allPassed ? ExitCode.OK : ExitCode.SOFTWARE;
     }
 
-    /** Returns whether every rule was kept and every request was answered. */
+    /** Returns whether the audit passed, the shutdown was clean and every request was answered. */
     private boolean runAndAudit(Scenario scenario) throws IOException, InterruptedException {
         System.out.println("== " + scenario.name());
         Path recording = recordingFile != null ? recordingFile : newTemporaryRecording();
@@ -91,15 +95,15 @@
             Audit.Report report = Audit.audit(recording);
             System.out.print(report.text(true));
             System.out.printf(
-                    "%d records, %.0f us of CPU for each access, all parts in one process%n",
+                    "%d records, %.0f us of CPU per request, all components in one process%n",
                     report.records(), result.cpuMicrosPerRequest());
             if (isComparedWithDirect) {
                 compareWithDirect(scenario, result);
             }
-            boolean isKept =
+            boolean hasPassed =
                     report.isClean() && result.isShutdownClean() && result.unfinished() == 0;
-            System.out.println(isKept ? "kept" : "NOT KEPT");
-            return isKept;
+            System.out.println(hasPassed ? "kept" : "NOT KEPT");
+            return hasPassed;
         } finally {
             if (recordingFile == null) {
                 Files.deleteIfExists(recording);
@@ -172,10 +176,10 @@
         } finally {
             Files.deleteIfExists(recording);
         }
-        System.out.println("-- the same load straight to the targets, no scheduling");
+        System.out.println("-- the same load sent directly to the targets, without scheduling");
         System.out.print(direct.serviceLevels().text());
         System.out.printf(
-                "through the initiators: p50 %+.2f ms, CPU %+.0f us for each access, service %+.3f%n",
+                "added by the initiators: p50 %+.2f ms, CPU %+.0f us per request, service %+.3f%n",
                 (medianMicros(scheduled) - medianMicros(direct)) / MICROS_PER_MILLI,
                 scheduled.cpuMicrosPerRequest() - direct.cpuMicrosPerRequest(),
                 scheduled.serviceLevels().overallServiceLevel()
--- a/cli/src/main/java/milletyoke/cli/ServeCommand.java
+++ b/cli/src/main/java/milletyoke/cli/ServeCommand.java
@@ -15,17 +15,17 @@
 import sun.misc.Signal;
 
 /**
- * The command {@code serve}: one initiator in the platform's service. SIGHUP reloads its
- * configuration; SIGTERM and SIGINT shut it down gracefully. Signals arrive on threads of their
- * own; the main thread waits.
+ * The command {@code serve}: runs one initiator as a service of the platform. SIGHUP reloads its
+ * configuration; SIGTERM and SIGINT shut it down gracefully. Signal handlers run on their own
+ * threads; the main thread waits.
  */
 @Command(
         name = ServeCommand.NAME,
         mixinStandardHelpOptions = true,
         description =
-                "Runs one initiator in the platform's service: HTTP to clients and targets,"
+                "Runs one initiator as a service of the platform: HTTP to clients and targets,"
                         + " configured by the file that LB_CONFIG names."
-                        + " SIGHUP reloads it, SIGTERM ends the process.")
+                        + " SIGHUP reloads the file; SIGTERM and SIGINT shut the process down.")
 final class ServeCommand implements Callable<Integer> {
     static final String NAME = "serve";
 
@@ -36,31 +36,32 @@
             names = "--config",
             paramLabel = "FILE",
             defaultValue = "${env:" + CONFIG_VARIABLE + "}",
-            description = "Its configuration, JSON (" + CONFIG_VARIABLE + ").")
+            description = "The configuration file, JSON (" + CONFIG_VARIABLE + ").")
     private Path config;
 
     @Override
     public Integer call() throws IOException, ConfigException, InterruptedException {
         if (config == null) {
-            throw new ConfigException("LB_CONFIG is not set, and no --config names the file");
+            throw new ConfigException(
+                    "no configuration file: neither LB_CONFIG nor --config is set");
         }
         return run(config);
     }
 
-    /** Runs the command as {@link #call} does, configured by the environment alone. */
+    /** Runs the command as {@link #call} does, with LB_CONFIG alone and without options. */
     int runFromEnvironment() throws IOException, ConfigException, InterruptedException {
         String file = System.getenv(CONFIG_VARIABLE);
         config = file == null ? null : Path.of(file);
         return call();
     }
 
-    /** Returns 0 if every pending request was answered before the process ends, else 1. */
+    /** Returns 0 if every pending request was answered before the process ended, else 1. */
     private static int run(Path config) throws IOException, ConfigException, InterruptedException {
         CountDownLatch shutdownRequested = new CountDownLatch(1);
         AtomicReference<InitiatorProcess> started = new AtomicReference<>();
         AtomicBoolean reloadRequested = new AtomicBoolean();
-        // Before it listens, so before anybody sees it as ready: without a handler, SIGHUP would
-        // end the process and SIGTERM lose its pending requests.
+        // Handlers are installed before the process listens and can be seen as ready: without them,
+        // SIGHUP would kill the process, and SIGTERM would lose its pending requests.
         Signal.handle(
                 new Signal("HUP"),
                 signal -> {
@@ -82,7 +83,7 @@
         return process.shutDown() ? ExitCode.OK : ExitCode.SOFTWARE;
     }
 
-    /** Reloads once for all requests since the last reload, also for one made during the start. */
+    /** Reloads once for all signals since the last reload, including those during start-up. */
     private static void reloadIfRequested(InitiatorProcess process, AtomicBoolean reloadRequested) {
         if (process != null && reloadRequested.getAndSet(false)) {
             process.reload();
--- a/cli/src/main/java/milletyoke/cli/TargetCommand.java
+++ b/cli/src/main/java/milletyoke/cli/TargetCommand.java
@@ -11,11 +11,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command {@code target}: a stand-in for one storage node. */
+/** The command {@code target}: runs a stand-in for one storage node. */
 @Command(
         name = "target",
         mixinStandardHelpOptions = true,
-        description = "Runs a stand-in for one storage node; it stores nothing, its work is time.")
+        description =
+                "Runs a stand-in for one storage node, which stores no data and only simulates service times.")
 final class TargetCommand implements Callable<Integer> {
     private static final int THREADS = 2;
     private static final int MAX_CONNECTIONS = 1000;
@@ -25,43 +26,50 @@
     private static final long DEFERRED_WORK_PERIOD_MICROS = 2_000_000;
     private static final long MICROS_PER_MILLI = 1_000;
 
-    @Option(names = "--id", required = true, description = "Its name.")
+    @Option(names = "--id", required = true, description = "The target's name.")
     private String id;
 
-    @Option(names = "--shard", required = true, description = "The shard that it holds.")
+    @Option(
+            names = "--shard",
+            required = true,
+            description = "Number of the shard that the target serves.")
     private int shard;
 
-    @Option(names = "--port", defaultValue = "0", description = "0 picks a free one.")
+    @Option(
+            names = "--port",
+            defaultValue = "0",
+            description = "Port to listen on; 0 picks a free port.")
     private int port;
 
     @Option(
             names = "--cores",
             defaultValue = "2",
-            description = "Requests that run at once (${DEFAULT-VALUE}).")
+            description = "Number of requests executed concurrently (${DEFAULT-VALUE}).")
     private int cores;
 
     @Option(
             names = "--speed",
             defaultValue = "1",
-            description = "Speed of a core (${DEFAULT-VALUE}).")
+            description = "Relative speed of a core (${DEFAULT-VALUE}).")
     private double coreSpeed;
 
     @Option(
             names = "--unit-micros",
             defaultValue = "2000",
-            description = "Work of one unit (${DEFAULT-VALUE}).")
+            description = "Service time of one unit at speed 1 (${DEFAULT-VALUE}).")
     private long unitMicros;
 
     @Option(
             names = "--room",
             defaultValue = "40",
-            description = "Requests that may be queued (${DEFAULT-VALUE}).")
+            description = "Maximum number of queued requests (${DEFAULT-VALUE}).")
     private int queueCapacity;
 
     @Option(
             names = "--marks-millis",
             defaultValue = "2500",
-            description = "How long this target remembers an idempotency key (${DEFAULT-VALUE}).")
+            description =
+                    "Deduplication window: time that an idempotency key is kept (${DEFAULT-VALUE}).")
     private long deduplicationWindowMillis;
 
     @Override
@@ -84,7 +92,7 @@
         return 0;
     }
 
-    /** A target that is warm from the start, never pauses and reports its load. */
+    /** Returns the behavior of a target that starts warm, never pauses and reports its load. */
     private TargetBehavior behavior() {
         return new TargetBehavior(
                 cores,
--- a/cli/src/main/java/milletyoke/cli/TokenCommand.java
+++ b/cli/src/main/java/milletyoke/cli/TokenCommand.java
@@ -7,13 +7,13 @@
 import picocli.CommandLine.ExitCode;
 import picocli.CommandLine.Option;
 
-/** The command {@code token}: makes an access token for the console. */
+/** The command {@code token}: creates an access token for the console. */
 @Command(
         name = "token",
         mixinStandardHelpOptions = true,
         description =
-                "Makes a token for the console: the token on standard output,"
-                        + " its line for the token file on standard error.")
+                "Creates an access token for the console: prints the token on standard output"
+                        + " and its entry for the token file on standard error.")
 final class TokenCommand implements Callable<Integer> {
     /** The constants are the values of the option and of the token file. */
     enum Role {
@@ -25,25 +25,26 @@
     @Option(
             names = "--name",
             required = true,
-            description = "The holder's name, for the audit log.")
+            description = "The token holder's name, for the audit log.")
     private String name;
 
-    @Option(names = "--role", required = true, description = "${COMPLETION-CANDIDATES}")
+    @Option(names = "--role", required = true, description = "One of ${COMPLETION-CANDIDATES}.")
     private Role role;
 
     @Option(
             names = "--volumes",
-            description = "A tenant's volumes, separated by commas; a prefix ends in *.")
+            description = "The tenant's volumes, separated by commas; a prefix ends in *.")
     private String volumes;
 
     @Override
     public Integer call() {
         if ((role == Role.tenant) == (volumes == null)) {
             throw new IllegalArgumentException(
-                    "--volumes goes with the role tenant, and that with --volumes");
+                    "--volumes is required for the role tenant and not allowed for other roles");
         }
         if (hasQuotationMark(name) || hasQuotationMark(volumes)) {
-            throw new IllegalArgumentException("no quotation marks in names, please");
+            throw new IllegalArgumentException(
+                    "--name and --volumes must not contain quotation marks");
         }
         String token = Tokens.make();
         System.out.println(token);
--- a/cli/src/main/java/milletyoke/cli/package-info.java
+++ b/cli/src/main/java/milletyoke/cli/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The command line: one class a command, parsed by picocli. {@code serve} and {@code practise}
- * start without the parser, because its classes would double the time to start. Commands run on the
- * main thread.
+ * The command line: one class per command, parsed by picocli. {@code serve} and {@code practise}
+ * start without the parser, whose classes would double the start-up time. Commands run on the main
+ * thread.
  */
 package milletyoke.cli;
