--- a/cli/src/main/java/milletyoke/cli/admin/ConsoleClient.java
+++ b/cli/src/main/java/milletyoke/cli/admin/ConsoleClient.java
@@ -7,7 +7,7 @@
 import java.net.http.HttpResponse;
 import java.time.Duration;
 
-/** A client of one initiator's console API. */
+/** An HTTP client of one initiator's console API. */
 final class ConsoleClient {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(5);
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(10);
@@ -25,7 +25,7 @@
     /**
      * Sends a request without a body and waits for the reply.
      *
-     * @param path relative to the API's prefix, with its query
+     * @param path the path relative to the API's prefix, including the query
      * @throws IOException if the console cannot be reached; the message names its URL
      */
     ConsoleReply send(String method, String path) throws IOException, InterruptedException {
@@ -41,7 +41,7 @@
             return new ConsoleReply(response.statusCode(), response.body());
         } catch (IOException unreachable) {
             throw new IOException(
-                    "the console at " + consoleUrl + " cannot be asked: " + unreachable,
+                    "the console at " + consoleUrl + " is unreachable: " + unreachable,
                     unreachable);
         }
     }
--- a/cli/src/main/java/milletyoke/cli/admin/ConsoleCommand.java
+++ b/cli/src/main/java/milletyoke/cli/admin/ConsoleCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.ExitCode;
 import picocli.CommandLine.Option;
 
-/** Options and request handling that every console command shares. */
+/** Base of the console commands: their common options and request handling. */
 abstract class ConsoleCommand implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -19,7 +19,7 @@
             names = "--console",
             defaultValue = "${env:MILLETYOKE_CONSOLE:-http://127.0.0.1:7480}",
             paramLabel = "URL",
-            description = "The console's address (${DEFAULT-VALUE}); or MILLETYOKE_CONSOLE.")
+            description = "URL of the console (${DEFAULT-VALUE}); or set MILLETYOKE_CONSOLE.")
     private String console;
 
     @Option(
@@ -27,7 +27,8 @@
             defaultValue = "${env:MILLETYOKE_TOKEN_FILE}",
             paramLabel = "FILE",
             description =
-                    "A file that holds the token; or MILLETYOKE_TOKEN_FILE, or MILLETYOKE_TOKEN itself.")
+                    "File that contains the access token; or set MILLETYOKE_TOKEN_FILE,"
+                            + " or MILLETYOKE_TOKEN to the token.")
     private Path tokenFile;
 
     @Option(names = "--json", description = "Print the reply as JSON, unchanged.")
@@ -36,7 +37,7 @@
     /**
      * Sends one request and prints the reply.
      *
-     * @param path relative to the API's prefix, with its query
+     * @param path the path relative to the API's prefix, including the query
      * @return the command's exit code
      * @throws IOException if the token cannot be read or the console cannot be reached
      */
@@ -67,7 +68,7 @@
         String token = System.getenv("MILLETYOKE_TOKEN");
         if (token == null) {
             throw new IllegalArgumentException(
-                    "no token: give --token-file, MILLETYOKE_TOKEN_FILE or MILLETYOKE_TOKEN");
+                    "no access token: set --token-file, MILLETYOKE_TOKEN_FILE or MILLETYOKE_TOKEN");
         }
         return token;
     }
--- a/cli/src/main/java/milletyoke/cli/admin/ConsoleReply.java
+++ b/cli/src/main/java/milletyoke/cli/admin/ConsoleReply.java
@@ -1,7 +1,7 @@
 package milletyoke.cli.admin;
 
 /**
- * A reply of the console.
+ * A reply from the console.
  *
  * @param status the HTTP status code
  * @param body the JSON text, or an empty string
--- a/cli/src/main/java/milletyoke/cli/admin/DrainActionCommand.java
+++ b/cli/src/main/java/milletyoke/cli/admin/DrainActionCommand.java
@@ -3,14 +3,15 @@
 import java.io.IOException;
 import picocli.CommandLine.Parameters;
 
-/** A command that starts or ends draining of an initiator, or of one target at it. */
+/** A command that starts or ends the drain of an initiator, or of one target at that initiator. */
 abstract class DrainActionCommand extends ConsoleCommand {
     private final String action;
 
     @Parameters(
             arity = "0..1",
             paramLabel = "TARGET",
-            description = "A target, for this initiator only; without it the initiator itself.")
+            description =
+                    "Target that this initiator drains or undrains; by default the initiator itself.")
     private String target;
 
     DrainActionCommand(String action) {
--- a/cli/src/main/java/milletyoke/cli/admin/EventsCommand.java
+++ b/cli/src/main/java/milletyoke/cli/admin/EventsCommand.java
@@ -2,13 +2,13 @@
 
 import picocli.CommandLine.Command;
 
-/** The command {@code events}: lists recent events, the latest first. */
+/** The command {@code events}: lists recent events, newest first. */
 @Command(
         name = "events",
         mixinStandardHelpOptions = true,
-        description = "Lists what happened, the latest first.")
+        description = "Lists recent events, newest first.")
 public final class EventsCommand extends ListCommand {
-    /** Creates the command; called by the command line's parser. */
+    /** Creates the command; called by picocli. */
     public EventsCommand() {
         super("events");
     }
--- a/cli/src/main/java/milletyoke/cli/admin/ListCommand.java
+++ b/cli/src/main/java/milletyoke/cli/admin/ListCommand.java
@@ -11,13 +11,13 @@
             names = "--find",
             defaultValue = "",
             paramLabel = "TEXT",
-            description = "Only entries whose name contains this text.")
+            description = "Show only entries whose name contains this text.")
     private String find;
 
     @Option(
             names = "--page",
             defaultValue = "0",
-            description = "Number of the page, from 0; a page has fifty entries.")
+            description = "Page number, from 0; a page has 50 entries.")
     private int page;
 
     ListCommand(String listPath) {
--- a/cli/src/main/java/milletyoke/cli/admin/PageModelPrinter.java
+++ b/cli/src/main/java/milletyoke/cli/admin/PageModelPrinter.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Prints a page of the console as text: its figures, its tables and the result of an action. */
+/** Prints a console page as text: its metrics, its tables and the result of an action. */
 final class PageModelPrinter {
     private static final int COLUMN_GAP = 2;
 
@@ -19,9 +19,9 @@
         page.path("figures")
                 .fields()
                 .forEachRemaining(
-                        figure ->
+                        metric ->
                                 out.printf(
-                                        "%-28s %s%n", figure.getKey(), figure.getValue().asText()));
+                                        "%-28s %s%n", metric.getKey(), metric.getValue().asText()));
         for (JsonNode table : page.path("tables")) {
             printTable(table);
         }
@@ -47,7 +47,7 @@
         return cells;
     }
 
-    /** The widest cell of each column; the first row is the header and has every column. */
+    /** Returns the width of the widest cell per column. The header, row 0, has every column. */
     private static int[] columnWidths(List<List<String>> rows) {
         int[] widths = new int[rows.get(0).size()];
         for (List<String> row : rows) {
--- a/cli/src/main/java/milletyoke/cli/admin/StatusCommand.java
+++ b/cli/src/main/java/milletyoke/cli/admin/StatusCommand.java
@@ -7,7 +7,7 @@
 @Command(
         name = "status",
         mixinStandardHelpOptions = true,
-        description = "Prints the state and the main figures of an initiator.")
+        description = "Prints the state and the main metrics of an initiator.")
 public final class StatusCommand extends ConsoleCommand {
     @Override
     public Integer call() throws IOException, InterruptedException {
--- a/cli/src/main/java/milletyoke/cli/admin/TargetsCommand.java
+++ b/cli/src/main/java/milletyoke/cli/admin/TargetsCommand.java
@@ -2,13 +2,13 @@
 
 import picocli.CommandLine.Command;
 
-/** The command {@code targets}: lists the targets as an initiator sees them. */
+/** The command {@code targets}: lists an initiator's targets and their state there. */
 @Command(
         name = "targets",
         mixinStandardHelpOptions = true,
-        description = "Lists the targets as an initiator sees them.")
+        description = "Lists an initiator's targets and their state there.")
 public final class TargetsCommand extends ListCommand {
-    /** Creates the command; called by the command line's parser. */
+    /** Creates the command; called by picocli. */
     public TargetsCommand() {
         super("targets");
     }
--- a/cli/src/main/java/milletyoke/cli/admin/UndrainCommand.java
+++ b/cli/src/main/java/milletyoke/cli/admin/UndrainCommand.java
@@ -6,9 +6,9 @@
 @Command(
         name = "undrain",
         mixinStandardHelpOptions = true,
-        description = "Puts an initiator, or a target at it, back into service.")
+        description = "Puts an initiator, or one target at it, back into service.")
 public final class UndrainCommand extends DrainActionCommand {
-    /** Creates the command; called by the command line's parser. */
+    /** Creates the command; called by picocli. */
     public UndrainCommand() {
         super("undrain");
     }
