--- a/cli/src/main/java/milletyoke/cli/configuration/CheckFleetCommand.java
+++ b/cli/src/main/java/milletyoke/cli/configuration/CheckFleetCommand.java
@@ -13,11 +13,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command {@code config check}. */
+/** The command {@code config check}: reports all errors and warnings of a configuration. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description = "Reports every fault of a file in one pass; 0 without errors, 1 with.")
+        description =
+                "Reports all errors and warnings of a file and its includes; exits with 1 if there are errors.")
 final class CheckFleetCommand implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
 
--- a/cli/src/main/java/milletyoke/cli/configuration/ConfigCommand.java
+++ b/cli/src/main/java/milletyoke/cli/configuration/ConfigCommand.java
@@ -9,7 +9,7 @@
 @Command(
         name = "config",
         mixinStandardHelpOptions = true,
-        description = "The configuration language: docs/configuration.md.",
+        description = "Works on files of the configuration language (docs/configuration.md).",
         subcommands = {
             CheckFleetCommand.class,
             FormatCommand.class,
--- a/cli/src/main/java/milletyoke/cli/configuration/ConvertCommand.java
+++ b/cli/src/main/java/milletyoke/cli/configuration/ConvertCommand.java
@@ -9,11 +9,12 @@
 import picocli.CommandLine.ExitCode;
 import picocli.CommandLine.Parameters;
 
-/** The command {@code config convert}. */
+/** The command {@code config convert}: converts a JSON5 configuration to the language. */
 @Command(
         name = "convert",
         mixinStandardHelpOptions = true,
-        description = "Prints the deployment of an initiator's JSON5 setup in the language.")
+        description =
+                "Prints the deployment of an initiator's JSON5 configuration in the configuration language.")
 final class ConvertCommand implements Callable<Integer> {
     @Parameters(paramLabel = "SETUP")
     private Path file;
--- a/cli/src/main/java/milletyoke/cli/configuration/DiffCommand.java
+++ b/cli/src/main/java/milletyoke/cli/configuration/DiffCommand.java
@@ -12,12 +12,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command {@code config diff}. */
+/** The command {@code config diff}: prints the semantic differences of two configurations. */
 @Command(
         name = "diff",
         mixinStandardHelpOptions = true,
         description =
-                "What changes in meaning from OLD to NEW, for whom, and how it is applied; 1 if anything does.")
+                "Prints the semantic changes from OLD to NEW, whom each affects and how it is applied;"
+                        + " exits with 1 if there are any.")
 final class DiffCommand implements Callable<Integer> {
     private static final ObjectMapper JSON = new ObjectMapper();
 
--- a/cli/src/main/java/milletyoke/cli/configuration/FleetFiles.java
+++ b/cli/src/main/java/milletyoke/cli/configuration/FleetFiles.java
@@ -7,12 +7,12 @@
 import milletyoke.config.SourceProvider;
 import milletyoke.config.disk.FileSourceProvider;
 
-/** Reads configuration files and prints their diagnostics; shared by the subcommands. */
+/** Reads configuration files and prints their diagnostics, for all subcommands. */
 final class FleetFiles {
     private FleetFiles() {}
 
     /**
-     * Checks a file and what it includes.
+     * Checks a file and its includes.
      *
      * @throws IllegalArgumentException if a file cannot be read
      */
@@ -47,7 +47,7 @@
         return diagnostics.stream().noneMatch(Diagnostic::isError);
     }
 
-    /** As {@link #printDiagnostics}, without the warnings. */
+    /** Prints the errors as {@link #printDiagnostics} does and omits the warnings. */
     static boolean printErrors(List<Diagnostic> diagnostics) {
         return printDiagnostics(diagnostics.stream().filter(Diagnostic::isError).toList());
     }
--- a/cli/src/main/java/milletyoke/cli/configuration/FormatCommand.java
+++ b/cli/src/main/java/milletyoke/cli/configuration/FormatCommand.java
@@ -15,30 +15,33 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command {@code config format}. */
+/** The command {@code config format}: formats files in the standard style, or checks them. */
 @Command(
         name = "format",
         mixinStandardHelpOptions = true,
-        description = "Formats files in the standard style; files with syntax errors stay as is.")
+        description =
+                "Formats files in the standard style; files with syntax errors are left unchanged.")
 final class FormatCommand implements Callable<Integer> {
     @Parameters(arity = "1..*", paramLabel = "FILE")
     private List<Path> files;
 
     @Option(
             names = "--check",
-            description = "Change nothing; 1 if a file is not in the standard style.")
+            description = "Change no file; exit with 1 if a file is not in the standard style.")
     private boolean isCheckOnly;
 
     @Override
     public Integer call() throws IOException {
-        boolean isClean = true;
+        boolean allFormatted = true;
         for (Path file : files) {
-            isClean &= format(file);
+            allFormatted &= format(file);
         }
-        return isClean ? ExitCode.OK : ExitCode.SOFTWARE;
+        return allFormatted ? ExitCode.OK : ExitCode.SOFTWARE;
     }
 
-    /** Returns whether the file is now, or with {@code --check} already was, in the style. */
+    /**
+     * Returns whether the file is now, or with {@code --check} already was, in the standard style.
+     */
     private boolean format(Path file) throws IOException {
         String text = FleetFiles.readText(file);
         List<Diagnostic> diagnostics = new ArrayList<>();
@@ -50,7 +53,8 @@
         if (formatted.equals(text)) {
             return true;
         }
-        System.out.println(file + (isCheckOnly ? " is not in the style" : " is formatted"));
+        System.out.println(
+                file + (isCheckOnly ? " is not in the standard style" : " was formatted"));
         if (!isCheckOnly) {
             replace(file, formatted);
         }
--- a/cli/src/main/java/milletyoke/cli/configuration/ShowCommand.java
+++ b/cli/src/main/java/milletyoke/cli/configuration/ShowCommand.java
@@ -7,11 +7,11 @@
 import picocli.CommandLine.ExitCode;
 import picocli.CommandLine.Parameters;
 
-/** The command {@code config show}. */
+/** The command {@code config show}: prints a configuration in its resolved, flat form. */
 @Command(
         name = "show",
         mixinStandardHelpOptions = true,
-        description = "Prints a configuration with everything resolved.")
+        description = "Prints a configuration in its resolved, flat form.")
 final class ShowCommand implements Callable<Integer> {
     @Parameters(paramLabel = "FILE")
     private Path file;
