--- a/cli/src/main/java/milletyoke/cli/simulation/CompareSocketsCommand.java
+++ b/cli/src/main/java/milletyoke/cli/simulation/CompareSocketsCommand.java
@@ -16,14 +16,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command {@code simulate compare-sockets}. */
+/** The command {@code simulate compare-sockets}: compares simulated with real sockets. */
 @Command(
         name = "compare-sockets",
         aliases = "beside",
         mixinStandardHelpOptions = true,
         description =
-                "Runs scenarios on sockets and in virtual time and compares service by request class;"
-                        + " 1 if a class differs by more than allowed.")
+                "Runs scenarios on sockets and in virtual time and compares the service level of each"
+                        + " request class; exits with 1 if a class differs by more than allowed.")
 final class CompareSocketsCommand implements Callable<Integer> {
     private static final double PERCENT = 100;
 
@@ -37,35 +37,37 @@
             names = "--turns",
             paramLabel = "N",
             description =
-                    "Simulated runs of the same scenario, in which frames have"
-                            + " other latencies (${DEFAULT-VALUE}).")
+                    "Number of simulated runs of each scenario, which differ in the latencies of"
+                            + " frames (${DEFAULT-VALUE}).")
     private int simulatedRuns = 5;
 
     @Option(
             names = "--allowed",
             paramLabel = "POINTS",
-            description = "Allowed difference in percentage points a class (${DEFAULT-VALUE}).")
+            description =
+                    "Allowed difference of a request class, in percentage points (${DEFAULT-VALUE}).")
     private double allowedPoints = 5;
 
     @Override
     public Integer call() throws Exception {
         System.out.printf(
                 "%-32s %-16s %8s %22s %8s%n",
-                "day", "category", "sockets", "lab, mean and range", "apart");
-        int differing = 0;
+                "day", "category", "sockets", "simulated, mean, range", "apart");
+        int differingClasses = 0;
         for (Scenario scenario : ScenarioParser.readAll(scripts)) {
-            differing += compare(scenario);
+            differingClasses += compare(scenario);
         }
         System.out.printf(
-                "%d categories are further apart than %.1f points%n", differing, allowedPoints);
-        return differing == 0 ? ExitCode.OK : ExitCode.SOFTWARE;
+                "%d request classes differ by more than %.1f percentage points%n",
+                differingClasses, allowedPoints);
+        return differingClasses == 0 ? ExitCode.OK : ExitCode.SOFTWARE;
     }
 
     /** Returns how many request classes differ by more than allowed. */
     private int compare(Scenario scenario) throws IOException, InterruptedException {
         ServiceLevelRecorder sockets = runOnSockets(scenario);
         List<ServiceLevelRecorder> simulated = simulate(scenario);
-        int differing = 0;
+        int differingClasses = 0;
         for (String requestClass : sockets.requestClasses().keySet()) {
             double measured = percent(sockets, requestClass);
             DoubleSummaryStatistics predicted =
@@ -73,7 +75,7 @@
                             .mapToDouble(run -> percent(run, requestClass))
                             .summaryStatistics();
             double difference = predicted.getAverage() - measured;
-            differing += Math.abs(difference) > allowedPoints ? 1 : 0;
+            differingClasses += Math.abs(difference) > allowedPoints ? 1 : 0;
             System.out.printf(
                     "%-32s %-16s %8.1f %8.1f (%5.1f..%5.1f) %8.1f%n",
                     scenario.name(),
@@ -84,7 +86,7 @@
                     predicted.getMax(),
                     difference);
         }
-        return differing;
+        return differingClasses;
     }
 
     private static ServiceLevelRecorder runOnSockets(Scenario scenario)
--- a/cli/src/main/java/milletyoke/cli/simulation/PlayCommand.java
+++ b/cli/src/main/java/milletyoke/cli/simulation/PlayCommand.java
@@ -16,12 +16,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command {@code simulate play}. */
+/** The command {@code simulate play}: runs scenarios in virtual time. */
 @Command(
         name = "play",
         mixinStandardHelpOptions = true,
         description =
-                "Runs scenarios in virtual time, then audits the rules; 0 only if every rule was kept.")
+                "Runs scenarios in virtual time and audits the recordings;"
+                        + " exits with 0 only if every rule was kept and every request was answered.")
 final class PlayCommand implements Callable<Integer> {
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -31,37 +32,36 @@
     @Option(
             names = "--record",
             paramLabel = "FILE",
-            description = "Keep the recording here (one script only).")
+            description = "Keep the recording in this file (one script only).")
     private Path recordingFile;
 
-    @Option(
-            names = "--bare",
-            description = "Record nothing and audit nothing: for very large fleets.")
+    @Option(names = "--bare", description = "Record and audit nothing; for very large fleets.")
     private boolean isUnaudited;
 
-    @Option(names = "--brief", description = "One line a script.")
+    @Option(names = "--brief", description = "Print one line per script.")
     private boolean isBrief;
 
     @Override
     public Integer call() throws IOException, ScenarioFormatException {
         if (recordingFile != null && (scripts.size() > 1 || isUnaudited)) {
-            throw new IllegalArgumentException("--record takes one script, without --bare");
+            throw new IllegalArgumentException(
+                    "--record takes a single script and excludes --bare");
         }
-        boolean isClean = true;
+        boolean allPassed = true;
         for (Scenario scenario : ScenarioParser.readAll(scripts)) {
-            isClean &= isUnaudited ? playUnaudited(scenario) : playAudited(scenario);
+            allPassed &= isUnaudited ? runUnaudited(scenario) : runAndAudit(scenario);
         }
-        return isClean ? ExitCode.OK : ExitCode.SOFTWARE;
+        return allPassed ? ExitCode.OK : ExitCode.SOFTWARE;
     }
 
-    private boolean playUnaudited(Scenario scenario) throws IOException {
+    private boolean runUnaudited(Scenario scenario) throws IOException {
         SimulationResult result = SimulationRun.run(scenario, null);
         printSummary(scenario, result, "not audited");
         printServiceLevels(result);
         return hasFinished(result);
     }
 
-    private boolean playAudited(Scenario scenario) throws IOException {
+    private boolean runAndAudit(Scenario scenario) throws IOException {
         Path recording =
                 recordingFile != null
                         ? recordingFile
@@ -69,13 +69,13 @@
         try {
             SimulationResult result = SimulationRun.run(scenario, recording);
             Audit.Report report = Audit.audit(recording);
-            boolean isKept = hasFinished(result) && report.isClean();
-            printSummary(scenario, result, isKept ? "kept" : "NOT KEPT");
+            boolean hasPassed = hasFinished(result) && report.isClean();
+            printSummary(scenario, result, hasPassed ? "kept" : "NOT KEPT");
             printServiceLevels(result);
-            if (!isBrief || !isKept) {
+            if (!isBrief || !hasPassed) {
                 System.out.print(report.text(true));
             }
-            return isKept;
+            return hasPassed;
         } finally {
             if (recordingFile == null) {
                 Files.deleteIfExists(recording);
--- a/cli/src/main/java/milletyoke/cli/simulation/ReportCommand.java
+++ b/cli/src/main/java/milletyoke/cli/simulation/ReportCommand.java
@@ -14,14 +14,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command {@code simulate report}. */
+/** The command {@code simulate report}: generates a report from stored results. */
 @Command(
         name = "report",
         mixinStandardHelpOptions = true,
         description =
-                "Writes the report of stored results again; several files are compared as one experiment.")
+                "Generates the report of stored results; several files are compared as one experiment.")
 final class ReportCommand implements Callable<Integer> {
-    @Parameters(arity = "1..*", paramLabel = "RESULTS", description = "Files of JSON lines.")
+    @Parameters(arity = "1..*", paramLabel = "RESULTS", description = "Result files, JSON Lines.")
     private List<Path> files;
 
     @Option(
@@ -31,14 +31,17 @@
             description = "Folder for the report.")
     private Path folder;
 
-    @Option(names = "--axis", paramLabel = "TEXT", description = "What the values stand for.")
+    @Option(
+            names = "--axis",
+            paramLabel = "TEXT",
+            description = "Name of the quantity that is varied, as the axis label.")
     private String axis = "value";
 
     @Override
     public Integer call() throws IOException {
         List<ResultRow> rows = readRows();
         if (rows.isEmpty()) {
-            throw new IllegalArgumentException("there are no results in " + files);
+            throw new IllegalArgumentException("no results in " + files);
         }
         String title =
                 files.stream()
@@ -61,7 +64,7 @@
         return rows;
     }
 
-    /** Tells equal arms of several files apart by the folder of each file. */
+    /** Returns the prefix that distinguishes equal arms of several files: the file's folder. */
     private String armPrefix(Path file) {
         return files.size() == 1 ? "" : file.toAbsolutePath().getParent().getFileName() + ": ";
     }
--- a/cli/src/main/java/milletyoke/cli/simulation/RunExperimentCommand.java
+++ b/cli/src/main/java/milletyoke/cli/simulation/RunExperimentCommand.java
@@ -14,32 +14,32 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command {@code simulate run}. */
+/** The command {@code simulate run}: runs an experiment and writes its report. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
         description =
-                "Runs an experiment on all cores; runs whose results are stored already are skipped.")
+                "Runs an experiment on all cores; runs whose results are already stored are skipped.")
 final class RunExperimentCommand implements Callable<Integer> {
     @Parameters(
             paramLabel = "EXPERIMENT",
-            description = "A file in JSON5: the scenario, the arms, the values, the seeds.")
+            description = "Experiment file, JSON5: its scenario, arms, values and seeds.")
     private Path file;
 
     @Option(
             names = "--to",
             paramLabel = "FOLDER",
             required = true,
-            description = "Folder for results and report.")
+            description = "Folder for the results and the report.")
     private Path folder;
 
     @Option(
             names = "--threads",
             paramLabel = "N",
-            description = "Runs at once; by default one for each core.")
+            description = "Number of concurrent runs; by default one per core.")
     private int threads = Runtime.getRuntime().availableProcessors();
 
-    @Option(names = "--quiet", description = "No line after each run.")
+    @Option(names = "--quiet", description = "Omit the progress line printed after each run.")
     private boolean isQuiet;
 
     @Override
--- a/cli/src/main/java/milletyoke/cli/simulation/SearchFaultsCommand.java
+++ b/cli/src/main/java/milletyoke/cli/simulation/SearchFaultsCommand.java
@@ -14,14 +14,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command {@code simulate search-faults}. */
+/** The command {@code simulate search-faults}: searches random fault sets for the worst run. */
 @Command(
         name = "search-faults",
         aliases = "hunt",
         mixinStandardHelpOptions = true,
         description =
-                "Draws random sets of faults for a scenario, looks for the worst and shrinks it;"
-                        + " 1 if a rule was broken.")
+                "Runs a scenario with random sets of faults and shrinks the set of the worst run;"
+                        + " exits with 1 if a run violated a rule, left a request unanswered or failed.")
 final class SearchFaultsCommand implements Callable<Integer> {
     private static final int SHOWN_RUNS = 5;
     private static final double PERCENT = 100;
@@ -32,7 +32,7 @@
     @Option(
             names = "--storms",
             paramLabel = "N",
-            description = "How many sets of faults are run (${DEFAULT-VALUE}).")
+            description = "Number of runs, each with its own set of faults (${DEFAULT-VALUE}).")
     private int runs = 100;
 
     @Option(
@@ -44,7 +44,7 @@
     @Option(
             names = "--troubles",
             paramLabel = "N",
-            description = "Most faults in one run (${DEFAULT-VALUE}).")
+            description = "Maximum number of faults in one run (${DEFAULT-VALUE}).")
     private int maxFaults = 5;
 
     @Option(
@@ -52,62 +52,64 @@
             paramLabel = "TYPES",
             split = ",",
             description =
-                    "Types of faults that are drawn, as HANG,SLOW;"
-                            + " by default all: ${COMPLETION-CANDIDATES}.")
+                    "Types of faults to draw from, for example HANG,SLOW;"
+                            + " by default all of ${COMPLETION-CANDIDATES}.")
     private List<Scenario.FaultType> faultTypes = List.of();
 
     @Option(
             names = "--least",
             paramLabel = "PERCENT",
-            description = "Least part of the targets that one fault hits (${DEFAULT-VALUE}).")
+            description = "Minimum share of the targets that one fault affects (${DEFAULT-VALUE}).")
     private double minTargetPercent = 10;
 
     @Option(
             names = "--most",
             paramLabel = "PERCENT",
-            description = "Largest part of the targets that one fault hits (${DEFAULT-VALUE}).")
+            description = "Maximum share of the targets that one fault affects (${DEFAULT-VALUE}).")
     private double maxTargetPercent = 80;
 
     @Option(
             names = "--longest",
             paramLabel = "PERCENT",
-            description = "Longest part of the scenario that one fault lasts (${DEFAULT-VALUE}).")
+            description =
+                    "Maximum duration of one fault, as a share of the scenario (${DEFAULT-VALUE}).")
     private double maxDurationPercent = 50;
 
     @Option(
             names = "--for",
             paramLabel = "GOAL",
-            description = "${COMPLETION-CANDIDATES}: a broken rule, or the least service.")
+            description =
+                    "What counts as worst, ${COMPLETION-CANDIDATES}: a violated rule, or the lowest service level.")
     private FaultSearch.SearchGoal goal = FaultSearch.SearchGoal.RULES;
 
     @Option(
             names = "--keep",
             paramLabel = "FILE",
-            description = "Write the worst run, shrunk, to this file as a script.")
+            description = "Write the shrunk worst run to this file as a scenario script.")
     private Path keptScript;
 
     @Option(
             names = "--threads",
             paramLabel = "N",
-            description = "Runs at once; by default one for each core.")
+            description = "Number of concurrent runs; by default one per core.")
     private int threads = Runtime.getRuntime().availableProcessors();
 
     @Override
     public Integer call() throws Exception {
         if (runs < 1 || maxFaults < 1) {
-            throw new IllegalArgumentException("at least one storm of one trouble is played");
+            throw new IllegalArgumentException("--storms and --troubles must be at least 1");
         }
         FaultGenerator.Ranges ranges = ranges();
         FaultSearch search =
                 new FaultSearch(ScenarioParser.read(script), ranges, Math.max(1, threads));
         List<FaultSearch.Failure> worstFirst = search.run(seed, runs, goal);
-        long broken = worstFirst.stream().filter(FaultSearch.Failure::isBroken).count();
-        printResults(worstFirst, broken);
+        long failedRuns = worstFirst.stream().filter(FaultSearch.Failure::isBroken).count();
+        printResults(worstFirst, failedRuns);
         FaultSearch.Failure worst = worstFirst.get(0);
         if (worst.isBroken() || goal == FaultSearch.SearchGoal.SERVICE) {
             shrink(search, worst);
         }
-        return broken > 0 ? ExitCode.SOFTWARE : ExitCode.OK;
+        return failedRuns > 0 ? ExitCode.SOFTWARE : ExitCode.OK;
     }
 
     private FaultGenerator.Ranges ranges() {
@@ -120,7 +122,7 @@
                 maxDurationPercent / PERCENT);
     }
 
-    private static void printResults(List<FaultSearch.Failure> worstFirst, long broken) {
+    private static void printResults(List<FaultSearch.Failure> worstFirst, long failedRuns) {
         worstFirst.stream().limit(SHOWN_RUNS).forEach(SearchFaultsCommand::printRun);
         double meanServiceLevel =
                 worstFirst.stream()
@@ -128,8 +130,8 @@
                         .average()
                         .orElse(0);
         System.out.printf(
-                "%d storms, %d of them broken, mean service %.4f%n",
-                worstFirst.size(), broken, meanServiceLevel);
+                "%d runs, %d of them failed, mean service %.4f%n",
+                worstFirst.size(), failedRuns, meanServiceLevel);
     }
 
     private static void printRun(FaultSearch.Failure run) {
@@ -142,7 +144,7 @@
         FaultSearch.Failure smallest = search.shrink(worst, goal);
         String text = FaultSearch.script(Files.readString(script), smallest);
         System.out.printf(
-                "shrunk to %d of %d troubles, service %.4f  %s%n%s",
+                "shrunk to %d of %d faults, service %.4f  %s%n%s",
                 smallest.scenario().faults().size(),
                 worst.scenario().faults().size(),
                 smallest.serviceLevel(),
--- a/cli/src/main/java/milletyoke/cli/simulation/SimulateCommand.java
+++ b/cli/src/main/java/milletyoke/cli/simulation/SimulateCommand.java
@@ -18,7 +18,7 @@
             CompareSocketsCommand.class
         },
         description =
-                "Runs fleets in virtual time: the same initiators, stand-ins and scenarios, without sockets.")
+                "Runs scenarios in virtual time, with the same initiators and stand-ins but without sockets.")
 public final class SimulateCommand implements Callable<Integer> {
     @Override
     public Integer call() {
--- a/cli/src/main/java/milletyoke/cli/simulation/package-info.java
+++ b/cli/src/main/java/milletyoke/cli/simulation/package-info.java
@@ -1,5 +1,5 @@
 /**
  * The command {@code simulate} and its subcommands: scenarios, experiments and fault searches in
- * virtual time. Single runs use the main thread; experiments and searches a fixed pool of workers.
+ * virtual time. Single runs use the main thread; experiments and searches use a fixed thread pool.
  */
 package milletyoke.cli.simulation;
