--- a/cli/src/test/java/milletyoke/cli/ChildProcesses.java
+++ b/cli/src/test/java/milletyoke/cli/ChildProcesses.java
@@ -5,13 +5,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Runs the program as child processes and stops those that a test left running. */
+/** Runs the program in child processes and stops those that a test left running. */
 final class ChildProcesses {
     static final String JAVA = Path.of(System.getProperty("java.home"), "bin", "java").toString();
 
     private final List<Process> started = new ArrayList<>();
 
-    /** The command that runs the program in this JVM's class path. */
+    /** Returns the command that runs the program on this JVM's class path. */
     static List<String> commandLine(String... args) {
         List<String> command =
                 new ArrayList<>(
--- a/cli/src/test/java/milletyoke/cli/ServeProcessTest.java
+++ b/cli/src/test/java/milletyoke/cli/ServeProcessTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Runs {@code serve} as a process: its configuration file, its signals and its exit code. */
+/** Tests the configuration file, signals and exit codes of {@code serve}, run as a process. */
 @Timeout(120)
 class ServeProcessTest {
     private static final String CONFIG =
@@ -43,21 +43,21 @@
         return serve(new ProcessBuilder(ChildProcesses.commandLine("serve")), file);
     }
 
-    /** Runs {@code serve} with all of its output in one log. */
+    /** Starts {@code serve} with standard output and standard error in one log file. */
     private Process serve(ProcessBuilder command, Path config) throws IOException {
         command.environment().put("LB_CONFIG", config.toString());
         return processes.start(
                 command.redirectErrorStream(true).redirectOutput(folder.resolve("log").toFile()));
     }
 
-    /** Waits until the process listens. @return its port */
+    /** Waits until the process accepts requests, and returns its port. */
     private int awaitPort(Process process) throws Exception {
         Matcher line = waitFor(process, "accepts requests at 127.0.0.1:(\\d+)");
         return Integer.parseInt(line.group(1));
     }
 
     private static void awaitReady(int port) throws Exception {
-        while (!ready(port).endsWith("200")) {
+        while (!readinessStatus(port).endsWith("200")) {
             Thread.sleep(10);
         }
     }
@@ -76,7 +76,7 @@
         return found;
     }
 
-    private static String ready(int port) throws IOException {
+    private static String readinessStatus(int port) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
             socket.getOutputStream()
                     .write(
@@ -113,20 +113,20 @@
         Files.writeString(folder.resolve("config.json"), "{");
         new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
         waitFor(process, "invalid configuration ignored, the previous one stays in use");
-        assertTrue(ready(port).endsWith("200"));
+        assertTrue(readinessStatus(port).endsWith("200"));
         process.destroy();
         assertTrue(process.waitFor(60, TimeUnit.SECONDS));
         assertEquals(0, process.exitValue(), log());
     }
 
     /**
-     * The system allows no more descriptors than the configuration says, and idle clients use all
-     * that are granted to clients: discovery is reached again, a target is connected, and a request
-     * is served.
+     * Guards against idle clients using up the descriptors that discovery and targets need. The
+     * process has only as many descriptors as the configuration states, and idle clients take all
+     * that clients may use; still, the initiator reconnects to discovery and serves a request.
      */
     @Test
     void idleClientsDoNotBlockDiscoveryOrTargets() throws Exception {
-        List<Socket> idle = new ArrayList<>();
+        List<Socket> idleClients = new ArrayList<>();
         try (ScriptedHttpServer target = startTarget();
                 ScriptedHttpServer discovery = startDiscovery(target.port())) {
             Path file =
@@ -138,18 +138,18 @@
             Process process = serve(withDescriptorLimit(256), file);
             int port = awaitPort(process);
             awaitReady(port);
-            for (int i = 0; i < 600; i++) {
-                idle.add(new Socket(InetAddress.getLoopbackAddress(), port));
+            for (int client = 0; client < 600; client++) {
+                idleClients.add(new Socket(InetAddress.getLoopbackAddress(), port));
             }
-            int calls = discovery.requests().size();
+            int requestsBefore = discovery.requests().size();
             discovery.open().forEach(connection -> connection.close("cut"));
-            while (discovery.requests().size() < calls + 2) {
+            while (discovery.requests().size() < requestsBefore + 2) {
                 assertTrue(process.isAlive(), log());
                 Thread.sleep(5);
             }
             assertEquals("HTTP/1.1 200", sendRequest(port));
         } finally {
-            for (Socket socket : idle) {
+            for (Socket socket : idleClients) {
                 socket.close();
             }
         }
@@ -162,13 +162,15 @@
                 (connection, request) -> ScriptedHttpServer.answer(connection, 200, body));
     }
 
-    /** Discovery with one target; it leaves a watch, which names a revision, without an answer. */
+    /**
+     * Starts a discovery with one target. It sends no response to a watch, which names a revision.
+     */
     private static ScriptedHttpServer startDiscovery(int targetPort) throws IOException {
-        String list =
+        String endpointList =
                 "{\"rev\":1,\"all\":true,\"targets\":[{\"uid\":\"t\",\"endpoint\":\"127.0.0.1:"
                         + targetPort
                         + "\",\"pod_group\":0,\"state\":\"up\"}]}";
-        byte[] body = list.getBytes(StandardCharsets.UTF_8);
+        byte[] body = endpointList.getBytes(StandardCharsets.UTF_8);
         return new ScriptedHttpServer(
                 "discovery",
                 (connection, request) -> {
@@ -189,7 +191,7 @@
                 System.getProperty("java.class.path"));
     }
 
-    /** Sends one request and returns the start of the answer's status line. */
+    /** Sends one request and returns the start of the response's status line. */
     private static String sendRequest(int port) throws IOException {
         String request =
                 "GET /api HTTP/1.1\r\nHost: a\r\nX-Txn: 1\r\nX-Lane: c\r\nX-Plan: p\r\n"
