--- a/scenario/src/main/java/milletyoke/scenario/audit/Audit.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/Audit.java
@@ -56,8 +56,9 @@
         }
 
         /**
-         * Returns the report as text, with two lines for each rule. * @param details whether to
-         * include the frames of the violations
+         * Returns the report as text, with two lines for each rule.
+         *
+         * @param details whether to include the frames of the violations
          */
         public String text(boolean details) {
             StringBuilder text = new StringBuilder();
@@ -84,8 +85,9 @@
     }
 
     /**
-     * The result of the check of one rule. * @param tested how often the recording tested the rule
+     * The result of the check of one rule.
      *
+     * @param tested how often the recording tested the rule
      * @param excused violations that a kill, a stall or a reconnection explains
      * @param closestCall how near the recording came to a violation
      * @param details the first violations, each followed by its frames
@@ -105,8 +107,9 @@
     }
 
     /**
-     * Audits the records of a recording. * @throws IllegalArgumentException if the recording lacks
-     * the rule settings or is inconsistent
+     * Audits the records of a recording.
+     *
+     * @throws IllegalArgumentException if the recording lacks the rule settings or is inconsistent
      */
     public static Report audit(List<Record> records) {
         return new Audit(records).run();
--- a/scenario/src/main/java/milletyoke/scenario/audit/FinalResponseRule.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/FinalResponseRule.java
@@ -33,8 +33,9 @@
     private record Stall(long fromMicros, long toMicros, String observer) {}
 
     /**
-     * A request without a response in time. * @param endMicros the deadline, or when the connection
-     * closed if that was earlier
+     * A request without a response in time.
+     *
+     * @param endMicros the deadline, or when the connection closed if that was earlier
      */
     private record MissedResponse(SentRequest sent, long endMicros, int frame, String problem) {}
 
--- a/scenario/src/main/java/milletyoke/scenario/audit/RuleCheck.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/RuleCheck.java
@@ -25,8 +25,9 @@
     final List<Violation> keptViolations = new ArrayList<>();
 
     /**
-     * A violation of the rule. * @param frames indices of the records that show it, from 0; -1 for
-     * none
+     * A violation of the rule.
+     *
+     * @param frames indices of the records that show it, from 0; -1 for none
      */
     record Violation(String description, int... frames) {}
 
--- a/scenario/src/main/java/milletyoke/scenario/audit/RuleSettings.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/RuleSettings.java
@@ -26,8 +26,9 @@
         long retryBudgetWindowMicros) {
 
     /**
-     * The settings of one request class. * @param idempotency harmless, stamped or one_shot
+     * The settings of one request class.
      *
+     * @param idempotency harmless, stamped or one_shot
      * @param deduplicationScope all, zone or cell
      */
     public record RequestClassRules(
@@ -41,16 +42,18 @@
     }
 
     /**
-     * The rate limit of a service plan. * @param rate units per second, 0 for no limit
+     * The rate limit of a service plan.
      *
+     * @param rate units per second, 0 for no limit
      * @param depth burst in units
      * @param slack units by which all initiators together may exceed the limit
      */
     public record PlanLimit(double rate, double depth, double slack) {}
 
     /**
-     * Reads the settings from the JSON text of a RULES note. * @throws IllegalArgumentException if
-     * the text is not JSON or a setting is missing
+     * Reads the settings from the JSON text of a RULES note.
+     *
+     * @throws IllegalArgumentException if the text is not JSON or a setting is missing
      */
     public static RuleSettings read(String json) {
         JsonNode root;
--- a/scenario/src/main/java/milletyoke/scenario/script/FaultParser.java
+++ b/scenario/src/main/java/milletyoke/scenario/script/FaultParser.java
@@ -5,8 +5,8 @@
 import milletyoke.scenario.script.Scenario.Selection;
 
 /**
- * Reads the fault of one statement: its keyword and its options. The keywords are part of the
- * scripts' notation (docs/rehearsal.md).
+ * Parses the fault of one statement: its keyword and its options. The keywords are part of the
+ * script notation (docs/rehearsal.md).
  */
 final class FaultParser {
     private static final double MAX_SURGE = 20;
@@ -26,13 +26,13 @@
     }
 
     /**
-     * Reads the rest of a statement.
+     * Parses the rest of a statement.
      *
-     * @param atMicros when the fault begins
-     * @param line of the script, for messages
+     * @param atMicros when the fault begins, since the start of the load
+     * @param line line number of the statement, for messages
      */
     static Fault parse(Tokenizer tokens, long atMicros, int line) throws ScenarioFormatException {
-        String keyword = tokens.next("what happens");
+        String keyword = tokens.next("the fault type");
         FaultParser parser = new FaultParser(tokens);
         FaultType type = parser.parseOptions(keyword);
         tokens.expectEnd();
@@ -73,7 +73,7 @@
             case "clock" -> clockStep();
             case "reconnect" -> FaultType.RECONNECT;
             case "limit" -> limitChange();
-            default -> throw tokens.error("\"" + keyword + "\" is no trouble that can be played");
+            default -> throw tokens.error("\"" + keyword + "\" is not a fault type");
         };
     }
 
@@ -135,17 +135,17 @@
     }
 
     private FaultType endpointList() throws ScenarioFormatException {
-        String how = tokens.next("late, partial or unavailable");
+        String kind = tokens.next("late, partial, unavailable or flap");
         FaultType type =
-                switch (how) {
+                switch (kind) {
                     case "late" -> FaultType.LIST_LATE;
                     case "partial" -> FaultType.LIST_PARTIAL;
                     case "unavailable" -> FaultType.LIST_UNAVAILABLE;
                     case "flap" -> FaultType.LIST_FLAP;
                     default ->
                             throw tokens.error(
-                                    "a list is late, partial, unavailable or flaps, not \""
-                                            + how
+                                    "list: expected late, partial, unavailable or flap, not \""
+                                            + kind
                                             + "\"");
                 };
         if (type == FaultType.LIST_LATE) {
@@ -190,7 +190,7 @@
     }
 
     private FaultType limitChange() throws ScenarioFormatException {
-        name = tokens.next("the plan");
+        name = tokens.next("the name of the plan");
         magnitude = tokens.number("rate", null);
         range = new long[] {tokens.wholeNumber("depth", null), tokens.wholeNumber("slack", "0")};
         return FaultType.LIMIT;
@@ -201,17 +201,17 @@
     }
 
     private void parseSelection() throws ScenarioFormatException {
-        selection = selection(tokens.next("whom it strikes, as 40% or a number from 1"));
+        selection = selection(tokens.next("the selection, as 40% or a number from 1,"));
     }
 
-    /** A part as 40%, or a number as 2. */
+    /** Parses a selection: a fraction such as 40%, or a number such as 2. */
     private Selection selection(String text) throws ScenarioFormatException {
         if (text.endsWith("%")) {
-            return new Selection(tokens.fraction("whom", text, 1), 0);
+            return new Selection(tokens.fraction("selection", text, 1), 0);
         }
-        int number = (int) tokens.number("whom", text, "");
+        int number = (int) tokens.number("selection", text, "");
         if (number < 1) {
-            throw tokens.error("they are numbered from 1");
+            throw tokens.error("selection: numbers begin at 1");
         }
         return new Selection(0, number);
     }
--- a/scenario/src/main/java/milletyoke/scenario/script/Scenario.java
+++ b/scenario/src/main/java/milletyoke/scenario/script/Scenario.java
@@ -8,13 +8,12 @@
 import milletyoke.standins.WorkDistribution;
 
 /**
- * A day to be played: who is there, what is asked, and what goes wrong when. Times are
- * microseconds.
+ * A scenario: the deployment, the load and the faults with their times. Times are in microseconds.
  *
- * @param durationMicros how long clients ask
- * @param maxPendingRequests most accesses that one initiator holds
- * @param unitMicros work of one unit at a core of speed 1
- * @param coreSpeeds of cores, least and most; each target draws one
+ * @param durationMicros how long clients send requests
+ * @param maxPendingRequests most requests that one initiator holds
+ * @param classLoads the load of each request class, in the order of {@code requestClasses}
+ * @param mustWatchEndpoints whether initiators must request the endpoint list from discovery
  */
 public record Scenario(
         String name,
@@ -34,20 +33,25 @@
         List<Fault> faults) {
 
     /**
-     * What the lab's network and machines are like; sockets have what they have.
+     * Properties of the network and machines of a simulation; not used on sockets.
      *
-     * @param latencyMicros of a frame from end to end, least and most
-     * @param loopTurnMicros an initiator's loop is busy for so long with each turn
+     * @param latencyMicros least and greatest latency of a frame from end to end
+     * @param loopTurnMicros processing time of one turn of an initiator's event loop
      */
     public record Network(long[] latencyMicros, long loopTurnMicros) {}
 
     /**
-     * How a partition cuts, added up in {@link Fault#intervalMicros}: towards the targets alone;
-     * work alone, not probes.
+     * Flags of a partition, added up in {@link Fault#intervalMicros}: {@code ONE_WAY} drops frames
+     * to the targets only, {@code GREY} drops attempts but not probes.
      */
     public static final long ONE_WAY = 1, GREY = 2;
 
-    /** The targets; see {@link milletyoke.standins.TargetBehavior}. */
+    /**
+     * The targets; see {@link milletyoke.standins.TargetBehavior}.
+     *
+     * @param coreSpeeds lowest and highest speed of a core; each target draws one
+     * @param unitMicros time to execute one unit of work on a core of speed 1
+     */
     public record Fleet(
             int targets,
             int zones,
@@ -70,7 +74,7 @@
             double warmUpUnits,
             WorkDistribution workDistribution) {}
 
-    /** What clients know of a category beside its provisioning. */
+    /** The load of one request class. */
     public record ClassLoad(
             double share,
             int minUnits,
@@ -79,11 +83,16 @@
             boolean isNewObject,
             long deadlineMicros) {}
 
-    /** A plan, the part of demand on it and how many volumes have it. */
+    /**
+     * A service plan, its share of the load, and the number of volumes and of hosts of each volume.
+     */
     public record PlanLoad(
             SchedulerSettings.ServicePlan plan, double share, int volumes, int hosts) {}
 
-    /** The rules' figures; what a cold target bears follows from the fleet. */
+    /**
+     * The limits that the rules check; the capacity of a target during slow start follows from the
+     * fleet.
+     */
     public record RuleBounds(
             long responseSlackMicros,
             long drainGraceMicros,
@@ -97,6 +106,11 @@
             long retryBudgetWindowMicros,
             long watchDeadlineMicros) {}
 
+    /**
+     * The requests that clients send.
+     *
+     * @param replaySpeed factor by which captured traffic is sped up
+     */
     public record Load(
             double requestsPerSecond,
             int retries,
@@ -110,16 +124,17 @@
             double replaySpeed) {}
 
     /**
-     * Something that goes wrong.
+     * A fault.
      *
-     * @param atMicros since the start
-     * @param line of the script, for messages
-     * @param count of volumes; of a partition the number of its target, 0 where {@code magnitude}
-     *     is the part of them
-     * @param name of the plan whose limit changes: {@code magnitude} is its rate, {@code range}
-     *     depth and slack
-     * @param belowServiceLevel 0, or from {@code atMicros} on it comes when service of the last
-     *     second is under this part, once
+     * @param atMicros when it begins, since the start of the load
+     * @param line line number in the script, for messages
+     * @param count number of volumes; for a partition, the number of its target, or 0 if {@code
+     *     magnitude} is the fraction of targets
+     * @param name name of the plan whose limit changes to the rate {@code magnitude} and the depth
+     *     and slack in {@code range}
+     * @param belowServiceLevel 0 if the fault begins at {@code atMicros}; otherwise it begins,
+     *     once, when the service level of the last second is below this fraction after {@code
+     *     atMicros}
      */
     public record Fault(
             long atMicros,
@@ -135,7 +150,7 @@
             String name,
             double belowServiceLevel) {
 
-        /** One at its time, whatever service is. */
+        /** Creates a fault that begins at its time, regardless of the service level. */
         public Fault(
                 long atMicros,
                 int line,
@@ -163,8 +178,10 @@
                     0);
         }
 
-        /** The same, once service of the last second is under a part. */
-        Fault belowServiceLevel(double part) {
+        /**
+         * Returns a copy that begins when the service level of the last second is below a fraction.
+         */
+        Fault belowServiceLevel(double fraction) {
             return new Fault(
                     atMicros,
                     line,
@@ -177,13 +194,20 @@
                     count,
                     downtimeMicros,
                     name,
-                    part);
+                    fraction);
         }
     }
 
-    /** Which targets or initiators: a part of them drawn from the seed, or one by number from 1. */
+    /**
+     * The targets or initiators of a fault.
+     *
+     * @param part the fraction of them, drawn with the seed of the scenario; not used if {@code
+     *     number} is set
+     * @param number the number of a single one, from 1; 0 if unset
+     */
     public record Selection(double part, int number) {}
 
+    /** The kinds of faults. */
     public enum FaultType {
         HANG,
         SLOW,
@@ -210,27 +234,30 @@
         PARTITION,
         CLOCK;
 
-        /** Whether only the lab can play it. */
+        /** Returns whether the fault can be injected only in a simulation. */
         public boolean isSimulationOnly() {
             return this == PARTITION || this == CLOCK;
         }
     }
 
-    /** Units within the fall time that a cold target always bears, whichever target it is. */
+    /**
+     * Returns the units per overload window that even the weakest target tolerates at the start of
+     * its warm-up, less a margin of 10%.
+     */
     public double warmUpBudgetUnits() {
-        double weakest = fleet.cores() * fleet.coreSpeeds()[0] * 1e6 / fleet.unitMicros();
+        double lowestCapacity = fleet.cores() * fleet.coreSpeeds()[0] * 1e6 / fleet.unitMicros();
         return Math.floor(
                 ruleBounds.overloadFactor()
                         * ruleBounds.initialCapacityFraction()
-                        * weakest
+                        * lowestCapacity
                         * ruleBounds.overloadWindowMicros()
                         / 1e6
                         * 0.9);
     }
 
-    /** What its initiators are provisioned with. */
+    /** Returns the deployment settings of the initiators. */
     public DeploymentSettings deployment() {
-        var b = ruleBounds;
+        var bounds = ruleBounds;
         return new DeploymentSettings(
                 new SchedulerSettings(
                         initiators,
@@ -238,26 +265,26 @@
                         planLoads.stream().map(PlanLoad::plan).toList(),
                         capabilities,
                         new SchedulerSettings.RuleLimits(
-                                b.keyQuietMicros(),
-                                b.warmUpMicros(),
-                                b.initialCapacityFraction(),
+                                bounds.keyQuietMicros(),
+                                bounds.warmUpMicros(),
+                                bounds.initialCapacityFraction(),
                                 warmUpBudgetUnits(),
-                                b.overloadWindowMicros(),
-                                b.overloadFactor(),
-                                b.retryBudgetMinimum(),
-                                b.retryBudgetFraction(),
-                                b.retryBudgetWindowMicros(),
-                                b.watchDeadlineMicros()),
+                                bounds.overloadWindowMicros(),
+                                bounds.overloadFactor(),
+                                bounds.retryBudgetMinimum(),
+                                bounds.retryBudgetFraction(),
+                                bounds.retryBudgetWindowMicros(),
+                                bounds.watchDeadlineMicros()),
                         mustWatchEndpoints),
-                b.responseSlackMicros(),
-                b.drainGraceMicros());
+                bounds.responseSlackMicros(),
+                bounds.drainGraceMicros());
     }
 
-    /** The same day with other troubles, under another name and seed. */
-    public Scenario withFaults(String called, long otherSeed, List<Fault> others) {
+    /** Returns a copy with other faults, another name and another seed. */
+    public Scenario withFaults(String newName, long newSeed, List<Fault> newFaults) {
         return new Scenario(
-                called,
-                otherSeed,
+                newName,
+                newSeed,
                 durationMicros,
                 initiators,
                 maxPendingRequests,
@@ -270,12 +297,12 @@
                 mustWatchEndpoints,
                 load,
                 network,
-                List.copyOf(others));
+                List.copyOf(newFaults));
     }
 
-    /** The same day with another number of accesses a second. */
+    /** Returns a copy with another rate of requests per second. */
     public Scenario withRate(double rate) {
-        Load other =
+        Load newLoad =
                 new Load(
                         rate,
                         load.retries(),
@@ -300,13 +327,14 @@
                 capabilities,
                 ruleBounds,
                 mustWatchEndpoints,
-                other,
+                newLoad,
                 network,
                 faults);
     }
 
-    /** How clients know the repeats of a category. */
-    public static LoadProfile.Idempotency clientIdempotency(SchedulerSettings.RequestClass c) {
-        return LoadProfile.Idempotency.valueOf(c.idempotency().name());
+    /** Returns the idempotency of a request class as a value of the load profile. */
+    public static LoadProfile.Idempotency clientIdempotency(
+            SchedulerSettings.RequestClass requestClass) {
+        return LoadProfile.Idempotency.valueOf(requestClass.idempotency().name());
     }
 }
--- a/scenario/src/main/java/milletyoke/scenario/script/ScenarioParser.java
+++ b/scenario/src/main/java/milletyoke/scenario/script/ScenarioParser.java
@@ -18,8 +18,8 @@
 import milletyoke.standins.WorkDistribution;
 
 /**
- * Reads the notation of bad days, one statement a line, # before a remark; docs/rehearsal.md has
- * every statement.
+ * Parses scenario scripts: one statement per line, with comments after #. All statements are
+ * described in docs/rehearsal.md.
  */
 public final class ScenarioParser {
     private final String file;
@@ -28,22 +28,22 @@
     private final List<Tokenizer> categories = new ArrayList<>();
     private final List<Tokenizer> plans = new ArrayList<>();
     private final List<Fault> faults = new ArrayList<>();
-    private boolean listAsked;
+    private boolean mustWatchEndpoints;
 
     private ScenarioParser(String file, String name) {
         this.file = file;
         this.name = name;
     }
 
+    /** Reads a script file; the scenario is named after it. */
     public static Scenario read(Path path) throws ScenarioFormatException {
         String text;
         try {
             text = Files.readString(path);
-        } catch (java.nio.file.NoSuchFileException missing) {
-            throw new ScenarioFormatException(path + ": there is no such file");
-        } catch (IOException unreadable) {
-            throw new ScenarioFormatException(
-                    path + ": cannot be read: " + unreadable.getMessage());
+        } catch (java.nio.file.NoSuchFileException e) {
+            throw new ScenarioFormatException(path + ": file not found");
+        } catch (IOException e) {
+            throw new ScenarioFormatException(path + ": cannot read file: " + e.getMessage());
         }
         return read(
                 path.toString(),
@@ -51,35 +51,37 @@
                 text);
     }
 
-    /** All of them, so that none is played where one cannot be read. */
+    /** Reads all script files, so that no scenario is run if one of them is invalid. */
     public static List<Scenario> readAll(List<Path> paths) throws ScenarioFormatException {
-        List<Scenario> days = new ArrayList<>();
+        List<Scenario> scenarios = new ArrayList<>();
         for (Path path : paths) {
-            days.add(read(path));
+            scenarios.add(read(path));
         }
-        return days;
+        return scenarios;
     }
 
     /**
-     * @param file what messages call it
+     * Parses the text of a script.
+     *
+     * @param file name of the script in messages
      */
     public static Scenario read(String file, String name, String text)
             throws ScenarioFormatException {
-        ScenarioParser script = new ScenarioParser(file, name);
+        ScenarioParser parser = new ScenarioParser(file, name);
         int line = 0;
-        for (String one : text.split("\n", -1)) {
+        for (String lineText : text.split("\n", -1)) {
             line++;
-            String bare = one.replaceAll("#.*", "").trim();
-            if (!bare.isEmpty()) {
-                script.parseStatement(new Tokenizer(file, line, bare), line);
+            String statement = lineText.replaceAll("#.*", "").trim();
+            if (!statement.isEmpty()) {
+                parser.parseStatement(new Tokenizer(file, line, statement), line);
             }
         }
-        return script.buildScenario();
+        return parser.buildScenario();
     }
 
     private void parseStatement(Tokenizer tokens, int line) throws ScenarioFormatException {
-        String verb = tokens.next("a statement");
-        switch (verb) {
+        String keyword = tokens.next("a statement");
+        switch (keyword) {
             case "seed",
                     "lasts",
                     "initiators",
@@ -89,8 +91,8 @@
                     "load",
                     "list",
                     "network" -> {
-                if (singleStatements.put(verb, tokens) != null) {
-                    throw tokens.error(verb + " stands there twice");
+                if (singleStatements.put(keyword, tokens) != null) {
+                    throw tokens.error(keyword + " is given twice");
                 }
             }
             case "category" -> categories.add(tokens);
@@ -102,155 +104,163 @@
                                     tokens.time("at", tokens.next("the time"), true),
                                     line));
             case "when" -> {
-                String what = tokens.next("service");
-                if (!what.equals("service")) {
-                    throw tokens.error("a trouble can wait for service, not for \"" + what + "\"");
+                String condition = tokens.next("service");
+                if (!condition.equals("service")) {
+                    throw tokens.error("when: expected service, not \"" + condition + "\"");
                 }
-                double under = tokens.fraction("under", null);
-                long from = tokens.time("from", "1s");
-                if (under <= 0) {
-                    throw tokens.error("under must be over 0%");
+                double threshold = tokens.fraction("under", null);
+                long fromMicros = tokens.time("from", "1s");
+                if (threshold <= 0) {
+                    throw tokens.error("under must be greater than 0%");
                 }
-                faults.add(FaultParser.parse(tokens, from, line).belowServiceLevel(under));
+                faults.add(
+                        FaultParser.parse(tokens, fromMicros, line).belowServiceLevel(threshold));
             }
             case "then" -> {
                 if (faults.isEmpty()) {
-                    throw tokens.error("then follows a trouble, and none stands before it");
+                    throw tokens.error("then: no fault precedes this statement");
                 }
-                long after = tokens.time("then", tokens.next("how long after"), true);
+                long delayMicros = tokens.time("then", tokens.next("the delay"), true);
                 faults.add(
                         FaultParser.parse(
-                                tokens, faults.get(faults.size() - 1).atMicros() + after, line));
+                                tokens,
+                                faults.get(faults.size() - 1).atMicros() + delayMicros,
+                                line));
             }
             default ->
                     throw tokens.error(
                             "\""
-                                    + verb
-                                    + "\" is no statement; seed, lasts, initiators, targets, bounds, "
-                                    + "allowances, load, list, network, category, plan, at, then and when are");
+                                    + keyword
+                                    + "\" is not a statement; expected seed, lasts, initiators, targets, bounds, "
+                                    + "allowances, load, list, network, category, plan, at, then or when");
         }
     }
 
-    private Tokenizer singleStatements(String verb) throws ScenarioFormatException {
-        Tokenizer tokens = singleStatements.get(verb);
+    private Tokenizer singleStatements(String keyword) throws ScenarioFormatException {
+        Tokenizer tokens = singleStatements.get(keyword);
         return tokens == null ? new Tokenizer(file, 0, "") : tokens;
     }
 
-    // ---- Who is there and what is asked ----
+    // ---- Deployment and load ----
 
     private Scenario buildScenario() throws ScenarioFormatException {
-        Tokenizer seed = singleStatements("seed");
-        String seedText = seed.next();
-        long seedValue = seedText == null ? 1 : (long) seed.number("seed", seedText, "");
-        seed.expectEnd();
-        Tokenizer lasts = singleStatements("lasts");
-        String lastsText = lasts.next();
-        long lastsValue = lastsText == null ? 10_000_000 : lasts.time("lasts", lastsText, false);
-        lasts.expectEnd();
-        Tokenizer ini = singleStatements("initiators");
-        String count = ini.next();
-        int initiators = count == null ? 3 : (int) ini.number("initiators", count, "");
-        int held = ini.wholeNumber("held", "10000");
-        ini.expectEnd();
+        Tokenizer seedStatement = singleStatements("seed");
+        String seedText = seedStatement.next();
+        long seedValue = seedText == null ? 1 : (long) seedStatement.number("seed", seedText, "");
+        seedStatement.expectEnd();
+        Tokenizer lastsStatement = singleStatements("lasts");
+        String lastsText = lastsStatement.next();
+        long durationMicros =
+                lastsText == null ? 10_000_000 : lastsStatement.time("lasts", lastsText, false);
+        lastsStatement.expectEnd();
+        Tokenizer initiatorsStatement = singleStatements("initiators");
+        String countText = initiatorsStatement.next();
+        int initiators =
+                countText == null
+                        ? 3
+                        : (int) initiatorsStatement.number("initiators", countText, "");
+        int maxPendingRequests = initiatorsStatement.wholeNumber("held", "10000");
+        initiatorsStatement.expectEnd();
         if (initiators < 1 || initiators > 10_000) {
-            throw ini.error("1 to 10000 initiators can be played, not " + initiators);
+            throw initiatorsStatement.error("initiators must be 1 to 10000, not " + initiators);
         }
         Scenario.Fleet fleet = fleet(singleStatements("targets"), singleStatements("list"));
-        List<RequestClass> provisioned = new ArrayList<>();
-        List<Scenario.ClassLoad> kinds = new ArrayList<>();
+        List<RequestClass> requestClasses = new ArrayList<>();
+        List<Scenario.ClassLoad> classLoads = new ArrayList<>();
         for (Tokenizer tokens : categories) {
-            category(tokens, provisioned, kinds);
+            requestClass(tokens, requestClasses, classLoads);
         }
-        if (provisioned.isEmpty()) {
-            throw new ScenarioFormatException(file + ": no category is given");
+        if (requestClasses.isEmpty()) {
+            throw new ScenarioFormatException(file + ": no category statement");
         }
-        List<Scenario.PlanLoad> planned = new ArrayList<>();
+        List<Scenario.PlanLoad> planLoads = new ArrayList<>();
         for (Tokenizer tokens : plans) {
-            planned.add(plan(tokens));
+            planLoads.add(planLoad(tokens));
         }
-        if (planned.isEmpty()) {
-            throw new ScenarioFormatException(file + ": no plan is given");
+        if (planLoads.isEmpty()) {
+            throw new ScenarioFormatException(file + ": no plan statement");
         }
-        Scenario.RuleBounds bounds = bounds(singleStatements("bounds"));
-        Tokenizer a = singleStatements("allowances");
-        Capabilities allowances =
+        Scenario.RuleBounds ruleBounds = ruleBounds(singleStatements("bounds"));
+        Tokenizer allowancesStatement = singleStatements("allowances");
+        Capabilities capabilities =
                 new Capabilities(
-                        Math.max(1, a.wholeNumber("relays", "3")),
-                        !a.flag("noprobes"),
-                        !a.flag("nocancels"),
-                        !a.flag("noadvice"),
-                        a.time("advice", "500ms"));
-        a.expectEnd();
+                        Math.max(1, allowancesStatement.wholeNumber("relays", "3")),
+                        !allowancesStatement.flag("noprobes"),
+                        !allowancesStatement.flag("nocancels"),
+                        !allowancesStatement.flag("noadvice"),
+                        allowancesStatement.time("advice", "500ms"));
+        allowancesStatement.expectEnd();
         Scenario.Load load = load(singleStatements("load"), file);
         for (Fault fault : faults) {
-            boolean known =
-                    planned.stream()
+            boolean isLimitedPlan =
+                    planLoads.stream()
                             .anyMatch(
-                                    p ->
-                                            p.plan().name().equals(fault.name())
-                                                    && p.plan().limitRate() > 0);
-            if (fault.type() == FaultType.LIMIT && !known) {
+                                    planLoad ->
+                                            planLoad.plan().name().equals(fault.name())
+                                                    && planLoad.plan().limitRate() > 0);
+            if (fault.type() == FaultType.LIMIT && !isLimitedPlan) {
                 throw new ScenarioFormatException(
                         file
                                 + ":"
                                 + fault.line()
-                                + ": no plan with a limit is called "
+                                + ": there is no plan with a limit named "
                                 + fault.name());
             }
-            boolean initiator =
+            boolean isInitiatorFault =
                     fault.type() == FaultType.KILL
                             || fault.type() == FaultType.STILL
                             || fault.type() == FaultType.LEAVE
                             || fault.type() == FaultType.PARTITION;
-            int most = initiator ? initiators : fleet.targets();
+            int maxNumber = isInitiatorFault ? initiators : fleet.targets();
             if (fault.type() == FaultType.PARTITION && fault.count() > fleet.targets()) {
                 throw new ScenarioFormatException(
                         file
                                 + ":"
                                 + fault.line()
-                                + ": there are "
+                                + ": only "
                                 + fleet.targets()
-                                + " targets, none has number "
+                                + " targets exist, there is no number "
                                 + fault.count());
             }
-            if (fault.selection().number() > most) {
+            if (fault.selection().number() > maxNumber) {
                 throw new ScenarioFormatException(
                         file
                                 + ":"
                                 + fault.line()
-                                + ": there are "
-                                + most
-                                + ", none has number "
+                                + ": only "
+                                + maxNumber
+                                + " exist, there is no number "
                                 + fault.selection().number());
             }
         }
         return new Scenario(
                 name,
                 seedValue,
-                lastsValue,
+                durationMicros,
                 initiators,
-                held,
+                maxPendingRequests,
                 fleet,
-                provisioned,
-                kinds,
-                planned,
-                allowances,
-                bounds,
-                listAsked,
+                requestClasses,
+                classLoads,
+                planLoads,
+                capabilities,
+                ruleBounds,
+                mustWatchEndpoints,
                 load,
                 network(singleStatements("network")),
                 List.copyOf(faults));
     }
 
-    private Scenario.Fleet fleet(Tokenizer tokens, Tokenizer list) throws ScenarioFormatException {
-        String count = tokens.next();
-        int targets = count == null ? 8 : (int) tokens.number("targets", count, "");
+    private Scenario.Fleet fleet(Tokenizer tokens, Tokenizer listStatement)
+            throws ScenarioFormatException {
+        String countText = tokens.next();
+        int targets = countText == null ? 8 : (int) tokens.number("targets", countText, "");
         if (targets < 1 || targets > 10_000) {
-            throw tokens.error("1 to 10000 targets can be played, not " + targets);
+            throw tokens.error("targets must be 1 to 10000, not " + targets);
         }
-        listAsked = list.flag("asked");
-        long[] lag = list.timeRange("lag", "100ms..300ms");
-        list.expectEnd();
+        mustWatchEndpoints = listStatement.flag("asked");
+        long[] lagMicros = listStatement.timeRange("lag", "100ms..300ms");
+        listStatement.expectEnd();
         Scenario.Fleet fleet =
                 new Scenario.Fleet(
                         targets,
@@ -268,14 +278,14 @@
                         tokens.time("pause", "100ms"),
                         tokens.flag("tells"),
                         tokens.flag("dropscancelled"),
-                        lag,
+                        lagMicros,
                         tokens.fraction("crowd", "0"),
                         tokens.time("connecting", "0"),
                         tokens.number("warmunits", "0"),
-                        work(tokens));
+                        workDistribution(tokens));
         tokens.expectEnd();
         if (fleet.unitMicros() <= 0 || fleet.coreSpeeds()[0] <= 0) {
-            throw tokens.error("unit and speed must be over 0");
+            throw tokens.error("unit and speed must be greater than 0");
         }
         return fleet;
     }
@@ -286,85 +296,89 @@
                         tokens.timeRange("travel", "30us..90us"), tokens.time("turn", "30us"));
         tokens.expectEnd();
         if (network.latencyMicros()[0] < 1) {
-            throw tokens.error("travel must be over 0");
+            throw tokens.error("travel must be greater than 0");
         }
         return network;
     }
 
-    private static WorkDistribution work(Tokenizer tokens) throws ScenarioFormatException {
+    private static WorkDistribution workDistribution(Tokenizer tokens)
+            throws ScenarioFormatException {
         try {
             return WorkDistribution.of(tokens.text("work", "even"));
-        } catch (IllegalArgumentException wrong) {
-            throw tokens.error("work: " + wrong.getMessage());
+        } catch (IllegalArgumentException e) {
+            throw tokens.error("work: " + e.getMessage());
         }
     }
 
-    private void category(
-            Tokenizer tokens, List<RequestClass> provisioned, List<Scenario.ClassLoad> kinds)
+    private void requestClass(
+            Tokenizer tokens,
+            List<RequestClass> requestClasses,
+            List<Scenario.ClassLoad> classLoads)
             throws ScenarioFormatException {
-        String called = tokens.next("the category's name");
+        String requestClassName = tokens.next("the name of the category");
         double share = tokens.fraction("share", null);
-        Idempotency repeats = word(tokens, "repeats", Idempotency.class, "harmless");
-        DeduplicationScope group = word(tokens, "group", DeduplicationScope.class, "all");
+        Idempotency idempotency = enumValue(tokens, "repeats", Idempotency.class, "harmless");
+        DeduplicationScope deduplicationScope =
+                enumValue(tokens, "group", DeduplicationScope.class, "all");
         double[] units = tokens.numberRange("units", "1..4");
-        boolean ordered = tokens.flag("ordered");
-        boolean write = tokens.flag("write");
-        boolean anywhere = tokens.flag("anywhere");
-        RequestClass category =
+        boolean isKeyOrdered = tokens.flag("ordered");
+        boolean isWrite = tokens.flag("write");
+        boolean isNewObject = tokens.flag("anywhere");
+        RequestClass requestClass =
                 new RequestClass(
-                        called,
-                        repeats,
-                        group,
+                        requestClassName,
+                        idempotency,
+                        deduplicationScope,
                         tokens.time("window", "2500ms"),
-                        ordered,
+                        isKeyOrdered,
                         tokens.time("agreed", null),
                         tokens.number("importance", "1"));
-        kinds.add(
+        classLoads.add(
                 new Scenario.ClassLoad(
                         share,
                         (int) units[0],
                         (int) units[1],
-                        write,
-                        anywhere,
+                        isWrite,
+                        isNewObject,
                         tokens.time("abandon", null)));
-        provisioned.add(category);
+        requestClasses.add(requestClass);
         tokens.expectEnd();
     }
 
-    private static <E extends Enum<E>> E word(
-            Tokenizer tokens, String name, Class<E> words, String usual)
+    private static <E extends Enum<E>> E enumValue(
+            Tokenizer tokens, String name, Class<E> type, String defaultValue)
             throws ScenarioFormatException {
-        String text = tokens.text(name, usual);
-        for (E one : words.getEnumConstants()) {
-            if (Keyword.of(one).equals(text)) {
-                return one;
+        String text = tokens.text(name, defaultValue);
+        for (E value : type.getEnumConstants()) {
+            if (Keyword.of(value).equals(text)) {
+                return value;
             }
         }
-        throw tokens.error(name + ": \"" + text + "\" is not known");
+        throw tokens.error(name + ": \"" + text + "\" is not a known value");
     }
 
-    private static Scenario.PlanLoad plan(Tokenizer tokens) throws ScenarioFormatException {
-        String called = tokens.next("the plan's name");
-        ServicePlan plan =
+    private static Scenario.PlanLoad planLoad(Tokenizer tokens) throws ScenarioFormatException {
+        String planName = tokens.next("the name of the plan");
+        ServicePlan servicePlan =
                 new ServicePlan(
-                        called,
+                        planName,
                         tokens.number("reserve", "0"),
                         tokens.number("weight", "1"),
                         tokens.number("limit", "0"),
                         tokens.number("depth", "0"),
                         tokens.number("slack", "0"));
-        Scenario.PlanLoad of =
+        Scenario.PlanLoad planLoad =
                 new Scenario.PlanLoad(
-                        plan,
+                        servicePlan,
                         tokens.fraction("share", null),
                         Math.max(1, tokens.wholeNumber("volumes", "8")),
                         Math.max(1, tokens.wholeNumber("hosts", "2")));
         tokens.expectEnd();
-        return of;
+        return planLoad;
     }
 
-    private static Scenario.RuleBounds bounds(Tokenizer tokens) throws ScenarioFormatException {
-        Scenario.RuleBounds bounds =
+    private static Scenario.RuleBounds ruleBounds(Tokenizer tokens) throws ScenarioFormatException {
+        Scenario.RuleBounds ruleBounds =
                 new Scenario.RuleBounds(
                         tokens.time("slack", "100ms"),
                         tokens.time("grace", "500ms"),
@@ -378,17 +392,17 @@
                         tokens.time("budgetspan", "0"),
                         tokens.time("mustask", "10s"));
         tokens.expectEnd();
-        return bounds;
+        return ruleBounds;
     }
 
-    /** Files of captured traffic, with commas between; from the script's folder on. */
-    private static List<Path> traffic(Tokenizer tokens, String file)
+    /** Returns the comma-separated capture files, resolved against the directory of the script. */
+    private static List<Path> captureFiles(Tokenizer tokens, String file)
             throws ScenarioFormatException {
         String text = tokens.text("traffic", "");
-        Path folder = Path.of(file).toAbsolutePath().getParent();
+        Path directory = Path.of(file).toAbsolutePath().getParent();
         return text.isEmpty()
                 ? List.of()
-                : java.util.Arrays.stream(text.split(",")).map(folder::resolve).toList();
+                : java.util.Arrays.stream(text.split(",")).map(directory::resolve).toList();
     }
 
     private static Scenario.Load load(Tokenizer tokens, String file)
@@ -404,10 +418,10 @@
                         tokens.fraction("vanish", "0"),
                         tokens.wholeNumber("closed", "0"),
                         tokens.time("think", "0"),
-                        traffic(tokens, file),
+                        captureFiles(tokens, file),
                         tokens.number("speed", "1"));
         if (!(load.replaySpeed() > 0)) {
-            throw tokens.error("speed must be over 0");
+            throw tokens.error("speed must be greater than 0");
         }
         tokens.expectEnd();
         return load;
--- a/scenario/src/main/java/milletyoke/scenario/script/Tokenizer.java
+++ b/scenario/src/main/java/milletyoke/scenario/script/Tokenizer.java
@@ -11,21 +11,21 @@
 import java.util.regex.Pattern;
 
 /**
- * One line of a script: plain words, and words with a value as in {@code for=3s}; a value may be a
- * range, 1s..2s.
+ * Splits one line of a script into plain words and options such as {@code for=3s}, and converts
+ * their values. A value may be a range such as 1s..2s.
  */
 final class Tokenizer {
     private static final Pattern NUMBER =
             Pattern.compile("(-?[0-9]+(?:\\.[0-9]+)?)(us|ms|s|min|%|/s|)");
 
-    private final String place;
+    private final String location;
     private final List<String> words = new ArrayList<>();
     private final Map<String, String> options = new LinkedHashMap<>();
     private final Set<String> requestedOptions = new HashSet<>();
     private int nextWord;
 
     Tokenizer(String file, int line, String text) throws ScenarioFormatException {
-        place = file + ":" + line + ": ";
+        location = file + ":" + line + ": ";
         for (String word : text.trim().split("\\s+")) {
             int equals = word.indexOf('=');
             if (word.isEmpty()) {
@@ -34,145 +34,163 @@
             if (equals < 0) {
                 words.add(word);
             } else if (options.put(word.substring(0, equals), word.substring(equals + 1)) != null) {
-                throw error(word.substring(0, equals) + " stands there twice");
+                throw error(word.substring(0, equals) + "= is given twice");
             }
         }
     }
 
-    ScenarioFormatException error(String what) {
-        return new ScenarioFormatException(place + what);
+    ScenarioFormatException error(String message) {
+        return new ScenarioFormatException(location + message);
     }
 
-    /** The next plain word; null where there is none. */
+    /** Returns the next plain word; null if there is none. */
     String next() {
         return nextWord < words.size() ? words.get(nextWord++) : null;
     }
 
-    String next(String what) throws ScenarioFormatException {
+    /**
+     * Returns the next plain word.
+     *
+     * @param expected describes the word, for the message if it is missing
+     */
+    String next(String expected) throws ScenarioFormatException {
         String word = next();
         if (word == null) {
-            throw error(what + " is missing");
+            throw error(expected + " is missing");
         }
         return word;
     }
 
-    /** Whether a plain word stands anywhere on the rest of the line; it counts as asked for. */
+    /** Removes a plain word from the rest of the line; returns whether it was there. */
     boolean flag(String word) {
-        int at = words.subList(nextWord, words.size()).indexOf(word);
-        if (at >= 0) {
-            words.remove(nextWord + at);
+        int index = words.subList(nextWord, words.size()).indexOf(word);
+        if (index >= 0) {
+            words.remove(nextWord + index);
         }
-        return at >= 0;
+        return index >= 0;
     }
 
     boolean has(String name) {
         return options.containsKey(name);
     }
 
-    String text(String name, String usual) throws ScenarioFormatException {
+    /**
+     * Returns the value of an option.
+     *
+     * @param defaultValue null if the option is required
+     */
+    String text(String name, String defaultValue) throws ScenarioFormatException {
         requestedOptions.add(name);
-        String value = options.getOrDefault(name, usual);
+        String value = options.getOrDefault(name, defaultValue);
         if (value == null) {
             throw error(name + "= is missing");
         }
         return value;
     }
 
-    /** Microseconds; {@code usual} null where it must be there. */
-    long time(String name, String usual) throws ScenarioFormatException {
-        return time(name, text(name, usual), true);
+    /** Returns a time option in microseconds; a null {@code defaultValue} makes it required. */
+    long time(String name, String defaultValue) throws ScenarioFormatException {
+        return time(name, text(name, defaultValue), true);
     }
 
-    /** Least and most, the same where one figure stands there (microseconds). */
-    long[] timeRange(String name, String usual) throws ScenarioFormatException {
-        String[] ends = text(name, usual).split("\\.\\.", 2);
-        long least = time(name, ends[0], true);
-        long most = time(name, ends[ends.length - 1], true);
-        if (most < least) {
-            throw error(name + ": " + ends[0] + " is more than " + ends[1]);
+    /** Returns the ends of a time range in microseconds; both are the same for a single value. */
+    long[] timeRange(String name, String defaultValue) throws ScenarioFormatException {
+        String[] bounds = text(name, defaultValue).split("\\.\\.", 2);
+        long min = time(name, bounds[0], true);
+        long max = time(name, bounds[bounds.length - 1], true);
+        if (max < min) {
+            throw error(name + ": " + bounds[0] + " is greater than " + bounds[1]);
         }
-        return new long[] {least, most};
+        return new long[] {min, max};
     }
 
-    long time(String name, String text, boolean zero) throws ScenarioFormatException {
-        Matcher m = NUMBER.matcher(text);
+    long time(String name, String text, boolean allowsBareZero) throws ScenarioFormatException {
+        Matcher matcher = NUMBER.matcher(text);
         double factor =
-                !m.matches()
+                !matcher.matches()
                         ? -1
-                        : switch (m.group(2)) {
+                        : switch (matcher.group(2)) {
                             case "us" -> 1;
                             case "ms" -> 1e3;
                             case "s" -> 1e6;
                             case "min" -> 60e6;
-                            default -> m.group(1).equals("0") && zero ? 1 : -1;
+                            default -> matcher.group(1).equals("0") && allowsBareZero ? 1 : -1;
                         };
-        if (factor < 0 || Double.parseDouble(m.group(1)) < 0) {
-            throw error(name + ": a time as 250ms is expected, not " + text);
+        if (factor < 0 || Double.parseDouble(matcher.group(1)) < 0) {
+            throw error(name + ": expected a time such as 250ms, not " + text);
         }
-        return Math.round(Double.parseDouble(m.group(1)) * factor);
+        return Math.round(Double.parseDouble(matcher.group(1)) * factor);
     }
 
-    /** A part of a whole, as 40% or 0.4. */
-    double fraction(String name, String usual) throws ScenarioFormatException {
-        return fraction(name, text(name, usual), 1);
+    /** Returns a fraction from 0 to 1, written as 40% or 0.4. */
+    double fraction(String name, String defaultValue) throws ScenarioFormatException {
+        return fraction(name, text(name, defaultValue), 1);
     }
 
-    double fraction(String name, String text, double most) throws ScenarioFormatException {
-        Matcher m = NUMBER.matcher(text);
-        if (!m.matches() || !(m.group(2).equals("%") || m.group(2).isEmpty())) {
-            throw error(name + ": a part as 40% is expected, not " + text);
+    double fraction(String name, String text, double max) throws ScenarioFormatException {
+        Matcher matcher = NUMBER.matcher(text);
+        if (!matcher.matches() || !(matcher.group(2).equals("%") || matcher.group(2).isEmpty())) {
+            throw error(name + ": expected a fraction such as 40%, not " + text);
         }
-        double part = Double.parseDouble(m.group(1)) / (m.group(2).equals("%") ? 100 : 1);
-        if (part < 0 || part > most) {
+        double fraction =
+                Double.parseDouble(matcher.group(1)) / (matcher.group(2).equals("%") ? 100 : 1);
+        if (fraction < 0 || fraction > max) {
             throw error(
-                    name + ": " + text + " is out of range, 0% to " + (int) (100 * most) + "% is");
+                    name
+                            + ": "
+                            + text
+                            + " is out of range, allowed is 0% to "
+                            + (int) (100 * max)
+                            + "%");
         }
-        return part;
+        return fraction;
     }
 
-    double number(String name, String usual) throws ScenarioFormatException {
-        return number(name, text(name, usual), "");
+    double number(String name, String defaultValue) throws ScenarioFormatException {
+        return number(name, text(name, defaultValue), "");
     }
 
     double number(String name, String text, String unit) throws ScenarioFormatException {
-        Matcher m = NUMBER.matcher(text);
-        if (!m.matches() || !m.group(2).equals(unit)) {
+        Matcher matcher = NUMBER.matcher(text);
+        if (!matcher.matches() || !matcher.group(2).equals(unit)) {
             throw error(
                     name
-                            + ": a number"
-                            + (unit.isEmpty() ? "" : " with " + unit)
-                            + " is expected, not "
+                            + ": expected a number"
+                            + (unit.isEmpty() ? "" : " with the unit " + unit)
+                            + ", not "
                             + text);
         }
-        return Double.parseDouble(m.group(1));
+        return Double.parseDouble(matcher.group(1));
     }
 
-    double[] numberRange(String name, String usual) throws ScenarioFormatException {
-        String[] ends = text(name, usual).split("\\.\\.", 2);
-        return new double[] {number(name, ends[0], ""), number(name, ends[ends.length - 1], "")};
+    double[] numberRange(String name, String defaultValue) throws ScenarioFormatException {
+        String[] bounds = text(name, defaultValue).split("\\.\\.", 2);
+        return new double[] {
+            number(name, bounds[0], ""), number(name, bounds[bounds.length - 1], "")
+        };
     }
 
-    int wholeNumber(String name, String usual) throws ScenarioFormatException {
-        double figure = number(name, usual);
-        if (figure != Math.rint(figure) || figure < 0 || figure > 1e9) {
-            throw error(name + ": a whole number is expected, not " + figure);
+    int wholeNumber(String name, String defaultValue) throws ScenarioFormatException {
+        double value = number(name, defaultValue);
+        if (value != Math.rint(value) || value < 0 || value > 1e9) {
+            throw error(name + ": expected a whole number from 0 to 1e9, not " + value);
         }
-        return (int) figure;
+        return (int) value;
     }
 
-    /** To be called last: what was never asked for is not known here. */
+    /** Rejects the words and options that were not read; to be called last. */
     void expectEnd() throws ScenarioFormatException {
         if (nextWord < words.size()) {
-            throw error("\"" + words.get(nextWord) + "\" has no meaning here");
+            throw error("\"" + words.get(nextWord) + "\" is not expected here");
         }
         for (String name : options.keySet()) {
             if (!requestedOptions.contains(name)) {
                 throw error(
                         name
-                                + "= is not known here"
+                                + "= is not an option here"
                                 + (requestedOptions.isEmpty()
                                         ? ""
-                                        : "; known are "
+                                        : "; options are "
                                                 + String.join(
                                                         ", ", new TreeSet<>(requestedOptions))));
             }
--- a/scenario/src/main/java/milletyoke/scenario/script/package-info.java
+++ b/scenario/src/main/java/milletyoke/scenario/script/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The notation of scenarios: reads scripts into immutable values, with the place of every error.
- * Nothing here has state that is shared between threads.
+ * Parses scenario scripts into immutable values and reports errors with file and line. No state is
+ * shared between threads.
  */
 package milletyoke.scenario.script;
