--- a/scenario/src/main/java/milletyoke/scenario/CapturedLoad.java
+++ b/scenario/src/main/java/milletyoke/scenario/CapturedLoad.java
@@ -13,101 +13,106 @@
 import milletyoke.wire.capture.CapturedTraffic;
 
 /**
- * Captured traffic as a day's demand: every access when it came, through the initiator that its
- * capture stands for (the first file for the first, and so on round), with its own volume, units
- * and time. The day says what its categories and plans are.
+ * Converts captured traffic to the load of a scenario: each request keeps its time, volume, units
+ * and deadline. The capture files are assigned to the initiators in turn. The scenario defines the
+ * request classes and plans.
  */
 final class CapturedLoad {
     private CapturedLoad() {}
 
     /**
-     * Reads the day's captures.
+     * Reads the capture files of a scenario.
      *
-     * @param all the volumes of the day; replaced by those that the captures name
-     * @throws IOException where a capture cannot be read, or names what the day does not have; with
-     *     the place
+     * @param volumes the volumes of the scenario; replaced by those of the captures
+     * @param names the names of the volumes; replaced likewise
+     * @throws IOException if a capture cannot be read, or names a category, plan or shard that the
+     *     scenario does not have; the message names file and request
      */
-    static List<LoadProfile.TracedRequest> of(
+    static List<LoadProfile.TracedRequest> read(
             Scenario scenario,
-            List<LoadProfile.RequestClass> kinds,
-            List<LoadProfile.Volume> all,
+            List<LoadProfile.RequestClass> requestClasses,
+            List<LoadProfile.Volume> volumes,
             List<String> names)
             throws IOException {
-        Map<String, LoadProfile.Volume> volumes = new LinkedHashMap<>();
+        Map<String, LoadProfile.Volume> capturedVolumes = new LinkedHashMap<>();
         List<LoadProfile.TracedRequest> trace = new ArrayList<>();
         List<Path> files = scenario.load().captureFiles();
-        for (int f = 0; f < files.size(); f++) {
-            int n = 0;
-            for (CapturedTraffic.CapturedRequest one :
-                    CapturedTraffic.read(files.get(f)).requests()) {
-                String place = files.get(f) + ": access " + ++n;
+        for (int fileIndex = 0; fileIndex < files.size(); fileIndex++) {
+            int requestNumber = 0;
+            for (CapturedTraffic.CapturedRequest captured :
+                    CapturedTraffic.read(files.get(fileIndex)).requests()) {
+                String location = files.get(fileIndex) + ": request " + ++requestNumber;
                 LoadProfile.RequestClass requestClass =
-                        kinds.stream()
-                                .filter(k -> k.name().equals(one.requestClass()))
+                        requestClasses.stream()
+                                .filter(
+                                        candidate ->
+                                                candidate.name().equals(captured.requestClass()))
                                 .findFirst()
                                 .orElseThrow(
                                         () ->
                                                 new IOException(
-                                                        place
+                                                        location
                                                                 + " is of category "
-                                                                + one.requestClass()
-                                                                + ", which the day does not have"));
+                                                                + captured.requestClass()
+                                                                + ", which the scenario does not define"));
                 if (scenario.planLoads().stream()
-                        .noneMatch(p -> p.plan().name().equals(one.plan()))) {
+                        .noneMatch(planLoad -> planLoad.plan().name().equals(captured.plan()))) {
                     throw new IOException(
-                            place + " is of plan " + one.plan() + ", which the day does not have");
+                            location
+                                    + " is of plan "
+                                    + captured.plan()
+                                    + ", which the scenario does not define");
                 }
-                if (one.shard() >= scenario.fleet().targets()) {
+                if (captured.shard() >= scenario.fleet().targets()) {
                     throw new IOException(
-                            place
-                                    + " wants shard "
-                                    + one.shard()
-                                    + ", and the day has "
+                            location
+                                    + " is for shard "
+                                    + captured.shard()
+                                    + ", but the scenario has "
                                     + scenario.fleet().targets()
                                     + " targets, numbered from 0");
                 }
                 // Only the number of initiators matters: each request names its own.
                 int initiatorCount =
-                        Math.max(1, Math.min(one.initiatorCount(), scenario.initiators()));
+                        Math.max(1, Math.min(captured.initiatorCount(), scenario.initiators()));
                 List<Integer> initiators = Collections.nCopies(initiatorCount, 0);
                 LoadProfile.Volume volume =
-                        volumes.computeIfAbsent(
-                                one.volume(),
-                                v ->
+                        capturedVolumes.computeIfAbsent(
+                                captured.volume(),
+                                name ->
                                         new LoadProfile.Volume(
-                                                v, one.plan(), 0, List.of(), initiators));
+                                                name, captured.plan(), 0, List.of(), initiators));
                 trace.add(
                         new LoadProfile.TracedRequest(
-                                (long) (one.atMicros() / scenario.load().replaySpeed()),
+                                (long) (captured.atMicros() / scenario.load().replaySpeed()),
                                 requestClass,
                                 volume,
-                                f % scenario.initiators(),
-                                one.shard(),
-                                one.extent(),
-                                one.units(),
-                                one.timeLeftMicros()));
+                                fileIndex % scenario.initiators(),
+                                captured.shard(),
+                                captured.extent(),
+                                captured.units(),
+                                captured.timeLeftMicros()));
             }
         }
         trace.sort(Comparator.comparingLong(LoadProfile.TracedRequest::offsetMicros));
-        if (!trace.isEmpty()) { // what came first comes at once; files that began together stay in
-            // step
-            long first = trace.get(0).offsetMicros();
+        if (!trace.isEmpty()) { // the first request is sent at once; all files are shifted alike
+            long firstOffsetMicros = trace.get(0).offsetMicros();
             trace.replaceAll(
-                    t ->
+                    request ->
                             new LoadProfile.TracedRequest(
-                                    t.offsetMicros() - first,
-                                    t.requestClass(),
-                                    t.volume(),
-                                    t.initiator(),
-                                    t.shard(),
-                                    t.extent(),
-                                    t.units(),
-                                    t.timeLeftMicros()));
+                                    request.offsetMicros() - firstOffsetMicros,
+                                    request.requestClass(),
+                                    request.volume(),
+                                    request.initiator(),
+                                    request.shard(),
+                                    request.extent(),
+                                    request.units(),
+                                    request.timeLeftMicros()));
         }
-        all.clear();
-        all.addAll(volumes.values());
+        volumes.clear();
+        volumes.addAll(capturedVolumes.values());
         names.clear();
-        names.addAll(volumes.keySet());
+        names.addAll(capturedVolumes.keySet());
         return trace;
     }
 }
--- a/scenario/src/main/java/milletyoke/scenario/ConsoleViewers.java
+++ b/scenario/src/main/java/milletyoke/scenario/ConsoleViewers.java
@@ -13,7 +13,10 @@
 import java.util.concurrent.atomic.LongAdder;
 import org.HdrHistogram.ConcurrentHistogram;
 
-/** Viewers of one console: so many poll pages and JSON in turn, as many keep a stream open. */
+/**
+ * Simulates viewers of one console. Each viewer polls pages and JSON views in turn and keeps an
+ * event stream open.
+ */
 public final class ConsoleViewers implements AutoCloseable {
     private static final List<String> PATHS =
             List.of(
@@ -34,20 +37,24 @@
                         return thread;
                     });
     private final ConcurrentHistogram latencies = new ConcurrentHistogram(60_000_000, 3);
-    private final LongAdder failedPages = new LongAdder(), streamedMessages = new LongAdder();
+    private final LongAdder failedPages = new LongAdder();
+    private final LongAdder streamedMessages = new LongAdder();
     private volatile boolean isClosed;
 
     /**
-     * @param every milliseconds between two pages of one viewer
+     * Starts the viewers.
+     *
+     * @param viewers how many poll, and how many keep a stream open
+     * @param intervalMillis delay between two pages of one viewer
      */
-    public ConsoleViewers(int port, String token, int viewers, long every) {
+    public ConsoleViewers(int port, String token, int viewers, long intervalMillis) {
         List<HttpClient> clients = new ArrayList<>();
         for (int i = 0; i < viewers; i++) {
             HttpClient client =
                     HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
             clients.add(client);
-            int first = i;
-            threads.execute(() -> poll(client, port, token, first, every));
+            int firstPage = i;
+            threads.execute(() -> poll(client, port, token, firstPage, intervalMillis));
             threads.execute(() -> stream(client, port, token));
         }
     }
@@ -59,22 +66,24 @@
                 .build();
     }
 
-    private void poll(HttpClient client, int port, String token, int first, long every) {
-        for (int n = first; !isClosed; n++) {
-            long began = System.nanoTime();
+    private void poll(
+            HttpClient client, int port, String token, int firstPage, long intervalMillis) {
+        for (int page = firstPage; !isClosed; page++) {
+            long startNanos = System.nanoTime();
             try {
-                var answer =
+                var response =
                         client.send(
-                                request(port, token, PATHS.get(n % PATHS.size())),
+                                request(port, token, PATHS.get(page % PATHS.size())),
                                 HttpResponse.BodyHandlers.ofString());
-                if (answer.statusCode() != 200) {
+                if (response.statusCode() != 200) {
                     failedPages.increment();
                 }
-                latencies.recordValue(Math.min(60_000_000, (System.nanoTime() - began) / 1000));
-                Thread.sleep(every);
-            } catch (InterruptedException stopped) {
+                latencies.recordValue(
+                        Math.min(60_000_000, (System.nanoTime() - startNanos) / 1000));
+                Thread.sleep(intervalMillis);
+            } catch (InterruptedException e) {
                 return;
-            } catch (java.io.IOException unanswered) {
+            } catch (java.io.IOException e) {
                 failedPages.add(isClosed ? 0 : 1);
             }
         }
@@ -86,20 +95,20 @@
                                 request(port, token, "/api/v1/stream?page=overview"),
                                 HttpResponse.BodyHandlers.ofLines())
                         .body()) {
-            lines.takeWhile(l -> !isClosed)
-                    .filter(l -> l.startsWith("data:"))
-                    .forEach(l -> streamedMessages.increment());
-        } catch (java.io.IOException | java.io.UncheckedIOException ended) {
+            lines.takeWhile(line -> !isClosed)
+                    .filter(line -> line.startsWith("data:"))
+                    .forEach(line -> streamedMessages.increment());
+        } catch (java.io.IOException | java.io.UncheckedIOException e) {
             failedPages.add(isClosed ? 0 : 1);
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** What they saw so far. */
+    /** Returns the number of pages and messages and the response times so far. */
     public String text() {
         return String.format(
-                "%d pages, %d failed, %d messages on streams; p50 %.1f  p99 %.1f  p99.9 %.1f  most %.1f ms",
+                "%d pages, %d failed, %d stream messages; p50 %.1f  p99 %.1f  p99.9 %.1f  max %.1f ms",
                 latencies.getTotalCount(),
                 failedPages.sum(),
                 streamedMessages.sum(),
@@ -114,13 +123,13 @@
         stop();
     }
 
-    /** Ends all viewers; does nothing if they have ended. */
+    /** Stops all viewers; does nothing if they have stopped. */
     public void stop() {
         isClosed = true;
         threads.shutdownNow();
         try {
             threads.awaitTermination(2, TimeUnit.SECONDS);
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
--- a/scenario/src/main/java/milletyoke/scenario/FaultInjector.java
+++ b/scenario/src/main/java/milletyoke/scenario/FaultInjector.java
@@ -12,7 +12,7 @@
 import milletyoke.wire.proto.Health;
 import milletyoke.wire.proto.Note;
 
-/** Injects the faults of a scenario into its fleet. One method a fault type. */
+/** Injects the faults of a scenario into its deployment, with one method for each fault type. */
 final class FaultInjector {
     private final RunContext context;
     private final PlanLimits planLimits;
@@ -39,7 +39,7 @@
         this.isDirect = isDirect;
     }
 
-    /** Starts a fault now; where it has a duration, its end is scheduled. */
+    /** Starts a fault now and schedules its end if it has a duration. */
     void inject(Fault fault) throws IOException {
         switch (fault.type()) {
             case HANG -> hang(fault);
@@ -70,59 +70,69 @@
     }
 
     private void hang(Fault fault) {
-        applyForDuration(fault, x -> x.setHanging(true), x -> x.setHanging(false));
+        applyForDuration(
+                fault, target -> target.setHanging(true), target -> target.setHanging(false));
     }
 
     private void refuseConnections(Fault fault) {
         applyForDuration(
                 fault,
-                x -> {
-                    x.setRefusingConnections(true);
-                    x.resetConnections();
+                target -> {
+                    target.setRefusingConnections(true);
+                    target.resetConnections();
                 },
-                x -> x.setRefusingConnections(false));
+                target -> target.setRefusingConnections(false));
     }
 
     private void slowDown(Fault fault) {
         applyForDuration(
-                fault, x -> x.setSlowdownFactor(fault.magnitude()), x -> x.setSlowdownFactor(1));
+                fault,
+                target -> target.setSlowdownFactor(fault.magnitude()),
+                target -> target.setSlowdownFactor(1));
     }
 
     private void pause(Fault fault) {
         applyForDuration(
                 fault,
-                x -> x.setPauses(fault.intervalMicros(), fault.range()[0], fault.range()[1]),
-                x -> x.setPauses(0, 0, 0));
+                target ->
+                        target.setPauses(
+                                fault.intervalMicros(), fault.range()[0], fault.range()[1]),
+                target -> target.setPauses(0, 0, 0));
     }
 
     private void failRequests(Fault fault) {
         applyForDuration(
-                fault, x -> x.setErrorFraction(fault.magnitude()), x -> x.setErrorFraction(0));
+                fault,
+                target -> target.setErrorFraction(fault.magnitude()),
+                target -> target.setErrorFraction(0));
     }
 
     private void dropReplies(Fault fault) {
         applyForDuration(
                 fault,
-                x -> x.setDroppedReplyFraction(fault.magnitude()),
-                x -> x.setDroppedReplyFraction(0));
+                target -> target.setDroppedReplyFraction(fault.magnitude()),
+                target -> target.setDroppedReplyFraction(0));
     }
 
     private void resetConnections(Fault fault) {
-        List<Target> whom = targets.select(fault);
-        for (long in = 0; in < fault.durationMicros(); in += fault.intervalMicros()) {
-            context.schedule(in, () -> whom.forEach(Target::resetConnections));
+        List<Target> selected = targets.select(fault);
+        for (long delayMicros = 0;
+                delayMicros < fault.durationMicros();
+                delayMicros += fault.intervalMicros()) {
+            context.schedule(delayMicros, () -> selected.forEach(Target::resetConnections));
         }
     }
 
     private void restart(Fault fault) {
-        targets.select(fault).forEach(x -> targets.restart(x, context.between(fault.range())));
+        targets.select(fault)
+                .forEach(target -> targets.restart(target, context.between(fault.range())));
     }
 
     private void drain(Fault fault) {
         applyForDuration(
                 fault,
-                x -> targets.announce(x, Health.DRAINING),
-                x -> targets.announce(x, Health.ACTIVE));
+                target -> targets.announce(target, Health.DRAINING),
+                target -> targets.announce(target, Health.ACTIVE));
     }
 
     private void delayEndpointList(Fault fault) {
@@ -132,7 +142,7 @@
 
     private void hideFromEndpointList(Fault fault) {
         Set<String> hidden = new LinkedHashSet<>();
-        targets.select(fault).forEach(x -> hidden.add(x.id()));
+        targets.select(fault).forEach(target -> hidden.add(target.id()));
         targets.discovery().hide(hidden);
         context.schedule(fault.durationMicros(), () -> targets.discovery().hide(Set.of()));
     }
@@ -159,11 +169,11 @@
     }
 
     private void surge(Fault fault) {
-        Set<String> whom = new LinkedHashSet<>();
+        Set<String> surgingVolumes = new LinkedHashSet<>();
         context.select(new Scenario.Selection(1, 0), volumes.size()).stream()
                 .limit(fault.count())
-                .forEach(v -> whom.add(volumes.get(v)));
-        loadGenerator.setSurge(whom, fault.magnitude());
+                .forEach(index -> surgingVolumes.add(volumes.get(index)));
+        loadGenerator.setSurge(surgingVolumes, fault.magnitude());
         context.schedule(fault.durationMicros(), () -> loadGenerator.setSurge(Set.of(), 0));
     }
 
@@ -185,50 +195,55 @@
     private void roll(Fault fault) {
         List<Target> selected = targets.select(fault);
         for (int i = 0; i < selected.size(); i++) {
-            Target old = selected.get(i);
+            Target target = selected.get(i);
             context.schedule(
-                    fault.durationMicros() * i / selected.size(), () -> replace(old, fault));
+                    fault.durationMicros() * i / selected.size(), () -> replace(target, fault));
         }
     }
 
-    private void replace(Target old, Fault fault) throws IOException {
-        Target next = targets.replace(old);
+    private void replace(Target target, Fault fault) throws IOException {
+        Target successor = targets.replace(target);
         if (isDirect) {
-            loadGenerator.moveServer(old.shard(), next.port());
+            loadGenerator.moveServer(target.shard(), successor.port());
         }
         context.schedule(
                 fault.downtimeMicros() + context.scenario().fleet().endpointListLagMicros()[1],
-                () -> targets.remove(old));
+                () -> targets.remove(target));
     }
 
     /** Slows targets down in ten steps, then restarts them. */
     private void age(Fault fault) {
-        List<Target> whom = targets.select(fault);
+        List<Target> selected = targets.select(fault);
         for (int step = 1; step <= 10; step++) {
             double factor = 1 + (fault.magnitude() - 1) * step / 10;
             context.schedule(
                     fault.durationMicros() * step / 10,
-                    () -> whom.forEach(x -> x.setSlowdownFactor(factor)));
+                    () -> selected.forEach(target -> target.setSlowdownFactor(factor)));
         }
         context.schedule(
                 fault.durationMicros(),
                 () ->
-                        whom.forEach(
-                                x -> {
-                                    x.setSlowdownFactor(1);
-                                    targets.restart(x, fault.downtimeMicros());
+                        selected.forEach(
+                                target -> {
+                                    target.setSlowdownFactor(1);
+                                    targets.restart(target, fault.downtimeMicros());
                                 }));
     }
 
-    /** Hides targets from the endpoint list and shows them in turn; shown at the end. */
+    /**
+     * Hides targets from the endpoint list and lists them again in turn; they are listed at the
+     * end.
+     */
     private void flap(Fault fault) {
-        Set<String> some = new LinkedHashSet<>();
-        targets.select(fault).forEach(x -> some.add(x.id()));
-        boolean hide = true;
-        for (long in = 0; in < fault.durationMicros(); in += fault.intervalMicros()) {
-            Set<String> next = hide ? some : Set.of();
-            context.schedule(in, () -> targets.discovery().hide(next));
-            hide = !hide;
+        Set<String> flapping = new LinkedHashSet<>();
+        targets.select(fault).forEach(target -> flapping.add(target.id()));
+        boolean isHiding = true;
+        for (long delayMicros = 0;
+                delayMicros < fault.durationMicros();
+                delayMicros += fault.intervalMicros()) {
+            Set<String> hidden = isHiding ? flapping : Set.of();
+            context.schedule(delayMicros, () -> targets.discovery().hide(hidden));
+            isHiding = !isHiding;
         }
         context.schedule(fault.durationMicros(), () -> targets.discovery().hide(Set.of()));
     }
@@ -239,21 +254,24 @@
                         new Scenario.Selection(fault.magnitude(), fault.count()),
                         targets.targets().size());
         for (int i : initiators.select(fault)) {
-            String one = "initiator-" + (i + 1);
+            String initiator = "initiator-" + (i + 1);
             for (int shard : shards) {
-                String other = targets.targets().get(shard).id();
-                boolean work = (fault.intervalMicros() & Scenario.GREY) != 0;
-                context.environment().partition(one, other, work, fault.durationMicros());
+                String target = targets.targets().get(shard).id();
+                boolean dropsAttemptsOnly = (fault.intervalMicros() & Scenario.GREY) != 0;
+                context.environment()
+                        .partition(initiator, target, dropsAttemptsOnly, fault.durationMicros());
                 if ((fault.intervalMicros() & Scenario.ONE_WAY) == 0) {
-                    context.environment().partition(other, one, work, fault.durationMicros());
+                    context.environment()
+                            .partition(
+                                    target, initiator, dropsAttemptsOnly, fault.durationMicros());
                 }
             }
         }
     }
 
-    private void applyForDuration(Fault fault, Consumer<Target> begins, Consumer<Target> ends) {
-        List<Target> whom = targets.select(fault);
-        whom.forEach(begins);
-        context.schedule(fault.durationMicros(), () -> whom.forEach(ends));
+    private void applyForDuration(Fault fault, Consumer<Target> onStart, Consumer<Target> onEnd) {
+        List<Target> selected = targets.select(fault);
+        selected.forEach(onStart);
+        context.schedule(fault.durationMicros(), () -> selected.forEach(onEnd));
     }
 }
--- a/scenario/src/main/java/milletyoke/scenario/FaultSchedule.java
+++ b/scenario/src/main/java/milletyoke/scenario/FaultSchedule.java
@@ -8,13 +8,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Starts each fault at its time, or once the service level falls below the fault's bound. */
+/**
+ * Starts each fault at its time, or when the service level falls below the threshold of the fault.
+ */
 final class FaultSchedule {
     private static final Logger LOG = LoggerFactory.getLogger(FaultSchedule.class);
 
     private static final long SERVICE_SAMPLE_MICROS = 100_000;
 
-    /** How many samples make the last second. */
+    /** Number of samples in the last second. */
     private static final int SERVICE_SAMPLES = 10;
 
     private final RunContext context;
@@ -47,9 +49,9 @@
     }
 
     /**
-     * Starts a fault once the service level of the last second is below the fault's bound.
+     * Starts a fault once the service level of the last second is below its threshold.
      *
-     * @param samples sums of the last second at most, oldest first
+     * @param samples running totals of the last second at most, oldest first
      */
     private void awaitServiceBelow(Fault fault, Deque<PriorityWeights> samples) {
         context.schedule(
--- a/scenario/src/main/java/milletyoke/scenario/InitiatorFleet.java
+++ b/scenario/src/main/java/milletyoke/scenario/InitiatorFleet.java
@@ -14,12 +14,14 @@
 import milletyoke.scheduler.api.Scheduler;
 import milletyoke.wire.proto.Note;
 
-/** The initiators of one run, by number from 0; none where clients go straight to the targets. */
+/**
+ * The initiators of one run, by number from 0; empty if clients connect to the targets directly.
+ */
 final class InitiatorFleet {
     private final RunContext context;
     private final Scenario scenario;
     private final PlanLimits planLimits;
-    private final Path folder;
+    private final Path directory;
     private final Path consoleTokens;
     private final Supplier<Scheduler> schedulerOverride;
     private final int discoveryPort;
@@ -30,7 +32,7 @@
     InitiatorFleet(
             RunContext context,
             PlanLimits planLimits,
-            Path folder,
+            Path directory,
             Path consoleTokens,
             Supplier<Scheduler> schedulerOverride,
             int discoveryPort,
@@ -39,7 +41,7 @@
         this.context = context;
         this.scenario = context.scenario();
         this.planLimits = planLimits;
-        this.folder = folder;
+        this.directory = directory;
         this.consoleTokens = consoleTokens;
         this.schedulerOverride = schedulerOverride;
         this.discoveryPort = discoveryPort;
@@ -76,13 +78,13 @@
     void start(int i) throws IOException {
         InitiatorConfig.FleetFile fleetFile = planLimits.fleetFile();
         String name = "initiator-" + (i + 1);
-        InitiatorConfig setup =
+        InitiatorConfig config =
                 new InitiatorConfig(
                         name,
                         i + 1,
                         new Address("127.0.0.1", ports[i]),
                         new Address("127.0.0.1", discoveryPort),
-                        folder.resolve(name),
+                        directory.resolve(name),
                         fleetFile == null
                                 ? scenario.deployment()
                                 : FleetConverter.deployment(fleetFile.fleet()),
@@ -111,13 +113,13 @@
         try {
             initiators[i] =
                     Initiator.start(
-                            setup,
+                            config,
                             context.observer(name),
                             context.environment(),
                             context.nextSeed(),
                             schedulerOverride);
-        } catch (ConfigException bad) {
-            throw new IOException(bad.getMessage(), bad);
+        } catch (ConfigException e) {
+            throw new IOException(e.getMessage(), e);
         }
         ports[i] = initiators[i].port();
         isRunning[i] = true;
@@ -151,16 +153,16 @@
                 () -> context.note("initiator-" + (i + 1), Note.Kind.STALLED, "", durationMicros));
     }
 
-    void capture(Path to) throws IOException {
-        for (Initiator i : initiators) {
-            i.captureTo(to.resolve(i.name() + ".traffic"));
+    void capture(Path directory) throws IOException {
+        for (Initiator initiator : initiators) {
+            initiator.captureTo(directory.resolve(initiator.name() + ".traffic"));
         }
     }
 
     void killAll() {
-        for (Initiator i : initiators) {
-            if (i != null) {
-                i.kill();
+        for (Initiator initiator : initiators) {
+            if (initiator != null) {
+                initiator.kill();
             }
         }
     }
--- a/scenario/src/main/java/milletyoke/scenario/LoadProfileBuilder.java
+++ b/scenario/src/main/java/milletyoke/scenario/LoadProfileBuilder.java
@@ -15,8 +15,8 @@
 import milletyoke.standins.LoadProfile;
 
 /**
- * Builds the load of a scenario: request classes, and the volumes of each plan with data on one to
- * four targets and their leading initiators, drawn from the seed.
+ * Builds the load of a scenario: its request classes, and the volumes of each plan. Each volume has
+ * data on one to four targets and some leading initiators, which are drawn with the seed.
  */
 final class LoadProfileBuilder {
     private final Scenario scenario;
@@ -26,94 +26,97 @@
         this.scenario = scenario;
     }
 
-    /** The names of the volumes in the profile that was built. */
+    /** Returns the names of the volumes in the profile that was built. */
     List<String> volumes() {
         return volumes;
     }
 
     LoadProfile build() throws IOException {
-        List<LoadProfile.RequestClass> kinds = requestClasses();
-        List<LoadProfile.Volume> all = volumeLoads();
-        Scenario.Load l = scenario.load();
+        List<LoadProfile.RequestClass> requestClasses = requestClasses();
+        List<LoadProfile.Volume> volumeLoads = volumeLoads();
+        Scenario.Load load = scenario.load();
         List<LoadProfile.TracedRequest> trace =
-                l.captureFiles().isEmpty()
+                load.captureFiles().isEmpty()
                         ? List.of()
-                        : CapturedLoad.of(scenario, kinds, all, volumes);
+                        : CapturedLoad.read(scenario, requestClasses, volumeLoads, volumes);
         return new LoadProfile(
-                l.requestsPerSecond(),
-                kinds,
-                all,
-                l.retries(),
-                l.retryDelayMicros(),
-                l.shortDeadlineFraction(),
-                l.shortDeadlineMicros()[0],
-                l.shortDeadlineMicros()[1],
-                l.cancelFraction(),
+                load.requestsPerSecond(),
+                requestClasses,
+                volumeLoads,
+                load.retries(),
+                load.retryDelayMicros(),
+                load.shortDeadlineFraction(),
+                load.shortDeadlineMicros()[0],
+                load.shortDeadlineMicros()[1],
+                load.cancelFraction(),
                 scenario.ruleBounds().responseSlackMicros(),
-                l.closedLoopClients(),
-                l.thinkTimeMicros(),
+                load.closedLoopClients(),
+                load.thinkTimeMicros(),
                 trace);
     }
 
     private List<LoadProfile.RequestClass> requestClasses() {
-        List<LoadProfile.RequestClass> kinds = new ArrayList<>();
-        double shares = scenario.classLoads().stream().mapToDouble(Scenario.ClassLoad::share).sum();
-        for (int k = 0; k < scenario.classLoads().size(); k++) {
-            Scenario.ClassLoad kind = scenario.classLoads().get(k);
-            RequestClass c = scenario.requestClasses().get(k);
-            kinds.add(
+        List<LoadProfile.RequestClass> requestClasses = new ArrayList<>();
+        double totalShare =
+                scenario.classLoads().stream().mapToDouble(Scenario.ClassLoad::share).sum();
+        for (int index = 0; index < scenario.classLoads().size(); index++) {
+            Scenario.ClassLoad classLoad = scenario.classLoads().get(index);
+            RequestClass requestClass = scenario.requestClasses().get(index);
+            requestClasses.add(
                     new LoadProfile.RequestClass(
-                            c.name(),
-                            kind.share() / shares,
-                            kind.minUnits(),
-                            kind.maxUnits(),
-                            kind.isWrite(),
-                            c.keyOrdered(),
-                            Scenario.clientIdempotency(c),
-                            c.idempotency() == Idempotency.IDEMPOTENCY_KEY
-                                    && c.deduplicationScope() == DeduplicationScope.ALL,
-                            c.latencyObjectiveMicros(),
-                            kind.deadlineMicros(),
-                            c.priorityWeight(),
-                            kind.isNewObject()));
+                            requestClass.name(),
+                            classLoad.share() / totalShare,
+                            classLoad.minUnits(),
+                            classLoad.maxUnits(),
+                            classLoad.isWrite(),
+                            requestClass.keyOrdered(),
+                            Scenario.clientIdempotency(requestClass),
+                            requestClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
+                                    && requestClass.deduplicationScope() == DeduplicationScope.ALL,
+                            requestClass.latencyObjectiveMicros(),
+                            classLoad.deadlineMicros(),
+                            requestClass.priorityWeight(),
+                            classLoad.isNewObject()));
         }
-        return kinds;
+        return requestClasses;
     }
 
     private List<LoadProfile.Volume> volumeLoads() {
-        SplittableRandom draw = new SplittableRandom(scenario.seed());
-        List<LoadProfile.Volume> all = new ArrayList<>();
-        double parts = scenario.planLoads().stream().mapToDouble(Scenario.PlanLoad::share).sum();
-        for (Scenario.PlanLoad plan : scenario.planLoads()) {
-            for (int v = 0; v < plan.volumes(); v++) {
-                String name = plan.plan().name() + "-" + (v + 1);
+        SplittableRandom random = new SplittableRandom(scenario.seed());
+        List<LoadProfile.Volume> volumeLoads = new ArrayList<>();
+        double totalShare =
+                scenario.planLoads().stream().mapToDouble(Scenario.PlanLoad::share).sum();
+        for (Scenario.PlanLoad planLoad : scenario.planLoads()) {
+            for (int i = 0; i < planLoad.volumes(); i++) {
+                String name = planLoad.plan().name() + "-" + (i + 1);
                 volumes.add(name);
-                all.add(
+                volumeLoads.add(
                         new LoadProfile.Volume(
                                 name,
-                                plan.plan().name(),
-                                plan.share() / parts / plan.volumes(),
-                                some(draw, scenario.fleet().targets(), 1 + draw.nextInt(4)),
-                                some(draw, scenario.initiators(), plan.hosts())));
+                                planLoad.plan().name(),
+                                planLoad.share() / totalShare / planLoad.volumes(),
+                                drawIndices(
+                                        random, scenario.fleet().targets(), 1 + random.nextInt(4)),
+                                drawIndices(random, scenario.initiators(), planLoad.hosts())));
             }
         }
-        return all;
+        return volumeLoads;
     }
 
-    private static List<Integer> some(SplittableRandom draw, int of, int most) {
-        if (of > 64 && most < of / 8) {
-            // Shuffling all for each of a hundred thousand volumes would be slow.
-            Set<Integer> few = new LinkedHashSet<>();
-            while (few.size() < most) {
-                few.add(draw.nextInt(of));
+    private static List<Integer> drawIndices(SplittableRandom random, int count, int max) {
+        if (count > 64 && max < count / 8) {
+            // Shuffling all targets for each of a hundred thousand volumes would be slow.
+            Set<Integer> drawn = new LinkedHashSet<>();
+            while (drawn.size() < max) {
+                drawn.add(random.nextInt(count));
             }
-            return List.copyOf(few);
+            return List.copyOf(drawn);
         }
-        List<Integer> all = new ArrayList<>();
-        for (int i = 0; i < of; i++) {
-            all.add(i);
+        List<Integer> indices = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            indices.add(i);
         }
-        Collections.shuffle(all, new Random(draw.nextLong()));
-        return List.copyOf(all.subList(0, Math.min(of, most)));
+        Collections.shuffle(indices, new Random(random.nextLong()));
+        return List.copyOf(indices.subList(0, Math.min(count, max)));
     }
 }
--- a/scenario/src/main/java/milletyoke/scenario/PlanLimits.java
+++ b/scenario/src/main/java/milletyoke/scenario/PlanLimits.java
@@ -19,78 +19,83 @@
 import milletyoke.wire.proto.Note;
 
 /**
- * The service plans as they are now. Where a scenario changes their limits, they stand in a fleet
- * file that the initiators watch.
+ * Holds the current service plans. If a scenario changes their limits, the plans are written to a
+ * fleet file that the initiators watch.
  */
 final class PlanLimits {
     private final RunContext context;
     private final Scenario scenario;
-    private final Path folder;
+    private final Path directory;
     private final List<ServicePlan> plans = new ArrayList<>();
     private volatile InitiatorConfig.FleetFile fleetFile;
 
-    PlanLimits(RunContext context, Path folder) throws IOException {
+    PlanLimits(RunContext context, Path directory) throws IOException {
         this.context = context;
         this.scenario = context.scenario();
-        this.folder = folder;
+        this.directory = directory;
         plans.addAll(scenario.planLoads().stream().map(Scenario.PlanLoad::plan).toList());
-        boolean changesLimits =
+        boolean hasLimitChanges =
                 scenario.faults().stream()
                         .anyMatch(fault -> fault.type() == Scenario.FaultType.LIMIT);
-        fleetFile = changesLimits ? writeFleet() : null;
-        noteRules();
+        fleetFile = hasLimitChanges ? writeFleet() : null;
+        recordRules();
     }
 
-    /** The file that initiators follow, null where no fault changes a limit. */
+    /** Returns the file that initiators watch; null if no fault changes a limit. */
     InitiatorConfig.FleetFile fleetFile() {
         return fleetFile;
     }
 
-    /** Gives the plan named by a fault its new limit. */
+    /** Sets the new limit of the plan that a fault names. */
     synchronized void changeLimit(Fault fault) throws IOException {
         plans.replaceAll(
-                p ->
-                        p.name().equals(fault.name())
+                plan ->
+                        plan.name().equals(fault.name())
                                 ? new ServicePlan(
-                                        p.name(),
-                                        p.reservationRate(),
-                                        p.weight(),
+                                        plan.name(),
+                                        plan.reservationRate(),
+                                        plan.weight(),
                                         fault.magnitude(),
                                         fault.range()[0],
                                         fault.range()[1])
-                                : p);
+                                : plan);
         fleetFile = writeFleet(); // initiators that start from now on read this file
-        noteRules();
+        recordRules();
     }
 
-    private void noteRules() {
-        context.note("stage", Note.Kind.RULES, RulesNote.text(scenario, plans), 0);
+    private void recordRules() {
+        context.note("stage", Note.Kind.RULES, RuleSettingsWriter.toJson(scenario, plans), 0);
     }
 
-    /** Writes the deployment in the configuration language to a new file and renames it. */
+    /**
+     * Writes the deployment in the configuration language to a temporary file and renames it to the
+     * watched file.
+     */
     private InitiatorConfig.FleetFile writeFleet() throws IOException {
-        SchedulerSettings p = scenario.deployment().scheduler();
-        DeploymentSettings now =
+        SchedulerSettings scheduler = scenario.deployment().scheduler();
+        DeploymentSettings deployment =
                 new DeploymentSettings(
                         new SchedulerSettings(
-                                p.initiatorCount(),
-                                p.requestClasses(),
+                                scheduler.initiatorCount(),
+                                scheduler.requestClasses(),
                                 List.copyOf(plans),
-                                p.capabilities(),
-                                p.limits(),
-                                p.mustWatchEndpoints()),
+                                scheduler.capabilities(),
+                                scheduler.limits(),
+                                scheduler.mustWatchEndpoints()),
                         scenario.deployment().responseSlackMicros(),
                         scenario.deployment().drainGraceMicros());
-        Path file = folder.resolve("main.fleet");
-        Path aside = folder.resolve("main.fleet.new");
-        Files.writeString(aside, FleetConverter.text(now));
+        Path file = directory.resolve("main.fleet");
+        Path temporaryFile = directory.resolve("main.fleet.new");
+        Files.writeString(temporaryFile, FleetConverter.text(deployment));
         Files.move(
-                aside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+                temporaryFile,
+                file,
+                StandardCopyOption.ATOMIC_MOVE,
+                StandardCopyOption.REPLACE_EXISTING);
         String name = ConfigWatcher.name(file);
         Checker.Result checked = Checker.check(new FileSourceProvider(), name);
         if (!checked.isValid()) {
-            throw new IOException(
-                    "the day cannot be told in the language: " + checked.diagnostics());
+            throw new IOException("the generated fleet file is invalid: " + checked.diagnostics());
         }
         return new InitiatorConfig.FleetFile(name, checked.fleet(), checked.files());
     }
--- a/scenario/src/main/java/milletyoke/scenario/RunContext.java
+++ b/scenario/src/main/java/milletyoke/scenario/RunContext.java
@@ -18,13 +18,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What all parts of one scenario run share: the scenario, its environment, the timer, the seeded
- * random numbers and the recording.
+ * Holds the state shared by all parts of one scenario run: the scenario, its environment, the
+ * timer, the seeded random numbers and the recording.
  */
 final class RunContext {
     private static final Logger LOG = LoggerFactory.getLogger(RunContext.class);
 
-    /** An action of the run that may fail; a failure is logged and noted in the recording. */
+    /**
+     * A task of the run that may fail; a failure is logged and added to the recording as a note.
+     */
     interface Task {
         void run() throws Exception;
     }
@@ -37,7 +39,7 @@
     private volatile boolean isFinished;
 
     /**
-     * @param recording where the frames seen by the sockets are written; null for no recording
+     * @param recording file to record the frames of all connections in; null for no recording
      */
     RunContext(Scenario scenario, ExecutionEnvironment environment, Path recording)
             throws IOException {
@@ -60,7 +62,7 @@
         return executor;
     }
 
-    /** Random numbers of the run; for the set-up, which draws from one thread. */
+    /** Returns the random numbers of the run; only for the set-up, which runs in one thread. */
     SplittableRandom random() {
         return random;
     }
@@ -76,13 +78,13 @@
                 + (range[1] > range[0] ? Math.floorMod(nextSeed(), range[1] - range[0]) : 0);
     }
 
-    FrameObserver observer(String witness) {
-        return recorder == null ? FrameObserver.NONE : recorder.observer(witness);
+    FrameObserver observer(String observer) {
+        return recorder == null ? FrameObserver.NONE : recorder.observer(observer);
     }
 
-    void note(String who, Note.Kind kind, String text, double figure) {
+    void note(String observer, Note.Kind kind, String text, double value) {
         if (recorder != null) {
-            recorder.note(who, kind, text, figure);
+            recorder.note(observer, kind, text, value);
         }
     }
 
@@ -90,7 +92,7 @@
         return isFinished;
     }
 
-    /** From here on no scheduled task starts. */
+    /** Prevents scheduled tasks from starting from now on. */
     void finish() {
         isFinished = true;
     }
@@ -112,22 +114,22 @@
         }
         try {
             task.run();
-        } catch (Exception failed) {
-            LOG.error("a trouble could not be played", failed);
-            note("stage", Note.Kind.OTHER, "a trouble could not be played: " + failed, 0);
+        } catch (Exception e) {
+            LOG.error("scenario task failed", e);
+            note("stage", Note.Kind.OTHER, "scenario task failed: " + e, 0);
         }
     }
 
-    /** The indices, below a count, that a selection of the script names or draws. */
+    /** Returns the indices below {@code count} that a selection names or that are drawn for it. */
     List<Integer> select(Scenario.Selection selection, int count) {
         if (selection.number() > 0) {
             return List.of(selection.number() - 1);
         }
-        List<Integer> all = new ArrayList<>();
+        List<Integer> indices = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            all.add(i);
+            indices.add(i);
         }
-        Collections.shuffle(all, new Random(nextSeed()));
-        return all.subList(0, Math.max(1, (int) Math.round(selection.part() * count)));
+        Collections.shuffle(indices, new Random(nextSeed()));
+        return indices.subList(0, Math.max(1, (int) Math.round(selection.part() * count)));
     }
 }
--- a/scenario/src/main/java/milletyoke/scenario/ScenarioRunner.java
+++ b/scenario/src/main/java/milletyoke/scenario/ScenarioRunner.java
@@ -23,30 +23,34 @@
 import milletyoke.wire.proto.Note;
 
 /**
- * Plays one bad day on loopback sockets: real initiators between stand-ins for clients, targets and
- * discovery, all in this process, and every trouble of the script at its time.
+ * Runs one scenario: real initiators with stand-ins for clients, targets and discovery, all in this
+ * process, and the faults of the script at their times. The environment is loopback sockets or a
+ * simulation.
  */
 public final class ScenarioRunner implements AutoCloseable {
     private static final long STALL_CHECK_MICROS = 5_000;
 
-    /** The machine stalled where a sleep of the check's length took this much longer. */
+    /**
+     * The machine is considered stalled if a sleep of {@link #STALL_CHECK_MICROS} takes this much
+     * longer.
+     */
     private static final long STALL_THRESHOLD_MICROS = 15_000;
 
     private final Scenario scenario;
     private final ExecutionEnvironment environment;
     private final RunContext context;
-    private final Path folder;
+    private final Path directory;
     private final TargetFleet targets;
     private final InitiatorFleet initiators;
     private final LoadGenerator loadGenerator;
     private final FaultSchedule faultSchedule;
 
     /**
-     * What came of it.
+     * The result of a run.
      *
-     * @param unfinished tries still without an answer when all should have had one
-     * @param cpuMicrosPerRequest of this process, for each access asked
-     * @param warmUpBudgetUsed the largest part of what a cold target bears that any was sent
+     * @param unfinished requests without a response when all deadlines had passed
+     * @param cpuMicrosPerRequest CPU time of this process per request sent
+     * @param warmUpBudgetUsed the largest fraction of its warm-up budget that any target was sent
      */
     public record ScenarioResult(
             ServiceLevelRecorder serviceLevels,
@@ -57,62 +61,68 @@
             double warmUpBudgetUsed) {}
 
     /**
-     * Sets the stage; nothing is asked yet.
+     * Starts the deployment; no requests are sent yet.
      *
-     * @param recording where what the sockets saw is written; null for nowhere
-     * @param isDirect clients go straight to the targets, for comparison; there are no initiators
-     *     then
+     * @param recording file to record the frames of all connections in; null for no recording
+     * @param isDirect whether clients connect to the targets directly, for comparison; no
+     *     initiators are started then
      */
-    public ScenarioRunner(Scenario scenario, Path recording, boolean straight) throws IOException {
-        this(scenario, recording, straight, null);
+    public ScenarioRunner(Scenario scenario, Path recording, boolean isDirect) throws IOException {
+        this(scenario, recording, isDirect, null);
     }
 
     /**
-     * @param consoleTokens who may look at the initiators' consoles, null for no consoles
+     * Starts the deployment, with consoles of the initiators.
+     *
+     * @param consoleTokens file of the tokens that grant access to the consoles; null for no
+     *     consoles
      */
-    public ScenarioRunner(Scenario scenario, Path recording, boolean straight, Path consoleTokens)
+    public ScenarioRunner(Scenario scenario, Path recording, boolean isDirect, Path consoleTokens)
             throws IOException {
-        this(scenario, recording, straight, consoleTokens, new SocketEnvironment(), null);
+        this(scenario, recording, isDirect, consoleTokens, new SocketEnvironment(), null);
     }
 
     /**
-     * @param environment that the day is played in; where it is virtual, nobody looks at consoles
-     * @param schedulerOverride of the product's decisions, for comparison; null for these
+     * Starts the deployment in an environment.
+     *
+     * @param environment sockets, or a simulation; consoles are not used in a simulation
+     * @param schedulerOverride supplies a scheduler in place of that of the initiators, for
+     *     comparison; null for none
      */
     public ScenarioRunner(
             Scenario scenario,
             Path recording,
-            boolean straight,
+            boolean isDirect,
             Path consoleTokens,
-            ExecutionEnvironment world,
-            Supplier<Scheduler> instead)
+            ExecutionEnvironment environment,
+            Supplier<Scheduler> schedulerOverride)
             throws IOException {
         this.scenario = scenario;
-        environment = world;
+        this.environment = environment;
         rejectSimulationOnlyScenario(scenario);
-        context = new RunContext(scenario, world, recording);
-        folder = Files.createTempDirectory("milletyoke-rehearsal");
-        PlanLimits planLimits = new PlanLimits(context, folder);
+        context = new RunContext(scenario, environment, recording);
+        directory = Files.createTempDirectory("milletyoke-rehearsal");
+        PlanLimits planLimits = new PlanLimits(context, directory);
         targets = new TargetFleet(context);
         initiators =
                 new InitiatorFleet(
                         context,
                         planLimits,
-                        folder,
+                        directory,
                         consoleTokens,
-                        instead,
+                        schedulerOverride,
                         targets.discovery().port(),
-                        straight ? 0 : scenario.initiators());
-        LoadProfileBuilder load = new LoadProfileBuilder(scenario);
+                        isDirect ? 0 : scenario.initiators());
+        LoadProfileBuilder profileBuilder = new LoadProfileBuilder(scenario);
         loadGenerator =
                 new LoadGenerator(
-                        load.build(),
-                        straight,
+                        profileBuilder.build(),
+                        isDirect,
                         context.random().nextLong(),
                         context.executor(),
                         context.observer("client"),
-                        world);
-        addServers(straight);
+                        environment);
+        addServers(isDirect);
         FaultInjector injector =
                 new FaultInjector(
                         context,
@@ -120,10 +130,10 @@
                         targets,
                         initiators,
                         loadGenerator,
-                        load.volumes(),
-                        straight);
+                        profileBuilder.volumes(),
+                        isDirect);
         faultSchedule = new FaultSchedule(context, injector, loadGenerator);
-        if (!world.isVirtual()) {
+        if (!environment.isVirtual()) {
             Thread stallDetector = new Thread(this::detectMachineStalls, "naps");
             stallDetector.setDaemon(true);
             stallDetector.start();
@@ -135,7 +145,8 @@
             loadGenerator.addServer("127.0.0.1", initiators.port(i));
         }
         if (isDirect) {
-            targets.targets().forEach(t -> loadGenerator.addServer("127.0.0.1", t.port()));
+            targets.targets()
+                    .forEach(target -> loadGenerator.addServer("127.0.0.1", target.port()));
         }
     }
 
@@ -147,19 +158,19 @@
                             scenario.name()
                                     + ":"
                                     + fault.line()
-                                    + ": a "
+                                    + ": fault type "
                                     + fault.type().name().toLowerCase(Locale.ROOT)
-                                    + " is played in the lab alone: bin/milletyoke lab play");
+                                    + " needs a simulation: bin/milletyoke lab play");
                 }
             }
             if (scenario.initiators() > 100 || scenario.fleet().targets() > 1000) {
                 throw new IOException(
                         scenario.name()
-                                + ": up to 100 initiators and 1000 targets are played on sockets, not "
+                                + ": at most 100 initiators and 1000 targets can run on sockets, not "
                                 + scenario.initiators()
                                 + " and "
                                 + scenario.fleet().targets()
-                                + "; the lab plays more: bin/milletyoke lab play");
+                                + "; a simulation has no such limit: bin/milletyoke lab play");
             }
         }
     }
@@ -176,90 +187,101 @@
         }
     }
 
-    /** Initiators by number from 0, as they are now. */
+    /** Returns the current initiator of a number from 0. */
     public Initiator initiator(int i) {
         return initiators.get(i);
     }
 
     /**
-     * Keeps the traffic that comes in at each initiator that runs now, in files of their names; for
+     * Captures the requests that arrive at each running initiator, in one file per initiator, for
      * replay.
      */
-    public void capture(Path to) throws IOException {
-        Files.createDirectories(to);
-        initiators.capture(to);
+    public void capture(Path directory) throws IOException {
+        Files.createDirectories(directory);
+        initiators.capture(directory);
     }
 
     /**
-     * Plays the day to its end. @param live hears a line of service every second; may do nothing
+     * Runs the scenario to its end.
+     *
+     * @param onLine receives a line with the service level every second
      */
-    public ScenarioResult run(Consumer<String> live) throws IOException, InterruptedException {
+    public ScenarioResult run(Consumer<String> onLine) throws IOException, InterruptedException {
         int[] second = new int[1];
         return run(
-                s -> live.accept(String.format("%3d s  %s", ++second[0], s.summary())), () -> {});
+                serviceLevels ->
+                        onLine.accept(
+                                String.format("%3d s  %s", ++second[0], serviceLevels.summary())),
+                () -> {});
     }
 
     /**
-     * Plays the day to its end.
+     * Runs the scenario to its end.
      *
-     * @param each sees the service so far after every second
-     * @param before is run when clients have stopped asking, before the initiators leave
+     * @param onSecond receives the service levels so far after every second
+     * @param beforeShutdown runs after the load has ended, before the initiators are shut down
      */
-    public ScenarioResult run(Consumer<ServiceLevelRecorder> each, Runnable before)
+    public ScenarioResult run(Consumer<ServiceLevelRecorder> onSecond, Runnable beforeShutdown)
             throws IOException, InterruptedException {
         if (!loadGenerator.awaitConnected(10_000)) {
-            throw new IOException("the clients found no way in within 10 s");
+            throw new IOException("the clients did not connect within 10 s");
         }
-        environment.sleep(300_000); // the list reaches every initiator
-        long cpu = cpu();
+        environment.sleep(300_000); // every initiator receives the endpoint list
+        long cpuNanosBefore = processCpuNanos();
         scenario.faults().forEach(faultSchedule::schedule);
         loadGenerator.start();
-        long start = environment.monotonicMicros();
+        long startMicros = environment.monotonicMicros();
         for (long second = 1;
-                environment.monotonicMicros() < start + scenario.durationMicros();
+                environment.monotonicMicros() < startMicros + scenario.durationMicros();
                 second++) {
-            long until = Math.min(start + second * 1_000_000, start + scenario.durationMicros());
-            environment.sleep(until - environment.monotonicMicros());
-            each.accept(loadGenerator.serviceLevels());
+            long untilMicros =
+                    Math.min(
+                            startMicros + second * 1_000_000,
+                            startMicros + scenario.durationMicros());
+            environment.sleep(untilMicros - environment.monotonicMicros());
+            onSecond.accept(loadGenerator.serviceLevels());
         }
-        before.run();
-        long longest =
+        beforeShutdown.run();
+        long longestDeadlineMicros =
                 scenario.classLoads().stream()
                         .mapToLong(Scenario.ClassLoad::deadlineMicros)
                         .max()
                         .orElse(0);
         int unfinished =
                 loadGenerator.stop(
-                        (longest + scenario.ruleBounds().responseSlackMicros()) / 1000 + 1_000);
-        double cpuEach =
-                (cpu() - cpu) / 1e3 / Math.max(1, loadGenerator.serviceLevels().totalRequests());
-        List<String> counts = new ArrayList<>();
-        boolean clean = true;
-        for (int n = 0; n < initiators.count(); n++) {
-            Initiator i = initiators.get(n);
-            if (initiators.isRunning(n)) {
-                var p = i.eventLoop().snapshot();
-                clean &= i.shutDown(longest / 1000 + 1_000);
-                counts.add(
+                        (longestDeadlineMicros + scenario.ruleBounds().responseSlackMicros()) / 1000
+                                + 1_000);
+        double cpuMicrosPerRequest =
+                (processCpuNanos() - cpuNanosBefore)
+                        / 1e3
+                        / Math.max(1, loadGenerator.serviceLevels().totalRequests());
+        List<String> initiatorCounters = new ArrayList<>();
+        boolean isShutdownClean = true;
+        for (int i = 0; i < initiators.count(); i++) {
+            Initiator initiator = initiators.get(i);
+            if (initiators.isRunning(i)) {
+                var snapshot = initiator.eventLoop().snapshot();
+                isShutdownClean &= initiator.shutDown(longestDeadlineMicros / 1000 + 1_000);
+                initiatorCounters.add(
                         String.format(
-                                "%s: %s; turns p50 %d us, p99 %d us; pictures take %.2f%% of the loop's time",
-                                i.name(),
-                                i.counts(),
-                                p.loopP50Micros(),
-                                p.loopP99Micros(),
-                                100 * p.snapshotCostShare()));
+                                "%s: %s; loop turns p50 %d us, p99 %d us; snapshots take %.2f%% of loop time",
+                                initiator.name(),
+                                initiator.counts(),
+                                snapshot.loopP50Micros(),
+                                snapshot.loopP99Micros(),
+                                100 * snapshot.snapshotCostShare()));
             }
         }
         return new ScenarioResult(
                 loadGenerator.serviceLevels(),
                 unfinished,
-                cpuEach,
-                counts,
-                clean,
+                cpuMicrosPerRequest,
+                initiatorCounters,
+                isShutdownClean,
                 targets.warmUpBudgetUsed());
     }
 
-    private static long cpu() {
+    private static long processCpuNanos() {
         return ((com.sun.management.OperatingSystemMXBean)
                         ManagementFactory.getOperatingSystemMXBean())
                 .getProcessCpuTime();
@@ -273,8 +295,8 @@
         initiators.killAll();
         targets.close();
         context.closeRecording();
-        try (Stream<Path> files = Files.walk(folder)) {
-            files.sorted(Comparator.reverseOrder()).forEach(f -> f.toFile().delete());
+        try (Stream<Path> files = Files.walk(directory)) {
+            files.sorted(Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
         }
     }
 }
--- a/scenario/src/main/java/milletyoke/scenario/TargetFleet.java
+++ b/scenario/src/main/java/milletyoke/scenario/TargetFleet.java
@@ -19,15 +19,15 @@
 import milletyoke.wire.proto.Health;
 
 /**
- * The stand-ins for targets and discovery of one run: who serves each shard now, and what the
- * endpoint list says about it.
+ * The stand-ins for the targets and discovery of one run. Tracks which target serves each shard and
+ * publishes the targets in the endpoint list.
  */
 final class TargetFleet {
     private final RunContext context;
     private final Scenario scenario;
     private final Discovery discovery;
 
-    /** By shard: the target that serves it now. Guarded by itself once faults are injected. */
+    /** The current target of each shard. Guarded by itself once faults are injected. */
     private final List<Target> targets = new ArrayList<>();
 
     private final List<Target> replacedTargets = new ArrayList<>();
@@ -57,18 +57,18 @@
         return discovery;
     }
 
-    /** The targets by shard; the list itself. */
+    /** Returns the targets by shard; this is the live list, not a copy. */
     List<Target> targets() {
         return targets;
     }
 
-    /** Gives the endpoint list the update lag of the scenario's fleet. */
+    /** Resets the update lag of the endpoint list to that of the scenario. */
     void resetUpdateLag() {
-        long[] usual = scenario.fleet().endpointListLagMicros();
-        discovery.setUpdateLag(usual[0], usual[1]);
+        long[] lagMicros = scenario.fleet().endpointListLagMicros();
+        discovery.setUpdateLag(lagMicros[0], lagMicros[1]);
     }
 
-    /** Publishes the health of a target in the endpoint list, after the list's lag. */
+    /** Publishes the health of a target in the endpoint list, after its update lag. */
     void announce(Target target, Health health) {
         discovery.scheduleUpdate(entry(target, health));
     }
@@ -95,17 +95,17 @@
     }
 
     /** Drains a target and starts its successor, which warms up under a new id. */
-    Target replace(Target old) throws IOException {
-        announce(old, Health.DRAINING);
-        Target next = target(old.id() + "n", old.shard());
-        startedAtMicros.put(next.id(), discovery.wallClockMicros());
-        next.start(true);
-        announce(next, Health.ACTIVE);
+    Target replace(Target replaced) throws IOException {
+        announce(replaced, Health.DRAINING);
+        Target successor = target(replaced.id() + "n", replaced.shard());
+        startedAtMicros.put(successor.id(), discovery.wallClockMicros());
+        successor.start(true);
+        announce(successor, Health.ACTIVE);
         synchronized (targets) {
-            targets.set(old.shard(), next);
-            replacedTargets.add(old);
+            targets.set(replaced.shard(), successor);
+            replacedTargets.add(replaced);
         }
-        return next;
+        return successor;
     }
 
     void remove(Target target) {
@@ -113,7 +113,7 @@
         announce(target, Health.REMOVED);
     }
 
-    /** The largest part of its warm-up budget that any target was sent. */
+    /** Returns the largest fraction of its warm-up budget that any target was sent. */
     double warmUpBudgetUsed() {
         return Stream.concat(targets.stream(), replacedTargets.stream())
                 .mapToDouble(Target::warmUpBudgetUsed)
@@ -131,59 +131,64 @@
     }
 
     private Target target(String id, int shard) {
-        Scenario.Fleet f = scenario.fleet();
+        Scenario.Fleet fleet = scenario.fleet();
         double speed =
-                f.coreSpeeds()[0]
-                        + context.random().nextDouble() * (f.coreSpeeds()[1] - f.coreSpeeds()[0]);
-        Scenario.RuleBounds b = scenario.ruleBounds();
+                fleet.coreSpeeds()[0]
+                        + context.random().nextDouble()
+                                * (fleet.coreSpeeds()[1] - fleet.coreSpeeds()[0]);
+        Scenario.RuleBounds ruleBounds = scenario.ruleBounds();
         TargetBehavior behavior =
                 new TargetBehavior(
-                        f.cores(),
+                        fleet.cores(),
                         speed,
-                        f.unitMicros(),
-                        f.queueCapacity(),
-                        f.maxConnections(),
-                        f.rememberedExtents(),
-                        f.rememberedExtentSaving(),
-                        f.deferredWriteFraction(),
-                        f.deferredWorkPeriodMicros(),
-                        f.pausePeriodMicros(),
-                        f.pauseMicros(),
-                        b.initialCapacityFraction(),
-                        b.warmUpMicros(),
-                        b.overloadFactor(),
-                        b.overloadWindowMicros(),
-                        f.reportsLoad(),
-                        f.dropsCancelled(),
-                        f.queueingPenalty(),
-                        f.connectionSetupMicros(),
-                        f.warmUpUnits(),
-                        f.workDistribution());
+                        fleet.unitMicros(),
+                        fleet.queueCapacity(),
+                        fleet.maxConnections(),
+                        fleet.rememberedExtents(),
+                        fleet.rememberedExtentSaving(),
+                        fleet.deferredWriteFraction(),
+                        fleet.deferredWorkPeriodMicros(),
+                        fleet.pausePeriodMicros(),
+                        fleet.pauseMicros(),
+                        ruleBounds.initialCapacityFraction(),
+                        ruleBounds.warmUpMicros(),
+                        ruleBounds.overloadFactor(),
+                        ruleBounds.overloadWindowMicros(),
+                        fleet.reportsLoad(),
+                        fleet.dropsCancelled(),
+                        fleet.queueingPenalty(),
+                        fleet.connectionSetupMicros(),
+                        fleet.warmUpUnits(),
+                        fleet.workDistribution());
         return new Target(
                 id,
                 shard,
                 behavior,
                 context.random().nextLong(),
                 context.executor(),
-                category -> deduplicationCaches(category, shard),
+                requestClass -> deduplicationCaches(requestClass, shard),
                 context.observer(id),
                 context::note,
                 context.environment());
     }
 
-    /** The deduplication cache a shard shares with its group; null without idempotency keys. */
-    private synchronized DeduplicationCache deduplicationCaches(String category, int shard) {
-        for (RequestClass c : scenario.requestClasses()) {
-            if (c.name().equals(category) && c.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
+    /**
+     * Returns the deduplication cache that a shard shares with its group; null for a request class
+     * without idempotency keys.
+     */
+    private synchronized DeduplicationCache deduplicationCaches(String requestClass, int shard) {
+        for (RequestClass candidate : scenario.requestClasses()) {
+            if (candidate.name().equals(requestClass)
+                    && candidate.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
                 String group =
-                        c.deduplicationScope() == DeduplicationScope.ALL
+                        candidate.deduplicationScope() == DeduplicationScope.ALL
                                 ? "all"
-                                : c.deduplicationScope() == DeduplicationScope.ZONE
+                                : candidate.deduplicationScope() == DeduplicationScope.ZONE
                                         ? zone(shard)
                                         : "cell" + shard;
                 return deduplicationCaches.computeIfAbsent(
-                        category + " " + group,
-                        g -> new DeduplicationCache(c.deduplicationWindowMicros()));
+                        requestClass + " " + group,
+                        key -> new DeduplicationCache(candidate.deduplicationWindowMicros()));
             }
         }
         return null;
--- a/scenario/src/main/java/milletyoke/scenario/audit/DrainRule.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/DrainRule.java
@@ -45,7 +45,8 @@
                 ? "no attempt was sent to a withdrawn target"
                 : "the latest attempt was sent "
                         + millis(longestDelay)
-                        + " after the target was withdrawn, the grace period is "
-                        + millis(settings.drainGraceMicros());
+                        + " after the target was withdrawn, at most "
+                        + millis(settings.drainGraceMicros())
+                        + " is allowed";
     }
 }
--- a/scenario/src/main/java/milletyoke/scenario/audit/SingleExecutionRule.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/SingleExecutionRule.java
@@ -113,8 +113,8 @@
             RuleSettings.RequestClassRules rules,
             String one,
             String other) {
-        Incarnation.ObservedEndpoint oneEndpoint = incarnation.endpoints.get(one),
-                otherEndpoint = incarnation.endpoints.get(other);
+        Incarnation.ObservedEndpoint oneEndpoint = incarnation.endpoints.get(one);
+        Incarnation.ObservedEndpoint otherEndpoint = incarnation.endpoints.get(other);
         if (rules.deduplicationScope().equals("all") || one.equals(other)) {
             return true;
         }
--- a/scenario/src/main/java/milletyoke/scenario/script/Scenario.java
+++ b/scenario/src/main/java/milletyoke/scenario/script/Scenario.java
@@ -41,10 +41,16 @@
     public record Network(long[] latencyMicros, long loopTurnMicros) {}
 
     /**
-     * Flags of a partition, added up in {@link Fault#intervalMicros}: {@code ONE_WAY} drops frames
-     * to the targets only, {@code GREY} drops attempts but not probes.
+     * Flag of a partition, added to {@link Fault#intervalMicros}: only frames to the targets are
+     * dropped.
      */
-    public static final long ONE_WAY = 1, GREY = 2;
+    public static final long ONE_WAY = 1;
+
+    /**
+     * Flag of a partition, added to {@link Fault#intervalMicros}: attempts are dropped, but not
+     * probes.
+     */
+    public static final long GREY = 2;
 
     /**
      * The targets; see {@link milletyoke.standins.TargetBehavior}.
