--- a/scenario/src/main/java/milletyoke/scenario/audit/Audit.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/Audit.java
@@ -35,8 +35,8 @@
     private final Map<String, Incarnation> incarnations = new HashMap<>();
     private final Set<String> initiators = new HashSet<>();
 
-    private Audit(List<Record> all) {
-        records = new ArrayList<>(all);
+    private Audit(List<Record> unsortedRecords) {
+        records = new ArrayList<>(unsortedRecords);
         records.sort(
                 Comparator.comparingLong(
                         Record::getAtMicros)); // stable sort: records of one thread keep their
@@ -47,7 +47,7 @@
     public record Report(List<Verdict> verdicts, int records) {
         /** Returns whether no rule was violated. */
         public boolean isClean() {
-            return verdicts.stream().allMatch(v -> v.violations() == 0);
+            return verdicts.stream().allMatch(verdict -> verdict.violations() == 0);
         }
 
         /** Returns the verdict of a rule, by its number from 1. */
@@ -62,22 +62,22 @@
          */
         public String text(boolean details) {
             StringBuilder text = new StringBuilder();
-            for (Verdict v : verdicts) {
+            for (Verdict verdict : verdicts) {
                 String status =
-                        v.violations() > 0
-                                ? v.violations() + " BREACHES"
-                                : v.tested() == 0 ? "not tested" : "kept";
+                        verdict.violations() > 0
+                                ? verdict.violations() + " BREACHES"
+                                : verdict.tested() == 0 ? "not tested" : "kept";
                 text.append(
                         String.format(
                                 "rule %d  %-13s %8d tests%s  %s%n        %s%n",
-                                v.rule(),
+                                verdict.rule(),
                                 status,
-                                v.tested(),
-                                v.excused() > 0 ? ", " + v.excused() + " excused" : "",
-                                v.name(),
-                                v.closestCall()));
+                                verdict.tested(),
+                                verdict.excused() > 0 ? ", " + verdict.excused() + " excused" : "",
+                                verdict.name(),
+                                verdict.closestCall()));
                 if (details) {
-                    v.details().forEach(s -> text.append("        ").append(s).append('\n'));
+                    verdict.details().forEach(s -> text.append("        ").append(s).append('\n'));
                 }
             }
             return text.toString();
--- a/scenario/src/main/java/milletyoke/scenario/audit/ObservedRequest.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/ObservedRequest.java
@@ -87,8 +87,8 @@
         }
 
         /**
-         * Returns when the attempt ended without a reply of its target, which may still execute it;
-         * -1 if it has not.
+         * Returns when the attempt ended if it ended without a reply, so that its target may still
+         * execute it; otherwise -1.
          */
         long possiblyRunningSince(long nowMicros) {
             boolean isWithoutReply = outcome == Outcome.CANCELLED || outcome == Outcome.RESET;
--- a/scenario/src/main/java/milletyoke/scenario/audit/SingleExecutionRule.java
+++ b/scenario/src/main/java/milletyoke/scenario/audit/SingleExecutionRule.java
@@ -148,9 +148,9 @@
         if (!rules.isIdempotent() && !isDeduplicated) {
             recordViolation(
                     request.id
-                            + " of "
+                            + ": "
                             + rules.idempotency()
-                            + " rejected though it may have been executed",
+                            + " request rejected though it may have been executed",
                     frame);
         }
     }
