--- a/scenario/src/main/java/milletyoke/scenario/CapturedLoad.java
+++ b/scenario/src/main/java/milletyoke/scenario/CapturedLoad.java
@@ -66,7 +66,7 @@
                 if (captured.shard() >= scenario.fleet().targets()) {
                     throw new IOException(
                             location
-                                    + " is for shard "
+                                    + " wants shard "
                                     + captured.shard()
                                     + ", but the scenario has "
                                     + scenario.fleet().targets()
