--- a/core/src/main/java/milletyoke/scheduler/AttemptCompletion.java
+++ b/core/src/main/java/milletyoke/scheduler/AttemptCompletion.java
@@ -89,7 +89,7 @@
             case TIMED_OUT -> limiter.decrease(target, request, settings.shortestObjectiveMicros());
             case NO_CONNECTION -> targetHealth.markUnresponsive(target);
             default -> {
-                // other outcomes say nothing about the target
+                // other outcomes are no evidence of the state of the target
             }
         }
     }
@@ -97,7 +97,7 @@
     private void updateRequest(int target, PendingRequest request, Outcome outcome) {
         boolean mayStillExecute = MAY_STILL_EXECUTE.contains(outcome);
         if (mayStillExecute) {
-            keyOrdering.startQuietTime(request);
+            keyOrdering.startQuietPeriod(request);
         }
         if (request.executedOn < 0 && (mayStillExecute || outcome == Outcome.ERROR)) {
             request.executedOn = target;
--- a/core/src/main/java/milletyoke/scheduler/ConcurrencyLimiter.java
+++ b/core/src/main/java/milletyoke/scheduler/ConcurrencyLimiter.java
@@ -56,10 +56,10 @@
 
     /**
      * Lowers the limit after a late or missing response. Halves it once per round trip at most: an
-     * attempt sent before the last decrease says nothing about the time after it. Among many
+     * attempt sent before the last decrease is no evidence of the load after it. Among many
      * initiators, a refusal, a time-out or a very late response while hardly any own attempt is in
      * flight indicates a queue that others fill; what does not fit is then held back for a backoff
-     * that doubles each time. Does harm where responses are late by chance.
+     * period that doubles each time. This is harmful where responses are late by chance.
      */
     void decrease(int target, PendingRequest request, long latencyMicros) {
         if (request.sentAt < targets.limitReducedAt[target]) {
--- a/core/src/main/java/milletyoke/scheduler/DispatchQueue.java
+++ b/core/src/main/java/milletyoke/scheduler/DispatchQueue.java
@@ -156,21 +156,21 @@
         volumes.remove(volume.name);
     }
 
-    /** Has a shard served because something changed that may let its requests be sent. */
+    /** Marks a shard for service because a change occurred that may let its requests be sent. */
     void markForService(ShardQueue shardQueue) {
         toServe.add(shardQueue);
     }
 
     /**
-     * Has a shard served and all requests queued there checked again, because more than its free
-     * slots changed.
+     * Marks a shard for service and all its queued requests for another check, because more than
+     * its free slots changed.
      */
     void invalidate(ShardQueue shardQueue) {
         shardQueue.mustRecheckAll = true;
         toServe.add(shardQueue);
     }
 
-    /** Has the requests of one volume at one shard checked again. */
+    /** Marks the requests of one volume at one shard for another check. */
     void invalidate(FlowQueue flow) {
         flow.shardQueue.unpark(flow);
         toServe.add(flow.shardQueue);
@@ -181,8 +181,8 @@
     }
 
     /**
-     * Makes a bucket follow the plan of a request, and has the volume's requests checked again if
-     * that may change their results.
+     * Makes a bucket follow the plan of a request, and marks the requests of the volume for another
+     * check if that may change their results.
      */
     void usePlan(TokenBucket bucket, PendingRequest request) {
         if (request.volume.hasMixedPlans
@@ -202,8 +202,8 @@
     }
 
     /**
-     * Has the shards that depend on the retry budget checked again after it was exhausted or became
-     * available.
+     * Marks the shards that depend on the retry budget for another check after it was exhausted or
+     * became available.
      */
     void retryBudgetChanged() {
         retryBudgetDependents.forEach(this::invalidate);
--- a/core/src/main/java/milletyoke/scheduler/FairQueue.java
+++ b/core/src/main/java/milletyoke/scheduler/FairQueue.java
@@ -104,7 +104,7 @@
     /**
      * Returns the flow with the least finish tag among those below their reservation, or among all
      * if there is none. Protects reservations while many volumes request more than theirs. Shares
-     * by weight would suffer if reservations took up the whole shard for long.
+     * by weight would be too small if reservations took up the whole shard for long.
      */
     private FlowQueue leastFinishTag(ShardQueue shardQueue) {
         shardQueue.refresh(turn.now());
--- a/core/src/main/java/milletyoke/scheduler/IdleStateEviction.java
+++ b/core/src/main/java/milletyoke/scheduler/IdleStateEviction.java
@@ -22,7 +22,7 @@
  *       because nothing is queued at the shard (start-time fair queueing does so at the end of each
  *       busy period); a flow created later starts with the highest extra tag of those evicted, so
  *       that no volume returns with a lower one;
- *   <li>a key: it has no request, and its quiet time is over;
+ *   <li>a key: it has no request, and its quiet period is over;
  *   <li>a target: it has not been usable for long, and no pending request has an attempt in flight
  *       there or one that may have executed there;
  *   <li>a shard: no target is listed for it, nothing is queued, and it has no flow.
@@ -75,7 +75,10 @@
         this.reservationLevel = reservationLevel;
     }
 
-    /** Schedules the check of a key whose last request has left; its quiet time may not be over. */
+    /**
+     * Schedules the check of a key whose last request was removed; its quiet period may not be
+     * over.
+     */
     void scheduleKeyCheck(KeySequence key) {
         if (key.evictionCheckAt == 0) {
             key.evictionCheckAt = Math.max(1, key.quietUntil);
@@ -85,8 +88,8 @@
 
     /**
      * Evicts the keys that are due. The check time of a queued key stays fixed and is set anew at
-     * the check. If it followed a quiet time that is prolonged meanwhile, a key whose requests keep
-     * timing out would stay ahead of all others, and none of them would be evicted.
+     * the check. If it followed a quiet period that is prolonged meanwhile, a key whose requests
+     * keep timing out would stay ahead of all others, and none of them would be evicted.
      */
     private void evictKeys(long now) {
         while (!emptyKeys.isEmpty() && emptyKeys.peek().evictionCheckAt <= now) {
--- a/core/src/main/java/milletyoke/scheduler/KeyOrdering.java
+++ b/core/src/main/java/milletyoke/scheduler/KeyOrdering.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 
 /**
- * Runs requests of one key one after another, in order of admission, with a quiet time after an
+ * Runs requests of one key one after another, in order of admission, with a quiet period after an
  * attempt that may still be executing.
  */
 final class KeyOrdering {
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Returns whether a request is the next of its key and the quiet time of the key is over. */
+    /** Returns whether a request is the next of its key and the quiet period of the key is over. */
     boolean isNextForKey(PendingRequest request) {
         KeySequence sequence = sequenceOf(request);
         if (sequence == null) {
@@ -52,8 +52,8 @@
         return !isQuiet;
     }
 
-    /** Starts the quiet time of a key, at the end of an attempt that may still be executing. */
-    void startQuietTime(PendingRequest request) {
+    /** Starts the quiet period of a key, at the end of an attempt that may still be executing. */
+    void startQuietPeriod(PendingRequest request) {
         KeySequence sequence = sequenceOf(request);
         if (sequence != null) {
             long until = turn.now() + settings.limits().keyQuietMicros();
--- a/core/src/main/java/milletyoke/scheduler/KeySequence.java
+++ b/core/src/main/java/milletyoke/scheduler/KeySequence.java
@@ -2,7 +2,7 @@
 
 import java.util.TreeSet;
 
-/** The requests of one key in order of admission, and the end of its quiet time. */
+/** The requests of one key in order of admission, and the end of its quiet period. */
 final class KeySequence {
     final TreeSet<PendingRequest> requests = new TreeSet<>(PendingRequest.BY_ADMISSION);
     final String key;
--- a/core/src/main/java/milletyoke/scheduler/LoadReports.java
+++ b/core/src/main/java/milletyoke/scheduler/LoadReports.java
@@ -90,8 +90,8 @@
      * Returns whether requests have to wait for a probe, which is sent now if no report is valid.
      * Where responses are late among many initiators, a probe goes first: at concurrency limits of
      * one attempt, each initiator gets responses too rarely to notice the queue that all of them
-     * build up. Guards against load from any other source. Does harm where probes are expensive, or
-     * answered later than work.
+     * build up. Guards against load from any other source. This is harmful where probes are
+     * expensive, or answered later than work.
      */
     boolean mustAwaitProbe(int target) {
         boolean canProbe =
--- a/core/src/main/java/milletyoke/scheduler/RetryBudget.java
+++ b/core/src/main/java/milletyoke/scheduler/RetryBudget.java
@@ -30,7 +30,8 @@
     }
 
     /**
-     * Has flows that depend on the budget checked again when it is exhausted or becomes available.
+     * Marks flows that depend on the budget for another check when it is exhausted or becomes
+     * available.
      */
     void update() {
         if (hasBudget() != hadBudget) {
--- a/core/src/main/java/milletyoke/scheduler/ShardQueue.java
+++ b/core/src/main/java/milletyoke/scheduler/ShardQueue.java
@@ -155,7 +155,7 @@
         }
     }
 
-    /** Has a flow with requests checked again, whatever the last check found. */
+    /** Marks a flow with requests for another check, whatever the last check found. */
     void unpark(FlowQueue flow) {
         if (flow.isOrdered) {
             removeFromParked(flow);
@@ -210,7 +210,7 @@
         }
     }
 
-    /** Has the flows checked that are due, or all flows if {@link #mustRecheckAll} is set. */
+    /** Marks for a check the flows that are due, or all flows if {@link #mustRecheckAll} is set. */
     void refresh(long now) {
         if (mustRecheckAll) {
             parked.forEach(flow -> flow.isParked = false);
--- a/core/src/main/java/milletyoke/scheduler/TargetHealth.java
+++ b/core/src/main/java/milletyoke/scheduler/TargetHealth.java
@@ -122,7 +122,7 @@
 
     /**
      * Presumes an attempt lost if one sent after it got a response and its own is long overdue.
-     * Guards the concurrency limit against attempts that vanish one by one. Does harm where a
+     * Guards the concurrency limit against attempts that vanish one by one. This is harmful where a
      * target serves out of order; therefore a non-idempotent request is not cancelled.
      */
     private void checkLost(PendingRequest request) {
@@ -168,8 +168,8 @@
 
     /**
      * Marks a target unresponsive until it responds. Guards against a target that hangs, pauses for
-     * long, is down or cannot be reached, whatever the endpoint list says. Does harm where single
-     * connections fail by chance.
+     * long, is down or cannot be reached, whatever the endpoint list says. This is harmful where
+     * single connections fail by chance.
      */
     void markUnresponsive(int target) {
         if (targets.nextTrialAt[target] == 0) {
--- a/core/src/main/java/milletyoke/scheduler/Turn.java
+++ b/core/src/main/java/milletyoke/scheduler/Turn.java
@@ -36,9 +36,10 @@
     }
 
     /**
-     * Returns the time of the last turn that came far later than requested. After a stall of this
-     * process, whatever its cause, responses say nothing about the latency or health of a target,
-     * so they are not used as measurements. Does harm where all turns are late: nothing adapts.
+     * Returns the time of the last turn that started far later than requested. After a stall of
+     * this process, whatever its cause, responses are no evidence of the latency or health of a
+     * target, so they are not used as measurements. This is harmful where all turns are late:
+     * nothing adapts.
      */
     long lastStallEndedAt() {
         return lastStallEndedAt;
--- a/core/src/main/java/milletyoke/scheduler/WakeUpTimer.java
+++ b/core/src/main/java/milletyoke/scheduler/WakeUpTimer.java
@@ -2,7 +2,7 @@
 
 import milletyoke.scheduler.api.Action;
 
-/** Requests wake-ups from the caller, and detects stalls by how late they come. */
+/** Requests wake-ups from the caller, and detects stalls by how late they arrive. */
 final class WakeUpTimer {
     private final Turn turn;
     private final ActiveSettings settings;
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Requests a wake-up unless one is set that comes early enough. */
+    /** Requests a wake-up unless one that is early enough is set. */
     void schedule(long watchAt, boolean hasPending, boolean hasQueued) {
         long neededAt = Math.min(watchAt, nextCheckAt(hasPending, hasQueued));
         if (neededAt < wakeAt) {
--- a/core/src/main/java/milletyoke/scheduler/api/SchedulerSettings.java
+++ b/core/src/main/java/milletyoke/scheduler/api/SchedulerSettings.java
@@ -101,7 +101,7 @@
     /**
      * The limits of the rules that every attempt must satisfy.
      *
-     * @param keyQuietMicros how long a key stays quiet after an attempt that may still be executing
+     * @param keyQuietMicros quiet period of a key after an attempt that may still be executing
      * @param warmUpMicros duration of the slow start of a target
      * @param initialFraction fraction of its capacity that a target has at its start
      * @param warmUpBudgetUnits units from all initiators that a target can take in one overload
@@ -111,7 +111,7 @@
      * @param freeRetries retries per retry window beyond the share
      * @param retryShare retries per request admitted in the same retry window
      * @param retryWindowMicros time over which retries are counted
-     * @param watchDeadlineMicros time within which service discovery must be asked again
+     * @param watchDeadlineMicros time within which service discovery must be sent another watch
      */
     public record RuleLimits(
             long keyQuietMicros,
--- a/core/src/test/java/milletyoke/scheduler/IdleStateEvictionTest.java
+++ b/core/src/test/java/milletyoke/scheduler/IdleStateEvictionTest.java
@@ -370,8 +370,8 @@
     }
 
     /**
-     * Guards against a key whose quiet time is prolonged again and again and keeps other keys from
-     * being evicted.
+     * Guards against a key whose quiet period is prolonged again and again and keeps other keys
+     * from being evicted.
      */
     @Test
     void keyWithProlongedQuietTimeDelaysNoOthers() {
@@ -397,7 +397,7 @@
         }
         stuck.quietUntil = 1_000_000;
         eviction.evictIdle(100, 0);
-        assertEquals(1, sequences.size(), "keys whose quiet time is over are evicted");
+        assertEquals(1, sequences.size(), "keys whose quiet period is over are evicted");
         eviction.evictIdle(1_000_000, 0);
         assertEquals(0, sequences.size());
     }
