--- a/standins/src/main/java/milletyoke/standins/LoadGenerator.java
+++ b/standins/src/main/java/milletyoke/standins/LoadGenerator.java
@@ -127,6 +127,7 @@
         return true;
     }
 
+    /** Starts the arrival of requests. */
     public void start() {
         arrivals.start();
     }
--- a/standins/src/main/java/milletyoke/standins/Target.java
+++ b/standins/src/main/java/milletyoke/standins/Target.java
@@ -121,6 +121,7 @@
         return shard;
     }
 
+    /** Returns the configured performance, which injected faults do not change. */
     public TargetBehavior behavior() {
         return behavior;
     }
--- a/standins/src/main/java/milletyoke/standins/http/ScriptedHttpServer.java
+++ b/standins/src/main/java/milletyoke/standins/http/ScriptedHttpServer.java
@@ -47,6 +47,7 @@
         return listener.port();
     }
 
+    /** Replaces the script that handles the requests from now on. */
     public void script(Script next) {
         script = next;
     }
